--- a/src/nutmegroad/routing/attempts.py
+++ b/src/nutmegroad/routing/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at an answer: send it, follow the stream, say how it ended."""
+"""Executes one attempt: sends it, reads the stream and records its outcome."""
 
 import math
 from dataclasses import dataclass, field
@@ -21,40 +21,41 @@
 from nutmegroad.quality.prices import cost_of
 from nutmegroad.routing.directory import Directory, LeavingSource
 
-#: Seconds without a piece after which a stream counts as frozen.
+#: Seconds without a piece after which a stream counts as stalled.
 STALL: Final = 10.0
 
-#: Seconds without a piece from which on silence is held against an upstream
-#: whose caller's time is up, or whose caller leaves.
+#: An attempt that ends because the caller's deadline passed or the caller
+#: disconnected counts against the upstream only if the upstream had sent no
+#: piece for at least this many seconds.
 SILENCE: Final = 1.0
 
-#: Pieces that a resumed answer repeats, so that it can be seen whether it
-#: goes on as the caller was shown.
+#: Pieces that a resumed answer repeats, so that they can be compared with
+#: the pieces that the caller has received.
 OVERLAP: Final = 4
 
 
 class Sink(Protocol):
-    """Takes the pieces of an answer on their way to the caller."""
+    """Receives the pieces of an answer on their way to the caller."""
 
     def answering(self, version: VersionId) -> None:
-        """Learn which version writes what comes next."""
+        """Set the version that writes the pieces that follow."""
 
     async def piece(self, text: str) -> None:
-        """Take a piece."""
+        """Write a piece."""
 
 
 @dataclass(slots=True)
 class Received:
-    """What an answer has brought so far, over all attempts at it.
+    """The part of an answer received so far, over all attempts at it.
 
     Attributes:
         pieces: Texts by index; empty where a chunk had none.
-        read: Index behind the last piece that the present attempt brought.
+        read: Index after the last piece of the current attempt.
         first: Clock seconds of the first piece, or None.
-        heard: Clock seconds of the last piece of the present attempt;
-            infinite while the caller takes it.
-        ending: The mark that the answer is whole, or None.
-        refusal: Why it is not whole, or None.
+        heard: Clock seconds of the last piece of the current attempt;
+            infinite while the caller's sink is taking that piece.
+        ending: The end marker of a complete answer, or None.
+        refusal: Why the answer is incomplete, or None.
     """
 
     pieces: list[str] = field(default_factory=list)
@@ -66,22 +67,22 @@
 
     @property
     def resume_at(self) -> int:
-        """Return the index from which the answer may be asked for again."""
+        """Return the index from which to request the rest of the answer."""
         return max(0, len(self.pieces) - OVERLAP)
 
 
 @dataclass(slots=True)
 class Trial:
-    """One attempt, and what comes of it.
+    """One attempt, its progress and its outcome.
 
     Attributes:
-        start: How it is announced.
-        attempt: What goes to the upstream.
+        start: The event that announces the attempt to observers.
+        attempt: What is sent to the upstream.
         state: The upstream.
-        received: What has come so far, also from attempts before.
+        received: The answer so far, including pieces of earlier attempts.
         prompt_tokens: Estimated tokens of the prompt.
-        end: How it ended, once it has.
-        passed: The gate has let its first byte through.
+        end: The outcome; None until the attempt has ended.
+        passed: Whether the gate was open when it was last checked.
     """
 
     start: AttemptStart
@@ -93,10 +94,10 @@
     passed: bool = False
 
     def watch(self, gate: Gate) -> Gate:
-        """Return a gate that remembers whether it was open."""
+        """Return a gate that records in ``passed`` whether it was open."""
 
         def look() -> Refusal | None:
-            """Look at the gate."""
+            """Check the gate and record the result."""
             refusal = gate()
             self.passed = refusal is None
             return refusal
@@ -105,15 +106,15 @@
 
 
 class Attempter:
-    """Carries out attempts and tells the observers of them.
+    """Executes attempts and notifies the observers of them.
 
     Args:
-        engines: How engines are reached.
-        directory: Counts what is in flight.
-        observers: Told of beginnings and ends.
-        configuration: Knows the prices.
+        engines: Client for engines.
+        directory: Counts the requests in flight.
+        observers: Notified of the start and end of each attempt.
+        configuration: Source of the prices.
         clock: The host's clock.
-        stall: Seconds without a piece that are too long.
+        stall: Seconds without a piece after which the attempt is given up.
     """
 
     def __init__(
@@ -133,7 +134,7 @@
         self._stall = stall
 
     async def run(self, trial: Trial, sink: Sink) -> AttemptEnd:
-        """Carry out one attempt; pieces go to the sink as they come."""
+        """Execute one attempt, writing pieces to the sink as they arrive."""
         trial.received.refusal = None
         trial.received.read = trial.attempt.skip
         trial.received.heard = -math.inf
@@ -143,7 +144,8 @@
             with self._directory.in_flight(trial.state, trial.start.version):
                 await self._follow(trial.attempt, trial.received, sink)
         finally:
-            # A caller that goes away cancels us here; it counts as cut.
+            # If the caller disconnects, this task is cancelled here, and
+            # the attempt ends with ``ANSWER_CUT``.
             trial.end = self._end(trial, began)
             self._observers.ended(trial.end)
         self._note(trial)
@@ -155,7 +157,7 @@
         received: Received,
         sink: Sink,
     ) -> None:
-        """Read the stream until it ends, breaks or falls silent."""
+        """Read the stream until it ends, fails or times out."""
         deadline = self._clock.now() + attempt.timeout
         try:
             async with Watchdog(self._clock, self._stall, deadline) as dog:
@@ -163,7 +165,8 @@
         except TimeoutError:
             received.refusal = Refusal(
                 ResultCode.UPSTREAM_TIMEOUT,
-                f'The upstream {attempt.upstream.upstream} fell silent.',
+                f'The upstream {attempt.upstream.upstream} did not complete '
+                'its answer in time.',
                 Ran.UNKNOWN,
                 retry_after=1,
             )
@@ -175,7 +178,7 @@
         sink: Sink,
         dog: Watchdog,
     ) -> None:
-        """Read the stream's events."""
+        """Read the events of the stream."""
         async with self._engines.answer(attempt) as events:
             async for event in events:
                 if isinstance(event, Refusal):
@@ -184,7 +187,8 @@
                 if isinstance(event, Ending):
                     _finish(received, event)
                     return
-                # A caller that reads slowly says nothing of the upstream.
+                # Time that the caller takes to read a piece must not count
+                # against the upstream.
                 dog.hold()
                 received.heard = math.inf
                 received.refusal = await self._take(event, received, sink)
@@ -194,7 +198,7 @@
                 dog.touch()
         received.refusal = Refusal(
             ResultCode.ANSWER_CUT,
-            'The answer ended without its terminal mark.',
+            'The answer stream ended without an end marker.',
             Ran.UNKNOWN,
         )
 
@@ -204,7 +208,7 @@
         received: Received,
         sink: Sink,
     ) -> Refusal | None:
-        """Keep a piece and hand it on; check one that was there before."""
+        """Store and forward a new piece, or compare a repeated one."""
         if received.first is None:
             received.first = self._clock.now()
         pieces = received.pieces
@@ -213,14 +217,14 @@
             if pieces[piece.index] == piece.text:
                 return None
             return _other_answer()
-        # Chunks without text count too.
+        # Chunks without text also have an index.
         pieces.extend('' for _ in range(piece.index - len(pieces)))
         pieces.append(piece.text)
         await sink.piece(piece.text)
         return None
 
     def _note(self, trial: Trial) -> None:
-        """Tell the directory what an attempt says of its upstream."""
+        """Update the directory with what the attempt shows of its upstream."""
         upstream = trial.state.info.upstream
         refusal = trial.received.refusal
         if refusal is None:
@@ -235,7 +239,7 @@
             )
 
     def _end(self, trial: Trial, began: float) -> AttemptEnd:
-        """Sum an attempt up."""
+        """Return the summary of a finished attempt."""
         received = trial.received
         ending = received.ending
         code = ResultCode.ANSWER_CUT
@@ -247,11 +251,12 @@
         if ending is not None:
             prompt = ending.prompt_tokens
         written = ending.output_tokens if ending else len(received.pieces)
-        # What attempts before it have written was theirs.
+        # Tokens written by earlier attempts are counted there.
         output = max(0, written - trial.attempt.skip)
         first = received.first
         if first is not None:
-            # An attempt that resumes an answer has no first token.
+            # In an attempt that resumes an answer, the first piece came
+            # before the attempt began.
             first = first - began if first >= began else None
         return AttemptEnd(
             start=trial.start,
@@ -267,9 +272,10 @@
         )
 
     def _is_out_of_time(self, trial: Trial, began: float) -> bool:
-        """Tell whether only the caller's time ended an attempt.
+        """Return whether the attempt ended only for lack of the caller's time.
 
-        Who waits at a full engine hears nothing for a good reason.
+        An engine that is full sends nothing to requests that wait there, so
+        such an attempt does not count against the upstream either.
         """
         received = trial.received
         now = self._clock.now()
@@ -287,7 +293,7 @@
         return report is not None and report.is_full and not has_begun
 
     def _cost(self, start: AttemptStart, prompt: int, output: int) -> float:
-        """Return what an attempt cost at today's prices."""
+        """Return the cost of an attempt at the current prices."""
         entry = self._configuration.entry(start.version)
         if entry is None:
             return 0
@@ -295,7 +301,7 @@
 
 
 def _finish(received: Received, ending: Ending) -> None:
-    """Take the ending, unless it comes before what was there already."""
+    """Accept the end marker unless pieces received before are missing."""
     if received.read < len(received.pieces):
         received.refusal = _other_answer()
     else:
@@ -303,9 +309,9 @@
 
 
 def _other_answer() -> Refusal:
-    """Say that an engine has resumed something else."""
+    """Return the refusal for a resumed answer with a different text."""
     return Refusal(
         ResultCode.ANSWER_CROSSED,
-        'The resumed answer does not go on as the one before.',
+        'The resumed answer differs from the pieces received before.',
         Ran.UNKNOWN,
     )
--- a/src/nutmegroad/routing/dispatch.py
+++ b/src/nutmegroad/routing/dispatch.py
@@ -1,4 +1,4 @@
-"""The way of a model request: admit, plan, choose, attempt, retry."""
+"""Handles model requests: admission, planning, selection, attempts, retries."""
 
 import random
 from dataclasses import replace
@@ -32,12 +32,12 @@
     """Answers model requests.
 
     Args:
-        policies: The decisions.
-        gatekeeper: Makes the last check of each attempt.
-        attempter: Carries attempts out.
+        policies: The decisions on admission, versions, upstreams and retries.
+        gatekeeper: Makes the final check before each attempt.
+        attempter: Executes attempts.
         instruments: Metrics and invariants.
         clock: The host's clock.
-        randomness: Names attempts and draws seeds.
+        randomness: Source of attempt ids and seeds.
     """
 
     def __init__(
@@ -71,13 +71,13 @@
         explanation: Explanation,
         spent: Spent | None = None,
     ) -> Answer | Refusal:
-        """Answer a request; pieces go to the sink as soon as they may.
+        """Answer a request, writing pieces to the sink as soon as allowed.
 
         Args:
             request: The request.
-            sink: Takes the pieces.
-            explanation: Where each step is noted.
-            spent: Filled as costs arise, also if this is cancelled.
+            sink: Receives the pieces.
+            explanation: Records each step of the decision.
+            spent: Updated as costs arise; also valid after a cancellation.
         """
         progress = Progress(
             request,
@@ -96,14 +96,14 @@
         with permit:
             outcome = await self._follow_plans(progress)
         if isinstance(outcome, Refusal):
-            # Only what no attempt contradicts may be said of the whole.
+            # ``ran`` must hold for all attempts, not only for the last one.
             known = replace(outcome, ran=progress.spent.ran)
             return _as_session_end(known, request)
         progress.sink.finish()
         return outcome
 
     def settle_on(self, request: ModelRequest) -> VersionId | Refusal:
-        """Choose the one version that a new session is to keep."""
+        """Choose the version that a new session is bound to."""
         able = tuple(
             version
             for version in request.versions
@@ -115,7 +115,7 @@
         return plan if isinstance(plan, Refusal) else plan.steps[-1]
 
     def _is_able(self, request: ModelRequest, version: VersionId) -> bool:
-        """Tell whether a version could answer right now."""
+        """Return whether a version could answer a request now."""
         refusal = self._gatekeeper.check_version(
             request.workspace,
             request.task,
@@ -128,7 +128,7 @@
         return not isinstance(choice, Refusal)
 
     def _session_refusal(self, request: ModelRequest) -> Refusal | None:
-        """Return why a session can not go on, or None."""
+        """Return why a session cannot continue, or None."""
         session = request.session
         if session is None:
             return None
@@ -143,7 +143,7 @@
         return _as_session_end(refusal, request)
 
     async def _follow_plans(self, progress: Progress) -> Answer | Refusal:
-        """Follow plans until one answers, each without failed versions."""
+        """Execute plans until one succeeds, each without failed versions."""
         request = progress.request
         refusal: Refusal | None = None
         while request.versions:
@@ -164,11 +164,11 @@
             return refusal
         return Refusal(
             ResultCode.NO_PLAN,
-            'No version may answer this request.',
+            'No version is allowed to answer this request.',
         )
 
     def _may_turn(self, progress: Progress, refusal: Refusal) -> bool:
-        """Tell whether another version may be tried."""
+        """Return whether another version may be used after a refusal."""
         if progress.request.session is not None or progress.sink.shown:
             return False
         if refusal.code not in TURN_AWAY:
@@ -181,7 +181,7 @@
         progress: Progress,
         plan: Plan,
     ) -> tuple[Answer | Refusal, VersionId]:
-        """Take a plan's steps; return the outcome and the last version."""
+        """Execute the steps of a plan; return the outcome and last version."""
         last = len(plan.steps) - 1
         for place, version in enumerate(plan.steps):
             final = place == last
@@ -203,19 +203,20 @@
         trial: Trial,
         wanted: float,
     ) -> bool:
-        """Tell whether the answer of a cascade's step may be shown."""
+        """Return whether the answer of a cascade's step is acceptable."""
         if trial.end is None:
             return False
         estimate = self._policies.planner.estimate(progress.request, trial.end)
         version = trial.start.version
         progress.note(
             'cascade',
-            f'{version} is estimated at {estimate:.3f}; {wanted:.3f} is enough',
+            f'{version} is estimated at {estimate:.3f}; '
+            f'{wanted:.3f} is required',
         )
         return estimate >= wanted
 
     def _answer(self, progress: Progress, trial: Trial) -> Answer:
-        """Sum a whole answer up."""
+        """Return the result for a complete answer."""
         ending = trial.received.ending
         version = trial.start.version
         session = progress.request.session
@@ -242,38 +243,38 @@
 
 
 async def _show(sink: Sink, trial: Trial) -> None:
-    """Show an answer that was kept back."""
+    """Write an answer that was withheld to the sink."""
     sink.answering(trial.start.version)
     for text in filter(None, trial.received.pieces):
         await sink.piece(text)
 
 
 def _without(request: ModelRequest, version: VersionId) -> ModelRequest:
-    """Return the request as if a version were not allowed."""
+    """Return the request without one of its allowed versions."""
     left = tuple(other for other in request.versions if other != version)
     return replace(request, versions=left)
 
 
 def _as_session_end(refusal: Refusal, request: ModelRequest) -> Refusal:
-    """Say of a withdrawn version that it ends the session."""
+    """Turn the refusal of a withdrawn version into the end of the session."""
     session = request.session
     if session is None or refusal.code is not ResultCode.VERSION_WITHDRAWN:
         return refusal
     return replace(
         refusal,
         code=ResultCode.SESSION_ENDED,
-        reason=f'The session {session.name!r} has ended, since its version '
-        f'{session.version} has been withdrawn.',
+        reason=f'The session {session.name!r} has ended because its version '
+        f'{session.version} was withdrawn.',
         retry_after=0,
     )
 
 
 def _last_step(plan: Plan) -> Plan:
-    """Return a plan that runs once: a cascade may run twice."""
+    """Return only the last step; a cascade may execute a request twice."""
     return replace(plan, steps=plan.steps[-1:], accept=())
 
 
 def _describe(plan: Plan) -> str:
-    """Say what a plan is."""
+    """Return a description of a plan."""
     steps = ' then '.join(plan.steps)
     return f'{steps}: {plan.reason}, cost {plan.cost:.5f}.'
--- a/src/nutmegroad/routing/gates.py
+++ b/src/nutmegroad/routing/gates.py
@@ -1,8 +1,8 @@
-"""The last check, in one step with the first byte of every attempt.
+"""The final check of an attempt, made in the step that sends its first byte.
 
-It looks at what holds at that moment, not at what held when the request
-was planned: a version may have been withdrawn or an upstream have begun
-to leave while the request waited.
+The check uses the state at that time rather than at planning time: while
+the request waited, a version may have been withdrawn, or an upstream may
+have started to drain.
 """
 
 from collections.abc import Callable
@@ -26,18 +26,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Passage:
-    """What a gate is asked about.
+    """The attempt that a gate checks.
 
     Attributes:
-        workspace: Who asks.
-        task: The task class; empty for a plain service's call.
-        version: The version; empty for a plain service's call.
-        service: The plain service; empty for a model's request.
-        epoch: The epoch that a session holds to; None for the present one.
-        upstream: Where the first byte would go.
+        workspace: The workspace of the caller.
+        task: The task class; empty for a call to a plain service.
+        version: The version; empty for a call to a plain service.
+        service: The plain service; empty for a model request.
+        epoch: The epoch that a session is bound to; None for the current one.
+        upstream: The upstream that would receive the first byte.
         deadline: Clock seconds at which the caller gives up.
-        attempt_fence: The attempt's way through the fence of its request; it
-            is asked last, so what it lets pass goes out.
+        attempt_fence: The attempt's part of the fence of its request. It is
+            checked last, so that an attempt it admits is sent.
     """
 
     workspace: WorkspaceId
@@ -50,17 +50,17 @@
     attempt_fence: AttemptFence | None = None
 
 
-#: Tells why this host may send nothing now, or None.
+#: Returns why this host may send nothing now, or None.
 Condition = Callable[[], Refusal | None]
 
 
 class Gatekeeper:
-    """Makes the gates of this host's attempts.
+    """Creates the gates for this host's attempts.
 
     Args:
-        configuration: What is in force.
+        configuration: The configuration in force.
         clock: The host's clock.
-        quarantine: Versions that evidence speaks against.
+        quarantine: Versions that are blocked because of evidence.
     """
 
     def __init__(
@@ -75,14 +75,14 @@
         self._conditions: list[Condition] = []
 
     def require(self, condition: Condition) -> None:
-        """Hold every first byte to one more condition of the host."""
+        """Add a condition that must hold before this host sends anything."""
         self._conditions.append(condition)
 
     def gate(self, passage: Passage) -> Gate:
-        """Return the check for one attempt."""
+        """Return the gate for one attempt."""
 
         def check() -> Refusal | None:
-            """Look at everything once more."""
+            """Run all checks, the attempt fence last."""
             refusal = self.check(passage)
             if refusal is None and passage.attempt_fence is not None:
                 return passage.attempt_fence.check()
@@ -91,7 +91,7 @@
         return check
 
     def check(self, passage: Passage) -> Refusal | None:
-        """Return why the first byte must not go out, or None."""
+        """Return why the first byte must not be sent, or None."""
         refusal = self.host_refusal()
         if refusal is not None:
             return refusal
@@ -104,7 +104,7 @@
         if not upstream.is_open:
             return Refusal(
                 ResultCode.UPSTREAM_LEAVING,
-                f'The upstream {upstream.info.upstream} is leaving.',
+                f'The upstream {upstream.info.upstream} is draining.',
             )
         workspace = self._workspace(passage.workspace)
         if isinstance(workspace, Refusal):
@@ -128,18 +128,18 @@
         version: VersionId,
         epoch: Epoch | None,
     ) -> Refusal | None:
-        """Return why a version may not answer now, wherever it runs."""
+        """Return why a version may not answer now, on any upstream."""
         entry = self._workspace(workspace)
         if isinstance(entry, Refusal):
             return entry
         return self._version_refusal(entry, task, version, epoch)
 
     def _workspace(self, name: WorkspaceId) -> WorkspaceEntry | Refusal:
-        """Return the workspace's entry as it is now."""
+        """Return the workspace's current entry, or why there is none."""
         if self._configuration.accepted and self._configuration.must_confirm:
             return Refusal(
                 ResultCode.HOST_PAUSED,
-                'This host was paused and has to confirm its configuration.',
+                'This host was paused and must confirm its configuration.',
                 retry_after=1,
             )
         accepted = self._configuration.accepted
@@ -154,7 +154,7 @@
                 return entry
         return Refusal(
             ResultCode.UNAUTHENTICATED,
-            f'The workspace {name!r} is not in the configuration.',
+            f'The configuration has no workspace {name!r}.',
         )
 
     def _check_service(
@@ -162,7 +162,7 @@
         passage: Passage,
         workspace: WorkspaceEntry,
     ) -> Refusal | None:
-        """Check a plain service's call."""
+        """Check a call to a plain service."""
         if passage.service not in workspace.services:
             return Refusal(
                 ResultCode.SERVICE_UNKNOWN,
@@ -176,7 +176,7 @@
         passage: Passage,
         workspace: WorkspaceEntry,
     ) -> Refusal | None:
-        """Check a model's request."""
+        """Check a model request."""
         return self._version_refusal(
             workspace,
             passage.task,
@@ -208,7 +208,8 @@
             if entry.stage is Stage.ROLLOUT or not entry.isolated:
                 return Refusal(
                     ResultCode.ISOLATED,
-                    f'No confirmed configuration allows {version} now.',
+                    f'Without a confirmed configuration, {version} may not '
+                    'be used now.',
                     retry_after=2,
                 )
             refusal = self._isolation_refusal(workspace)
@@ -220,7 +221,7 @@
         self,
         workspace: WorkspaceEntry,
     ) -> Refusal | None:
-        """Return why an isolated host may not serve the workspace."""
+        """Return why an isolated host may not serve a workspace."""
         if not self._configuration.isolated:
             return None
         age = self._configuration.confirmation_age
--- a/src/nutmegroad/routing/part.py
+++ b/src/nutmegroad/routing/part.py
@@ -1,4 +1,4 @@
-"""The part that decides where requests go."""
+"""Kernel part that assembles the routing of requests to upstreams."""
 
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.contracts.decisions import Observers, Quarantine
@@ -28,16 +28,16 @@
         EngineClient,
         ServiceClient,
         Invariants,
-        # Planners may follow the estimates.
+        # Planners may use the quality estimates.
         Estimates,
     )
 
     async def open(self, kernel: Kernel) -> None:
-        """Put the decisions together."""
+        """Create the policies and what uses them."""
         configuration = kernel.need(Configuration)
         directory = kernel.need(Directory)
         settings = kernel.settings
-        # Observers come first: policies learn through them.
+        # Observers come first, since policies subscribe to them.
         observers = Observers()
         kernel.provide(Observers, observers)
         quarantine = lookup('quarantine', settings.quarantine)(kernel)
--- a/src/nutmegroad/routing/request_progress.py
+++ b/src/nutmegroad/routing/request_progress.py
@@ -1,4 +1,4 @@
-"""What a model request has come to, while the dispatcher works on it."""
+"""State of a model request while the dispatcher handles it."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer.
+    """A complete answer.
 
     Attributes:
         version: The version that wrote it.
-        text: All of it.
+        text: The full text.
         finish: Why the engine stopped.
-        prompt_tokens: Tokens read by that version.
+        prompt_tokens: Prompt tokens read by that version.
         output_tokens: Tokens written by that version.
-        cost: What the request cost, all attempts and steps summed.
-        attempts: How many attempts were made.
+        cost: Cost of the request, over all attempts and steps.
+        attempts: Number of attempts made.
     """
 
     version: VersionId
@@ -39,14 +39,14 @@
 
 @dataclass(slots=True)
 class Spent:
-    """What a request has cost so far; it holds also if it is cancelled.
+    """Resources that a request has used so far; valid after cancellation too.
 
     Attributes:
-        cost: Costs of all attempts and steps.
+        cost: Cost of all attempts and steps.
         attempts: Attempts made.
-        ran: The most that may have run.
+        ran: Whether any attempt was or may have been executed.
         version: The version of the last attempt.
-        prompt_tokens: Tokens that it read.
+        prompt_tokens: Prompt tokens that it read.
         output_tokens: Tokens that it wrote.
     """
 
@@ -59,26 +59,26 @@
 
 
 class KeptBack:
-    """A sink that keeps an answer back: of a cascade, or not streamed."""
+    """A sink for an answer that is withheld: of a cascade, or not streamed."""
 
     def answering(self, version: VersionId) -> None:
-        """Say nothing yet."""
+        """Ignore the version for now."""
 
     async def piece(self, text: str) -> None:
-        """Show nothing yet."""
+        """Discard the piece; the attempt stores the text."""
 
 
 class CountedSink:
-    """A sink that counts and times what the caller is shown.
+    """A sink that counts and times what the caller receives.
 
     Args:
         inner: The caller's sink.
         task: The task class.
         clock: The host's clock.
-        metrics: Where times are observed.
+        metrics: Records the times.
 
     Attributes:
-        shown: Pieces shown.
+        shown: Number of pieces written to the caller.
         version: The version that wrote them.
     """
 
@@ -99,12 +99,12 @@
         self._last = self._began
 
     def answering(self, version: VersionId) -> None:
-        """Learn which version writes what comes next."""
+        """Set the version that writes the pieces that follow."""
         self.version = version
         self._inner.answering(version)
 
     async def piece(self, text: str) -> None:
-        """Show a piece."""
+        """Write a piece, recording its latency."""
         now = self._clock.now()
         if self.shown:
             self._latency.between_tokens(self._task, now - self._last)
@@ -115,21 +115,22 @@
         await self._inner.piece(text)
 
     def finish(self) -> None:
-        """Observe the time that a whole answer took."""
+        """Record the time that the complete answer took."""
         self._latency.whole_time(self._task, self._clock.now() - self._began)
 
 
 @dataclass(slots=True)
 class Progress:
-    """What a request has come to so far.
+    """The state of a request in progress.
 
     Attributes:
         request: The request.
-        explanation: Where each step is noted.
-        sink: The caller's side.
-        spent: What it has cost.
-        seed: Draws the answer, so that another engine can go on with it.
-        excluded: Upstreams that have failed it.
+        explanation: Records each step of the decision.
+        sink: The sink of the caller.
+        spent: Resources used so far.
+        seed: Sampling seed, the same for all attempts, so that another
+            engine can continue the answer.
+        excluded: Upstreams on which the request has failed.
     """
 
     request: ModelRequest
@@ -145,12 +146,12 @@
 
 
 def why(received: Received) -> Refusal:
-    """Return why an attempt failed."""
-    # A refusal is false, so ``or`` would pass over it.
+    """Return the refusal of a failed attempt."""
+    # A refusal is falsy, so ``or`` would skip it.
     if received.refusal is not None:
         return received.refusal
     return Refusal(
         ResultCode.ANSWER_CUT,
-        'The answer ended without its terminal mark.',
+        'The answer stream ended without an end marker.',
         Ran.UNKNOWN,
     )
--- a/src/nutmegroad/routing/steps.py
+++ b/src/nutmegroad/routing/steps.py
@@ -1,4 +1,4 @@
-"""One step of a plan: a version answers, with retries and resumptions."""
+"""Executes one step of a plan: one version answers, with retries."""
 
 import random
 from dataclasses import dataclass, replace
@@ -27,12 +27,12 @@
 from nutmegroad.routing.harmful import HarmfulRequests
 from nutmegroad.routing.request_progress import Progress, why
 
-#: Attempts that one request may make in all, whatever the budget says.
+#: Maximum attempts for one request, whatever the retry budget allows.
 MOST_ATTEMPTS: Final = 6
 
 _NONCE_BITS: Final = 48
 
-#: Failures of a version after which a request may turn to another one.
+#: Refusals after which a request may use another version.
 TURN_AWAY: Final = frozenset(
     (
         ResultCode.NO_UPSTREAM,
@@ -42,7 +42,7 @@
     )
 )
 
-#: Refusals of this host itself: no other upstream would change them.
+#: Refusals by this host itself, which another upstream would not change.
 OWN_REFUSALS: Final = frozenset(
     (
         ResultCode.DEADLINE_PASSED,
@@ -53,7 +53,7 @@
     )
 )
 
-#: Ways in which an answer can break off and be taken up again where it was.
+#: Failures after which an interrupted answer can be resumed.
 _RESUMABLE: Final = frozenset(
     (
         ResultCode.ANSWER_CUT,
@@ -66,14 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Policies:
-    """The decisions that a dispatcher asks for.
+    """The policies that a dispatcher uses.
 
     Attributes:
-        admitter: Lets requests in.
+        admitter: Admits requests.
         planner: Chooses versions.
         selector: Chooses upstreams.
         retries: Bounds retries.
-        harmful: Keeps requests from engines that end under them.
+        harmful: Keeps requests from engines that crash under them.
     """
 
     admitter: Admitter
@@ -85,11 +85,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Instruments:
-    """What a dispatcher measures and asserts with.
+    """Metrics and invariants of a dispatcher.
 
     Attributes:
-        metrics: Counts and times.
-        invariants: What must always hold.
+        metrics: Counters and latencies.
+        invariants: Conditions that must always hold.
     """
 
     metrics: Metrics
@@ -98,13 +98,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Course:
-    """The upstream of an attempt, and what it goes on from.
+    """The target and starting point of the next attempt.
 
     Attributes:
         choice: The upstream.
-        attempt: The attempt's id; one that resumes keeps it at its engine.
-        received: What came before.
-        attempt_fence: The attempt's way through its request's fence.
+        attempt: The attempt's id; an attempt that resumes at the same engine
+            keeps it.
+        received: The part of the answer received before.
+        attempt_fence: The attempt's part of the fence of its request.
     """
 
     choice: Choice
@@ -114,15 +115,15 @@
 
 
 class StepRunner:
-    """Has one version answer.
+    """Has one version answer a request.
 
     Args:
-        policies: The decisions.
-        gatekeeper: Makes the last check of each attempt.
-        attempter: Carries attempts out.
+        policies: The policies.
+        gatekeeper: Makes the final check before each attempt.
+        attempter: Executes attempts.
         instruments: Metrics and invariants.
         clock: The host's clock.
-        randomness: Names attempts.
+        randomness: Source of attempt ids.
     """
 
     def __init__(
@@ -148,7 +149,7 @@
         version: VersionId,
         sink: Sink,
     ) -> Trial | Refusal:
-        """Have one version answer, with retries and resumptions."""
+        """Have one version answer, retrying and resuming where allowed."""
         course = self._begin(progress, version, Received())
         while not isinstance(course, Refusal):
             trial = await self._attempt(progress, version, course, sink)
@@ -160,7 +161,8 @@
                 return refusal
             following = self._next(progress, version, trial, course)
             if isinstance(following, Refusal):
-                # Why the attempt broke says more than that none is left.
+                # The failure of the attempt explains more than the lack of
+                # another upstream.
                 return refusal
             course = following
         return course
@@ -171,7 +173,7 @@
         version: VersionId,
         received: Received,
     ) -> _Course | Refusal:
-        """Choose an upstream and name the attempt."""
+        """Choose an upstream and create the attempt's id."""
         kept_out = self._policies.harmful.keeps_out(progress.request)
         if kept_out is not None:
             progress.note('harmful', kept_out.reason)
@@ -198,12 +200,12 @@
         trial: Trial,
         course: _Course,
     ) -> _Course | Refusal:
-        """Choose how to go on after an attempt that broke."""
+        """Choose how to continue after a failed attempt."""
         received = trial.received
         upstream = course.choice.state.info.upstream
         resumes = why(received).code in _RESUMABLE and bool(received.pieces)
         if resumes and upstream not in progress.excluded:
-            # Once more at the engine that knows the answer.
+            # Try once more at the engine that holds the answer.
             progress.excluded |= {upstream}
             return course
         progress.excluded |= {upstream}
@@ -236,7 +238,7 @@
         return trial
 
     def _sum_up(self, progress: Progress, trial: Trial) -> None:
-        """Add an attempt that has ended, or was cancelled."""
+        """Add an attempt that has ended or was cancelled to the progress."""
         end = trial.end
         if end is None:
             return
@@ -262,7 +264,7 @@
         version: VersionId,
         course: _Course,
     ) -> Trial:
-        """Put together what goes to the upstream."""
+        """Create the attempt to send to the upstream."""
         request = progress.request
         state = course.choice.state
         body = {
@@ -305,7 +307,7 @@
         refusal: Refusal,
         course: _Course,
     ) -> bool:
-        """Tell whether another attempt may be made, and count it."""
+        """Return whether another attempt may be made, and count it if so."""
         if refusal.code in TURN_AWAY or refusal.code in OWN_REFUSALS:
             return False
         if not self._is_harmless(progress, refusal, course):
@@ -315,10 +317,10 @@
         if self._clock.now() >= progress.request.deadline:
             return False
         if not self._policies.retries.spend(progress.request):
-            progress.note('retries', 'The retry budget is spent.')
+            progress.note('retries', 'The retry budget is exhausted.')
             return False
         self._metrics.retried(refusal.code)
-        progress.note('retries', f'Again: {refusal.code.name}.')
+        progress.note('retries', f'Retry after {refusal.code.name}.')
         return True
 
     def _is_harmless(
@@ -327,11 +329,15 @@
         refusal: Refusal,
         course: _Course,
     ) -> bool:
-        """Tell whether another attempt can neither double nor cross."""
+        """Return whether another attempt is safe.
+
+        It must neither execute a request twice that may not be repeated nor
+        mix two answers.
+        """
         if progress.request.repeatable:
             return True
-        # Work that may not run twice goes on only at the engine that has
-        # it, or elsewhere if it is proved that nothing ran.
+        # Such a request continues only at the engine that already executes
+        # it, or elsewhere if no attempt was executed.
         if progress.spent.ran is Ran.NOT_RUN:
             return True
         has_begun = bool(course.received.pieces)
@@ -344,7 +350,7 @@
     version: VersionId,
     course: _Course,
 ) -> Passage:
-    """Return what the gate of an attempt looks at."""
+    """Return what the gate of an attempt checks."""
     session = request.session
     return Passage(
         request.workspace,
