--- a/src/nutmegroad/routing/exchange.py
+++ b/src/nutmegroad/routing/exchange.py
@@ -1,4 +1,4 @@
-"""Tells hosts of each other's load, and moves slots to where they lack."""
+"""Exchanges load digests between hosts and lends slots to hosts in need."""
 
 import random
 from math import ceil
@@ -12,23 +12,24 @@
 from nutmegroad.routing.fleet import FleetLoad, LoadDigest
 from nutmegroad.routing.shares import ShareAsk, ShareLedger, ShareLoan
 
-#: Seconds between two digests, and the share by which that varies.
+#: Minimum seconds between the load digests that a host sends.
 PERIOD: Final = 2.0
 
-#: Seconds between two looks at whether slots lack.
+#: Seconds between checks for missing slots, and the fraction by which the
+#: interval varies at random.
 LOOK: Final = 0.25
 _JITTER: Final = 0.2
 
-#: Hosts of its own domain that a host tells in each round.
+#: Hosts of its own domain to which a host sends each digest.
 FANOUT: Final = 8
 
-#: Hosts that are asked for slots in a round.
+#: Hosts that are asked for slots in one round.
 ASKED: Final = 2
 
-#: Seconds to wait for a reply.
+#: Seconds to wait for the reply to a request for slots.
 _TIMEOUT: Final = 0.5
 
-#: Seconds before the end of a loan at which slots are asked for anew.
+#: Seconds before the end of a loan at which its slots are requested again.
 _RENEWED: Final = 2.0
 
 #: Slots that a lender keeps free for itself.
@@ -36,15 +37,15 @@
 
 
 class ShareExchange:
-    """One host's side of the exchange.
+    """This host's side of the exchange of slots.
 
     Args:
         mesh: Links to other hosts.
-        admitter: Whose slots are moved.
-        fleet: Where digests are kept.
-        ledger: Where loans are kept.
+        admitter: The admitter whose slots are lent and borrowed.
+        fleet: Stores the digests of other hosts.
+        ledger: Stores the loans.
         clock: The host's clock.
-        randomness: Draws whom to tell and when.
+        randomness: Chooses receivers of digests and jitter.
     """
 
     def __init__(
@@ -66,23 +67,23 @@
 
     @property
     def _identity(self) -> Identity:
-        """Return who this host is."""
+        """Return the id and failure domain of this host."""
         return self._admitter.slots.identity
 
     def handle(self) -> None:
-        """Register what is done with messages."""
+        """Register the message handlers."""
         self._mesh.handle(LoadDigest, self._heard)
         self._mesh.handle(ShareAsk, self._asked)
 
     async def run(self) -> None:
-        """Take rounds until cancelled."""
+        """Run rounds until cancelled."""
         while True:
             spread = self._randomness.uniform(1 - _JITTER, 1 + _JITTER)
             await self._clock.sleep(LOOK * spread)
             await self.round()
 
     async def round(self) -> None:
-        """Tell others once in a while, and ask for slots where they lack."""
+        """Send a digest if one is due, and borrow slots if they are missing."""
         now = self._clock.now()
         if now - self._told >= PERIOD:
             self._told = now
@@ -90,11 +91,12 @@
         wanted = self._wanted()
         if wanted > 0:
             await self._borrow(wanted)
-        # Limits may have changed in any case: loans end by themselves.
+        # Also needed if nothing was borrowed: loans expire on their own,
+        # which changes the limits.
         self._admitter.permits.wake()
 
     def _live(self) -> list[Member]:
-        """Return the other hosts that are live."""
+        """Return the other live hosts."""
         return [
             member
             for member in self._mesh.members()
@@ -103,7 +105,7 @@
         ]
 
     def _tell(self, members: list[Member]) -> None:
-        """Tell some hosts of the own domain, and one of each other."""
+        """Send a digest to some local hosts and to one per remote domain."""
         self._fleet.count(members)
         digest = self._admitter.digest()
         domains: dict[DomainId, list[HostId]] = {}
@@ -125,7 +127,7 @@
         return needed - slots.holding + ending
 
     async def _borrow(self, wanted: int) -> None:
-        """Ask those with most to spare."""
+        """Request slots from the hosts with the most spare ones."""
         digests = self._fleet.fresh(self._identity.domain)
         digests.sort(key=lambda digest: digest.spare, reverse=True)
         lacking = self._admitter.entitlement - self._admitter.slots.holding
@@ -143,11 +145,11 @@
                 claim -= reply.slots
 
     async def _heard(self, host: HostId, digest: LoadDigest) -> None:
-        """Keep a digest."""
+        """Store a digest from another host."""
         self._fleet.take(digest)
 
     async def _asked(self, host: HostId, ask: ShareAsk) -> Message:
-        """Lend what is idle, or what others are entitled to."""
+        """Lend slots that are idle or that other hosts are entitled to."""
         admitter = self._admitter
         holding = admitter.slots.holding
         busy = admitter.permits.running + admitter.queued + _RESERVE
--- a/src/nutmegroad/routing/harmful.py
+++ b/src/nutmegroad/routing/harmful.py
@@ -1,8 +1,9 @@
-"""Requests that end the engines which run them, kept from doing it again.
+"""Keeps requests under which engines crashed from reaching further engines.
 
-What is remembered is a request's content, since it comes again under other ids,
-and at other hosts. Whoever runs beside it looks the same, so before a request
-is kept out for long, one host of each failure domain tries it once more.
+Requests are remembered by their content, since callers send them again under
+other ids and to other hosts. A request that merely ran beside a harmful one
+looks the same at first. Therefore one host of each failure domain executes a
+suspected request once more, as a probe, before it is blocked for long.
 """
 
 import asyncio
@@ -34,31 +35,33 @@
 
 _LOG: Final = part_logger('harmful')
 
-#: Seconds for which a request waits until it is known whether its engine has
-#: ended; a machine without power does not say so, and the request goes on.
+#: Seconds that a request waits for the check whether its engine terminated.
+#: An engine whose computer lost power does not refuse the connection, so the
+#: request continues after this time.
 LOOK_WAIT: Final = 0.05
 
-#: Seconds within which a host does not try the same request again.
+#: Minimum seconds between two probe executions of a request by one host.
 TRIED_SPAN: Final = 10.0
 
-#: Seconds after which a caller may come back to see what a trial has shown.
+#: Minimum seconds after which a refused caller should retry; the result of a
+#: probe execution is expected by then.
 TRIED_NEXT: Final = 1.5
 
-#: Requests that are remembered as tried at most.
+#: Maximum number of requests whose last probe execution is remembered.
 MOST_TRIED: Final = 1000
 
-#: Seconds between two tellings while there is something to tell.
+#: Seconds between two broadcasts while there is something to send.
 PERIOD: Final = 0.25
 
-#: What an attempt ends with whose engine may have ended under it.
+#: Results of an attempt whose engine may have terminated meanwhile.
 _BREAKS: Final = frozenset((ResultCode.ANSWER_CUT, ResultCode.UPSTREAM_ERROR))
 
 
 class CrashDigest(Message, frozen=True, tag='crash-digest'):
-    """Under which requests engines have ended a moment ago.
+    """Requests under which engines have terminated recently.
 
     Attributes:
-        crashes: The ends, and answers since.
+        crashes: The terminations, and answers received since.
     """
 
     part: ClassVar[str] = 'harmful'
@@ -68,20 +71,20 @@
 
 
 class HarmfulRequests:
-    """Knows which requests are kept from engines.
+    """Decides which requests are kept from engines.
 
     Args:
-        engines: How engines are reached.
+        engines: Client for engines.
         clock: The host's clock.
     """
 
     def __init__(self, engines: EngineClient, clock: Clock) -> None:
         self.book = CrashBook(clock)
-        #: Tells whether this host may try a request that is kept out.
+        #: Returns whether this host may probe a request that is blocked.
         self.may_try: Callable[[ContentMark], bool] = _always
         self._engines = engines
         self._clock = clock
-        # When each was tried last, the latest at the end.
+        # Clock seconds of the last probe of each request, newest last.
         self._tried: dict[ContentMark, float] = {}
 
     def keeps_out(self, request: ModelRequest) -> Refusal | None:
@@ -100,13 +103,13 @@
             return None
         return Refusal(
             ResultCode.REQUEST_HARMFUL,
-            f'{harmful.ends} engines have ended under it.',
+            f'{harmful.ends} engines have terminated while executing it.',
             Ran.NOT_RUN,
             max(harmful.pause, TRIED_NEXT),
         )
 
     async def ended(self, request: ModelRequest, trial: Trial) -> None:
-        """Take in how an attempt ended."""
+        """Record how an attempt ended."""
         refusal = trial.received.refusal
         if trial.received.ending is not None:
             self._answered(request)
@@ -114,7 +117,7 @@
             await self._broke(request, trial)
 
     def _answered(self, request: ModelRequest) -> None:
-        """Take in a whole answer; it clears the request."""
+        """Record a complete answer, which clears the request."""
         content = content_of(request)
         if self.book.answered(content, self._clock.now()):
             _LOG.decision(
@@ -124,14 +127,15 @@
             )
 
     async def _broke(self, request: ModelRequest, trial: Trial) -> None:
-        """Find out whether the engine of a broken attempt has ended."""
+        """Record a failed attempt if its engine has terminated."""
         now = self._clock.now()
         end = trial.end
         seconds = 0 if end is None else end.seconds
         if not await self._has_ended(trial):
             return
         content = content_of(request)
-        # An engine starts again under its id; an attempt names just one end.
+        # An engine restarts under the same id, so the attempt id is added to
+        # identify this one termination.
         name = UpstreamIncarnation(
             f'{trial.start.upstream}/{trial.start.attempt}',
         )
@@ -148,7 +152,7 @@
         )
 
     async def _has_ended(self, trial: Trial) -> bool:
-        """Tell whether an engine accepts no connection any more."""
+        """Return whether an engine refuses new connections."""
         with suppress(TimeoutError):
             async with asyncio.timeout(LOOK_WAIT):
                 report = await self._engines.report(trial.state.info)
@@ -159,7 +163,7 @@
         return False
 
     def _claim(self, content: ContentMark) -> bool:
-        """Tell whether this host tries a request, and remember that."""
+        """Return whether this host probes a request now, and record it."""
         now = self._clock.now()
         if now - self._tried.get(content, float('-inf')) < TRIED_SPAN:
             return False
@@ -173,11 +177,11 @@
 
 
 class CrashExchange:
-    """Tells other hosts under which requests engines have ended.
+    """Broadcasts under which requests engines have terminated.
 
     Args:
         mesh: Links to other hosts.
-        book: What is known of such requests.
+        book: What this host knows of such requests.
         clock: The host's clock.
     """
 
@@ -188,9 +192,10 @@
         mesh.handle(CrashDigest, self._hear)
 
     async def run(self) -> None:
-        """Tell while there is something to tell, until cancelled.
+        """Broadcast while there is something to send, until cancelled.
 
-        What was heard is told on, so it reaches hosts without a link.
+        Received entries are sent on, so that they reach hosts without a
+        direct link.
         """
         while True:
             await self._clock.sleep(PERIOD)
@@ -198,12 +203,12 @@
                 self._mesh.tell_all(CrashDigest(self._book.telling()))
 
     async def _hear(self, host: HostId, digest: CrashDigest) -> None:
-        """Take in what another host tells."""
+        """Store the entries that another host has sent."""
         self._book.told(digest.crashes)
 
 
 def content_of(request: ModelRequest) -> ContentMark:
-    """Return the mark of what a request contains, whatever its id."""
+    """Return the fingerprint of a request's content, without its id."""
     return mark_content(
         request.workspace,
         request.task.encode(),
@@ -212,5 +217,5 @@
 
 
 def _always(content: ContentMark) -> bool:
-    """Let a host alone try any request."""
+    """Allow every probe; used when there is no other host to decide."""
     return True
--- a/src/nutmegroad/routing/retries.py
+++ b/src/nutmegroad/routing/retries.py
@@ -1,4 +1,7 @@
-"""The budget for retries: a share of the traffic, not a count a request."""
+"""Retry budget: bounds retries by a fraction of the traffic.
+
+There is no limit per request here.
+"""
 
 from dataclasses import dataclass
 from types import MappingProxyType
@@ -16,18 +19,18 @@
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
 
-#: Retries for each first attempt.
+#: Retries added to the budget for each first attempt.
 SHARE: Final = 0.1
 
-#: Retries a second that a quiet host may make all the same, in all and
-#: for each workspace.
+#: Retries per second that are added even without traffic, for the host as a
+#: whole and for each workspace.
 FLOOR: Final = 0.5
 
-#: Retries that may be saved up, in all and for each workspace.
+#: Maximum retries that can be saved up, for the host and for each workspace.
 MOST_SAVED: Final = 10.0
 
-#: What a retry costs. A busy engine has done no work, so turning to another
-#: one costs the fleet little.
+#: What a retry costs after a result; 1 if not listed. A busy engine has done
+#: no work, so sending the request to another one costs the fleet little.
 COSTS: Final = MappingProxyType(
     {
         ResultCode.UPSTREAM_BUSY: 0.25,
@@ -39,28 +42,28 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    """Retries saved up.
+    """A token bucket of retries.
 
     Attributes:
-        saved: How many.
-        filled: Clock seconds of the last filling.
+        saved: Retries available.
+        filled: Clock seconds of the last refill.
     """
 
     saved: float
     filled: float
 
     def fill(self, now: float, deposit: float = 0) -> None:
-        """Add the floor's part since the last time, and a deposit."""
+        """Add the minimum rate since the last refill, and a deposit."""
         grown = self.saved + deposit + FLOOR * (now - self.filled)
         self.saved = min(MOST_SAVED, grown)
         self.filled = now
 
 
 class SharedRetries:
-    """Allows retries as a share of the traffic, with a small floor.
+    """Allows retries for a fraction of the traffic, at a small minimum rate.
 
-    Each workspace has a bucket of its own within that of the host, so that
-    one whose requests all fail leaves the others their retries.
+    Each workspace has its own bucket besides the bucket of the host, so that
+    a workspace whose requests all fail does not use up the retries of others.
 
     Args:
         clock: The host's clock.
@@ -70,12 +73,13 @@
         self._clock = clock
         self._host = _Bucket(MOST_SAVED, clock.now())
         self._workspaces: dict[WorkspaceId, _Bucket] = {}
-        # The budget is asked in the same step that an attempt ends in.
+        # ``spend`` is called in the same step of the event loop as ``ended``,
+        # so the last attempt that ended is the one to be retried.
         self._last: tuple[RequestId, ResultCode] | None = None
         self._retried: RequestId | None = None
 
     def spend(self, request: Spender) -> bool:
-        """Take one retry out of the budget, if there is one."""
+        """Take one retry from the budget; return whether there was one."""
         now = self._clock.now()
         code = self._code_of(request.request)
         cost = COSTS.get(code, 1.0)
@@ -90,7 +94,7 @@
         return True
 
     def started(self, start: AttemptStart) -> None:
-        """Save a part of a retry up for each first attempt."""
+        """Add a fraction of a retry for each first attempt."""
         if start.request == self._retried:
             self._retried = None
             return
@@ -99,17 +103,17 @@
         self._host.fill(now, SHARE)
 
     def ended(self, end: AttemptEnd) -> None:
-        """Remember why the attempt ended that a retry may follow."""
+        """Remember how the attempt ended, which sets the cost of a retry."""
         self._last = (end.start.request, end.code)
 
     def _code_of(self, request: RequestId) -> ResultCode:
-        """Return how a request's last attempt ended."""
+        """Return how the last attempt of a request ended."""
         if self._last is not None and self._last[0] == request:
             return self._last[1]
         return ResultCode.UPSTREAM_ERROR
 
     def _bucket(self, workspace: WorkspaceId) -> _Bucket:
-        """Return a workspace's bucket."""
+        """Return the bucket of a workspace."""
         known = self._workspaces.get(workspace)
         if known is None:
             known = _Bucket(MOST_SAVED, self._clock.now())
@@ -119,7 +123,7 @@
 
 @register('retries', 'share')
 def shared_retries(kernel: Kernel) -> SharedRetries:
-    """Make the retry budget for a host."""
+    """Create the retry budget for model requests."""
     budget = SharedRetries(kernel.clock)
     kernel.need(Observers).add(budget)
     return budget
@@ -127,8 +131,8 @@
 
 @register('service-retries', 'share')
 def service_retries(kernel: Kernel) -> SharedRetries:
-    """Make the retry budget of calls to plain services.
+    """Create the retry budget for calls to plain services.
 
-    It is told of these alone, by their caller.
+    The caller of these services notifies it; it observes no model requests.
     """
     return SharedRetries(kernel.clock)
--- a/src/nutmegroad/routing/service_traffic.py
+++ b/src/nutmegroad/routing/service_traffic.py
@@ -1,4 +1,4 @@
-"""Counts calls to plain services, and bounds their retries."""
+"""Counts calls to plain services and bounds their retries."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -25,16 +25,16 @@
 
 
 class ServiceRetries(RetryBudget, Observer, Protocol):
-    """A retry budget that learns of each attempt, as it is told of it."""
+    """A retry budget that is notified of each attempt."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Begun:
-    """An attempt that runs.
+    """An attempt in progress.
 
     Attributes:
-        start: What the budget was told of it.
-        at: Clock seconds of its beginning.
+        start: The event that the budget has received.
+        at: Clock seconds at which it started.
     """
 
     start: AttemptStart
@@ -42,14 +42,14 @@
 
 
 class ServiceTraffic:
-    """What is counted and allowed of all calls to plain services.
+    """Metrics and retry budget for all calls to plain services.
 
-    The budget is not that of model requests: neither kind of traffic can
-    use up the other's retries.
+    The budget is separate from that of model requests, so that neither kind
+    of traffic can use up the retries of the other.
 
     Args:
         retries: Bounds retries.
-        metrics: Where outcomes are counted.
+        metrics: Counts the outcomes.
         clock: The host's clock.
     """
 
@@ -71,7 +71,7 @@
         attempt: AttemptId,
         upstream: UpstreamId,
     ) -> None:
-        """Note that an attempt begins."""
+        """Record the start of an attempt."""
         start = AttemptStart(
             attempt,
             call.request,
@@ -84,7 +84,7 @@
         self._retries.started(start)
 
     def ended(self, attempt: AttemptId, code: ResultCode) -> None:
-        """Note how an attempt ended, and count it."""
+        """Record and count how an attempt ended."""
         begun = self._begun.pop(attempt)
         seconds = self._clock.now() - begun.at
         end = AttemptEnd(begun.start, code, None, seconds, 0, 0, 0, '')
@@ -92,7 +92,7 @@
         self._metrics.service_attempt_ended(begun.start.task, code)
 
     def may_retry(self, call: Spender, code: ResultCode) -> bool:
-        """Take a retry out of the budget, if there is one, and count it."""
+        """Take a retry from the budget, and count it if there was one."""
         if not self._retries.spend(call):
             return False
         self._metrics.retried(code)
@@ -104,5 +104,5 @@
         service: ServiceName,
         code: ResultCode,
     ) -> None:
-        """Count a call that has its reply or its refusal."""
+        """Count a call that has received its reply or refusal."""
         self._metrics.request_ended(call.workspace, TaskName(service), code)
--- a/src/nutmegroad/routing/services.py
+++ b/src/nutmegroad/routing/services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services, of which some may not be repeated."""
+"""Makes calls to plain services, retrying those that may be repeated."""
 
 import random
 from dataclasses import dataclass, replace
@@ -33,7 +33,7 @@
 from nutmegroad.routing.service_traffic import ServiceTraffic
 from nutmegroad.routing.steps import OWN_REFUSALS
 
-#: Attempts that one repeatable call may make in all.
+#: Maximum attempts for one repeatable call.
 MOST_ATTEMPTS: Final = 3
 
 _NO_VERSION: Final = VersionId('')
@@ -45,7 +45,7 @@
 
     Attributes:
         request: Its id.
-        workspace: Who asks.
+        workspace: The workspace of the caller.
         service: The service.
         method: HTTP method.
         path: Path below the service.
@@ -53,7 +53,7 @@
         content_type: Media type of the body.
         key: The caller's idempotency key; empty for none.
         deadline: Clock seconds at which the caller gives up.
-        fence: What each attempt must pass.
+        fence: Checked before each attempt is sent.
     """
 
     request: RequestId
@@ -69,7 +69,7 @@
 
 
 def is_repeatable(entry: ServiceEntry, method: str, path: str) -> bool:
-    """Tell whether a call may run twice; what no rule names may not."""
+    """Return whether a call may be executed twice; by default it may not."""
     for rule in entry.calls:
         if rule.method == method and fnmatchcase(path, rule.path):
             return rule.repeatable
@@ -80,13 +80,13 @@
     """Makes calls to plain services.
 
     Args:
-        clients: How services are reached.
-        directory: The upstreams.
-        gatekeeper: Makes the last check of each attempt.
-        configuration: Knows which calls may be repeated.
+        clients: Client for services.
+        directory: The upstreams known to this host.
+        gatekeeper: Makes the final check before each attempt.
+        configuration: Defines which calls may be repeated.
         traffic: Counts calls and bounds their retries.
         clock: The host's clock.
-        randomness: Names attempts and breaks ties.
+        randomness: Breaks ties between upstreams.
     """
 
     def __init__(
@@ -109,13 +109,13 @@
         self._healths = Healths(randomness)
 
     def entry(self, service: ServiceName) -> ServiceEntry | Refusal:
-        """Return a service's entry in the configuration."""
+        """Return the service's entry in the configuration."""
         accepted = self._configuration.accepted
         entry = accepted.document.service(service) if accepted else None
         if entry is None:
             return Refusal(
                 ResultCode.SERVICE_UNKNOWN,
-                f'There is no service {service!r}.',
+                f'The configuration has no service {service!r}.',
             )
         return entry
 
@@ -125,7 +125,7 @@
         entry: ServiceEntry,
         explanation: Explanation,
     ) -> ServiceReply | Refusal:
-        """Make a call, again only where that can do no harm."""
+        """Make a call, and retry it only if that is safe."""
         code = ResultCode.ANSWER_CUT
         try:
             outcome = await self._attempts(request, entry, explanation)
@@ -140,7 +140,7 @@
         entry: ServiceEntry,
         explanation: Explanation,
     ) -> ServiceReply | Refusal:
-        """Make attempts until one is answered or none may follow."""
+        """Make attempts until one succeeds or no further one is allowed."""
         repeatable = is_repeatable(entry, request.method, request.path)
         tried: frozenset[UpstreamId] = frozenset()
         ran = Ran.NOT_RUN
@@ -169,13 +169,13 @@
         code: ResultCode,
         explanation: Explanation,
     ) -> UpstreamState | None:
-        """Return where the next attempt goes; a retry must be allowed."""
+        """Return the upstream of the next attempt if the budget allows it."""
         state = self._choose(request.service, tried)
         if state is None or not tried:
             return state
         if self._traffic.may_retry(request, code):
             return state
-        explanation.note('retries', 'The retry budget is spent.')
+        explanation.note('retries', 'The retry budget is exhausted.')
         return None
 
     def _choose(
@@ -183,9 +183,10 @@
         service: ServiceName,
         tried: frozenset[UpstreamId],
     ) -> UpstreamState | None:
-        """Return the upstream with the least in flight, if any is left.
+        """Return the untried upstream with the fewest requests in flight.
 
-        One that keeps failing is left out for a while, unless all are.
+        An upstream that keeps failing is skipped for a while, unless all
+        that are left keep failing.
         """
         left = [
             state
@@ -255,26 +256,26 @@
 
 
 def _code_of(reply: ServiceReply | Refusal) -> ResultCode:
-    """Return how an attempt ended."""
+    """Return the result code of a reply."""
     return reply.code if isinstance(reply, Refusal) else ResultCode.OK
 
 
 def _may_go_on(reply: Refusal, harmless: bool) -> bool:
-    """Tell whether another upstream may be tried after a failure."""
+    """Return whether another upstream may be tried after a refusal."""
     return harmless and reply.code not in OWN_REFUSALS
 
 
 def _describe(state: UpstreamState, reply: ServiceReply | Refusal) -> str:
-    """Say how an attempt ended."""
+    """Return a description of how an attempt ended."""
     if isinstance(reply, Refusal):
         return f'{state.info.upstream}: {reply.code.name}.'
     return f'{state.info.upstream}: status {reply.status}.'
 
 
 def _no_upstream(service: ServiceName) -> Refusal:
-    """Say that there is nowhere to send a call."""
+    """Return the refusal for a call without an upstream to try."""
     return Refusal(
         ResultCode.NO_UPSTREAM,
-        f'No upstream of the service {service!r} is left to try.',
+        f'No untried upstream of the service {service!r} is available.',
         retry_after=2,
     )
