--- a/src/nutmegroad/routing/departures.py
+++ b/src/nutmegroad/routing/departures.py
@@ -1,8 +1,9 @@
-"""Tells other hosts at once of upstreams that are leaving.
+"""Broadcasts which upstreams are draining, ahead of the host list.
 
-The host list lags; the first host that hears it from an upstream itself
-tells the others. A host hands on only what is new to it: within its domain
-all hosts are linked, so what came from there goes to other domains only.
+The host list lags, so the first host that receives the notice from an
+upstream itself sends it to the other hosts. A host forwards only notices
+that are new to it. All hosts of a domain are linked to each other, so a
+notice from a host of the same domain is forwarded to other domains only.
 """
 
 from typing import ClassVar
@@ -19,11 +20,11 @@
 
 
 class UpstreamLeaving(Message, frozen=True, tag='upstream-leaving'):
-    """An upstream has said that it is leaving, or the list has.
+    """An upstream is draining, according to itself or to the host list.
 
     Attributes:
         upstream: Its id.
-        ip: Where that run of it listens.
+        ip: IP address at which that incarnation of it listens.
         port: Its TCP port.
     """
 
@@ -35,11 +36,11 @@
 
 
 class Departures:
-    """Spreads which upstreams are leaving.
+    """Broadcasts and receives notices of draining upstreams.
 
     Args:
         mesh: Links to other hosts.
-        directory: What this host knows of upstreams.
+        directory: The upstreams known to this host.
         domain: The failure domain of this host.
     """
 
@@ -56,14 +57,14 @@
         mesh.handle(UpstreamLeaving, self._take)
 
     def _spread(self, info: UpstreamInfo, source: LeavingSource) -> None:
-        """Tell all of what this host has found itself."""
-        # A refused connection may be a cut of ours, which others must not
-        # take for the upstream's word.
+        """Broadcast a notice that this host has found itself."""
+        # Connections may be refused because this host's network is cut.
+        # Other hosts must not take that for the upstream's own notice.
         if source in {LeavingSource.REPORT, LeavingSource.LIST}:
             self._mesh.tell_all(_message(info.upstream, info.address))
 
     async def _take(self, host: HostId, message: UpstreamLeaving) -> None:
-        """Take another host's word and hand it on if it is new."""
+        """Apply a notice from another host, and forward it if it is new."""
         fresh = self._directory.mark_leaving(
             UpstreamId(message.upstream),
             Address(message.ip, message.port),
@@ -79,5 +80,5 @@
 
 
 def _message(upstream: UpstreamId, address: Address) -> UpstreamLeaving:
-    """Return what other hosts are told."""
+    """Return the notice that is sent to other hosts."""
     return UpstreamLeaving(upstream, address.ip, address.port)
--- a/src/nutmegroad/routing/directory.py
+++ b/src/nutmegroad/routing/directory.py
@@ -1,8 +1,8 @@
-"""The upstreams that this host knows, and what it knows of each.
+"""Directory of the upstreams known to this host, with their state.
 
-Work is looked up by version or by service many times a second, and what is
-known changes a few times a second; so both lookups go through an index that
-is made anew after a change.
+Upstreams are looked up by version or by service many times a second, while
+the state changes a few times a second. Both lookups therefore use an index
+that is rebuilt after a change.
 """
 
 from collections import OrderedDict, defaultdict
@@ -24,27 +24,29 @@
     VersionId,
 )
 
-#: Connections refused in a row after which an upstream counts as leaving.
+#: Consecutive refused connections after which an upstream counts as draining.
 REFUSALS: Final = 2
 
-#: Seconds for which an upstream's own report can lag behind what others
-#: say of it; only a later one takes its leaving back.
+#: Seconds by which an upstream's own report may lag behind other sources.
+#: Only a report requested at least this long after the upstream was last
+#: said to be draining clears that state.
 REPORT_LAG: Final = 3.0
 
-#: Seconds after which a plain service that refused connections is tried
-#: again, as it has no report that could speak for it.
+#: Seconds after which a plain service that refused connections gets requests
+#: again; a plain service sends no report that could clear the state.
 SERVICE_HOLD: Final = 10.0
 
-#: Seconds after which an engine that has said nothing is not waited for.
+#: Seconds after which a host no longer waits for an engine's first report.
 SURVEY_LIMIT: Final = 5.0
 
-#: Upstreams heard of as leaving before the host list named them.
+#: Maximum number of draining notices kept for upstreams that the host list
+#: does not name yet.
 MOST_HEARSAY: Final = 1000
 
 
 @unique
 class LeavingSource(Enum):
-    """Who said that an upstream is leaving."""
+    """The source of the information that an upstream is draining."""
 
     LIST = 'list'
     REPORT = 'report'
@@ -52,19 +54,19 @@
     PEER = 'peer'
 
 
-#: Is told of each upstream that has begun to leave.
+#: Called for each upstream that starts to drain.
 LeavingListener = Callable[[UpstreamInfo, LeavingSource], None]
 
 
 class _Hearsay:
-    """What was said of upstreams that are not listed yet."""
+    """Draining notices for upstreams that are not listed yet."""
 
     def __init__(self) -> None:
         self._leaving: OrderedDict[tuple[UpstreamId, Address], None]
         self._leaving = OrderedDict()
 
     def add(self, upstream: UpstreamId, address: Address) -> bool:
-        """Note that an upstream is leaving; tell whether that is new."""
+        """Store a draining notice; return whether it is new."""
         key = (upstream, address)
         fresh = key not in self._leaving
         self._leaving[key] = None
@@ -73,7 +75,7 @@
         return fresh
 
     def take(self, info: UpstreamInfo) -> bool:
-        """Tell whether an upstream was said to leave, and forget that."""
+        """Remove the notice for an upstream; return whether there was one."""
         key = (info.upstream, info.address)
         known = key in self._leaving
         self._leaving.pop(key, None)
@@ -81,7 +83,7 @@
 
 
 class Directory:
-    """Keeps the state of each upstream.
+    """Holds the state of each upstream.
 
     Args:
         clock: The host's clock.
@@ -97,7 +99,7 @@
         self._listeners: list[LeavingListener] = []
 
     def listen(self, listener: LeavingListener) -> None:
-        """Tell a listener of each upstream that begins to leave."""
+        """Add a listener to call for each upstream that starts to drain."""
         self._listeners.append(listener)
 
     def update(
@@ -106,17 +108,17 @@
         *,
         whole: bool = True,
     ) -> None:
-        """Take the host list's entries.
+        """Apply entries of the host list.
 
         Args:
             upstreams: The entries.
-            whole: Whether they are the whole list, so that what is left
-                out is to be forgotten.
+            whole: Whether these are all entries of the list, so that
+                upstreams without an entry are removed.
         """
         listed = {info.upstream for info in upstreams}
         for gone in sorted(set(self._states) - listed) if whole else ():
             state = self._states.pop(gone)
-            # Requests that still hold this state must see it as leaving.
+            # Requests that still refer to this state must see it as draining.
             state.leaving = True
         for info in upstreams:
             self._update_one(info)
@@ -127,7 +129,7 @@
         return tuple(self._states.values())
 
     def state(self, upstream: UpstreamId) -> UpstreamState | None:
-        """Return one upstream, or None if it is not known."""
+        """Return one upstream, or None if it is unknown."""
         return self._states.get(upstream)
 
     def engines(self, version: VersionId) -> tuple[UpstreamState, ...]:
@@ -146,12 +148,13 @@
         report: EngineReport,
         asked: float | None = None,
     ) -> None:
-        """Take an engine's report.
+        """Apply an engine's report to this host.
 
         Args:
             upstream: The engine.
-            report: What it says.
-            asked: Clock seconds before it was asked; None for now.
+            report: The report.
+            asked: Clock seconds just before the report was requested; None
+                for the current time.
         """
         state = self._states.get(upstream)
         if state is None:
@@ -164,11 +167,13 @@
         if before is None or before.versions != report.versions:
             self._stale = True
         if report.leaving:
-            # Others may have taken back already what is still held here.
+            # Other hosts may have cleared already a draining state that is
+            # still set here, so a new notice is announced again.
             anew = before is not None and not before.leaving
             self._begin_leaving(state, LeavingSource.REPORT, anew=anew)
         elif state.leaving and asked >= state.leaving_since + REPORT_LAG:
-            # Only its own word takes back what anybody has said.
+            # Only the upstream's own report clears the draining state,
+            # whichever source has set it.
             state.leaving = False
             self._stale = True
 
@@ -178,15 +183,15 @@
         report: EngineReport,
         asked: float,
     ) -> None:
-        """Take a report that an engine gave to another host.
+        """Apply a report that an engine sent to another host.
 
-        It may make the engine leave, but takes no leaving back, and says
-        nothing about connections from here.
+        It can set the engine to draining but does not clear that state. It
+        shows nothing about connections from this host.
 
         Args:
             upstream: The engine.
-            report: What it says.
-            asked: Clock seconds at which the other host asked.
+            report: The report.
+            asked: Clock seconds at which the other host requested it.
         """
         state = self._states.get(upstream)
         if state is None:
@@ -207,13 +212,14 @@
         address: Address | None = None,
         source: LeavingSource = LeavingSource.PEER,
     ) -> bool:
-        """Note that an upstream leaves; tell whether that was new.
+        """Set an upstream to draining; return whether that is new.
 
         Args:
             upstream: Its id.
-            address: Where it listens; another address is another run of
-                it, of which this says nothing. None for any.
-            source: Who said so.
+            address: The address of the incarnation that drains; the call has
+                no effect on an incarnation at another address. None matches
+                any address.
+            source: Where the information comes from.
         """
         state = self._states.get(upstream)
         other = state and address is not None and state.info.address != address
@@ -225,7 +231,7 @@
         return self._begin_leaving(state, source)
 
     def refused(self, upstream: UpstreamId) -> None:
-        """Note that an upstream refused a connection."""
+        """Record that an upstream refused a connection."""
         state = self._states.get(upstream)
         if state is None:
             return
@@ -234,7 +240,7 @@
             self._begin_leaving(state, LeavingSource.REFUSED)
 
     def answered(self, upstream: UpstreamId) -> None:
-        """Note that an upstream took a request."""
+        """Record that an upstream accepted a request."""
         state = self._states.get(upstream)
         if state is not None:
             state.refusals = 0
@@ -245,7 +251,7 @@
         state: UpstreamState,
         version: VersionId,
     ) -> Iterator[None]:
-        """Count a request at an upstream while it runs there."""
+        """Count a request as in flight at an upstream within the context."""
         counts = state.in_flight_versions
         state.in_flight += 1
         counts[version] = counts.get(version, 0) + 1
@@ -256,13 +262,13 @@
             counts[version] -= 1
 
     def _update_one(self, info: UpstreamInfo) -> None:
-        """Take one entry of the host list."""
+        """Apply one entry of the host list."""
         known = self._states.get(info.upstream)
         now = self._clock.now()
         if known is None or known.info.address != info.address:
             if known is not None:
                 known.leaving = True
-            # Another address is another run: what was known is void.
+            # A new address means a new incarnation: discard the old state.
             known = UpstreamState(info, first_seen=now)
             self._states[info.upstream] = known
             if self._hearsay.take(info):
@@ -280,9 +286,10 @@
         *,
         anew: bool = False,
     ) -> bool:
-        """Give an upstream no new work; tell whether that is new.
+        """Stop sending new work to an upstream; return whether that is new.
 
-        Listeners are told of what is new, and of a word that was given anew.
+        Listeners are called if it is new or if the upstream has announced
+        it again (``anew``).
         """
         state.leaving_since = self._clock.now()
         fresh = not state.leaving
@@ -295,10 +302,12 @@
         return fresh
 
     def is_surveyed(self, domain: DomainId) -> bool:
-        """Tell whether the engines of a domain are known well enough.
+        """Return whether enough engines of a domain are known to serve.
 
-        An engine that has said nothing yet counts as having no slots, so a
-        host that serves before it has heard of them refuses in vain.
+        Each engine must have reported, have failed to report, or have been
+        known for ``SURVEY_LIMIT`` seconds. An engine without a report counts
+        as having no slots, so a host that serves earlier refuses requests
+        needlessly.
         """
         oldest = self._clock.now() - SURVEY_LIMIT
         return bool(self._states) and all(
@@ -310,7 +319,7 @@
         )
 
     def _refresh(self) -> None:
-        """Make the index anew if something has changed."""
+        """Rebuild the index if something has changed."""
         if not self._stale:
             return
         versions: defaultdict[VersionId, list[UpstreamState]]
@@ -329,16 +338,16 @@
 
 
 def _try_service_again(state: UpstreamState, now: float) -> None:
-    """Let a listed service that refused connections be tried again."""
+    """Allow requests again to a listed service that refused connections."""
     if state.info.kind is UpstreamKind.ENGINE or not state.refusals:
         return
     held = now - state.leaving_since
     if state.leaving and held >= SERVICE_HOLD:
         state.leaving = False
-        # One more refusal is enough to hold it back again.
+        # A single further refusal excludes the service again.
         state.refusals = REFUSALS - 1
 
 
 def is_engine(state: UpstreamState) -> bool:
-    """Tell whether an upstream is a model engine."""
+    """Return whether an upstream is a model engine."""
     return state.info.kind is UpstreamKind.ENGINE
--- a/src/nutmegroad/routing/upstreams_part.py
+++ b/src/nutmegroad/routing/upstreams_part.py
@@ -1,4 +1,4 @@
-"""The parts that reach upstreams over HTTP and watch them."""
+"""Kernel parts that connect to upstreams over HTTP and monitor them."""
 
 from nutmegroad.adapters._http_upstreams import (
     HttpEngineClient,
@@ -16,14 +16,14 @@
 from nutmegroad.routing.watch import UpstreamWatcher
 from nutmegroad.routing.watch_sharing import WatchSharer
 
-#: Seconds between questions to an engine, and between reads of the host
-#: list by the hosts of a domain together.
+#: Seconds between polls of an engine, and between reads of the host list by
+#: all hosts of a domain together.
 WATCH_PERIOD = 1.0
 
 
 @register('part', 'upstreams')
 class UpstreamsPart:
-    """Provides the clients of upstreams."""
+    """Provides the HTTP clients for upstreams."""
 
     needs = (Account,)
 
@@ -38,12 +38,12 @@
 
 @register('part', 'directory')
 class DirectoryPart:
-    """Provides the directory of upstreams."""
+    """Provides the directory of upstreams and keeps it up to date."""
 
     needs = (HostList, EngineClient, Mesh, Duties, Account)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to watch."""
+        """Read the host list and reports once, then start to monitor."""
         directory = Directory(kernel.clock)
         kernel.provide(Directory, directory)
         sharer = WatchSharer(
--- a/src/nutmegroad/routing/watch.py
+++ b/src/nutmegroad/routing/watch.py
@@ -1,8 +1,8 @@
-"""Watches upstreams: the host list, and what each engine says itself.
+"""Monitors upstreams: reads the host list and polls engines for reports.
 
-Each engine is asked by a task of its own, so that one which is frozen holds
-up nobody else. How many are asked at the same moment is bounded. Which ones
-this host asks is said by a plan, since the hosts share that work.
+Each engine is polled by a task of its own, so that a frozen engine delays no
+other. The number of concurrent polls is bounded. The hosts share the work;
+a plan decides which engines this host polls.
 """
 
 import asyncio
@@ -27,60 +27,60 @@
 
 _LOG: Final = part_logger('watch')
 
-#: PendingReplies are spread over this share of their period.
+#: Fraction by which the interval of polls varies at random.
 JITTER: Final = 0.2
 
-#: Engines that are asked at the same moment, at most.
+#: Maximum number of concurrent polls.
 MOST_QUESTIONS: Final = 64
 
 
 class WatchPlan(Protocol):
-    """Says what this host asks itself, and hands on what it hears.
+    """Decides what this host polls, and sends the results to other hosts.
 
     Attributes:
-        account: Where processor time is written, if anywhere.
+        account: Account for processor time; None for none.
     """
 
     account: Account | None
 
     @property
     def list_period(self) -> float:
-        """Return the seconds until the list has to be read again."""
+        """Return the seconds between two reads of the host list."""
 
     def refresh(self) -> None:
-        """Work out anew, once a period, whom to ask."""
+        """Update the plan; called once a period."""
 
     def wants(self, state: UpstreamState) -> bool:
-        """Tell whether this host has to ask an engine itself."""
+        """Return whether this host has to poll an engine itself."""
 
     def pause(self, state: UpstreamState) -> float:
-        """Return the seconds until the next question to an engine."""
+        """Return the seconds until the next poll of an engine."""
 
     def answered(
         self,
         state: UpstreamState,
         answer: EngineReport | Refusal,
     ) -> None:
-        """Note what an engine has said."""
+        """Record an engine's report or refusal."""
 
     def tell(self) -> None:
-        """Tell others, once a period, what is news."""
+        """Send what has changed to other hosts; called once a period."""
 
     def merge_list(
         self,
         upstreams: tuple[UpstreamInfo, ...],
     ) -> tuple[UpstreamInfo, ...]:
-        """Return the list as it holds."""
+        """Return the list, merged with entries from other hosts."""
 
     def tell_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
-        """Tell others which entries of the list are new."""
+        """Send new or changed entries of the list to other hosts."""
 
 
 class AskAll:
-    """The plan of a host that shares with nobody.
+    """The plan of a host that shares its work with no other host.
 
     Args:
-        period: Seconds between two questions to the same engine.
+        period: Seconds between two polls of an engine.
     """
 
     def __init__(self, period: float) -> None:
@@ -93,10 +93,10 @@
         return self._period
 
     def refresh(self) -> None:
-        """Work out nothing."""
+        """Do nothing: the plan never changes."""
 
     def wants(self, state: UpstreamState) -> bool:
-        """Want every engine."""
+        """Return true, since this host polls every engine."""
         return True
 
     def pause(self, state: UpstreamState) -> float:
@@ -108,33 +108,34 @@
         state: UpstreamState,
         answer: EngineReport | Refusal,
     ) -> None:
-        """Note nothing."""
+        """Do nothing: nothing is sent to other hosts."""
 
     def tell(self) -> None:
-        """Tell nobody."""
+        """Do nothing: there is no other host."""
 
     def merge_list(
         self,
         upstreams: tuple[UpstreamInfo, ...],
     ) -> tuple[UpstreamInfo, ...]:
-        """Return the list as it was read."""
+        """Return the list unchanged."""
         return upstreams
 
     def tell_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
-        """Tell nobody."""
+        """Do nothing: there is no other host."""
 
 
 class UpstreamWatcher:
-    """Keeps the directory in step while it is open.
+    """Keeps the directory up to date while it is open.
 
     Args:
-        host_list: The platform's list.
-        engines: How engines are asked.
-        directory: What this host knows of upstreams.
+        host_list: The platform's host list.
+        engines: Client for engines.
+        directory: The upstreams known to this host.
         clock: The host's clock.
-        randomness: Spreads the questions.
-        period: Seconds between two looks at the plan.
-        plan: Whom this host asks; None for every engine each period.
+        randomness: Source of jitter.
+        period: Seconds between two updates of the plan.
+        plan: Decides which engines to poll; None to poll each engine every
+            period.
     """
 
     def __init__(
@@ -159,7 +160,7 @@
         self._own_tasks: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> Self:
-        """Begin to watch."""
+        """Start the tasks that monitor upstreams."""
         self._own_tasks.append(self._start(self._read_list()))
         self._own_tasks.append(self._start(self._keep_step()))
         return self
@@ -177,31 +178,31 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def look(self) -> None:
-        """Read the list once and ask every engine once, all together."""
+        """Read the host list once, then poll all engines once at a time."""
         await self._take_list()
         engines = filter(is_engine, self._directory.states())
         asks = [self._ask(state.info.upstream) for state in engines]
         await asyncio.gather(*asks)
 
     async def _read_list(self) -> None:
-        """Read the list again and again; watch whatever it names."""
+        """Read the host list regularly, and poll the engines it names."""
         while True:
             await self._take_list()
             self._start_missing()
             await self._clock.sleep(self._spread(self._plan.list_period))
 
     async def _keep_step(self) -> None:
-        """Follow the plan again and again."""
+        """Apply the plan regularly."""
         while True:
             await self._clock.sleep(self._spread(self._period))
             self._start_missing()
             self._plan.tell()
 
     async def _take_list(self) -> None:
-        """Read the list once."""
+        """Read the host list once and update the directory."""
         listing = await self._host_list.listing()
         if isinstance(listing, Refusal):
-            _LOG.info('host list not read: %s', listing.reason)
+            _LOG.info('cannot read the host list: %s', listing.reason)
             return
         upstreams = self._plan.merge_list(listing.upstreams)
         was_empty = not self._directory.states()
@@ -211,12 +212,12 @@
             self._plan.tell_listed(changed)
 
     def _is_news(self, info: UpstreamInfo) -> bool:
-        """Tell whether an entry of the list differs from what is known."""
+        """Return whether an entry of the list differs from the directory."""
         state = self._directory.state(info.upstream)
         return state is None or state.info != info
 
     def _start_missing(self) -> None:
-        """Have a task for each engine that this host has to ask."""
+        """Start and stop tasks, so that each engine of the plan has one."""
         self._plan.refresh()
         states = filter(is_engine, self._directory.states())
         wanted = {
@@ -224,12 +225,13 @@
         }
         for gone in self._tasks.keys() - wanted:
             self._tasks.pop(gone).cancel()
-        # In order, so that what is drawn for each does not hang on hashes.
+        # Sorted, so that the random delay of an engine does not depend on
+        # hash order.
         for fresh in sorted(wanted - self._tasks.keys()):
             self._tasks[fresh] = self._start(self._follow(fresh))
 
     async def _follow(self, upstream: UpstreamId) -> None:
-        """Ask one engine again and again."""
+        """Poll one engine regularly."""
         await self._clock.sleep(self._randomness.random() * self._period)
         while True:
             await self._ask(upstream)
@@ -239,7 +241,7 @@
             await self._clock.sleep(self._spread(self._plan.pause(state)))
 
     async def _ask(self, upstream: UpstreamId) -> None:
-        """Ask one engine for its report."""
+        """Request one engine's report and apply it."""
         state = self._directory.state(upstream)
         if state is None:
             return
@@ -261,12 +263,12 @@
         self,
         work: Coroutine[Any, Any, None],
     ) -> asyncio.Task[None]:
-        """Run a task, and charge it to the watch."""
+        """Start a task whose processor time is charged to this module."""
         account = self._plan.account
         if account is None:
             return asyncio.create_task(work)
         return asyncio.create_task(Metered(account, WATCH_PART, work))
 
     def _spread(self, seconds: float) -> float:
-        """Return about as many seconds, spread at random."""
+        """Return a duration with random jitter, in seconds."""
         return seconds * self._randomness.uniform(1 - JITTER, 1 + JITTER)
--- a/src/nutmegroad/routing/watch_sharing.py
+++ b/src/nutmegroad/routing/watch_sharing.py
@@ -1,10 +1,11 @@
-"""Shares the watch over upstreams among the hosts.
-
-Two hosts of its domain ask an engine: the first one every period, the
-second every other. They tell the rest of the domain what has changed. Hosts
-of other domains fetch all reports of a domain now and then. Who has heard
-nothing of an engine for some periods asks it. The host list is read by the
-hosts of a domain in turn, and each tells the others what is new in it.
+"""Shares the monitoring of upstreams among the hosts.
+
+Two hosts of an engine's domain poll it: the first every period, the second
+every other period. They broadcast changes to their domain. Hosts of other
+domains fetch all reports of a domain at longer intervals. A host that has
+received no report of an engine for some periods polls it itself. The hosts
+of a domain take turns in reading the host list, and each broadcasts to the
+domain what has changed in it.
 """
 
 from dataclasses import dataclass
@@ -33,32 +34,35 @@
 from nutmegroad.routing._listed import ListedUpstreams, ListMemory
 from nutmegroad.routing.directory import Directory, is_engine
 
-#: An engine whose load has not changed is told of after so many periods.
+#: Periods after which an unchanged load is broadcast again.
 REFRESH: Final = 4
-#: Who has heard nothing of an engine of the domain for so many periods asks.
+#: Periods without a report of an engine of its own domain after which a host
+#: polls the engine itself.
 SILENCE: Final = 10
-#: Versions are told again after so many periods, even if they are the same.
+#: Periods after which unchanged versions are broadcast again.
 VERSIONS: Final = 10
-#: The second host tells of what the first has not told for so many periods.
+#: Periods without a broadcast about an engine after which the second host
+#: broadcasts in place of the first.
 SECOND_TELLS: Final = 6
-#: Seconds between two fetches of another domain's reports, for each
-#: upstream that there is: 20 s at 890.
+#: Seconds between two fetches of a remote domain's reports, per known
+#: upstream: 20 s for 890 upstreams.
 FAR_EACH: Final = 0.0225
 FAR_LEAST: Final = 2.0
-#: Fetches after which a silent domain's engines are asked by each host.
+#: Missed fetches after which each host polls the engines of an unresponsive
+#: remote domain itself.
 FAR_MISSED: Final = 4
-#: A change of load by this share of the slots is told at once.
+#: Change of load, as a fraction of the slots, that is broadcast at once.
 NOTABLE: Final = 1 / 8
 
 
 @dataclass(frozen=True, slots=True)
 class _Told:
-    """What the domain was told last of an engine, by anybody.
+    """The last broadcast about an engine, by any host of the domain.
 
     Attributes:
-        at: Clock seconds at which that was.
-        versions_at: Clock seconds at which its versions were told.
-        report: What was told.
+        at: Clock seconds of the broadcast.
+        versions_at: Clock seconds of the last broadcast of its versions.
+        report: The report that was broadcast.
     """
 
     at: float
@@ -67,16 +71,16 @@
 
 
 class WatchSharer:
-    """Decides whom this host asks, and tells and hears the rest.
+    """Plans what this host polls, and exchanges reports with other hosts.
 
     Args:
-        mesh: The other hosts.
-        duties: Which upstreams this host watches.
-        directory: What this host knows of upstreams.
+        mesh: Links to other hosts.
+        duties: Assigns upstreams to the hosts that poll them.
+        directory: The upstreams known to this host.
         clock: The host's clock.
         domain: The failure domain of this host.
-        period: Seconds between two questions to the same engine.
-        account: Where processor time is written, if anywhere.
+        period: Seconds between two polls of an engine.
+        account: Account for processor time; None for none.
     """
 
     def __init__(
@@ -109,18 +113,18 @@
 
     @property
     def list_period(self) -> float:
-        """Return the seconds until this host's next turn with the list."""
+        """Return the seconds until this host reads the list again."""
         return self._period * max(1, len(self._duties.hosts()))
 
     @property
     def far_period(self) -> float:
-        """Return the seconds between fetches from another domain."""
+        """Return the seconds between two fetches from a remote domain."""
         return max(FAR_LEAST, FAR_EACH * self._upstreams)
 
     def refresh(self) -> None:
-        """Work out anew, once a period, which engines this host asks."""
+        """Update, once a period, which engines this host polls."""
         states = self._directory.states()
-        # Kept, since it is asked for once for each engine.
+        # Stored, since the count is needed once for each engine.
         self._upstreams = len(states)
         self._index.refresh(states)
         near = [
@@ -131,7 +135,7 @@
         self._places = self._duties.watch_places(near)
 
     def wants(self, state: UpstreamState) -> bool:
-        """Tell whether this host has to ask an engine itself."""
+        """Return whether this host has to poll an engine itself."""
         upstream = state.info.upstream
         if upstream in self._places or upstream in self._doubted:
             return True
@@ -141,8 +145,9 @@
         return silence > self._patience(state)
 
     def pause(self, state: UpstreamState) -> float:
-        """Return the seconds until this host's next question."""
-        # The first holder stands at 0; all others ask half as often.
+        """Return the seconds until this host's next poll of an engine."""
+        # The first of the two hosts has place 0; all others poll half as
+        # often.
         first = self._places.get(state.info.upstream) == 0
         return self._period if first else 2 * self._period
 
@@ -151,7 +156,7 @@
         state: UpstreamState,
         answer: EngineReport | Refusal,
     ) -> None:
-        """Note what an engine has said, to be told to the domain."""
+        """Record an engine's report or refusal for the next broadcast."""
         upstream = state.info.upstream
         self._doubted.discard(upstream)
         if upstream not in self._places:
@@ -162,7 +167,7 @@
             self._waiting[upstream] = state
 
     def tell(self) -> None:
-        """Tell the domain what is news."""
+        """Broadcast to the domain what has changed."""
         if not self._waiting and not self._failed:
             return
         now = self._clock.now()
@@ -179,16 +184,16 @@
         self,
         upstreams: tuple[UpstreamInfo, ...],
     ) -> tuple[UpstreamInfo, ...]:
-        """Return the list, with what others have just said of it."""
+        """Return the list, merged with recent entries from other hosts."""
         return self._listed.merge(upstreams)
 
     def tell_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
-        """Tell the domain which entries of the list are new."""
+        """Broadcast new or changed entries of the list to the domain."""
         message = ListedUpstreams.of(changed)
         tell_domain(self._mesh, self._domain, message)
 
     def _is_news(self, state: UpstreamState, report: EngineReport) -> bool:
-        """Tell whether the domain has to learn of a report now."""
+        """Return whether a report has to be broadcast now."""
         told = self._told.get(run_of(state.info))
         if told is None:
             return True
@@ -205,13 +210,14 @@
         state: UpstreamState,
         now: float,
     ) -> None:
-        """Add the row of an engine, and note that it is told."""
+        """Add an engine's report to a broadcast, and record that."""
         report = state.report
         if report is None:
             return
         run = run_of(state.info)
         told = self._told.get(run)
-        # Who has missed a message learns the versions by the next refresh.
+        # Unchanged versions are repeated at times for hosts that missed a
+        # message.
         with_versions = (
             told is None
             or told.report.versions != report.versions
@@ -222,13 +228,13 @@
         self._told[run] = _Told(now, versions_at, report)
 
     def _patience(self, state: UpstreamState) -> float:
-        """Return the seconds that a report of others may be old."""
+        """Return the seconds after which a report from others is too old."""
         if state.info.domain == self._domain:
             return SILENCE * self._period
         return FAR_MISSED * self.far_period
 
     async def _take_reports(self, host: HostId, message: WatchReports) -> None:
-        """Take in what another host has heard from engines."""
+        """Apply reports that another host has broadcast."""
         now = self._clock.now()
         for row in message.rows:
             state = self._index.find(row.run)
@@ -242,7 +248,8 @@
         for run in message.failed:
             failed = self._index.find(run)
             if failed is not None:
-                # The cut may be the other host's, so look for ourselves.
+                # Only the other host's connection may have failed, so this
+                # host polls the engine as well.
                 self._doubted.add(failed.info.upstream)
 
     def take_report(
@@ -251,16 +258,16 @@
         report: EngineReport,
         asked: float,
     ) -> None:
-        """Take a report that another host was given.
+        """Apply a report that another host has received.
 
         Args:
             state: The engine.
-            report: What it said.
-            asked: Clock seconds at which it was asked, as far as is known.
+            report: Its report.
+            asked: Approximate clock seconds at which it was requested.
         """
         self._directory.told(state.info.upstream, report, asked)
         if state.leaving and not report.leaving:
-            # Only what it tells this host itself takes its leaving back.
+            # Only a report requested by this host clears the draining state.
             self._doubted.add(state.info.upstream)
 
     async def _take_listed(
@@ -268,21 +275,21 @@
         host: HostId,
         message: ListedUpstreams,
     ) -> None:
-        """Take in entries of the host list that another host has read."""
+        """Apply entries of the host list that another host has read."""
         infos = message.infos()
         self._listed.note(infos)
         self._directory.update(infos, whole=False)
 
 
 def tell_domain(mesh: Mesh, domain: DomainId, message: Message) -> None:
-    """Tell all hosts of a domain."""
+    """Send a message to all hosts of a domain."""
     for member in mesh.members():
         if member.domain == domain:
             mesh.tell(member.host, message)
 
 
 def _differs(known: EngineReport, report: EngineReport) -> bool:
-    """Tell whether a report differs notably from an earlier one."""
+    """Return whether two reports differ enough for a broadcast."""
     if (known.versions, known.leaving, known.slots) != (
         report.versions,
         report.leaving,
