--- a/src/nutmegroad/routing/attempts.py
+++ b/src/nutmegroad/routing/attempts.py
@@ -22,16 +22,16 @@
 from nutmegroad.routing.directory import Directory, LeavingSource
 
 #: Seconds without a piece after which a stream counts as stalled.
-STALL: Final = 10.0
+STALL_TIMEOUT: Final = 10.0
 
 #: An attempt that ends because the caller's deadline passed or the caller
 #: disconnected counts against the upstream only if the upstream had sent no
 #: piece for at least this many seconds.
-SILENCE: Final = 1.0
+MIN_SILENCE: Final = 1.0
 
 #: Pieces that a resumed answer repeats, so that they can be compared with
 #: the pieces that the caller has received.
-OVERLAP: Final = 4
+RESUME_OVERLAP: Final = 4
 
 
 class Sink(Protocol):
@@ -50,29 +50,29 @@
 
     Attributes:
         pieces: Texts by index; empty where a chunk had none.
-        read: Index after the last piece of the current attempt.
-        first: Clock seconds of the first piece, or None.
-        heard: Clock seconds of the last piece of the current attempt;
+        next_index: Index after the last piece of the current attempt.
+        first_piece_at: Clock seconds of the first piece, or None.
+        last_piece_at: Clock seconds of the last piece of the current attempt;
             infinite while the caller's sink is taking that piece.
         ending: The end marker of a complete answer, or None.
         refusal: Why the answer is incomplete, or None.
     """
 
     pieces: list[str] = field(default_factory=list)
-    read: int = 0
-    first: float | None = None
-    heard: float = -math.inf
+    next_index: int = 0
+    first_piece_at: float | None = None
+    last_piece_at: float = -math.inf
     ending: Ending | None = None
     refusal: Refusal | None = None
 
     @property
     def resume_at(self) -> int:
         """Return the index from which to request the rest of the answer."""
-        return max(0, len(self.pieces) - OVERLAP)
+        return max(0, len(self.pieces) - RESUME_OVERLAP)
 
 
 @dataclass(slots=True)
-class Trial:
+class AttemptExecution:
     """One attempt, its progress and its outcome.
 
     Attributes:
@@ -82,7 +82,7 @@
         received: The answer so far, including pieces of earlier attempts.
         prompt_tokens: Estimated tokens of the prompt.
         end: The outcome; None until the attempt has ended.
-        passed: Whether the gate was open when it was last checked.
+        gate_passed: Whether the gate was open when it was last checked.
     """
 
     start: AttemptStart
@@ -91,18 +91,18 @@
     received: Received = field(default_factory=Received)
     prompt_tokens: int = 0
     end: AttemptEnd | None = None
-    passed: bool = False
+    gate_passed: bool = False
 
-    def watch(self, gate: Gate) -> Gate:
+    def recording_gate(self, gate: Gate) -> Gate:
         """Return a gate that records in ``passed`` whether it was open."""
 
-        def look() -> Refusal | None:
+        def check() -> Refusal | None:
             """Check the gate and record the result."""
             refusal = gate()
-            self.passed = refusal is None
+            self.gate_passed = refusal is None
             return refusal
 
-        return look
+        return check
 
 
 class Attempter:
@@ -124,34 +124,38 @@
         observers: Observers,
         configuration: Configuration,
         clock: Clock,
-        stall: float = STALL,
+        stall_timeout: float = STALL_TIMEOUT,
     ) -> None:
         self._engines = engines
         self._directory = directory
         self._observers = observers
         self._configuration = configuration
         self._clock = clock
-        self._stall = stall
+        self._stall_timeout = stall_timeout
 
-    async def run(self, trial: Trial, sink: Sink) -> AttemptEnd:
+    async def run(self, execution: AttemptExecution, sink: Sink) -> AttemptEnd:
         """Execute one attempt, writing pieces to the sink as they arrive."""
-        trial.received.refusal = None
-        trial.received.read = trial.attempt.skip
-        trial.received.heard = -math.inf
+        execution.received.refusal = None
+        execution.received.next_index = execution.attempt.skip
+        execution.received.last_piece_at = -math.inf
         began = self._clock.now()
-        self._observers.started(trial.start)
+        self._observers.started(execution.start)
         try:
-            with self._directory.in_flight(trial.state, trial.start.version):
-                await self._follow(trial.attempt, trial.received, sink)
+            with self._directory.in_flight(
+                execution.state, execution.start.version
+            ):
+                await self._read_stream(
+                    execution.attempt, execution.received, sink
+                )
         finally:
             # If the caller disconnects, this task is cancelled here, and
             # the attempt ends with ``ANSWER_CUT``.
-            trial.end = self._end(trial, began)
-            self._observers.ended(trial.end)
-        self._note(trial)
-        return trial.end
+            execution.end = self._summarize(execution, began)
+            self._observers.ended(execution.end)
+        self._update_directory(execution)
+        return execution.end
 
-    async def _follow(
+    async def _read_stream(
         self,
         attempt: Attempt,
         received: Received,
@@ -160,8 +164,10 @@
         """Read the stream until it ends, fails or times out."""
         deadline = self._clock.now() + attempt.timeout
         try:
-            async with Watchdog(self._clock, self._stall, deadline) as dog:
-                await self._read(attempt, received, sink, dog)
+            async with Watchdog(
+                self._clock, self._stall_timeout, deadline
+            ) as watchdog:
+                await self._read_events(attempt, received, sink, watchdog)
         except TimeoutError:
             received.refusal = Refusal(
                 ResultCode.UPSTREAM_TIMEOUT,
@@ -171,12 +177,12 @@
                 retry_after=1,
             )
 
-    async def _read(
+    async def _read_events(
         self,
         attempt: Attempt,
         received: Received,
         sink: Sink,
-        dog: Watchdog,
+        watchdog: Watchdog,
     ) -> None:
         """Read the events of the stream."""
         async with self._engines.answer(attempt) as events:
@@ -185,48 +191,50 @@
                     received.refusal = event
                     return
                 if isinstance(event, Ending):
-                    _finish(received, event)
+                    _accept_ending(received, event)
                     return
                 # Time that the caller takes to read a piece must not count
                 # against the upstream.
-                dog.hold()
-                received.heard = math.inf
-                received.refusal = await self._take(event, received, sink)
-                received.heard = self._clock.now()
+                watchdog.hold()
+                received.last_piece_at = math.inf
+                received.refusal = await self._accept_piece(
+                    event, received, sink
+                )
+                received.last_piece_at = self._clock.now()
                 if received.refusal is not None:
                     return
-                dog.touch()
+                watchdog.touch()
         received.refusal = Refusal(
             ResultCode.ANSWER_CUT,
             'The answer stream ended without an end marker.',
             Ran.UNKNOWN,
         )
 
-    async def _take(
+    async def _accept_piece(
         self,
         piece: Piece,
         received: Received,
         sink: Sink,
     ) -> Refusal | None:
         """Store and forward a new piece, or compare a repeated one."""
-        if received.first is None:
-            received.first = self._clock.now()
+        if received.first_piece_at is None:
+            received.first_piece_at = self._clock.now()
         pieces = received.pieces
-        received.read = piece.index + 1
+        received.next_index = piece.index + 1
         if piece.index < len(pieces):
             if pieces[piece.index] == piece.text:
                 return None
-            return _other_answer()
+            return _crossed_answer()
         # Chunks without text also have an index.
         pieces.extend('' for _ in range(piece.index - len(pieces)))
         pieces.append(piece.text)
         await sink.piece(piece.text)
         return None
 
-    def _note(self, trial: Trial) -> None:
+    def _update_directory(self, execution: AttemptExecution) -> None:
         """Update the directory with what the attempt shows of its upstream."""
-        upstream = trial.state.info.upstream
-        refusal = trial.received.refusal
+        upstream = execution.state.info.upstream
+        refusal = execution.received.refusal
         if refusal is None:
             self._directory.answered(upstream)
         elif refusal.code is ResultCode.UPSTREAM_UNREACHABLE:
@@ -234,62 +242,66 @@
         elif refusal.code is ResultCode.UPSTREAM_LEAVING:
             self._directory.mark_leaving(
                 upstream,
-                trial.state.info.address,
+                execution.state.info.address,
                 LeavingSource.REPORT,
             )
 
-    def _end(self, trial: Trial, began: float) -> AttemptEnd:
+    def _summarize(
+        self, execution: AttemptExecution, began: float
+    ) -> AttemptEnd:
         """Return the summary of a finished attempt."""
-        received = trial.received
+        received = execution.received
         ending = received.ending
         code = ResultCode.ANSWER_CUT
         if ending is not None:
             code = ResultCode.OK
         elif received.refusal is not None:
             code = received.refusal.code
-        prompt = trial.prompt_tokens if received.pieces else 0
+        prompt = execution.prompt_tokens if received.pieces else 0
         if ending is not None:
             prompt = ending.prompt_tokens
         written = ending.output_tokens if ending else len(received.pieces)
         # Tokens written by earlier attempts are counted there.
-        output = max(0, written - trial.attempt.skip)
-        first = received.first
+        output = max(0, written - execution.attempt.skip)
+        first = received.first_piece_at
         if first is not None:
             # In an attempt that resumes an answer, the first piece came
             # before the attempt began.
             first = first - began if first >= began else None
         return AttemptEnd(
-            start=trial.start,
+            start=execution.start,
             code=code,
             first_token=first,
             seconds=self._clock.now() - began,
             prompt_tokens=prompt,
             output_tokens=output,
-            cost=self._cost(trial.start, prompt, output),
+            cost=self._cost(execution.start, prompt, output),
             text=''.join(received.pieces) if ending else '',
             cached_tokens=ending.cached_tokens if ending else 0,
-            out_of_time=self._is_out_of_time(trial, began),
+            out_of_time=self._is_out_of_time(execution, began),
         )
 
-    def _is_out_of_time(self, trial: Trial, began: float) -> bool:
+    def _is_out_of_time(
+        self, execution: AttemptExecution, began: float
+    ) -> bool:
         """Return whether the attempt ended only for lack of the caller's time.
 
         An engine that is full sends nothing to requests that wait there, so
         such an attempt does not count against the upstream either.
         """
-        received = trial.received
+        received = execution.received
         now = self._clock.now()
         if received.ending is not None:
             return False
         if received.refusal is not None:
-            is_late = now >= began + trial.attempt.timeout
+            is_late = now >= began + execution.attempt.timeout
             code = received.refusal.code
             if code is not ResultCode.UPSTREAM_TIMEOUT or not is_late:
                 return False
-        if now - received.heard < SILENCE:
+        if now - received.last_piece_at < MIN_SILENCE:
             return True
-        report = trial.state.report
-        has_begun = received.read > trial.attempt.skip
+        report = execution.state.report
+        has_begun = received.next_index > execution.attempt.skip
         return report is not None and report.is_full and not has_begun
 
     def _cost(self, start: AttemptStart, prompt: int, output: int) -> float:
@@ -300,15 +312,15 @@
         return cost_of(entry, prompt, output)
 
 
-def _finish(received: Received, ending: Ending) -> None:
+def _accept_ending(received: Received, ending: Ending) -> None:
     """Accept the end marker unless pieces received before are missing."""
-    if received.read < len(received.pieces):
-        received.refusal = _other_answer()
+    if received.next_index < len(received.pieces):
+        received.refusal = _crossed_answer()
     else:
         received.ending = ending
 
 
-def _other_answer() -> Refusal:
+def _crossed_answer() -> Refusal:
     """Return the refusal for a resumed answer with a different text."""
     return Refusal(
         ResultCode.ANSWER_CROSSED,
--- a/src/nutmegroad/routing/dispatch.py
+++ b/src/nutmegroad/routing/dispatch.py
@@ -9,17 +9,17 @@
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Ran, VersionId
 from nutmegroad.records.explanations import Explanation
-from nutmegroad.routing.attempts import Attempter, Sink, Trial
+from nutmegroad.routing.attempts import Attempter, AttemptExecution, Sink
 from nutmegroad.routing.gates import Gatekeeper
 from nutmegroad.routing.request_progress import (
     Answer,
-    CountedSink,
     KeptBack,
-    Progress,
+    MeteredSink,
+    RequestProgress,
     Spent,
 )
 from nutmegroad.routing.steps import (
-    TURN_AWAY,
+    VERSION_FALLBACK_CODES,
     Instruments,
     Policies,
     StepRunner,
@@ -79,10 +79,10 @@
             explanation: Records each step of the decision.
             spent: Updated as costs arise; also valid after a cancellation.
         """
-        progress = Progress(
+        progress = RequestProgress(
             request,
             explanation,
-            CountedSink(sink, request.task, self._clock, self._metrics),
+            MeteredSink(sink, request.task, self._clock, self._metrics),
             Spent() if spent is None else spent,
             self._randomness.getrandbits(_SEED_BITS),
         )
@@ -94,27 +94,27 @@
             explanation.note('admission', permit.reason)
             return permit
         with permit:
-            outcome = await self._follow_plans(progress)
+            outcome = await self._run_plans(progress)
         if isinstance(outcome, Refusal):
             # ``ran`` must hold for all attempts, not only for the last one.
-            known = replace(outcome, ran=progress.spent.ran)
-            return _as_session_end(known, request)
+            refusal = replace(outcome, ran=progress.spent.ran)
+            return _as_session_end(refusal, request)
         progress.sink.finish()
         return outcome
 
     def settle_on(self, request: ModelRequest) -> VersionId | Refusal:
         """Choose the version that a new session is bound to."""
-        able = tuple(
+        available = tuple(
             version
             for version in request.versions
-            if self._is_able(request, version)
+            if self._can_answer(request, version)
         )
         plan = self._policies.planner.plan(
-            replace(request, versions=able or request.versions),
+            replace(request, versions=available or request.versions),
         )
         return plan if isinstance(plan, Refusal) else plan.steps[-1]
 
-    def _is_able(self, request: ModelRequest, version: VersionId) -> bool:
+    def _can_answer(self, request: ModelRequest, version: VersionId) -> bool:
         """Return whether a version could answer a request now."""
         refusal = self._gatekeeper.check_version(
             request.workspace,
@@ -142,7 +142,7 @@
             return None
         return _as_session_end(refusal, request)
 
-    async def _follow_plans(self, progress: Progress) -> Answer | Refusal:
+    async def _run_plans(self, progress: RequestProgress) -> Answer | Refusal:
         """Execute plans until one succeeds, each without failed versions."""
         request = progress.request
         refusal: Refusal | None = None
@@ -151,15 +151,15 @@
             if isinstance(plan, Refusal):
                 return plan if refusal is None else refusal
             if not request.repeatable:
-                plan = _last_step(plan)
-            progress.note('planner', _describe(plan))
-            outcome, failed = await self._follow(progress, plan)
+                plan = _only_last_step(plan)
+            progress.note('planner', _describe_plan(plan))
+            outcome, failed = await self._run_plan(progress, plan)
             if not isinstance(outcome, Refusal):
                 return outcome
             refusal = outcome
-            if not self._may_turn(progress, outcome):
+            if not self._may_change_version(progress, outcome):
                 return outcome
-            request = _without(request, failed)
+            request = _without_version(request, failed)
         if refusal is not None:
             return refusal
         return Refusal(
@@ -167,73 +167,79 @@
             'No version is allowed to answer this request.',
         )
 
-    def _may_turn(self, progress: Progress, refusal: Refusal) -> bool:
+    def _may_change_version(
+        self, progress: RequestProgress, refusal: Refusal
+    ) -> bool:
         """Return whether another version may be used after a refusal."""
-        if progress.request.session is not None or progress.sink.shown:
+        if progress.request.session is not None or progress.sink.pieces_written:
             return False
-        if refusal.code not in TURN_AWAY:
+        if refusal.code not in VERSION_FALLBACK_CODES:
             return False
         ran = progress.spent.ran
         return ran is Ran.NOT_RUN or progress.request.repeatable
 
-    async def _follow(
+    async def _run_plan(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         plan: Plan,
     ) -> tuple[Answer | Refusal, VersionId]:
         """Execute the steps of a plan; return the outcome and last version."""
         last = len(plan.steps) - 1
-        for place, version in enumerate(plan.steps):
-            final = place == last
+        for index, version in enumerate(plan.steps):
+            final = index == last
             sink = progress.sink if final else KeptBack()
             sink.answering(version)
-            trial = await self._steps.run(progress, version, sink)
-            if isinstance(trial, Refusal):
-                return trial, version
+            execution = await self._steps.run(progress, version, sink)
+            if isinstance(execution, Refusal):
+                return execution, version
             if final:
-                return self._answer(progress, trial), version
-            if self._is_enough(progress, trial, plan.accept[place]):
-                await _show(progress.sink, trial)
-                return self._answer(progress, trial), version
+                return self._answer(progress, execution), version
+            if self._is_acceptable(progress, execution, plan.accept[index]):
+                await _release_answer(progress.sink, execution)
+                return self._answer(progress, execution), version
         raise AssertionError('a plan has at least one step')
 
-    def _is_enough(
+    def _is_acceptable(
         self,
-        progress: Progress,
-        trial: Trial,
-        wanted: float,
+        progress: RequestProgress,
+        execution: AttemptExecution,
+        threshold: float,
     ) -> bool:
         """Return whether the answer of a cascade's step is acceptable."""
-        if trial.end is None:
+        if execution.end is None:
             return False
-        estimate = self._policies.planner.estimate(progress.request, trial.end)
-        version = trial.start.version
+        estimate = self._policies.planner.estimate(
+            progress.request, execution.end
+        )
+        version = execution.start.version
         progress.note(
             'cascade',
             f'{version} is estimated at {estimate:.3f}; '
-            f'{wanted:.3f} is required',
+            f'{threshold:.3f} is required',
         )
-        return estimate >= wanted
+        return estimate >= threshold
 
-    def _answer(self, progress: Progress, trial: Trial) -> Answer:
+    def _answer(
+        self, progress: RequestProgress, execution: AttemptExecution
+    ) -> Answer:
         """Return the result for a complete answer."""
-        ending = trial.received.ending
-        version = trial.start.version
+        ending = execution.received.ending
+        version = execution.start.version
         session = progress.request.session
         self._invariants.check(
             'whole-answer-has-ending',
             ending is not None,
-            trial.start.attempt,
+            execution.start.attempt,
         )
         self._invariants.check(
             'session-keeps-version',
             session is None or session.version == version,
-            trial.start.attempt,
+            execution.start.attempt,
         )
         spent = progress.spent
         return Answer(
             version=version,
-            text=''.join(trial.received.pieces),
+            text=''.join(execution.received.pieces),
             finish=ending.reason if ending else '',
             prompt_tokens=ending.prompt_tokens if ending else 0,
             output_tokens=ending.output_tokens if ending else 0,
@@ -242,17 +248,17 @@
         )
 
 
-async def _show(sink: Sink, trial: Trial) -> None:
+async def _release_answer(sink: Sink, execution: AttemptExecution) -> None:
     """Write an answer that was withheld to the sink."""
-    sink.answering(trial.start.version)
-    for text in filter(None, trial.received.pieces):
+    sink.answering(execution.start.version)
+    for text in filter(None, execution.received.pieces):
         await sink.piece(text)
 
 
-def _without(request: ModelRequest, version: VersionId) -> ModelRequest:
+def _without_version(request: ModelRequest, version: VersionId) -> ModelRequest:
     """Return the request without one of its allowed versions."""
-    left = tuple(other for other in request.versions if other != version)
-    return replace(request, versions=left)
+    remaining = tuple(other for other in request.versions if other != version)
+    return replace(request, versions=remaining)
 
 
 def _as_session_end(refusal: Refusal, request: ModelRequest) -> Refusal:
@@ -269,12 +275,12 @@
     )
 
 
-def _last_step(plan: Plan) -> Plan:
+def _only_last_step(plan: Plan) -> Plan:
     """Return only the last step; a cascade may execute a request twice."""
     return replace(plan, steps=plan.steps[-1:], accept=())
 
 
-def _describe(plan: Plan) -> str:
+def _describe_plan(plan: Plan) -> str:
     """Return a description of a plan."""
     steps = ' then '.join(plan.steps)
     return f'{steps}: {plan.reason}, cost {plan.cost:.5f}.'
--- a/src/nutmegroad/routing/gates.py
+++ b/src/nutmegroad/routing/gates.py
@@ -51,7 +51,7 @@
 
 
 #: Returns why this host may send nothing now, or None.
-Condition = Callable[[], Refusal | None]
+HostCondition = Callable[[], Refusal | None]
 
 
 class Gatekeeper:
@@ -72,9 +72,9 @@
         self._configuration = configuration
         self._clock = clock
         self._quarantine = quarantine
-        self._conditions: list[Condition] = []
+        self._conditions: list[HostCondition] = []
 
-    def require(self, condition: Condition) -> None:
+    def require(self, condition: HostCondition) -> None:
         """Add a condition that must hold before this host sends anything."""
         self._conditions.append(condition)
 
@@ -198,8 +198,8 @@
                 ResultCode.VERSION_NOT_ALLOWED,
                 f'The workspace {workspace.name!r} may not use {version}.',
             )
-        held = Epoch(entry.epoch) if epoch is None else epoch
-        if self._configuration.is_withdrawn(version, held):
+        checked_epoch = Epoch(entry.epoch) if epoch is None else epoch
+        if self._configuration.is_withdrawn(version, checked_epoch):
             return Refusal(
                 ResultCode.VERSION_WITHDRAWN,
                 f'The version {version} has been withdrawn.',
@@ -225,8 +225,8 @@
         if not self._configuration.isolated:
             return None
         age = self._configuration.confirmation_age
-        serve = workspace.isolation is Isolation.SERVE
-        if serve and age <= workspace.isolation_limit:
+        may_serve = workspace.isolation is Isolation.SERVE
+        if may_serve and age <= workspace.isolation_limit:
             return None
         return Refusal(
             ResultCode.ISOLATED,
--- a/src/nutmegroad/routing/harmful.py
+++ b/src/nutmegroad/routing/harmful.py
@@ -31,7 +31,7 @@
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import HostId, Ran, UpstreamIncarnation
-from nutmegroad.routing.attempts import Trial
+from nutmegroad.routing.attempts import AttemptExecution
 
 _LOG: Final = part_logger('harmful')
 
@@ -41,20 +41,22 @@
 LOOK_WAIT: Final = 0.05
 
 #: Minimum seconds between two probe executions of a request by one host.
-TRIED_SPAN: Final = 10.0
+MIN_PROBE_INTERVAL: Final = 10.0
 
 #: Minimum seconds after which a refused caller should retry; the result of a
 #: probe execution is expected by then.
 TRIED_NEXT: Final = 1.5
 
 #: Maximum number of requests whose last probe execution is remembered.
-MOST_TRIED: Final = 1000
+MAX_PROBED_REQUESTS: Final = 1000
 
 #: Seconds between two broadcasts while there is something to send.
-PERIOD: Final = 0.25
+BROADCAST_INTERVAL: Final = 0.25
 
 #: Results of an attempt whose engine may have terminated meanwhile.
-_BREAKS: Final = frozenset((ResultCode.ANSWER_CUT, ResultCode.UPSTREAM_ERROR))
+_INTERRUPTED: Final = frozenset(
+    (ResultCode.ANSWER_CUT, ResultCode.UPSTREAM_ERROR)
+)
 
 
 class CrashDigest(Message, frozen=True, tag='crash-digest'):
@@ -81,19 +83,19 @@
     def __init__(self, engines: EngineClient, clock: Clock) -> None:
         self.book = CrashBook(clock)
         #: Returns whether this host may probe a request that is blocked.
-        self.may_try: Callable[[ContentMark], bool] = _always
+        self.may_try: Callable[[ContentMark], bool] = _allow_always
         self._engines = engines
         self._clock = clock
         # Clock seconds of the last probe of each request, newest last.
-        self._tried: dict[ContentMark, float] = {}
+        self._probed: dict[ContentMark, float] = {}
 
     def keeps_out(self, request: ModelRequest) -> Refusal | None:
         """Return why a request may not go to an engine now, or None."""
-        content = content_of(request)
+        content = content_fingerprint(request)
         harmful = self.book.harmful(content)
         if harmful is None:
             return None
-        if not harmful.pause and self._claim(content):
+        if not harmful.pause and self._claim_probe(content):
             _LOG.decision(
                 'tried once more',
                 request=request.request,
@@ -108,17 +110,19 @@
             max(harmful.pause, TRIED_NEXT),
         )
 
-    async def ended(self, request: ModelRequest, trial: Trial) -> None:
+    async def attempt_ended(
+        self, request: ModelRequest, execution: AttemptExecution
+    ) -> None:
         """Record how an attempt ended."""
-        refusal = trial.received.refusal
-        if trial.received.ending is not None:
-            self._answered(request)
-        elif refusal is not None and refusal.code in _BREAKS:
-            await self._broke(request, trial)
+        refusal = execution.received.refusal
+        if execution.received.ending is not None:
+            self._record_answer(request)
+        elif refusal is not None and refusal.code in _INTERRUPTED:
+            await self._record_interruption(request, execution)
 
-    def _answered(self, request: ModelRequest) -> None:
+    def _record_answer(self, request: ModelRequest) -> None:
         """Record a complete answer, which clears the request."""
-        content = content_of(request)
+        content = content_fingerprint(request)
         if self.book.answered(content, self._clock.now()):
             _LOG.decision(
                 'cleared by an answer',
@@ -126,53 +130,55 @@
                 content=spell_mark(content),
             )
 
-    async def _broke(self, request: ModelRequest, trial: Trial) -> None:
+    async def _record_interruption(
+        self, request: ModelRequest, execution: AttemptExecution
+    ) -> None:
         """Record a failed attempt if its engine has terminated."""
         now = self._clock.now()
-        end = trial.end
+        end = execution.end
         seconds = 0 if end is None else end.seconds
-        if not await self._has_ended(trial):
+        if not await self._is_terminated(execution):
             return
-        content = content_of(request)
+        content = content_fingerprint(request)
         # An engine restarts under the same id, so the attempt id is added to
         # identify this one termination.
         name = UpstreamIncarnation(
-            f'{trial.start.upstream}/{trial.start.attempt}',
+            f'{execution.start.upstream}/{execution.start.attempt}',
         )
-        under = EndUnder(mark_upstream(name), now - seconds, now)
-        self.book.ended(content, under)
+        crash = EndUnder(mark_upstream(name), now - seconds, now)
+        self.book.ended(content, crash)
         _LOG.decision(
             'engine ended under it',
             request=request.request,
             content=spell_mark(content),
-            upstream=trial.start.upstream,
-            version=trial.start.version,
+            upstream=execution.start.upstream,
+            version=execution.start.version,
             ran=round(seconds, 3),
             ends=len(self.book.ends_of(content)),
         )
 
-    async def _has_ended(self, trial: Trial) -> bool:
+    async def _is_terminated(self, execution: AttemptExecution) -> bool:
         """Return whether an engine refuses new connections."""
         with suppress(TimeoutError):
             async with asyncio.timeout(LOOK_WAIT):
-                report = await self._engines.report(trial.state.info)
+                report = await self._engines.report(execution.state.info)
                 return (
                     isinstance(report, Refusal)
                     and report.code is ResultCode.UPSTREAM_UNREACHABLE
                 )
         return False
 
-    def _claim(self, content: ContentMark) -> bool:
+    def _claim_probe(self, content: ContentMark) -> bool:
         """Return whether this host probes a request now, and record it."""
         now = self._clock.now()
-        if now - self._tried.get(content, float('-inf')) < TRIED_SPAN:
+        if now - self._probed.get(content, float('-inf')) < MIN_PROBE_INTERVAL:
             return False
         if not self.may_try(content):
             return False
-        self._tried.pop(content, None)
-        self._tried[content] = now
-        if len(self._tried) > MOST_TRIED:
-            self._tried.pop(next(iter(self._tried)))
+        self._probed.pop(content, None)
+        self._probed[content] = now
+        if len(self._probed) > MAX_PROBED_REQUESTS:
+            self._probed.pop(next(iter(self._probed)))
         return True
 
 
@@ -189,7 +195,7 @@
         self._mesh = mesh
         self._book = book
         self._clock = clock
-        mesh.handle(CrashDigest, self._hear)
+        mesh.handle(CrashDigest, self._receive)
 
     async def run(self) -> None:
         """Broadcast while there is something to send, until cancelled.
@@ -198,16 +204,16 @@
         direct link.
         """
         while True:
-            await self._clock.sleep(PERIOD)
+            await self._clock.sleep(BROADCAST_INTERVAL)
             if self._book.has_news:
                 self._mesh.tell_all(CrashDigest(self._book.telling()))
 
-    async def _hear(self, host: HostId, digest: CrashDigest) -> None:
+    async def _receive(self, host: HostId, digest: CrashDigest) -> None:
         """Store the entries that another host has sent."""
         self._book.told(digest.crashes)
 
 
-def content_of(request: ModelRequest) -> ContentMark:
+def content_fingerprint(request: ModelRequest) -> ContentMark:
     """Return the fingerprint of a request's content, without its id."""
     return mark_content(
         request.workspace,
@@ -216,6 +222,6 @@
     )
 
 
-def _always(content: ContentMark) -> bool:
+def _allow_always(content: ContentMark) -> bool:
     """Allow every probe; used when there is no other host to decide."""
     return True
--- a/src/nutmegroad/routing/request_progress.py
+++ b/src/nutmegroad/routing/request_progress.py
@@ -68,7 +68,7 @@
         """Discard the piece; the attempt stores the text."""
 
 
-class CountedSink:
+class MeteredSink:
     """A sink that counts and times what the caller receives.
 
     Args:
@@ -78,7 +78,7 @@
         metrics: Records the times.
 
     Attributes:
-        shown: Number of pieces written to the caller.
+        pieces_written: Number of pieces written to the caller.
         version: The version that wrote them.
     """
 
@@ -89,14 +89,14 @@
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        self.shown = 0
+        self.pieces_written = 0
         self.version = _NO_VERSION
         self._inner = inner
         self._task = task
         self._clock = clock
         self._latency = metrics.latency
-        self._began = clock.now()
-        self._last = self._began
+        self._started_at = clock.now()
+        self._last_piece_at = self._started_at
 
     def answering(self, version: VersionId) -> None:
         """Set the version that writes the pieces that follow."""
@@ -106,21 +106,23 @@
     async def piece(self, text: str) -> None:
         """Write a piece, recording its latency."""
         now = self._clock.now()
-        if self.shown:
-            self._latency.between_tokens(self._task, now - self._last)
+        if self.pieces_written:
+            self._latency.between_tokens(self._task, now - self._last_piece_at)
         else:
-            self._latency.first_token(self._task, now - self._began)
-        self.shown += 1
-        self._last = now
+            self._latency.first_token(self._task, now - self._started_at)
+        self.pieces_written += 1
+        self._last_piece_at = now
         await self._inner.piece(text)
 
     def finish(self) -> None:
         """Record the time that the complete answer took."""
-        self._latency.whole_time(self._task, self._clock.now() - self._began)
+        self._latency.whole_time(
+            self._task, self._clock.now() - self._started_at
+        )
 
 
 @dataclass(slots=True)
-class Progress:
+class RequestProgress:
     """The state of a request in progress.
 
     Attributes:
@@ -135,7 +137,7 @@
 
     request: ModelRequest
     explanation: Explanation
-    sink: CountedSink
+    sink: MeteredSink
     spent: Spent
     seed: int
     excluded: frozenset[UpstreamId] = field(default_factory=frozenset)
@@ -145,7 +147,7 @@
         self.explanation.note(part, text)
 
 
-def why(received: Received) -> Refusal:
+def failure_of(received: Received) -> Refusal:
     """Return the refusal of a failed attempt."""
     # A refusal is falsy, so ``or`` would skip it.
     if received.refusal is not None:
--- a/src/nutmegroad/routing/services.py
+++ b/src/nutmegroad/routing/services.py
@@ -31,10 +31,10 @@
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.gates import Gatekeeper, Passage
 from nutmegroad.routing.service_traffic import ServiceTraffic
-from nutmegroad.routing.steps import OWN_REFUSALS
+from nutmegroad.routing.steps import HOST_REFUSALS
 
 #: Maximum attempts for one repeatable call.
-MOST_ATTEMPTS: Final = 3
+MAX_ATTEMPTS: Final = 3
 
 _NO_VERSION: Final = VersionId('')
 
@@ -145,24 +145,26 @@
         tried: frozenset[UpstreamId] = frozenset()
         ran = Ran.NOT_RUN
         refusal = _no_upstream(request.service)
-        for number in range(MOST_ATTEMPTS):
-            state = self._next(request, tried, refusal.code, explanation)
+        for number in range(MAX_ATTEMPTS):
+            state = self._next_upstream(
+                request, tried, refusal.code, explanation
+            )
             if state is None:
                 break
             tried |= {state.info.upstream}
             reply = await self._attempt(request, entry, state, number)
-            explanation.note('service', _describe(state, reply))
+            explanation.note('service', _describe_reply(state, reply))
             if isinstance(reply, ServiceReply):
                 return reply
             refusal = reply
             if reply.ran is not Ran.NOT_RUN:
                 ran = Ran.UNKNOWN
-            harmless = repeatable or ran is Ran.NOT_RUN
-            if not _may_go_on(reply, harmless):
+            is_safe = repeatable or ran is Ran.NOT_RUN
+            if not _may_continue(reply, is_safe):
                 break
         return replace(refusal, ran=ran)
 
-    def _next(
+    def _next_upstream(
         self,
         request: ServiceRequest,
         tried: frozenset[UpstreamId],
@@ -170,7 +172,7 @@
         explanation: Explanation,
     ) -> UpstreamState | None:
         """Return the upstream of the next attempt if the budget allows it."""
-        state = self._choose(request.service, tried)
+        state = self._choose_upstream(request.service, tried)
         if state is None or not tried:
             return state
         if self._traffic.may_retry(request, code):
@@ -178,7 +180,7 @@
         explanation.note('retries', 'The retry budget is exhausted.')
         return None
 
-    def _choose(
+    def _choose_upstream(
         self,
         service: ServiceName,
         tried: frozenset[UpstreamId],
@@ -188,13 +190,15 @@
         An upstream that keeps failing is skipped for a while, unless all
         that are left keep failing.
         """
-        left = [
+        remaining = [
             state
             for state in self._directory.services(service)
             if state.info.upstream not in tried
         ]
         now = self._clock.now()
-        states = [one for one in left if self._healths.admits(one, now)] or left
+        states = [
+            one for one in remaining if self._healths.admits(one, now)
+        ] or remaining
         if not states:
             return None
         self._randomness.shuffle(states)
@@ -219,7 +223,7 @@
             request.deadline,
             attempt_fence,
         )
-        left = request.deadline - self._clock.now()
+        remaining = request.deadline - self._clock.now()
         call = ServiceCall(
             attempt=AttemptId(f'{request.request}.{number}'),
             upstream=state.info,
@@ -228,7 +232,7 @@
             body=request.body,
             content_type=request.content_type,
             gate=self._gatekeeper.gate(passage),
-            timeout=max(0, min(left, entry.timeout)),
+            timeout=max(0, min(remaining, entry.timeout)),
             key=request.key,
         )
         health = self._healths.health(state)
@@ -260,12 +264,12 @@
     return reply.code if isinstance(reply, Refusal) else ResultCode.OK
 
 
-def _may_go_on(reply: Refusal, harmless: bool) -> bool:
+def _may_continue(reply: Refusal, is_safe: bool) -> bool:
     """Return whether another upstream may be tried after a refusal."""
-    return harmless and reply.code not in OWN_REFUSALS
+    return is_safe and reply.code not in HOST_REFUSALS
 
 
-def _describe(state: UpstreamState, reply: ServiceReply | Refusal) -> str:
+def _describe_reply(state: UpstreamState, reply: ServiceReply | Refusal) -> str:
     """Return a description of how an attempt ended."""
     if isinstance(reply, Refusal):
         return f'{state.info.upstream}: {reply.code.name}.'
--- a/src/nutmegroad/routing/steps.py
+++ b/src/nutmegroad/routing/steps.py
@@ -22,18 +22,23 @@
 from nutmegroad.foundations.metrics import Metrics
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import AttemptId, Ran, ServiceName, VersionId
-from nutmegroad.routing.attempts import Attempter, Received, Sink, Trial
+from nutmegroad.routing.attempts import (
+    Attempter,
+    AttemptExecution,
+    Received,
+    Sink,
+)
 from nutmegroad.routing.gates import Gatekeeper, Passage
 from nutmegroad.routing.harmful import HarmfulRequests
-from nutmegroad.routing.request_progress import Progress, why
+from nutmegroad.routing.request_progress import RequestProgress, failure_of
 
 #: Maximum attempts for one request, whatever the retry budget allows.
-MOST_ATTEMPTS: Final = 6
+MAX_ATTEMPTS: Final = 6
 
 _NONCE_BITS: Final = 48
 
 #: Refusals after which a request may use another version.
-TURN_AWAY: Final = frozenset(
+VERSION_FALLBACK_CODES: Final = frozenset(
     (
         ResultCode.NO_UPSTREAM,
         ResultCode.VERSION_WITHDRAWN,
@@ -43,7 +48,7 @@
 )
 
 #: Refusals by this host itself, which another upstream would not change.
-OWN_REFUSALS: Final = frozenset(
+HOST_REFUSALS: Final = frozenset(
     (
         ResultCode.DEADLINE_PASSED,
         ResultCode.HOST_PAUSED,
@@ -97,7 +102,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Course:
+class _AttemptSetup:
     """The target and starting point of the next attempt.
 
     Attributes:
@@ -145,39 +150,41 @@
 
     async def run(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         version: VersionId,
         sink: Sink,
-    ) -> Trial | Refusal:
+    ) -> AttemptExecution | Refusal:
         """Have one version answer, retrying and resuming where allowed."""
-        course = self._begin(progress, version, Received())
-        while not isinstance(course, Refusal):
-            trial = await self._attempt(progress, version, course, sink)
-            await self._policies.harmful.ended(progress.request, trial)
-            if trial.received.ending is not None:
-                return trial
-            refusal = why(trial.received)
-            if not self._may_retry(progress, refusal, course):
+        setup = self._set_up_attempt(progress, version, Received())
+        while not isinstance(setup, Refusal):
+            execution = await self._attempt(progress, version, setup, sink)
+            await self._policies.harmful.attempt_ended(
+                progress.request, execution
+            )
+            if execution.received.ending is not None:
+                return execution
+            refusal = failure_of(execution.received)
+            if not self._may_retry(progress, refusal, setup):
                 return refusal
-            following = self._next(progress, version, trial, course)
-            if isinstance(following, Refusal):
+            next_setup = self._set_up_retry(progress, version, execution, setup)
+            if isinstance(next_setup, Refusal):
                 # The failure of the attempt explains more than the lack of
                 # another upstream.
                 return refusal
-            course = following
-        return course
+            setup = next_setup
+        return setup
 
-    def _begin(
+    def _set_up_attempt(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         version: VersionId,
         received: Received,
-    ) -> _Course | Refusal:
+    ) -> _AttemptSetup | Refusal:
         """Choose an upstream and create the attempt's id."""
-        kept_out = self._policies.harmful.keeps_out(progress.request)
-        if kept_out is not None:
-            progress.note('harmful', kept_out.reason)
-            return kept_out
+        refusal = self._policies.harmful.keeps_out(progress.request)
+        if refusal is not None:
+            progress.note('harmful', refusal.reason)
+            return refusal
         choice = self._policies.selector.choose(
             progress.request,
             version,
@@ -191,82 +198,87 @@
         name = AttemptId(f'{progress.request.request}.{number}.{nonce}')
         fence = progress.request.fence
         attempt_fence = None if fence is None else fence.attempt()
-        return _Course(choice, name, received, attempt_fence)
+        return _AttemptSetup(choice, name, received, attempt_fence)
 
-    def _next(
+    def _set_up_retry(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         version: VersionId,
-        trial: Trial,
-        course: _Course,
-    ) -> _Course | Refusal:
+        execution: AttemptExecution,
+        setup: _AttemptSetup,
+    ) -> _AttemptSetup | Refusal:
         """Choose how to continue after a failed attempt."""
-        received = trial.received
-        upstream = course.choice.state.info.upstream
-        resumes = why(received).code in _RESUMABLE and bool(received.pieces)
+        received = execution.received
+        upstream = setup.choice.state.info.upstream
+        resumes = failure_of(received).code in _RESUMABLE and bool(
+            received.pieces
+        )
         if resumes and upstream not in progress.excluded:
             # Try once more at the engine that holds the answer.
             progress.excluded |= {upstream}
-            return course
+            return setup
         progress.excluded |= {upstream}
-        if not progress.sink.shown and not resumes:
+        if not progress.sink.pieces_written and not resumes:
             received = Received()
-        return self._begin(progress, version, received)
+        return self._set_up_attempt(progress, version, received)
 
     async def _attempt(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         version: VersionId,
-        course: _Course,
+        setup: _AttemptSetup,
         sink: Sink,
-    ) -> Trial:
+    ) -> AttemptExecution:
         """Make one attempt and add it to the progress."""
         spent = progress.spent
         spent.attempts += 1
         spent.version = version
-        trial = self._prepare(progress, version, course)
+        execution = self._prepare(progress, version, setup)
         progress.note(
             'selector',
-            f'{trial.start.upstream} for {version}: {course.choice.reason}.',
+            f'{execution.start.upstream} for {version}: {setup.choice.reason}.',
         )
         try:
-            await self._attempter.run(trial, sink)
+            await self._attempter.run(execution, sink)
         finally:
-            self._sum_up(progress, trial)
-            if course.attempt_fence is not None:
-                course.attempt_fence.end(trial.received.refusal)
-        return trial
+            self._record_attempt(progress, execution)
+            if setup.attempt_fence is not None:
+                setup.attempt_fence.end(execution.received.refusal)
+        return execution
 
-    def _sum_up(self, progress: Progress, trial: Trial) -> None:
+    def _record_attempt(
+        self, progress: RequestProgress, execution: AttemptExecution
+    ) -> None:
         """Add an attempt that has ended or was cancelled to the progress."""
-        end = trial.end
+        end = execution.end
         if end is None:
             return
         spent = progress.spent
         spent.cost += end.cost
         spent.prompt_tokens = end.prompt_tokens
         spent.output_tokens = end.output_tokens
-        if trial.received.ending is not None:
+        if execution.received.ending is not None:
             spent.ran = Ran.RAN
-        elif why(trial.received).ran is not Ran.NOT_RUN:
+        elif failure_of(execution.received).ran is not Ran.NOT_RUN:
             spent.ran = Ran.UNKNOWN
         self._metrics.attempt_ended(end.start.version, end.code)
         self._invariants.check(
             'first-byte-behind-open-gate',
-            trial.passed or trial.received.read <= trial.attempt.skip,
+            execution.gate_passed
+            or execution.received.next_index <= execution.attempt.skip,
             end.start.attempt,
         )
         progress.note('attempt', f'{end.start.attempt}: {end.code.name}')
 
     def _prepare(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         version: VersionId,
-        course: _Course,
-    ) -> Trial:
+        setup: _AttemptSetup,
+    ) -> AttemptExecution:
         """Create the attempt to send to the upstream."""
         request = progress.request
-        state = course.choice.state
+        state = setup.choice.state
         body = {
             'seed': progress.seed,
             **request.body,
@@ -274,45 +286,50 @@
             'stream': True,
         }
         attempt = Attempt(
-            attempt=course.attempt,
+            attempt=setup.attempt,
             upstream=state.info,
             version=version,
             body=msgspec.json.encode(body),
-            gate=self._gatekeeper.gate(_passage(request, version, course)),
+            gate=self._gatekeeper.gate(_gate_context(request, version, setup)),
             timeout=max(0, request.deadline - self._clock.now()),
             priority=request.priority,
-            skip=course.received.resume_at,
+            skip=setup.received.resume_at,
         )
         start = AttemptStart(
-            course.attempt,
+            setup.attempt,
             request.request,
             request.workspace,
             request.task,
             version,
             state.info.upstream,
         )
-        trial = Trial(
+        execution = AttemptExecution(
             start,
             attempt,
             state,
-            course.received,
+            setup.received,
             request.prompt_tokens,
         )
-        trial.attempt = replace(attempt, gate=trial.watch(attempt.gate))
-        return trial
+        execution.attempt = replace(
+            attempt, gate=execution.recording_gate(attempt.gate)
+        )
+        return execution
 
     def _may_retry(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         refusal: Refusal,
-        course: _Course,
+        setup: _AttemptSetup,
     ) -> bool:
         """Return whether another attempt may be made, and count it if so."""
-        if refusal.code in TURN_AWAY or refusal.code in OWN_REFUSALS:
+        if (
+            refusal.code in VERSION_FALLBACK_CODES
+            or refusal.code in HOST_REFUSALS
+        ):
             return False
-        if not self._is_harmless(progress, refusal, course):
+        if not self._is_safe(progress, refusal, setup):
             return False
-        if progress.spent.attempts >= MOST_ATTEMPTS:
+        if progress.spent.attempts >= MAX_ATTEMPTS:
             return False
         if self._clock.now() >= progress.request.deadline:
             return False
@@ -323,11 +340,11 @@
         progress.note('retries', f'Retry after {refusal.code.name}.')
         return True
 
-    def _is_harmless(
+    def _is_safe(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         refusal: Refusal,
-        course: _Course,
+        setup: _AttemptSetup,
     ) -> bool:
         """Return whether another attempt is safe.
 
@@ -340,15 +357,15 @@
         # it, or elsewhere if no attempt was executed.
         if progress.spent.ran is Ran.NOT_RUN:
             return True
-        has_begun = bool(course.received.pieces)
-        known = course.choice.state.info.upstream not in progress.excluded
+        has_begun = bool(setup.received.pieces)
+        known = setup.choice.state.info.upstream not in progress.excluded
         return has_begun and known and refusal.code in _RESUMABLE
 
 
-def _passage(
+def _gate_context(
     request: ModelRequest,
     version: VersionId,
-    course: _Course,
+    setup: _AttemptSetup,
 ) -> Passage:
     """Return what the gate of an attempt checks."""
     session = request.session
@@ -358,7 +375,7 @@
         version,
         ServiceName(''),
         session.epoch if session else None,
-        course.choice.state,
+        setup.choice.state,
         request.deadline,
-        course.attempt_fence,
+        setup.attempt_fence,
     )
--- a/tests/test_harmful_requests.py
+++ b/tests/test_harmful_requests.py
@@ -13,8 +13,8 @@
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import DomainId, HostId, Ran, RequestId
 from nutmegroad.routing.harmful import (
-    PERIOD,
-    TRIED_SPAN,
+    BROADCAST_INTERVAL,
+    MIN_PROBE_INTERVAL,
     CrashExchange,
     HarmfulRequests,
 )
@@ -102,7 +102,7 @@
         await self.clock.jump(FIRST_PAUSE)
         await self.come(broken(0), broken(0))
         self.assertEqual(self.sent, HARMFUL + 1)
-        await self.clock.jump(TRIED_SPAN * 2)
+        await self.clock.jump(MIN_PROBE_INTERVAL * 2)
         await self.come(broken(0), broken(0))
         self.assertEqual(self.sent, HARMFUL + 1)
 
@@ -142,7 +142,7 @@
             engines.scripts = [broken(0) for _ in range(9)]
             await rig.ask(body=BODY)
         self.assertIsNone(known[1].keeps_out(request))
-        await clock.advance(PERIOD * 2)
+        await clock.advance(BROADCAST_INTERVAL * 2)
         refusal = known[1].keeps_out(request)
         assert refusal is not None
         self.assertIs(refusal.code, ResultCode.REQUEST_HARMFUL)
