--- a/src/nutmegroad/routing/departures.py
+++ b/src/nutmegroad/routing/departures.py
@@ -53,32 +53,34 @@
         self._mesh = mesh
         self._directory = directory
         self._domain = domain
-        directory.listen(self._spread)
-        mesh.handle(UpstreamLeaving, self._take)
+        directory.listen(self._broadcast)
+        mesh.handle(UpstreamLeaving, self._receive)
 
-    def _spread(self, info: UpstreamInfo, source: LeavingSource) -> None:
+    def _broadcast(self, info: UpstreamInfo, source: LeavingSource) -> None:
         """Broadcast a notice that this host has found itself."""
         # Connections may be refused because this host's network is cut.
         # Other hosts must not take that for the upstream's own notice.
         if source in {LeavingSource.REPORT, LeavingSource.LIST}:
-            self._mesh.tell_all(_message(info.upstream, info.address))
+            self._mesh.tell_all(_notice(info.upstream, info.address))
 
-    async def _take(self, host: HostId, message: UpstreamLeaving) -> None:
+    async def _receive(self, host: HostId, message: UpstreamLeaving) -> None:
         """Apply a notice from another host, and forward it if it is new."""
-        fresh = self._directory.mark_leaving(
+        is_new = self._directory.mark_leaving(
             UpstreamId(message.upstream),
             Address(message.ip, message.port),
             LeavingSource.PEER,
         )
-        if not fresh:
+        if not is_new:
             return
         domains = {peer.host: peer.domain for peer in self._mesh.members()}
-        from_here = domains.get(host) == self._domain
+        from_own_domain = domains.get(host) == self._domain
         for other, domain in domains.items():
-            if other != host and not (from_here and domain == self._domain):
+            if other != host and not (
+                from_own_domain and domain == self._domain
+            ):
                 self._mesh.tell(other, message)
 
 
-def _message(upstream: UpstreamId, address: Address) -> UpstreamLeaving:
+def _notice(upstream: UpstreamId, address: Address) -> UpstreamLeaving:
     """Return the notice that is sent to other hosts."""
     return UpstreamLeaving(upstream, address.ip, address.port)
--- a/src/nutmegroad/routing/directory.py
+++ b/src/nutmegroad/routing/directory.py
@@ -25,7 +25,7 @@
 )
 
 #: Consecutive refused connections after which an upstream counts as draining.
-REFUSALS: Final = 2
+REFUSALS_UNTIL_DRAINING: Final = 2
 
 #: Seconds by which an upstream's own report may lag behind other sources.
 #: Only a report requested at least this long after the upstream was last
@@ -34,14 +34,14 @@
 
 #: Seconds after which a plain service that refused connections gets requests
 #: again; a plain service sends no report that could clear the state.
-SERVICE_HOLD: Final = 10.0
+SERVICE_RETRY_DELAY: Final = 10.0
 
 #: Seconds after which a host no longer waits for an engine's first report.
-SURVEY_LIMIT: Final = 5.0
+FIRST_REPORT_TIMEOUT: Final = 5.0
 
 #: Maximum number of draining notices kept for upstreams that the host list
 #: does not name yet.
-MOST_HEARSAY: Final = 1000
+MAX_UNLISTED_NOTICES: Final = 1000
 
 
 @unique
@@ -58,7 +58,7 @@
 LeavingListener = Callable[[UpstreamInfo, LeavingSource], None]
 
 
-class _Hearsay:
+class _UnlistedNotices:
     """Draining notices for upstreams that are not listed yet."""
 
     def __init__(self) -> None:
@@ -68,11 +68,11 @@
     def add(self, upstream: UpstreamId, address: Address) -> bool:
         """Store a draining notice; return whether it is new."""
         key = (upstream, address)
-        fresh = key not in self._leaving
+        is_new = key not in self._leaving
         self._leaving[key] = None
-        if len(self._leaving) > MOST_HEARSAY:
+        if len(self._leaving) > MAX_UNLISTED_NOTICES:
             self._leaving.popitem(last=False)
-        return fresh
+        return is_new
 
     def take(self, info: UpstreamInfo) -> bool:
         """Remove the notice for an upstream; return whether there was one."""
@@ -95,7 +95,7 @@
         self._by_version: dict[VersionId, tuple[UpstreamState, ...]] = {}
         self._by_service: dict[ServiceName, tuple[UpstreamState, ...]] = {}
         self._stale = False
-        self._hearsay = _Hearsay()
+        self._unlisted = _UnlistedNotices()
         self._listeners: list[LeavingListener] = []
 
     def listen(self, listener: LeavingListener) -> None:
@@ -116,8 +116,8 @@
                 upstreams without an entry are removed.
         """
         listed = {info.upstream for info in upstreams}
-        for gone in sorted(set(self._states) - listed) if whole else ():
-            state = self._states.pop(gone)
+        for removed in sorted(set(self._states) - listed) if whole else ():
+            state = self._states.pop(removed)
             # Requests that still refer to this state must see it as draining.
             state.leaving = True
         for info in upstreams:
@@ -160,17 +160,19 @@
         if state is None:
             return
         asked = self._clock.now() if asked is None else asked
-        before = state.report
+        previous = state.report
         state.report = report
         state.reported = asked
         state.refusals = 0
-        if before is None or before.versions != report.versions:
+        if previous is None or previous.versions != report.versions:
             self._stale = True
         if report.leaving:
             # Other hosts may have cleared already a draining state that is
             # still set here, so a new notice is announced again.
-            anew = before is not None and not before.leaving
-            self._begin_leaving(state, LeavingSource.REPORT, anew=anew)
+            announced_again = previous is not None and not previous.leaving
+            self._begin_leaving(
+                state, LeavingSource.REPORT, announced_again=announced_again
+            )
         elif state.leaving and asked >= state.leaving_since + REPORT_LAG:
             # Only the upstream's own report clears the draining state,
             # whichever source has set it.
@@ -198,12 +200,12 @@
             return
         if report.leaving:
             self._begin_leaving(state, LeavingSource.PEER)
-        before = state.report
-        if before is not None and asked <= state.reported:
+        previous = state.report
+        if previous is not None and asked <= state.reported:
             return
         state.report = report
         state.reported = asked
-        if before is None or before.versions != report.versions:
+        if previous is None or previous.versions != report.versions:
             self._stale = True
 
     def mark_leaving(
@@ -224,7 +226,7 @@
         state = self._states.get(upstream)
         other = state and address is not None and state.info.address != address
         if state is None or other:
-            return address is not None and self._hearsay.add(
+            return address is not None and self._unlisted.add(
                 upstream,
                 address,
             )
@@ -236,7 +238,7 @@
         if state is None:
             return
         state.refusals += 1
-        if state.refusals >= REFUSALS:
+        if state.refusals >= REFUSALS_UNTIL_DRAINING:
             self._begin_leaving(state, LeavingSource.REFUSED)
 
     def answered(self, upstream: UpstreamId) -> None:
@@ -271,45 +273,45 @@
             # A new address means a new incarnation: discard the old state.
             known = UpstreamState(info, first_seen=now)
             self._states[info.upstream] = known
-            if self._hearsay.take(info):
+            if self._unlisted.take(info):
                 self._begin_leaving(known, LeavingSource.PEER)
         was_live = known.info.presence is Presence.LIVE
         known.info = info
         if was_live and info.presence is not Presence.LIVE:
             self._begin_leaving(known, LeavingSource.LIST)
-        _try_service_again(known, now)
+        _retry_service(known, now)
 
     def _begin_leaving(
         self,
         state: UpstreamState,
         source: LeavingSource,
         *,
-        anew: bool = False,
+        announced_again: bool = False,
     ) -> bool:
         """Stop sending new work to an upstream; return whether that is new.
 
         Listeners are called if it is new or if the upstream has announced
-        it again (``anew``).
+        it again (``announced_again``).
         """
         state.leaving_since = self._clock.now()
-        fresh = not state.leaving
-        if fresh:
+        is_new = not state.leaving
+        if is_new:
             state.leaving = True
             self._stale = True
-        if fresh or anew:
+        if is_new or announced_again:
             for listener in self._listeners:
                 listener(state.info, source)
-        return fresh
+        return is_new
 
     def is_surveyed(self, domain: DomainId) -> bool:
         """Return whether enough engines of a domain are known to serve.
 
         Each engine must have reported, have failed to report, or have been
-        known for ``SURVEY_LIMIT`` seconds. An engine without a report counts
-        as having no slots, so a host that serves earlier refuses requests
-        needlessly.
+        known for ``FIRST_REPORT_TIMEOUT`` seconds. An engine without a report
+        counts as having no slots, so a host that serves earlier refuses
+        requests needlessly.
         """
-        oldest = self._clock.now() - SURVEY_LIMIT
+        oldest = self._clock.now() - FIRST_REPORT_TIMEOUT
         return bool(self._states) and all(
             state.report is not None
             or state.failures > 0
@@ -337,15 +339,15 @@
         self._stale = False
 
 
-def _try_service_again(state: UpstreamState, now: float) -> None:
+def _retry_service(state: UpstreamState, now: float) -> None:
     """Allow requests again to a listed service that refused connections."""
     if state.info.kind is UpstreamKind.ENGINE or not state.refusals:
         return
-    held = now - state.leaving_since
-    if state.leaving and held >= SERVICE_HOLD:
+    excluded_for = now - state.leaving_since
+    if state.leaving and excluded_for >= SERVICE_RETRY_DELAY:
         state.leaving = False
         # A single further refusal excludes the service again.
-        state.refusals = REFUSALS - 1
+        state.refusals = REFUSALS_UNTIL_DRAINING - 1
 
 
 def is_engine(state: UpstreamState) -> bool:
--- a/src/nutmegroad/routing/exchange.py
+++ b/src/nutmegroad/routing/exchange.py
@@ -13,27 +13,27 @@
 from nutmegroad.routing.shares import ShareAsk, ShareLedger, ShareLoan
 
 #: Minimum seconds between the load digests that a host sends.
-PERIOD: Final = 2.0
+DIGEST_INTERVAL: Final = 2.0
 
 #: Seconds between checks for missing slots, and the fraction by which the
 #: interval varies at random.
-LOOK: Final = 0.25
+CHECK_INTERVAL: Final = 0.25
 _JITTER: Final = 0.2
 
 #: Hosts of its own domain to which a host sends each digest.
-FANOUT: Final = 8
+DIGEST_FANOUT: Final = 8
 
 #: Hosts that are asked for slots in one round.
-ASKED: Final = 2
+MAX_LENDERS_ASKED: Final = 2
 
 #: Seconds to wait for the reply to a request for slots.
-_TIMEOUT: Final = 0.5
+_LOAN_TIMEOUT: Final = 0.5
 
 #: Seconds before the end of a loan at which its slots are requested again.
-_RENEWED: Final = 2.0
+_RENEWAL_MARGIN: Final = 2.0
 
 #: Slots that a lender keeps free for itself.
-_RESERVE: Final = 1
+_RESERVED_SLOTS: Final = 1
 
 
 class ShareExchange:
@@ -63,7 +63,7 @@
         self._ledger = ledger
         self._clock = clock
         self._randomness = randomness
-        self._told = float('-inf')
+        self._last_digest_at = float('-inf')
 
     @property
     def _identity(self) -> Identity:
@@ -72,30 +72,30 @@
 
     def handle(self) -> None:
         """Register the message handlers."""
-        self._mesh.handle(LoadDigest, self._heard)
-        self._mesh.handle(ShareAsk, self._asked)
+        self._mesh.handle(LoadDigest, self._receive_digest)
+        self._mesh.handle(ShareAsk, self._lend)
 
     async def run(self) -> None:
         """Run rounds until cancelled."""
         while True:
-            spread = self._randomness.uniform(1 - _JITTER, 1 + _JITTER)
-            await self._clock.sleep(LOOK * spread)
+            jitter = self._randomness.uniform(1 - _JITTER, 1 + _JITTER)
+            await self._clock.sleep(CHECK_INTERVAL * jitter)
             await self.round()
 
     async def round(self) -> None:
         """Send a digest if one is due, and borrow slots if they are missing."""
         now = self._clock.now()
-        if now - self._told >= PERIOD:
-            self._told = now
-            self._tell(self._live())
-        wanted = self._wanted()
+        if now - self._last_digest_at >= DIGEST_INTERVAL:
+            self._last_digest_at = now
+            self._send_digests(self._live_members())
+        wanted = self._missing_slots()
         if wanted > 0:
             await self._borrow(wanted)
         # Also needed if nothing was borrowed: loans expire on their own,
         # which changes the limits.
         self._admitter.permits.wake()
 
-    def _live(self) -> list[Member]:
+    def _live_members(self) -> list[Member]:
         """Return the other live hosts."""
         return [
             member
@@ -104,7 +104,7 @@
             and member.host != self._identity.host
         ]
 
-    def _tell(self, members: list[Member]) -> None:
+    def _send_digests(self, members: list[Member]) -> None:
         """Send a digest to some local hosts and to one per remote domain."""
         self._fleet.count(members)
         digest = self._admitter.digest()
@@ -112,18 +112,20 @@
         for member in members:
             domains.setdefault(member.domain, []).append(member.host)
         for domain, hosts in domains.items():
-            fanout = FANOUT if domain == self._identity.domain else 1
-            drawn = self._randomness.sample(hosts, min(fanout, len(hosts)))
-            for host in drawn:
+            fanout = DIGEST_FANOUT if domain == self._identity.domain else 1
+            receivers = self._randomness.sample(hosts, min(fanout, len(hosts)))
+            for host in receivers:
                 self._mesh.tell(host, digest)
 
-    def _wanted(self) -> int:
+    def _missing_slots(self) -> int:
         """Return how many more slots this host could use."""
         slots = self._admitter.slots
         needed = (
-            self._admitter.permits.running + self._admitter.queued + _RESERVE
+            self._admitter.permits.running
+            + self._admitter.queued
+            + _RESERVED_SLOTS
         )
-        ending = self._ledger.expiring(self._clock.now(), _RENEWED)
+        ending = self._ledger.expiring(self._clock.now(), _RENEWAL_MARGIN)
         return needed - slots.holding + ending
 
     async def _borrow(self, wanted: int) -> None:
@@ -132,27 +134,27 @@
         digests.sort(key=lambda digest: digest.spare, reverse=True)
         lacking = self._admitter.entitlement - self._admitter.slots.holding
         claim = max(0, ceil(lacking))
-        for digest in digests[:ASKED]:
+        for digest in digests[:MAX_LENDERS_ASKED]:
             if wanted <= 0 or not (digest.spare or claim):
                 return
             ask = ShareAsk(wanted=wanted, claim=min(claim, wanted))
-            asked = self._clock.now()
+            requested_at = self._clock.now()
             host = HostId(digest.host)
-            reply = await self._mesh.ask(host, ask, _TIMEOUT)
+            reply = await self._mesh.ask(host, ask, _LOAN_TIMEOUT)
             if isinstance(reply, ShareLoan) and reply.slots > 0:
-                self._ledger.borrow(reply.slots, asked)
+                self._ledger.borrow(reply.slots, requested_at)
                 wanted -= reply.slots
                 claim -= reply.slots
 
-    async def _heard(self, host: HostId, digest: LoadDigest) -> None:
+    async def _receive_digest(self, host: HostId, digest: LoadDigest) -> None:
         """Store a digest from another host."""
         self._fleet.take(digest)
 
-    async def _asked(self, host: HostId, ask: ShareAsk) -> Message:
+    async def _lend(self, host: HostId, ask: ShareAsk) -> Message:
         """Lend slots that are idle or that other hosts are entitled to."""
         admitter = self._admitter
         holding = admitter.slots.holding
-        busy = admitter.permits.running + admitter.queued + _RESERVE
+        busy = admitter.permits.running + admitter.queued + _RESERVED_SLOTS
         idle = holding - busy
         over = min(ask.claim, int(holding - admitter.entitlement))
         slots = min(ask.wanted, max(idle, over), holding - 1)
--- a/src/nutmegroad/routing/retries.py
+++ b/src/nutmegroad/routing/retries.py
@@ -20,18 +20,18 @@
 from nutmegroad.kernel.registry import register
 
 #: Retries added to the budget for each first attempt.
-SHARE: Final = 0.1
+RETRY_FRACTION: Final = 0.1
 
 #: Retries per second that are added even without traffic, for the host as a
 #: whole and for each workspace.
-FLOOR: Final = 0.5
+MIN_RETRY_RATE: Final = 0.5
 
 #: Maximum retries that can be saved up, for the host and for each workspace.
-MOST_SAVED: Final = 10.0
+MAX_SAVED_RETRIES: Final = 10.0
 
 #: What a retry costs after a result; 1 if not listed. A busy engine has done
 #: no work, so sending the request to another one costs the fleet little.
-COSTS: Final = MappingProxyType(
+RETRY_COSTS: Final = MappingProxyType(
     {
         ResultCode.UPSTREAM_BUSY: 0.25,
         ResultCode.VERSION_NOT_LOADED: 0.25,
@@ -49,14 +49,16 @@
         filled: Clock seconds of the last refill.
     """
 
-    saved: float
-    filled: float
+    available: float
+    refilled_at: float
 
-    def fill(self, now: float, deposit: float = 0) -> None:
+    def refill(self, now: float, deposit: float = 0) -> None:
         """Add the minimum rate since the last refill, and a deposit."""
-        grown = self.saved + deposit + FLOOR * (now - self.filled)
-        self.saved = min(MOST_SAVED, grown)
-        self.filled = now
+        refilled = (
+            self.available + deposit + MIN_RETRY_RATE * (now - self.refilled_at)
+        )
+        self.available = min(MAX_SAVED_RETRIES, refilled)
+        self.refilled_at = now
 
 
 class SharedRetries:
@@ -71,7 +73,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._host = _Bucket(MOST_SAVED, clock.now())
+        self._host = _Bucket(MAX_SAVED_RETRIES, clock.now())
         self._workspaces: dict[WorkspaceId, _Bucket] = {}
         # ``spend`` is called in the same step of the event loop as ``ended``,
         # so the last attempt that ended is the one to be retried.
@@ -82,14 +84,14 @@
         """Take one retry from the budget; return whether there was one."""
         now = self._clock.now()
         code = self._code_of(request.request)
-        cost = COSTS.get(code, 1.0)
+        cost = RETRY_COSTS.get(code, 1.0)
         bucket = self._bucket(request.workspace)
-        bucket.fill(now)
-        self._host.fill(now)
-        if min(bucket.saved, self._host.saved) < cost:
+        bucket.refill(now)
+        self._host.refill(now)
+        if min(bucket.available, self._host.available) < cost:
             return False
-        bucket.saved -= cost
-        self._host.saved -= cost
+        bucket.available -= cost
+        self._host.available -= cost
         self._retried = request.request
         return True
 
@@ -99,8 +101,8 @@
             self._retried = None
             return
         now = self._clock.now()
-        self._bucket(start.workspace).fill(now, SHARE)
-        self._host.fill(now, SHARE)
+        self._bucket(start.workspace).refill(now, RETRY_FRACTION)
+        self._host.refill(now, RETRY_FRACTION)
 
     def ended(self, end: AttemptEnd) -> None:
         """Remember how the attempt ended, which sets the cost of a retry."""
@@ -116,7 +118,7 @@
         """Return the bucket of a workspace."""
         known = self._workspaces.get(workspace)
         if known is None:
-            known = _Bucket(MOST_SAVED, self._clock.now())
+            known = _Bucket(MAX_SAVED_RETRIES, self._clock.now())
             self._workspaces[workspace] = known
         return known
 
--- a/src/nutmegroad/routing/service_traffic.py
+++ b/src/nutmegroad/routing/service_traffic.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Begun:
+class _RunningAttempt:
     """An attempt in progress.
 
     Attributes:
@@ -38,7 +38,7 @@
     """
 
     start: AttemptStart
-    at: float
+    started_at: float
 
 
 class ServiceTraffic:
@@ -62,7 +62,7 @@
         self._retries = retries
         self._metrics = metrics
         self._clock = clock
-        self._begun: dict[AttemptId, _Begun] = {}
+        self._running: dict[AttemptId, _RunningAttempt] = {}
 
     def started(
         self,
@@ -80,16 +80,16 @@
             _NO_VERSION,
             upstream,
         )
-        self._begun[attempt] = _Begun(start, self._clock.now())
+        self._running[attempt] = _RunningAttempt(start, self._clock.now())
         self._retries.started(start)
 
     def ended(self, attempt: AttemptId, code: ResultCode) -> None:
         """Record and count how an attempt ended."""
-        begun = self._begun.pop(attempt)
-        seconds = self._clock.now() - begun.at
-        end = AttemptEnd(begun.start, code, None, seconds, 0, 0, 0, '')
+        running = self._running.pop(attempt)
+        seconds = self._clock.now() - running.started_at
+        end = AttemptEnd(running.start, code, None, seconds, 0, 0, 0, '')
         self._retries.ended(end)
-        self._metrics.service_attempt_ended(begun.start.task, code)
+        self._metrics.service_attempt_ended(running.start.task, code)
 
     def may_retry(self, call: Spender, code: ResultCode) -> bool:
         """Take a retry from the budget, and count it if there was one."""
--- a/src/nutmegroad/routing/upstreams_part.py
+++ b/src/nutmegroad/routing/upstreams_part.py
@@ -64,7 +64,7 @@
             WATCH_PERIOD,
             sharer,
         )
-        await watcher.look()
+        await watcher.poll_once()
         await kernel.stack.enter_async_context(watcher)
         far = FarLoads(
             kernel.need(Mesh),
--- a/src/nutmegroad/routing/watch.py
+++ b/src/nutmegroad/routing/watch.py
@@ -31,7 +31,7 @@
 JITTER: Final = 0.2
 
 #: Maximum number of concurrent polls.
-MOST_QUESTIONS: Final = 64
+MAX_CONCURRENT_POLLS: Final = 64
 
 
 class WatchPlan(Protocol):
@@ -50,20 +50,20 @@
     def refresh(self) -> None:
         """Update the plan; called once a period."""
 
-    def wants(self, state: UpstreamState) -> bool:
+    def should_poll(self, state: UpstreamState) -> bool:
         """Return whether this host has to poll an engine itself."""
 
-    def pause(self, state: UpstreamState) -> float:
+    def poll_interval(self, state: UpstreamState) -> float:
         """Return the seconds until the next poll of an engine."""
 
-    def answered(
+    def record_answer(
         self,
         state: UpstreamState,
         answer: EngineReport | Refusal,
     ) -> None:
         """Record an engine's report or refusal."""
 
-    def tell(self) -> None:
+    def broadcast_reports(self) -> None:
         """Send what has changed to other hosts; called once a period."""
 
     def merge_list(
@@ -72,11 +72,11 @@
     ) -> tuple[UpstreamInfo, ...]:
         """Return the list, merged with entries from other hosts."""
 
-    def tell_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
+    def broadcast_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
         """Send new or changed entries of the list to other hosts."""
 
 
-class AskAll:
+class PollAll:
     """The plan of a host that shares its work with no other host.
 
     Args:
@@ -95,22 +95,22 @@
     def refresh(self) -> None:
         """Do nothing: the plan never changes."""
 
-    def wants(self, state: UpstreamState) -> bool:
+    def should_poll(self, state: UpstreamState) -> bool:
         """Return true, since this host polls every engine."""
         return True
 
-    def pause(self, state: UpstreamState) -> float:
+    def poll_interval(self, state: UpstreamState) -> float:
         """Return the period."""
         return self._period
 
-    def answered(
+    def record_answer(
         self,
         state: UpstreamState,
         answer: EngineReport | Refusal,
     ) -> None:
         """Do nothing: nothing is sent to other hosts."""
 
-    def tell(self) -> None:
+    def broadcast_reports(self) -> None:
         """Do nothing: there is no other host."""
 
     def merge_list(
@@ -120,7 +120,7 @@
         """Return the list unchanged."""
         return upstreams
 
-    def tell_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
+    def broadcast_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
         """Do nothing: there is no other host."""
 
 
@@ -154,15 +154,15 @@
         self._clock = clock
         self._randomness = randomness
         self._period = period
-        self._plan = AskAll(period) if plan is None else plan
-        self._room = asyncio.Semaphore(MOST_QUESTIONS)
+        self._plan = PollAll(period) if plan is None else plan
+        self._poll_limit = asyncio.Semaphore(MAX_CONCURRENT_POLLS)
         self._tasks: dict[UpstreamId, asyncio.Task[None]] = {}
         self._own_tasks: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> Self:
         """Start the tasks that monitor upstreams."""
         self._own_tasks.append(self._start(self._read_list()))
-        self._own_tasks.append(self._start(self._keep_step()))
+        self._own_tasks.append(self._start(self._follow_plan()))
         return self
 
     async def __aexit__(
@@ -177,28 +177,28 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def look(self) -> None:
+    async def poll_once(self) -> None:
         """Read the host list once, then poll all engines once at a time."""
-        await self._take_list()
+        await self._update_from_list()
         engines = filter(is_engine, self._directory.states())
-        asks = [self._ask(state.info.upstream) for state in engines]
-        await asyncio.gather(*asks)
+        polls = [self._poll(state.info.upstream) for state in engines]
+        await asyncio.gather(*polls)
 
     async def _read_list(self) -> None:
         """Read the host list regularly, and poll the engines it names."""
         while True:
-            await self._take_list()
-            self._start_missing()
-            await self._clock.sleep(self._spread(self._plan.list_period))
+            await self._update_from_list()
+            self._update_tasks()
+            await self._clock.sleep(self._jittered(self._plan.list_period))
 
-    async def _keep_step(self) -> None:
+    async def _follow_plan(self) -> None:
         """Apply the plan regularly."""
         while True:
-            await self._clock.sleep(self._spread(self._period))
-            self._start_missing()
-            self._plan.tell()
+            await self._clock.sleep(self._jittered(self._period))
+            self._update_tasks()
+            self._plan.broadcast_reports()
 
-    async def _take_list(self) -> None:
+    async def _update_from_list(self) -> None:
         """Read the host list once and update the directory."""
         listing = await self._host_list.listing()
         if isinstance(listing, Refusal):
@@ -206,58 +206,62 @@
             return
         upstreams = self._plan.merge_list(listing.upstreams)
         was_empty = not self._directory.states()
-        changed = tuple(filter(self._is_news, upstreams))
+        changed = tuple(filter(self._is_changed, upstreams))
         self._directory.update(upstreams)
         if changed and not was_empty:
-            self._plan.tell_listed(changed)
+            self._plan.broadcast_listed(changed)
 
-    def _is_news(self, info: UpstreamInfo) -> bool:
+    def _is_changed(self, info: UpstreamInfo) -> bool:
         """Return whether an entry of the list differs from the directory."""
         state = self._directory.state(info.upstream)
         return state is None or state.info != info
 
-    def _start_missing(self) -> None:
+    def _update_tasks(self) -> None:
         """Start and stop tasks, so that each engine of the plan has one."""
         self._plan.refresh()
         states = filter(is_engine, self._directory.states())
         wanted = {
-            state.info.upstream for state in states if self._plan.wants(state)
+            state.info.upstream
+            for state in states
+            if self._plan.should_poll(state)
         }
-        for gone in self._tasks.keys() - wanted:
-            self._tasks.pop(gone).cancel()
+        for removed in self._tasks.keys() - wanted:
+            self._tasks.pop(removed).cancel()
         # Sorted, so that the random delay of an engine does not depend on
         # hash order.
-        for fresh in sorted(wanted - self._tasks.keys()):
-            self._tasks[fresh] = self._start(self._follow(fresh))
+        for added in sorted(wanted - self._tasks.keys()):
+            self._tasks[added] = self._start(self._poll_regularly(added))
 
-    async def _follow(self, upstream: UpstreamId) -> None:
+    async def _poll_regularly(self, upstream: UpstreamId) -> None:
         """Poll one engine regularly."""
         await self._clock.sleep(self._randomness.random() * self._period)
         while True:
-            await self._ask(upstream)
+            await self._poll(upstream)
             state = self._directory.state(upstream)
             if state is None:
                 return
-            await self._clock.sleep(self._spread(self._plan.pause(state)))
+            await self._clock.sleep(
+                self._jittered(self._plan.poll_interval(state))
+            )
 
-    async def _ask(self, upstream: UpstreamId) -> None:
+    async def _poll(self, upstream: UpstreamId) -> None:
         """Request one engine's report and apply it."""
         state = self._directory.state(upstream)
         if state is None:
             return
-        async with self._room:
-            asked = self._clock.now()
+        async with self._poll_limit:
+            requested_at = self._clock.now()
             report = await self._engines.report(state.info)
         if isinstance(report, Refusal):
             state.failures += 1
             if report.code is ResultCode.UPSTREAM_UNREACHABLE:
                 self._directory.refused(upstream)
-            self._plan.answered(state, report)
+            self._plan.record_answer(state, report)
             return
         state.failures = 0
         if self._directory.state(upstream) is state:
-            self._directory.reported(upstream, report, asked)
-            self._plan.answered(state, report)
+            self._directory.reported(upstream, report, requested_at)
+            self._plan.record_answer(state, report)
 
     def _start(
         self,
@@ -269,6 +273,6 @@
             return asyncio.create_task(work)
         return asyncio.create_task(Metered(account, WATCH_PART, work))
 
-    def _spread(self, seconds: float) -> float:
+    def _jittered(self, seconds: float) -> float:
         """Return a duration with random jitter, in seconds."""
         return seconds * self._randomness.uniform(1 - JITTER, 1 + JITTER)
--- a/src/nutmegroad/routing/watch_sharing.py
+++ b/src/nutmegroad/routing/watch_sharing.py
@@ -35,28 +35,28 @@
 from nutmegroad.routing.directory import Directory, is_engine
 
 #: Periods after which an unchanged load is broadcast again.
-REFRESH: Final = 4
+REBROADCAST_PERIODS: Final = 4
 #: Periods without a report of an engine of its own domain after which a host
 #: polls the engine itself.
-SILENCE: Final = 10
+UNRESPONSIVE_PERIODS: Final = 10
 #: Periods after which unchanged versions are broadcast again.
-VERSIONS: Final = 10
+VERSION_PERIODS: Final = 10
 #: Periods without a broadcast about an engine after which the second host
 #: broadcasts in place of the first.
-SECOND_TELLS: Final = 6
+SECOND_HOST_PERIODS: Final = 6
 #: Seconds between two fetches of a remote domain's reports, per known
 #: upstream: 20 s for 890 upstreams.
-FAR_EACH: Final = 0.0225
-FAR_LEAST: Final = 2.0
+REMOTE_FETCH_INTERVAL_PER_UPSTREAM: Final = 0.0225
+MIN_REMOTE_FETCH_INTERVAL: Final = 2.0
 #: Missed fetches after which each host polls the engines of an unresponsive
 #: remote domain itself.
-FAR_MISSED: Final = 4
+MAX_MISSED_REMOTE_FETCHES: Final = 4
 #: Change of load, as a fraction of the slots, that is broadcast at once.
-NOTABLE: Final = 1 / 8
+NOTABLE_LOAD_CHANGE: Final = 1 / 8
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
+class _Broadcast:
     """The last broadcast about an engine, by any host of the domain.
 
     Attributes:
@@ -102,14 +102,14 @@
         self._period = period
         self._listed = ListMemory(clock)
         self._index = RunIndex()
-        self._upstreams = 0
+        self._upstream_count = 0
         self._places: dict[UpstreamId, int] = {}
-        self._told: dict[int, _Told] = {}
-        self._waiting: dict[UpstreamId, UpstreamState] = {}
+        self._broadcasts: dict[int, _Broadcast] = {}
+        self._pending: dict[UpstreamId, UpstreamState] = {}
         self._failed: set[int] = set()
-        self._doubted: set[UpstreamId] = set()
-        mesh.handle(WatchReports, self._take_reports)
-        mesh.handle(ListedUpstreams, self._take_listed)
+        self._to_verify: set[UpstreamId] = set()
+        mesh.handle(WatchReports, self._receive_reports)
+        mesh.handle(ListedUpstreams, self._receive_listed)
 
     @property
     def list_period(self) -> float:
@@ -119,66 +119,69 @@
     @property
     def far_period(self) -> float:
         """Return the seconds between two fetches from a remote domain."""
-        return max(FAR_LEAST, FAR_EACH * self._upstreams)
+        return max(
+            MIN_REMOTE_FETCH_INTERVAL,
+            REMOTE_FETCH_INTERVAL_PER_UPSTREAM * self._upstream_count,
+        )
 
     def refresh(self) -> None:
         """Update, once a period, which engines this host polls."""
         states = self._directory.states()
         # Stored, since the count is needed once for each engine.
-        self._upstreams = len(states)
+        self._upstream_count = len(states)
         self._index.refresh(states)
-        near = [
+        local = [
             state.info.upstream
             for state in states
             if is_engine(state) and state.info.domain == self._domain
         ]
-        self._places = self._duties.watch_places(near)
+        self._places = self._duties.watch_places(local)
 
-    def wants(self, state: UpstreamState) -> bool:
+    def should_poll(self, state: UpstreamState) -> bool:
         """Return whether this host has to poll an engine itself."""
         upstream = state.info.upstream
-        if upstream in self._places or upstream in self._doubted:
+        if upstream in self._places or upstream in self._to_verify:
             return True
         if state.report is None:
             return True
-        silence = self._clock.now() - state.reported
-        return silence > self._patience(state)
+        age = self._clock.now() - state.reported
+        return age > self._report_timeout(state)
 
-    def pause(self, state: UpstreamState) -> float:
+    def poll_interval(self, state: UpstreamState) -> float:
         """Return the seconds until this host's next poll of an engine."""
         # The first of the two hosts has place 0; all others poll half as
         # often.
         first = self._places.get(state.info.upstream) == 0
         return self._period if first else 2 * self._period
 
-    def answered(
+    def record_answer(
         self,
         state: UpstreamState,
         answer: EngineReport | Refusal,
     ) -> None:
         """Record an engine's report or refusal for the next broadcast."""
         upstream = state.info.upstream
-        self._doubted.discard(upstream)
+        self._to_verify.discard(upstream)
         if upstream not in self._places:
             return
         if isinstance(answer, Refusal):
             self._failed.add(run_of(state.info))
-        elif self._is_news(state, answer):
-            self._waiting[upstream] = state
+        elif self._needs_broadcast(state, answer):
+            self._pending[upstream] = state
 
-    def tell(self) -> None:
+    def broadcast_reports(self) -> None:
         """Broadcast to the domain what has changed."""
-        if not self._waiting and not self._failed:
+        if not self._pending and not self._failed:
             return
         now = self._clock.now()
         writer = RowWriter(now)
-        for state in self._waiting.values():
-            self._write(writer, state, now)
+        for state in self._pending.values():
+            self._write_row(writer, state, now)
         failed = tuple(self._failed)
-        self._waiting.clear()
+        self._pending.clear()
         self._failed.clear()
         message = WatchReports(writer.names, writer.rows, failed)
-        tell_domain(self._mesh, self._domain, message)
+        broadcast_to_domain(self._mesh, self._domain, message)
 
     def merge_list(
         self,
@@ -187,24 +190,26 @@
         """Return the list, merged with recent entries from other hosts."""
         return self._listed.merge(upstreams)
 
-    def tell_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
+    def broadcast_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
         """Broadcast new or changed entries of the list to the domain."""
         message = ListedUpstreams.of(changed)
-        tell_domain(self._mesh, self._domain, message)
+        broadcast_to_domain(self._mesh, self._domain, message)
 
-    def _is_news(self, state: UpstreamState, report: EngineReport) -> bool:
+    def _needs_broadcast(
+        self, state: UpstreamState, report: EngineReport
+    ) -> bool:
         """Return whether a report has to be broadcast now."""
-        told = self._told.get(run_of(state.info))
-        if told is None:
+        last = self._broadcasts.get(run_of(state.info))
+        if last is None:
             return True
-        silence = self._clock.now() - told.at
+        age = self._clock.now() - last.at
         if self._places[state.info.upstream]:
-            return silence > SECOND_TELLS * self._period
-        if silence > REFRESH * self._period:
+            return age > SECOND_HOST_PERIODS * self._period
+        if age > REBROADCAST_PERIODS * self._period:
             return True
-        return _differs(told.report, report)
+        return _differs(last.report, report)
 
-    def _write(
+    def _write_row(
         self,
         writer: RowWriter,
         state: UpstreamState,
@@ -215,25 +220,27 @@
         if report is None:
             return
         run = run_of(state.info)
-        told = self._told.get(run)
+        last = self._broadcasts.get(run)
         # Unchanged versions are repeated at times for hosts that missed a
         # message.
         with_versions = (
-            told is None
-            or told.report.versions != report.versions
-            or now - told.versions_at > VERSIONS * self._period
+            last is None
+            or last.report.versions != report.versions
+            or now - last.versions_at > VERSION_PERIODS * self._period
         )
         writer.add(state, with_versions=with_versions)
-        versions_at = told.versions_at if told and not with_versions else now
-        self._told[run] = _Told(now, versions_at, report)
+        versions_at = last.versions_at if last and not with_versions else now
+        self._broadcasts[run] = _Broadcast(now, versions_at, report)
 
-    def _patience(self, state: UpstreamState) -> float:
+    def _report_timeout(self, state: UpstreamState) -> float:
         """Return the seconds after which a report from others is too old."""
         if state.info.domain == self._domain:
-            return SILENCE * self._period
-        return FAR_MISSED * self.far_period
+            return UNRESPONSIVE_PERIODS * self._period
+        return MAX_MISSED_REMOTE_FETCHES * self.far_period
 
-    async def _take_reports(self, host: HostId, message: WatchReports) -> None:
+    async def _receive_reports(
+        self, host: HostId, message: WatchReports
+    ) -> None:
         """Apply reports that another host has broadcast."""
         now = self._clock.now()
         for row in message.rows:
@@ -243,14 +250,14 @@
             report = report_of_row(row, message.names, state.report)
             if report is None:
                 continue
-            self._told[row.run] = _Told(now, now, report)
+            self._broadcasts[row.run] = _Broadcast(now, now, report)
             self.take_report(state, report, now - age_of(row))
         for run in message.failed:
             failed = self._index.find(run)
             if failed is not None:
                 # Only the other host's connection may have failed, so this
                 # host polls the engine as well.
-                self._doubted.add(failed.info.upstream)
+                self._to_verify.add(failed.info.upstream)
 
     def take_report(
         self,
@@ -268,9 +275,9 @@
         self._directory.told(state.info.upstream, report, asked)
         if state.leaving and not report.leaving:
             # Only a report requested by this host clears the draining state.
-            self._doubted.add(state.info.upstream)
+            self._to_verify.add(state.info.upstream)
 
-    async def _take_listed(
+    async def _receive_listed(
         self,
         host: HostId,
         message: ListedUpstreams,
@@ -281,7 +288,7 @@
         self._directory.update(infos, whole=False)
 
 
-def tell_domain(mesh: Mesh, domain: DomainId, message: Message) -> None:
+def broadcast_to_domain(mesh: Mesh, domain: DomainId, message: Message) -> None:
     """Send a message to all hosts of a domain."""
     for member in mesh.members():
         if member.domain == domain:
@@ -298,4 +305,4 @@
         return True
     load = known.running + known.queued
     change = abs(report.running + report.queued - load)
-    return change >= max(1, NOTABLE * report.slots)
+    return change >= max(1, NOTABLE_LOAD_CHANGE * report.slots)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -6,7 +6,12 @@
 
 from nutmegroad.foundations.results import ResultCode
 from nutmegroad.foundations.types import UpstreamId, WorkspaceId
-from nutmegroad.routing.retries import FLOOR, MOST_SAVED, SHARE, SharedRetries
+from nutmegroad.routing.retries import (
+    MAX_SAVED_RETRIES,
+    MIN_RETRY_RATE,
+    RETRY_FRACTION,
+    SharedRetries,
+)
 from nutmegroad.testing.virtual import ManualClock
 from tests.loads import ask, end_of, start_of
 
@@ -21,7 +26,7 @@
     def test_retries_of_an_outage_are_a_share_of_the_traffic(self) -> None:
         requests = 1000
         retried = sum(self._fail(number) for number in range(requests))
-        allowed = MOST_SAVED + SHARE * requests
+        allowed = MAX_SAVED_RETRIES + RETRY_FRACTION * requests
         self.assertLessEqual(retried, allowed)
         self.assertGreaterEqual(retried, allowed - 1)
 
@@ -31,14 +36,14 @@
 
     async def test_the_floor_comes_back_with_time(self) -> None:
         self._drain()
-        await self.clock.advance(1 / FLOOR)
+        await self.clock.advance(1 / MIN_RETRY_RATE)
         self.assertTrue(self._fail(0))
 
     def test_what_is_saved_up_is_bounded(self) -> None:
         for number in range(1000):
             self.budget.started(start_of(ask(number), 'e'))
         retried = sum(self.budget.spend(ask()) for _ in range(100))
-        self.assertEqual(retried, int(MOST_SAVED))
+        self.assertEqual(retried, int(MAX_SAVED_RETRIES))
 
     def test_a_failing_workspace_leaves_others_their_retries(self) -> None:
         self._drain()
@@ -54,7 +59,7 @@
             self.budget = SharedRetries(self.clock)
             tries = (self._fail(n, code, traffic=False) for n in range(99))
             counts.append(sum(tries))
-        self.assertEqual(counts, [4 * MOST_SAVED, MOST_SAVED])
+        self.assertEqual(counts, [4 * MAX_SAVED_RETRIES, MAX_SAVED_RETRIES])
 
     def _fail(
         self,
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -24,7 +24,11 @@
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.gates import Gatekeeper
 from nutmegroad.routing.policies import NoQuarantine
-from nutmegroad.routing.retries import MOST_SAVED, SHARE, SharedRetries
+from nutmegroad.routing.retries import (
+    MAX_SAVED_RETRIES,
+    RETRY_FRACTION,
+    SharedRetries,
+)
 from nutmegroad.routing.service_traffic import ServiceTraffic
 from nutmegroad.routing.services import ServiceCaller, ServiceRequest
 from nutmegroad.testing.virtual import ManualClock
@@ -133,6 +137,8 @@
         for number in range(calls):
             self.assertIsInstance(await self.call(number), Refusal)
         retried = len(self.clients.calls) - calls
-        self.assertLessEqual(retried, MOST_SAVED + SHARE * calls)
-        self.assertGreaterEqual(retried, MOST_SAVED)
+        self.assertLessEqual(
+            retried, MAX_SAVED_RETRIES + RETRY_FRACTION * calls
+        )
+        self.assertGreaterEqual(retried, MAX_SAVED_RETRIES)
         self.assertEqual(self.shown('retries'), retried)
--- a/tests/test_watch_sharing.py
+++ b/tests/test_watch_sharing.py
@@ -24,7 +24,7 @@
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.far_loads import FarLoads
 from nutmegroad.routing.watch import UpstreamWatcher
-from nutmegroad.routing.watch_sharing import SILENCE, WatchSharer
+from nutmegroad.routing.watch_sharing import UNRESPONSIVE_PERIODS, WatchSharer
 from nutmegroad.testing.virtual import ManualClock, MemoryMesh
 
 A1 = VersionId('a@1')
@@ -150,7 +150,7 @@
             Host(self.world, self.mesh, name) for name in (*names, 'west-0')
         ]
         for host in self.hosts:
-            await host.watcher.look()
+            await host.watcher.poll_once()
             self.addAsyncCleanup(host.stack.aclose)
             await host.stack.enter_async_context(host.watcher)
         await self.clock.advance(4)
@@ -209,7 +209,7 @@
             await holder.stack.aclose()
         self.world.load = 7
         left = [host for host in self.near if host not in self.holders()]
-        await self.clock.advance(SILENCE + 4)
+        await self.clock.advance(UNRESPONSIVE_PERIODS + 4)
         self.assertEqual({host.load() for host in left}, {7})
 
     async def test_duties_move_when_a_host_goes(self) -> None:
@@ -217,7 +217,7 @@
         await first.stack.aclose()
         self.mesh.leave(first.host)
         self.world.load = 6
-        await self.clock.advance(SILENCE)
+        await self.clock.advance(UNRESPONSIVE_PERIODS)
         left = [host for host in self.near if host is not first]
         self.assertEqual({host.load() for host in left}, {6})
 
