--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""An answer that breaks off goes on where it was, or ends in the open."""
+"""Tests how interrupted answers are resumed, and how attempts end."""
 
 import asyncio
 import unittest
@@ -14,39 +14,39 @@
 
 CUT = Refusal(ResultCode.ANSWER_CUT, 'cut', Ran.UNKNOWN)
 CROSSED = Refusal(ResultCode.ANSWER_CROSSED, 'crossed', Ran.UNKNOWN)
-GONE = Refusal(ResultCode.UPSTREAM_UNREACHABLE, 'gone', Ran.NOT_RUN)
-LEAVES = Refusal(ResultCode.UPSTREAM_LEAVING, 'leaving', Ran.NOT_RUN)
+UNREACHABLE = Refusal(ResultCode.UPSTREAM_UNREACHABLE, 'gone', Ran.NOT_RUN)
+DRAINING = Refusal(ResultCode.UPSTREAM_LEAVING, 'leaving', Ran.NOT_RUN)
 TEXT = ''.join(WORDS)
 
 
 def broken(count: int, refusal: Refusal = CUT) -> Script:
-    """Return a script that breaks off after some pieces."""
+    """Return a script that breaks off after ``count`` pieces."""
 
     def script(attempt: Attempt) -> list[object]:
-        """Break off."""
+        """Send some pieces, then the refusal."""
         return [*whole(attempt)[:count], refusal]
 
     return script
 
 
 def refused(refusal: Refusal) -> Script:
-    """Return a script that only refuses."""
+    """Return a script that refuses at once."""
     return broken(0, refusal)
 
 
-def another(attempt: Attempt) -> list[object]:
-    """Answer in other words."""
+def different_answer(attempt: Attempt) -> list[object]:
+    """Answer with a different text."""
     pieces = [Piece(index, f'x{index} ') for index in range(len(WORDS))]
     return [*pieces[attempt.skip :], ENDING]
 
 
-def shorter(attempt: Attempt) -> list[object]:
-    """End before what was shown already."""
+def shorter_answer(attempt: Attempt) -> list[object]:
+    """End before the pieces that were sent already."""
     return [Ending('stop', 5, 3)]
 
 
 class ResumeTest(unittest.IsolatedAsyncioTestCase):
-    """Streams that are cut after something was shown."""
+    """Streams that are interrupted after some pieces were sent."""
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
@@ -71,14 +71,14 @@
         self.assertEqual(first.attempt, second.attempt)
         self.assertEqual(second.skip, 2)
 
-    async def test_an_engine_that_replies_that_it_leaves_gets_no_more(
+    async def test_a_draining_engine_gets_no_more_requests(
         self,
     ) -> None:
-        told: list[LeavingSource] = []
-        self.rig.directory.listen(lambda _, source: told.append(source))
-        answer = await self.ask(refused(LEAVES), repeatable=False)
+        sources: list[LeavingSource] = []
+        self.rig.directory.listen(lambda _, source: sources.append(source))
+        answer = await self.ask(refused(DRAINING), repeatable=False)
         assert isinstance(answer, Answer)
-        self.assertEqual(told, [LeavingSource.REPORT])
+        self.assertEqual(sources, [LeavingSource.REPORT])
         for _ in range(5):
             await self.rig.ask()
         upstreams = [upstream for upstream, _ in self.sent()]
@@ -86,7 +86,7 @@
         self.assertNotIn(upstreams[0], upstreams[1:])
 
     async def test_it_goes_on_elsewhere_under_the_same_seed(self) -> None:
-        answer = await self.ask(broken(6), refused(GONE))
+        answer = await self.ask(broken(6), refused(UNREACHABLE))
         assert isinstance(answer, Answer)
         self.assertEqual(self.rig.caller.text, TEXT)
         attempts = self.rig.engines.sent
@@ -100,7 +100,7 @@
     ) -> None:
         outcome = await self.ask(
             broken(6),
-            refused(GONE),
+            refused(UNREACHABLE),
             repeatable=False,
         )
         assert isinstance(outcome, Refusal)
@@ -108,8 +108,13 @@
         upstreams = {upstream for upstream, _ in self.sent()}
         self.assertEqual(len(upstreams), 1)
 
-    async def test_other_words_are_never_joined_to_those_shown(self) -> None:
-        for name, script in (('other', another), ('short', shorter)):
+    async def test_different_text_is_never_joined_to_pieces_already_sent(
+        self,
+    ) -> None:
+        for name, script in (
+            ('other', different_answer),
+            ('short', shorter_answer),
+        ):
             with self.subTest(name):
                 await self.asyncSetUp()
                 outcome = await self.ask(broken(6), script, script)
@@ -132,44 +137,45 @@
         assert isinstance(answer, Answer)
         entry = self.rig.configuration.entry(answer.version)
         assert entry is not None
-        # Prompt twice; ten words, and two that were written to compare.
+        # The prompt counts twice. The output is ten words, of which the
+        # resumed attempt writes four again for the comparison.
         expected = (2 * 5 * entry.price_in + 14 * entry.price_out) / 1000
         self.assertAlmostEqual(answer.cost, expected)
         self.assertEqual(answer.output_tokens, 10)
 
     async def test_a_refusal_after_a_cut_does_not_say_not_run(self) -> None:
-        gone = [refused(GONE) for _ in range(6)]
-        outcome = await self.ask(broken(2), *gone)
+        refusals = [refused(UNREACHABLE) for _ in range(6)]
+        outcome = await self.ask(broken(2), *refusals)
         assert isinstance(outcome, Refusal)
         self.assertIs(outcome.ran, Ran.UNKNOWN)
         self.assertEqual(self.rig.spent.ran, Ran.UNKNOWN)
 
-    async def try_in_vain(self) -> None:
-        """Try to confirm, as a host that is cut off does all the time."""
+    async def fail_to_confirm(self) -> None:
+        """Fail to confirm, as a host without a connection does regularly."""
         while True:
             self.rig.configuration.fail(self.clock.now())
             await self.clock.sleep(2)
 
-    async def test_silence_ends_an_attempt_and_it_is_resumed(self) -> None:
+    async def test_a_stalled_attempt_ends_and_is_resumed(self) -> None:
         def silent(attempt: Attempt) -> list[object]:
             async def wait() -> None:
                 await self.clock.sleep(99)
 
             return [Piece(0, WORDS[0]), wait]
 
-        # Longer than the lease: the host is isolated, not paused.
-        trying = asyncio.create_task(self.try_in_vain())
+        # Longer than the lease, so the host is isolated but not paused.
+        failing = asyncio.create_task(self.fail_to_confirm())
         task = asyncio.create_task(self.ask(silent))
         await self.clock.advance(11)
         answer = await task
-        trying.cancel()
+        failing.cancel()
         assert isinstance(answer, Answer)
         self.assertEqual(self.rig.caller.text, TEXT)
         self.assertEqual(len(self.rig.engines.cancelled), 1)
 
 
 class CallerTest(unittest.IsolatedAsyncioTestCase):
-    """Callers that are slow, or go away."""
+    """Callers that read slowly or disconnect."""
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
@@ -187,10 +193,10 @@
     async def test_a_slow_caller_does_not_count_as_a_silent_upstream(
         self,
     ) -> None:
-        async def dawdle() -> None:
+        async def read_slowly() -> None:
             await self.clock.sleep(3 if len(self.rig.caller.pieces) > 1 else 15)
 
-        self.show(dawdle)
+        self.show(read_slowly)
         task = asyncio.create_task(self.rig.ask())
         await self.clock.advance(50)
         answer = await task
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Who is leaving, from whoever says it first, and how that is taken back."""
+"""Tests how upstreams are set to draining, and how that is cleared."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
 
 
 class DirectoryTest(unittest.IsolatedAsyncioTestCase):
-    """One host's directory."""
+    """The directory of one host."""
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
@@ -43,7 +43,7 @@
     def open_engines(self) -> set[str]:
         return {state.info.upstream for state in self.directory.engines(A1)}
 
-    async def test_each_way_of_leaving_takes_work_away_at_once(self) -> None:
+    async def test_each_source_of_draining_stops_new_work_at_once(self) -> None:
         def listed() -> None:
             leaving = replace(engine_info('one'), presence=Presence.LEAVING)
             self.directory.update((leaving, engine_info('two', 2)))
@@ -52,7 +52,7 @@
             self.directory.refused(ONE)
             self.directory.refused(ONE)
 
-        ways = {
+        sources = {
             'list': listed,
             'report': lambda: self.directory.reported(
                 ONE,
@@ -65,12 +65,12 @@
             'refused': refused,
             'gone': lambda: self.directory.update((engine_info('two', 2),)),
         }
-        for name, leave in ways.items():
+        for name, drain in sources.items():
             with self.subTest(name):
                 await self.asyncSetUp()
                 held = self.directory.state(ONE)
                 self.assertEqual(self.open_engines(), {'one', 'two'})
-                leave()
+                drain()
                 self.assertEqual(self.open_engines(), {'two'})
                 assert held is not None
                 self.assertTrue(held.leaving)
@@ -85,7 +85,7 @@
         assert state is not None
         self.assertFalse(state.is_open)
 
-    async def test_only_its_own_later_word_takes_leaving_back(self) -> None:
+    async def test_only_its_own_later_report_clears_draining(self) -> None:
         self.directory.mark_leaving(ONE)
         self.directory.update((engine_info('one'), engine_info('two', 2)))
         self.assertEqual(self.open_engines(), {'two'})
@@ -97,7 +97,7 @@
         self.directory.reported(ONE, report_of(A1))
         self.assertEqual(self.open_engines(), {'one', 'two'})
 
-    async def test_another_address_is_another_run(self) -> None:
+    async def test_another_address_is_another_incarnation(self) -> None:
         before = self.directory.state(ONE)
         self.directory.mark_leaving(ONE)
         moved = engine_info('one', 9)
@@ -110,7 +110,7 @@
         self.directory.mark_leaving(ONE, old)
         self.assertEqual(self.open_engines(), {'one', 'two'})
 
-    async def test_word_of_a_run_that_is_not_listed_yet_is_kept(self) -> None:
+    async def test_a_notice_for_an_unlisted_incarnation_is_kept(self) -> None:
         address = Address('127.0.0.1', 7)
         self.assertTrue(self.directory.mark_leaving(UpstreamId('n'), address))
         self.assertFalse(self.directory.mark_leaving(UpstreamId('n'), address))
@@ -136,7 +136,7 @@
 
 
 class DeparturesTest(unittest.IsolatedAsyncioTestCase):
-    """Hosts tell one another."""
+    """Draining notices between hosts."""
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
@@ -154,7 +154,7 @@
         Departures(peer, directory, DomainId(domain))
         return directory
 
-    async def test_a_new_word_is_told_by_who_still_holds_the_last_one(
+    async def test_a_new_notice_is_broadcast_while_the_last_one_still_holds(
         self,
     ) -> None:
         first, *others = self.directories
@@ -172,16 +172,16 @@
         states = [directory.state(ONE) for directory in self.directories]
         return [state is not None and state.leaving for state in states]
 
-    async def test_an_upstreams_word_reaches_all_while_the_list_lags(
+    async def test_an_upstreams_notice_reaches_all_while_the_list_lags(
         self,
     ) -> None:
-        # A host of the other domain hears it only by way of another host.
+        # Host c, in the other domain, receives it through host b only.
         self.mesh.cut(HostId('a'), HostId('c'))
         self.directories[0].reported(ONE, report_of(A1, leaving=True))
         await self.clock.advance(0.1)
         self.assertEqual(self.leaving(), [True, True, True])
 
-    async def test_a_refused_connection_is_not_told(self) -> None:
+    async def test_a_refused_connection_is_not_broadcast(self) -> None:
         self.directories[0].refused(ONE)
         self.directories[0].refused(ONE)
         await self.clock.advance(0.1)
@@ -196,7 +196,7 @@
         self.asked: list[str] = []
 
     async def report(self, upstream: UpstreamInfo) -> EngineReport | Refusal:
-        """Answer, but for one engine."""
+        """Answer for all engines but one."""
         self.asked.append(upstream.upstream)
         if upstream.upstream == 'one':
             await self.clock.sleep(2)
@@ -216,13 +216,13 @@
 
 
 class WatchTest(unittest.IsolatedAsyncioTestCase):
-    """Engines are asked side by side."""
+    """Engines are polled concurrently."""
 
     async def test_a_frozen_engine_holds_up_no_other(self) -> None:
         clock = ManualClock()
         directory = Directory(clock)
-        heard: list[tuple[str, LeavingSource]] = []
-        directory.listen(lambda info, how: heard.append((info.upstream, how)))
+        notices: list[tuple[str, LeavingSource]] = []
+        directory.listen(lambda info, how: notices.append((info.upstream, how)))
         engines = FrozenEngines(clock)
         infos = [engine_info('one')]
         infos.extend(engine_info(f'e{number}', number) for number in range(99))
@@ -236,6 +236,6 @@
         )
         async with watcher:
             await clock.advance(1.3)
-            self.assertEqual(len(heard), 99)
+            self.assertEqual(len(notices), 99)
             await asyncio.sleep(0)
             self.assertIn('one', engines.asked)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Which version and which upstream a request comes to, and when it stops."""
+"""Tests the versions and upstreams that a request gets, and its end."""
 
 import unittest
 from dataclasses import replace
@@ -24,23 +24,23 @@
 
 
 class Cascade:
-    """A planner of two steps, which finds the first answer good or bad."""
+    """A planner of cascades with a fixed estimate of the first answer."""
 
     def __init__(self, estimate: float) -> None:
-        self.judged = estimate
+        self.fixed_estimate = estimate
 
     def plan(self, request: ModelRequest) -> Plan:
-        """Return both steps, as far as they are allowed."""
+        """Return a step for each version that is allowed."""
         steps = request.versions
         return Plan(steps, (0.5,) * (len(steps) - 1), 1, 1, 'test')
 
     def estimate(self, request: ModelRequest, end: AttemptEnd) -> float:
-        """Return what the test says."""
-        return self.judged
+        """Return the fixed estimate."""
+        return self.fixed_estimate
 
 
 class CascadeTest(unittest.IsolatedAsyncioTestCase):
-    """A cheap step whose answer is kept back until it is judged."""
+    """A cheap first step whose answer is withheld until it is estimated."""
 
     def rig(self, estimate: float) -> HostRig:
         return HostRig(ManualClock(), Cascade(estimate))
@@ -98,7 +98,7 @@
 
 
 class SessionTest(unittest.IsolatedAsyncioTestCase):
-    """A session that holds a version."""
+    """A session that is bound to a version."""
 
     async def asyncSetUp(self) -> None:
         self.rig = HostRig(ManualClock())
@@ -107,7 +107,9 @@
     async def ask(self) -> Answer | Refusal:
         return await self.rig.ask(session=self.session)
 
-    async def test_its_version_withdrawn_ends_it_not_run(self) -> None:
+    async def test_a_withdrawal_of_its_version_ends_a_session_not_run(
+        self,
+    ) -> None:
         self.rig.configuration.withdraw(WITHDRAWN)
         outcome = await self.ask()
         assert isinstance(outcome, Refusal)
@@ -115,7 +117,9 @@
         self.assertIs(outcome.ran, Ran.NOT_RUN)
         self.assertEqual(self.rig.engines.sent, [])
 
-    async def test_withdrawn_and_unloaded_it_still_says_so(self) -> None:
+    async def test_a_withdrawn_version_that_is_unloaded_ends_the_session(
+        self,
+    ) -> None:
         for name in ('one', 'two'):
             self.rig.directory.reported(UpstreamId(name), report_of(MEDIUM))
         self.rig.configuration.withdraw(WITHDRAWN)
@@ -123,7 +127,7 @@
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.code, ResultCode.SESSION_ENDED)
 
-    async def test_withdrawn_between_attempts_it_ends_as_what_is_known(
+    async def test_a_withdrawal_between_attempts_ends_it_with_unknown_outcome(
         self,
     ) -> None:
         async def withdraw() -> None:
@@ -135,7 +139,7 @@
         self.assertEqual(outcome.code, ResultCode.SESSION_ENDED)
         self.assertIs(outcome.ran, Ran.UNKNOWN)
 
-    async def test_it_never_turns_to_another_version(self) -> None:
+    async def test_a_session_never_changes_its_version(self) -> None:
         for name in ('one', 'two'):
             self.rig.directory.reported(UpstreamId(name), report_of(MEDIUM))
         request = self.rig.request(
@@ -150,7 +154,7 @@
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.code, ResultCode.NO_UPSTREAM)
 
-    async def test_a_new_one_settles_on_a_version_that_can_answer(
+    async def test_a_new_session_gets_a_version_that_can_answer(
         self,
     ) -> None:
         request = self.rig.request(versions=(SMALL, MEDIUM))
@@ -166,7 +170,7 @@
 
 
 class RetryTest(unittest.IsolatedAsyncioTestCase):
-    """Attempts that fail before anything is shown."""
+    """Attempts that fail before any piece was sent to the caller."""
 
     async def asyncSetUp(self) -> None:
         self.rig = HostRig(ManualClock())
@@ -185,10 +189,10 @@
         self.assertIsInstance(answer, Answer)
         upstreams = {sent.upstream for sent in self.rig.engines.sent}
         self.assertEqual(len(upstreams), 2)
-        shown = self.rig.metrics.render().decode()
-        self.assertIn('retries_total{code="UPSTREAM_BUSY"} 1.0', shown)
+        exported = self.rig.metrics.render().decode()
+        self.assertIn('retries_total{code="UPSTREAM_BUSY"} 1.0', exported)
 
-    async def test_a_version_without_upstreams_gives_way(self) -> None:
+    async def test_a_version_without_upstreams_is_replaced(self) -> None:
         for name in ('one', 'two'):
             self.rig.directory.reported(UpstreamId(name), report_of(MEDIUM))
         answer = await self.rig.ask(versions=(SMALL, MEDIUM))
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -1,4 +1,4 @@
-"""The last check looks at what holds at the first byte of every attempt."""
+"""Tests that gates use the state at the first byte of each attempt."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
 
 
 class GateTest(unittest.IsolatedAsyncioTestCase):
-    """Something changes between the plan and the first byte."""
+    """Changes between planning and the first byte."""
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
@@ -84,7 +84,7 @@
 
 
 class PauseTest(unittest.IsolatedAsyncioTestCase):
-    """The process was stopped for a while."""
+    """The process was paused for a while."""
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
@@ -99,7 +99,7 @@
     async def test_nothing_is_sent_until_a_later_read_confirms(self) -> None:
         configuration = self.rig.configuration
         await self.clock.jump(2)
-        # Nothing has ticked since, so the gate itself must notice.
+        # The detector has not ticked since, so the gate must notice.
         self.assertEqual(await self.code(), ResultCode.HOST_PAUSED)
         configuration.confirm(Revision(1), self.clock.now() - 1)
         self.assertEqual(await self.code(), ResultCode.HOST_PAUSED)
@@ -115,11 +115,11 @@
         self.assertTrue(self.rig.configuration.isolated)
         self.assertIsNone(self.detector.refusal())
 
-    async def test_a_pause_is_followed_by_a_question_at_once(self) -> None:
-        asked: list[float] = []
+    async def test_a_pause_is_followed_by_a_confirmation_at_once(self) -> None:
+        reads: list[float] = []
 
         async def ask() -> None:
-            asked.append(self.clock.now())
+            reads.append(self.clock.now())
             self.rig.configuration.confirm(Revision(1), self.clock.now())
 
         task = asyncio.create_task(self.detector.confirm_after(ask))
@@ -127,6 +127,6 @@
         await self.clock.jump(2)
         self.assertIsNotNone(self.detector.refusal())
         await self.clock.settle()
-        self.assertEqual(asked, [2])
+        self.assertEqual(reads, [2])
         self.assertIsNone(self.detector.refusal())
         task.cancel()
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -31,11 +31,11 @@
         self.assertGreaterEqual(retried, allowed - 1)
 
     def test_a_quiet_host_may_retry_now_and_then(self) -> None:
-        self._drain()
+        self._exhaust()
         self.assertFalse(self._fail(0))
 
     async def test_the_floor_comes_back_with_time(self) -> None:
-        self._drain()
+        self._exhaust()
         await self.clock.advance(1 / MIN_RETRY_RATE)
         self.assertTrue(self._fail(0))
 
@@ -46,10 +46,10 @@
         self.assertEqual(retried, int(MAX_SAVED_RETRIES))
 
     def test_a_failing_workspace_leaves_others_their_retries(self) -> None:
-        self._drain()
+        self._exhaust()
         for number in range(100):
             self._traffic(number, workspace=_OTHER)
-        # The large workspace may not use what the small one saved up.
+        # The large workspace may not use what the small one has saved up.
         self.assertFalse(self.budget.spend(ask()))
         self.assertTrue(self.budget.spend(ask(workspace=_OTHER)))
 
@@ -57,8 +57,8 @@
         counts = []
         for code in (ResultCode.UPSTREAM_BUSY, ResultCode.UPSTREAM_ERROR):
             self.budget = SharedRetries(self.clock)
-            tries = (self._fail(n, code, traffic=False) for n in range(99))
-            counts.append(sum(tries))
+            retried = (self._fail(n, code, traffic=False) for n in range(99))
+            counts.append(sum(retried))
         self.assertEqual(counts, [4 * MAX_SAVED_RETRIES, MAX_SAVED_RETRIES])
 
     def _fail(
@@ -74,13 +74,13 @@
         self.budget.ended(end_of(start, code))
         if not self.budget.spend(ask(number)):
             return False
-        # The retry itself saves nothing up.
+        # The retry itself adds nothing to the budget.
         self.budget.started(replace(start, upstream=UpstreamId('other')))
         return True
 
     def _traffic(self, number: int, workspace: WorkspaceId) -> None:
         self.budget.started(start_of(ask(number, workspace=workspace), 'e'))
 
-    def _drain(self) -> None:
-        # Bounded, so that a budget without end fails a test.
+    def _exhaust(self) -> None:
+        # Bounded, so that an unlimited budget fails the test.
         sum(self.budget.spend(ask()) for _ in range(100))
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: their retries are bounded and counted."""
+"""Tests that retries of calls to plain services are bounded and counted."""
 
 import random
 import unittest
@@ -41,14 +41,14 @@
 
 
 class ScriptedServices:
-    """A client whose replies a test sets; the last one stays."""
+    """A client with scripted replies; the last one is repeated."""
 
     def __init__(self) -> None:
         self.replies: list[ServiceReply | Refusal] = [_FAILED]
         self.calls: list[ServiceCall] = []
 
     async def call(self, call: ServiceCall) -> ServiceReply | Refusal:
-        """Note a call and reply to it."""
+        """Record a call and reply to it."""
         self.calls.append(call)
         last = len(self.replies) == 1
         return self.replies[0] if last else self.replies.pop(0)
@@ -104,33 +104,33 @@
         explanation = Explanation(name, self.clock)
         return await self.caller.call(request, _ENTRY, explanation)
 
-    def shown(self, name: str, **labels: str) -> float:
-        """Return a counter's value as it is shown, 0 if it is not."""
+    def counter(self, name: str, **labels: str) -> float:
+        """Return the exported value of a counter, summed over labels."""
         start = f'nutmegroad_{name}_total{{'
         parts = [f'{label}="{text}"' for label, text in labels.items()]
         lines = self.metrics.render().decode().splitlines()
-        fitting = [
+        samples = [
             float(line.rpartition(' ')[2])
             for line in lines
             if line.startswith(start) and all(part in line for part in parts)
         ]
-        return sum(fitting)
+        return sum(samples)
 
     async def test_a_retry_is_counted_with_what_it_led_to(self) -> None:
         reply = ServiceReply(200, b'', 'text/plain')
         self.clients.replies = [_FAILED, reply]
         self.assertEqual(await self.call(), reply)
         failed = {'outcome': 'UPSTREAM_ERROR'}
-        self.assertEqual(self.shown('retries', code='UPSTREAM_ERROR'), 1)
-        self.assertEqual(self.shown('service_attempts', **failed), 1)
-        self.assertEqual(self.shown('service_attempts', outcome='OK'), 1)
-        self.assertEqual(self.shown('requests', task='portal'), 1)
-        self.assertEqual(self.shown('requests', outcome='OK'), 1)
+        self.assertEqual(self.counter('retries', code='UPSTREAM_ERROR'), 1)
+        self.assertEqual(self.counter('service_attempts', **failed), 1)
+        self.assertEqual(self.counter('service_attempts', outcome='OK'), 1)
+        self.assertEqual(self.counter('requests', task='portal'), 1)
+        self.assertEqual(self.counter('requests', outcome='OK'), 1)
 
     async def test_what_may_not_be_repeated_counts_no_retry(self) -> None:
         self.assertIsInstance(await self.call(method='POST'), Refusal)
-        self.assertEqual(self.shown('retries'), 0)
-        self.assertEqual(self.shown('requests', outcome='UPSTREAM_ERROR'), 1)
+        self.assertEqual(self.counter('retries'), 0)
+        self.assertEqual(self.counter('requests', outcome='UPSTREAM_ERROR'), 1)
 
     async def test_retries_in_an_outage_are_a_share_of_the_calls(self) -> None:
         calls = 300
@@ -141,4 +141,4 @@
             retried, MAX_SAVED_RETRIES + RETRY_FRACTION * calls
         )
         self.assertGreaterEqual(retried, MAX_SAVED_RETRIES)
-        self.assertEqual(self.shown('retries'), retried)
+        self.assertEqual(self.counter('retries'), retried)
