--- a/src/nutmegroad/routing/dispatch.py
+++ b/src/nutmegroad/routing/dispatch.py
@@ -69,7 +69,7 @@
         request: ModelRequest,
         sink: Sink,
         explanation: Explanation,
-        spent: Spent | None = None,
+        usage: Spent | None = None,
     ) -> Answer | Refusal:
         """Answer a request, writing pieces to the sink as soon as allowed.
 
@@ -77,13 +77,13 @@
             request: The request.
             sink: Receives the pieces.
             explanation: Records each step of the decision.
-            spent: Updated as costs arise; also valid after a cancellation.
+            usage: Updated as costs arise; also valid after a cancellation.
         """
         progress = RequestProgress(
             request,
             explanation,
             MeteredSink(sink, request.task, self._clock, self._metrics),
-            Spent() if spent is None else spent,
+            Spent() if usage is None else usage,
             self._randomness.getrandbits(_SEED_BITS),
         )
         ended = self._session_refusal(request)
@@ -97,7 +97,7 @@
             outcome = await self._run_plans(progress)
         if isinstance(outcome, Refusal):
             # ``ran`` must hold for all attempts, not only for the last one.
-            refusal = replace(outcome, ran=progress.spent.ran)
+            refusal = replace(outcome, ran=progress.usage.ran)
             return _as_session_end(refusal, request)
         progress.sink.finish()
         return outcome
@@ -175,7 +175,7 @@
             return False
         if refusal.code not in VERSION_FALLBACK_CODES:
             return False
-        ran = progress.spent.ran
+        ran = progress.usage.ran
         return ran is Ran.NOT_RUN or progress.request.repeatable
 
     async def _run_plan(
@@ -236,15 +236,15 @@
             session is None or session.version == version,
             execution.start.attempt,
         )
-        spent = progress.spent
+        usage = progress.usage
         return Answer(
             version=version,
             text=''.join(execution.received.pieces),
             finish=ending.reason if ending else '',
             prompt_tokens=ending.prompt_tokens if ending else 0,
             output_tokens=ending.output_tokens if ending else 0,
-            cost=spent.cost,
-            attempts=spent.attempts,
+            cost=usage.cost,
+            attempts=usage.attempts,
         )
 
 
--- a/src/nutmegroad/routing/gates.py
+++ b/src/nutmegroad/routing/gates.py
@@ -78,40 +78,40 @@
         """Add a condition that must hold before this host sends anything."""
         self._conditions.append(condition)
 
-    def gate(self, passage: Passage) -> Gate:
+    def gate(self, context: Passage) -> Gate:
         """Return the gate for one attempt."""
 
         def check() -> Refusal | None:
             """Run all checks, the attempt fence last."""
-            refusal = self.check(passage)
-            if refusal is None and passage.attempt_fence is not None:
-                return passage.attempt_fence.check()
+            refusal = self.check(context)
+            if refusal is None and context.attempt_fence is not None:
+                return context.attempt_fence.check()
             return refusal
 
         return check
 
-    def check(self, passage: Passage) -> Refusal | None:
+    def check(self, context: Passage) -> Refusal | None:
         """Return why the first byte must not be sent, or None."""
         refusal = self.host_refusal()
         if refusal is not None:
             return refusal
-        if self._clock.now() >= passage.deadline:
+        if self._clock.now() >= context.deadline:
             return Refusal(
                 ResultCode.DEADLINE_PASSED,
                 'The deadline passed before the request was sent.',
             )
-        upstream = passage.upstream
+        upstream = context.upstream
         if not upstream.is_open:
             return Refusal(
                 ResultCode.UPSTREAM_LEAVING,
                 f'The upstream {upstream.info.upstream} is draining.',
             )
-        workspace = self._workspace(passage.workspace)
+        workspace = self._workspace(context.workspace)
         if isinstance(workspace, Refusal):
             return workspace
-        if passage.service:
-            return self._check_service(passage, workspace)
-        return self._check_version(passage, workspace)
+        if context.service:
+            return self._check_service(context, workspace)
+        return self._check_version(context, workspace)
 
     def host_refusal(self) -> Refusal | None:
         """Return why this host may send nothing now, or None."""
@@ -159,29 +159,29 @@
 
     def _check_service(
         self,
-        passage: Passage,
+        context: Passage,
         workspace: WorkspaceEntry,
     ) -> Refusal | None:
         """Check a call to a plain service."""
-        if passage.service not in workspace.services:
+        if context.service not in workspace.services:
             return Refusal(
                 ResultCode.SERVICE_UNKNOWN,
                 f'The workspace {workspace.name!r} may not call the service '
-                f'{passage.service!r}.',
+                f'{context.service!r}.',
             )
         return self._isolation_refusal(workspace)
 
     def _check_version(
         self,
-        passage: Passage,
+        context: Passage,
         workspace: WorkspaceEntry,
     ) -> Refusal | None:
         """Check a model request."""
         return self._version_refusal(
             workspace,
-            passage.task,
-            passage.version,
-            passage.epoch,
+            context.task,
+            context.version,
+            context.epoch,
         )
 
     def _version_refusal(
--- a/src/nutmegroad/routing/harmful.py
+++ b/src/nutmegroad/routing/harmful.py
@@ -38,14 +38,14 @@
 #: Seconds that a request waits for the check whether its engine terminated.
 #: An engine whose computer lost power does not refuse the connection, so the
 #: request continues after this time.
-LOOK_WAIT: Final = 0.05
+TERMINATION_CHECK_TIMEOUT: Final = 0.05
 
 #: Minimum seconds between two probe executions of a request by one host.
 MIN_PROBE_INTERVAL: Final = 10.0
 
 #: Minimum seconds after which a refused caller should retry; the result of a
 #: probe execution is expected by then.
-TRIED_NEXT: Final = 1.5
+PROBE_RETRY_AFTER: Final = 1.5
 
 #: Maximum number of requests whose last probe execution is remembered.
 MAX_PROBED_REQUESTS: Final = 1000
@@ -107,7 +107,7 @@
             ResultCode.REQUEST_HARMFUL,
             f'{harmful.ends} engines have terminated while executing it.',
             Ran.NOT_RUN,
-            max(harmful.pause, TRIED_NEXT),
+            max(harmful.pause, PROBE_RETRY_AFTER),
         )
 
     async def attempt_ended(
@@ -160,7 +160,7 @@
     async def _is_terminated(self, execution: AttemptExecution) -> bool:
         """Return whether an engine refuses new connections."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(LOOK_WAIT):
+            async with asyncio.timeout(TERMINATION_CHECK_TIMEOUT):
                 report = await self._engines.report(execution.state.info)
                 return (
                     isinstance(report, Refusal)
@@ -187,13 +187,13 @@
 
     Args:
         mesh: Links to other hosts.
-        book: What this host knows of such requests.
+        crashes: What this host knows of such requests.
         clock: The host's clock.
     """
 
-    def __init__(self, mesh: Mesh, book: CrashBook, clock: Clock) -> None:
+    def __init__(self, mesh: Mesh, crashes: CrashBook, clock: Clock) -> None:
         self._mesh = mesh
-        self._book = book
+        self._crashes = crashes
         self._clock = clock
         mesh.handle(CrashDigest, self._receive)
 
@@ -205,12 +205,12 @@
         """
         while True:
             await self._clock.sleep(BROADCAST_INTERVAL)
-            if self._book.has_news:
-                self._mesh.tell_all(CrashDigest(self._book.telling()))
+            if self._crashes.has_news:
+                self._mesh.tell_all(CrashDigest(self._crashes.telling()))
 
     async def _receive(self, host: HostId, digest: CrashDigest) -> None:
         """Store the entries that another host has sent."""
-        self._book.told(digest.crashes)
+        self._crashes.told(digest.crashes)
 
 
 def content_fingerprint(request: ModelRequest) -> ContentMark:
--- a/src/nutmegroad/routing/request_progress.py
+++ b/src/nutmegroad/routing/request_progress.py
@@ -129,7 +129,7 @@
         request: The request.
         explanation: Records each step of the decision.
         sink: The sink of the caller.
-        spent: Resources used so far.
+        usage: Resources used so far.
         seed: Sampling seed, the same for all attempts, so that another
             engine can continue the answer.
         excluded: Upstreams on which the request has failed.
@@ -138,7 +138,7 @@
     request: ModelRequest
     explanation: Explanation
     sink: MeteredSink
-    spent: Spent
+    usage: Spent
     seed: int
     excluded: frozenset[UpstreamId] = field(default_factory=frozenset)
 
--- a/src/nutmegroad/routing/retries.py
+++ b/src/nutmegroad/routing/retries.py
@@ -124,7 +124,7 @@
 
 
 @register('retries', 'share')
-def shared_retries(kernel: Kernel) -> SharedRetries:
+def proportional_retries(kernel: Kernel) -> SharedRetries:
     """Create the retry budget for model requests."""
     budget = SharedRetries(kernel.clock)
     kernel.need(Observers).add(budget)
--- a/src/nutmegroad/routing/services.py
+++ b/src/nutmegroad/routing/services.py
@@ -213,7 +213,7 @@
     ) -> ServiceReply | Refusal:
         """Make one attempt."""
         attempt_fence = request.fence.attempt()
-        passage = Passage(
+        context = Passage(
             request.workspace,
             TaskName(''),
             _NO_VERSION,
@@ -231,7 +231,7 @@
             path=request.path,
             body=request.body,
             content_type=request.content_type,
-            gate=self._gatekeeper.gate(passage),
+            gate=self._gatekeeper.gate(context),
             timeout=max(0, min(remaining, entry.timeout)),
             key=request.key,
         )
--- a/src/nutmegroad/routing/steps.py
+++ b/src/nutmegroad/routing/steps.py
@@ -194,7 +194,7 @@
             progress.note('selector', choice.reason)
             return choice
         nonce = f'{self._randomness.getrandbits(_NONCE_BITS):012x}'
-        number = progress.spent.attempts + 1
+        number = progress.usage.attempts + 1
         name = AttemptId(f'{progress.request.request}.{number}.{nonce}')
         fence = progress.request.fence
         attempt_fence = None if fence is None else fence.attempt()
@@ -230,9 +230,9 @@
         sink: Sink,
     ) -> AttemptExecution:
         """Make one attempt and add it to the progress."""
-        spent = progress.spent
-        spent.attempts += 1
-        spent.version = version
+        usage = progress.usage
+        usage.attempts += 1
+        usage.version = version
         execution = self._prepare(progress, version, setup)
         progress.note(
             'selector',
@@ -253,14 +253,14 @@
         end = execution.end
         if end is None:
             return
-        spent = progress.spent
-        spent.cost += end.cost
-        spent.prompt_tokens = end.prompt_tokens
-        spent.output_tokens = end.output_tokens
+        usage = progress.usage
+        usage.cost += end.cost
+        usage.prompt_tokens = end.prompt_tokens
+        usage.output_tokens = end.output_tokens
         if execution.received.ending is not None:
-            spent.ran = Ran.RAN
+            usage.ran = Ran.RAN
         elif failure_of(execution.received).ran is not Ran.NOT_RUN:
-            spent.ran = Ran.UNKNOWN
+            usage.ran = Ran.UNKNOWN
         self._metrics.attempt_ended(end.start.version, end.code)
         self._invariants.check(
             'first-byte-behind-open-gate',
@@ -329,7 +329,7 @@
             return False
         if not self._is_safe(progress, refusal, setup):
             return False
-        if progress.spent.attempts >= MAX_ATTEMPTS:
+        if progress.usage.attempts >= MAX_ATTEMPTS:
             return False
         if self._clock.now() >= progress.request.deadline:
             return False
@@ -355,7 +355,7 @@
             return True
         # Such a request continues only at the engine that already executes
         # it, or elsewhere if no attempt was executed.
-        if progress.spent.ran is Ran.NOT_RUN:
+        if progress.usage.ran is Ran.NOT_RUN:
             return True
         has_begun = bool(setup.received.pieces)
         known = setup.choice.state.info.upstream not in progress.excluded
