--- a/src/nutmegroad/routing/attempts.py
+++ b/src/nutmegroad/routing/attempts.py
@@ -38,7 +38,7 @@
     """Receives the pieces of an answer on their way to the caller."""
 
     def answering(self, version: VersionId) -> None:
-        """Set the version that writes the pieces that follow."""
+        """Begin the pieces that a version writes."""
 
     async def piece(self, text: str) -> None:
         """Write a piece."""
--- a/src/nutmegroad/routing/dispatch.py
+++ b/src/nutmegroad/routing/dispatch.py
@@ -34,7 +34,7 @@
     Args:
         policies: The decisions on admission, versions, upstreams and retries.
         gatekeeper: Makes the final check before each attempt.
-        attempter: Executes attempts.
+        attempt_runner: Executes attempts.
         instruments: Metrics and invariants.
         clock: The host's clock.
         randomness: Source of attempt ids and seeds.
@@ -44,7 +44,7 @@
         self,
         policies: Policies,
         gatekeeper: Gatekeeper,
-        attempter: Attempter,
+        attempt_runner: Attempter,
         instruments: Instruments,
         clock: Clock,
         randomness: random.Random,
@@ -58,7 +58,7 @@
         self._steps = StepRunner(
             policies,
             gatekeeper,
-            attempter,
+            attempt_runner,
             instruments,
             clock,
             randomness,
--- a/src/nutmegroad/routing/part.py
+++ b/src/nutmegroad/routing/part.py
@@ -44,7 +44,7 @@
         kernel.provide(Quarantine, quarantine)
         gatekeeper = Gatekeeper(configuration, kernel.clock, quarantine)
         kernel.provide(Gatekeeper, gatekeeper)
-        attempter = Attempter(
+        attempt_runner = Attempter(
             kernel.need(EngineClient),
             directory,
             observers,
@@ -62,7 +62,7 @@
         dispatcher = Dispatcher(
             policies,
             gatekeeper,
-            attempter,
+            attempt_runner,
             Instruments(kernel.need(Metrics), kernel.need(Invariants)),
             kernel.clock,
             kernel.randomness,
--- a/src/nutmegroad/routing/request_progress.py
+++ b/src/nutmegroad/routing/request_progress.py
@@ -99,7 +99,7 @@
         self._last_piece_at = self._started_at
 
     def answering(self, version: VersionId) -> None:
-        """Set the version that writes the pieces that follow."""
+        """Begin the pieces that a version writes."""
         self.version = version
         self._inner.answering(version)
 
--- a/src/nutmegroad/routing/steps.py
+++ b/src/nutmegroad/routing/steps.py
@@ -125,7 +125,7 @@
     Args:
         policies: The policies.
         gatekeeper: Makes the final check before each attempt.
-        attempter: Executes attempts.
+        attempt_runner: Executes attempts.
         instruments: Metrics and invariants.
         clock: The host's clock.
         randomness: Source of attempt ids.
@@ -135,14 +135,14 @@
         self,
         policies: Policies,
         gatekeeper: Gatekeeper,
-        attempter: Attempter,
+        attempt_runner: Attempter,
         instruments: Instruments,
         clock: Clock,
         randomness: random.Random,
     ) -> None:
         self._policies = policies
         self._gatekeeper = gatekeeper
-        self._attempter = attempter
+        self._attempt_runner = attempt_runner
         self._metrics = instruments.metrics
         self._invariants = instruments.invariants
         self._clock = clock
@@ -239,7 +239,7 @@
             f'{execution.start.upstream} for {version}: {setup.choice.reason}.',
         )
         try:
-            await self._attempter.run(execution, sink)
+            await self._attempt_runner.run(execution, sink)
         finally:
             self._record_attempt(progress, execution)
             if setup.attempt_fence is not None:
