--- a/src/nutmegroad/routing/attempts.py
+++ b/src/nutmegroad/routing/attempts.py
@@ -38,7 +38,7 @@
     """Receives the pieces of an answer on their way to the caller."""
 
     def answering(self, version: VersionId) -> None:
-        """Begin the pieces that a version writes."""
+        """Record which version writes the pieces that follow."""
 
     async def piece(self, text: str) -> None:
         """Write a piece."""
@@ -94,7 +94,7 @@
     gate_passed: bool = False
 
     def recording_gate(self, gate: Gate) -> Gate:
-        """Return a gate that records in ``passed`` whether it was open."""
+        """Return a gate that records in ``gate_passed`` whether it was open."""
 
         def check() -> Refusal | None:
             """Check the gate and record the result."""
@@ -261,7 +261,7 @@
         if ending is not None:
             prompt = ending.prompt_tokens
         written = ending.output_tokens if ending else len(received.pieces)
-        # Tokens written by earlier attempts are counted there.
+        # Earlier attempts count the tokens that they have written.
         output = max(0, written - execution.attempt.skip)
         first = received.first_piece_at
         if first is not None:
--- a/src/nutmegroad/routing/request_progress.py
+++ b/src/nutmegroad/routing/request_progress.py
@@ -99,7 +99,7 @@
         self._last_piece_at = self._started_at
 
     def answering(self, version: VersionId) -> None:
-        """Begin the pieces that a version writes."""
+        """Record which version writes the pieces that follow."""
         self.version = version
         self._inner.answering(version)
 
--- a/src/nutmegroad/routing/upstreams_part.py
+++ b/src/nutmegroad/routing/upstreams_part.py
@@ -66,7 +66,7 @@
         )
         await watcher.poll_once()
         await kernel.stack.enter_async_context(watcher)
-        far = FarLoads(
+        remote_loads = FarLoads(
             kernel.need(Mesh),
             directory,
             sharer,
@@ -74,4 +74,4 @@
             kernel.randomness,
             kernel.settings.domain,
         )
-        kernel.spawn(far.run(), 'watch')
+        kernel.spawn(remote_loads.run(), 'watch')
