--- a/src/nutmegroad/routing/attempts.py
+++ b/src/nutmegroad/routing/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at an answer: send it, follow the stream, say how it ended."""
+"""Executes one attempt: sends it, reads the stream and records its outcome."""
 
 import math
 from dataclasses import dataclass, field
@@ -21,67 +21,68 @@
 from nutmegroad.quality.prices import cost_of
 from nutmegroad.routing.directory import Directory, LeavingSource
 
-#: Seconds without a piece after which a stream counts as frozen.
-STALL: Final = 10.0
+#: Seconds without a piece after which a stream counts as stalled.
+STALL_TIMEOUT: Final = 10.0
 
-#: Seconds without a piece from which on silence is held against an upstream
-#: whose caller's time is up, or whose caller leaves.
-SILENCE: Final = 1.0
+#: An attempt that ends because the caller's deadline passed or the caller
+#: disconnected counts against the upstream only if the upstream had sent no
+#: piece for at least this many seconds.
+MIN_SILENCE: Final = 1.0
 
-#: Pieces that a resumed answer repeats, so that it can be seen whether it
-#: goes on as the caller was shown.
-OVERLAP: Final = 4
+#: Pieces that a resumed answer repeats, so that they can be compared with
+#: the pieces that the caller has received.
+RESUME_OVERLAP: Final = 4
 
 
 class Sink(Protocol):
-    """Takes the pieces of an answer on their way to the caller."""
+    """Receives the pieces of an answer on their way to the caller."""
 
     def answering(self, version: VersionId) -> None:
-        """Learn which version writes what comes next."""
+        """Record which version writes the pieces that follow."""
 
     async def piece(self, text: str) -> None:
-        """Take a piece."""
+        """Write a piece."""
 
 
 @dataclass(slots=True)
 class Received:
-    """What an answer has brought so far, over all attempts at it.
+    """The part of an answer received so far, over all attempts at it.
 
     Attributes:
         pieces: Texts by index; empty where a chunk had none.
-        read: Index behind the last piece that the present attempt brought.
-        first: Clock seconds of the first piece, or None.
-        heard: Clock seconds of the last piece of the present attempt;
-            infinite while the caller takes it.
-        ending: The mark that the answer is whole, or None.
-        refusal: Why it is not whole, or None.
+        next_index: Index after the last piece of the current attempt.
+        first_piece_at: Clock seconds of the first piece, or None.
+        last_piece_at: Clock seconds of the last piece of the current attempt;
+            infinite while the caller's sink is taking that piece.
+        ending: The end marker of a complete answer, or None.
+        refusal: Why the answer is incomplete, or None.
     """
 
     pieces: list[str] = field(default_factory=list)
-    read: int = 0
-    first: float | None = None
-    heard: float = -math.inf
+    next_index: int = 0
+    first_piece_at: float | None = None
+    last_piece_at: float = -math.inf
     ending: Ending | None = None
     refusal: Refusal | None = None
 
     @property
     def resume_at(self) -> int:
-        """Return the index from which the answer may be asked for again."""
-        return max(0, len(self.pieces) - OVERLAP)
+        """Return the index from which to request the rest of the answer."""
+        return max(0, len(self.pieces) - RESUME_OVERLAP)
 
 
 @dataclass(slots=True)
-class Trial:
-    """One attempt, and what comes of it.
+class AttemptExecution:
+    """One attempt, its progress and its outcome.
 
     Attributes:
-        start: How it is announced.
-        attempt: What goes to the upstream.
+        start: The event that announces the attempt to observers.
+        attempt: What is sent to the upstream.
         state: The upstream.
-        received: What has come so far, also from attempts before.
+        received: The answer so far, including pieces of earlier attempts.
         prompt_tokens: Estimated tokens of the prompt.
-        end: How it ended, once it has.
-        passed: The gate has let its first byte through.
+        end: The outcome; None until the attempt has ended.
+        gate_passed: Whether the gate was open when it was last checked.
     """
 
     start: AttemptStart
@@ -90,30 +91,30 @@
     received: Received = field(default_factory=Received)
     prompt_tokens: int = 0
     end: AttemptEnd | None = None
-    passed: bool = False
+    gate_passed: bool = False
 
-    def watch(self, gate: Gate) -> Gate:
-        """Return a gate that remembers whether it was open."""
+    def recording_gate(self, gate: Gate) -> Gate:
+        """Return a gate that records in ``gate_passed`` whether it was open."""
 
-        def look() -> Refusal | None:
-            """Look at the gate."""
+        def check() -> Refusal | None:
+            """Check the gate and record the result."""
             refusal = gate()
-            self.passed = refusal is None
+            self.gate_passed = refusal is None
             return refusal
 
-        return look
+        return check
 
 
 class Attempter:
-    """Carries out attempts and tells the observers of them.
+    """Executes attempts and notifies the observers of them.
 
     Args:
-        engines: How engines are reached.
-        directory: Counts what is in flight.
-        observers: Told of beginnings and ends.
-        configuration: Knows the prices.
+        engines: Client for engines.
+        directory: Counts the requests in flight.
+        observers: Notified of the start and end of each attempt.
+        configuration: Source of the prices.
         clock: The host's clock.
-        stall: Seconds without a piece that are too long.
+        stall: Seconds without a piece after which the attempt is given up.
     """
 
     def __init__(
@@ -123,106 +124,117 @@
         observers: Observers,
         configuration: Configuration,
         clock: Clock,
-        stall: float = STALL,
+        stall_timeout: float = STALL_TIMEOUT,
     ) -> None:
         self._engines = engines
         self._directory = directory
         self._observers = observers
         self._configuration = configuration
         self._clock = clock
-        self._stall = stall
+        self._stall_timeout = stall_timeout
 
-    async def run(self, trial: Trial, sink: Sink) -> AttemptEnd:
-        """Carry out one attempt; pieces go to the sink as they come."""
-        trial.received.refusal = None
-        trial.received.read = trial.attempt.skip
-        trial.received.heard = -math.inf
+    async def run(self, execution: AttemptExecution, sink: Sink) -> AttemptEnd:
+        """Execute one attempt, writing pieces to the sink as they arrive."""
+        execution.received.refusal = None
+        execution.received.next_index = execution.attempt.skip
+        execution.received.last_piece_at = -math.inf
         began = self._clock.now()
-        self._observers.started(trial.start)
+        self._observers.started(execution.start)
         try:
-            with self._directory.in_flight(trial.state, trial.start.version):
-                await self._follow(trial.attempt, trial.received, sink)
+            with self._directory.in_flight(
+                execution.state, execution.start.version
+            ):
+                await self._read_stream(
+                    execution.attempt, execution.received, sink
+                )
         finally:
-            # A caller that goes away cancels us here; it counts as cut.
-            trial.end = self._end(trial, began)
-            self._observers.ended(trial.end)
-        self._note(trial)
-        return trial.end
-
-    async def _follow(
+            # If the caller disconnects, this task is cancelled here, and
+            # the attempt ends with ``ANSWER_CUT``.
+            execution.end = self._summarize(execution, began)
+            self._observers.ended(execution.end)
+        self._update_directory(execution)
+        return execution.end
+
+    async def _read_stream(
         self,
         attempt: Attempt,
         received: Received,
         sink: Sink,
     ) -> None:
-        """Read the stream until it ends, breaks or falls silent."""
+        """Read the stream until it ends, fails or times out."""
         deadline = self._clock.now() + attempt.timeout
         try:
-            async with Watchdog(self._clock, self._stall, deadline) as dog:
-                await self._read(attempt, received, sink, dog)
+            async with Watchdog(
+                self._clock, self._stall_timeout, deadline
+            ) as watchdog:
+                await self._read_events(attempt, received, sink, watchdog)
         except TimeoutError:
             received.refusal = Refusal(
                 ResultCode.UPSTREAM_TIMEOUT,
-                f'The upstream {attempt.upstream.upstream} fell silent.',
+                f'The upstream {attempt.upstream.upstream} did not complete '
+                'its answer in time.',
                 Ran.UNKNOWN,
                 retry_after=1,
             )
 
-    async def _read(
+    async def _read_events(
         self,
         attempt: Attempt,
         received: Received,
         sink: Sink,
-        dog: Watchdog,
+        watchdog: Watchdog,
     ) -> None:
-        """Read the stream's events."""
+        """Read the events of the stream."""
         async with self._engines.answer(attempt) as events:
             async for event in events:
                 if isinstance(event, Refusal):
                     received.refusal = event
                     return
                 if isinstance(event, Ending):
-                    _finish(received, event)
+                    _accept_ending(received, event)
                     return
-                # A caller that reads slowly says nothing of the upstream.
-                dog.hold()
-                received.heard = math.inf
-                received.refusal = await self._take(event, received, sink)
-                received.heard = self._clock.now()
+                # Time that the caller takes to read a piece must not count
+                # against the upstream.
+                watchdog.hold()
+                received.last_piece_at = math.inf
+                received.refusal = await self._accept_piece(
+                    event, received, sink
+                )
+                received.last_piece_at = self._clock.now()
                 if received.refusal is not None:
                     return
-                dog.touch()
+                watchdog.touch()
         received.refusal = Refusal(
             ResultCode.ANSWER_CUT,
-            'The answer ended without its terminal mark.',
+            'The answer stream ended without an end marker.',
             Ran.UNKNOWN,
         )
 
-    async def _take(
+    async def _accept_piece(
         self,
         piece: Piece,
         received: Received,
         sink: Sink,
     ) -> Refusal | None:
-        """Keep a piece and hand it on; check one that was there before."""
-        if received.first is None:
-            received.first = self._clock.now()
+        """Store and forward a new piece, or compare a repeated one."""
+        if received.first_piece_at is None:
+            received.first_piece_at = self._clock.now()
         pieces = received.pieces
-        received.read = piece.index + 1
+        received.next_index = piece.index + 1
         if piece.index < len(pieces):
             if pieces[piece.index] == piece.text:
                 return None
-            return _other_answer()
-        # Chunks without text count too.
+            return _crossed_answer()
+        # Chunks without text also have an index.
         pieces.extend('' for _ in range(piece.index - len(pieces)))
         pieces.append(piece.text)
         await sink.piece(piece.text)
         return None
 
-    def _note(self, trial: Trial) -> None:
-        """Tell the directory what an attempt says of its upstream."""
-        upstream = trial.state.info.upstream
-        refusal = trial.received.refusal
+    def _update_directory(self, execution: AttemptExecution) -> None:
+        """Update the directory with what the attempt shows of its upstream."""
+        upstream = execution.state.info.upstream
+        refusal = execution.received.refusal
         if refusal is None:
             self._directory.answered(upstream)
         elif refusal.code is ResultCode.UPSTREAM_UNREACHABLE:
@@ -230,82 +242,88 @@
         elif refusal.code is ResultCode.UPSTREAM_LEAVING:
             self._directory.mark_leaving(
                 upstream,
-                trial.state.info.address,
+                execution.state.info.address,
                 LeavingSource.REPORT,
             )
 
-    def _end(self, trial: Trial, began: float) -> AttemptEnd:
-        """Sum an attempt up."""
-        received = trial.received
+    def _summarize(
+        self, execution: AttemptExecution, began: float
+    ) -> AttemptEnd:
+        """Return the summary of a finished attempt."""
+        received = execution.received
         ending = received.ending
         code = ResultCode.ANSWER_CUT
         if ending is not None:
             code = ResultCode.OK
         elif received.refusal is not None:
             code = received.refusal.code
-        prompt = trial.prompt_tokens if received.pieces else 0
+        prompt = execution.prompt_tokens if received.pieces else 0
         if ending is not None:
             prompt = ending.prompt_tokens
         written = ending.output_tokens if ending else len(received.pieces)
-        # What attempts before it have written was theirs.
-        output = max(0, written - trial.attempt.skip)
-        first = received.first
+        # Earlier attempts count the tokens that they have written.
+        output = max(0, written - execution.attempt.skip)
+        first = received.first_piece_at
         if first is not None:
-            # An attempt that resumes an answer has no first token.
+            # In an attempt that resumes an answer, the first piece came
+            # before the attempt began.
             first = first - began if first >= began else None
         return AttemptEnd(
-            start=trial.start,
+            start=execution.start,
             code=code,
             first_token=first,
             seconds=self._clock.now() - began,
             prompt_tokens=prompt,
             output_tokens=output,
-            cost=self._cost(trial.start, prompt, output),
+            cost=self._cost(execution.start, prompt, output),
             text=''.join(received.pieces) if ending else '',
             cached_tokens=ending.cached_tokens if ending else 0,
-            out_of_time=self._is_out_of_time(trial, began),
+            out_of_time=self._is_out_of_time(execution, began),
         )
 
-    def _is_out_of_time(self, trial: Trial, began: float) -> bool:
-        """Tell whether only the caller's time ended an attempt.
+    def _is_out_of_time(
+        self, execution: AttemptExecution, began: float
+    ) -> bool:
+        """Return whether the attempt ended only for lack of the caller's time.
 
-        Who waits at a full engine hears nothing for a good reason.
+        An engine that is full sends nothing to requests that wait there, so
+        such an attempt does not count against the upstream either.
         """
-        received = trial.received
+        received = execution.received
         now = self._clock.now()
         if received.ending is not None:
             return False
         if received.refusal is not None:
-            is_late = now >= began + trial.attempt.timeout
+            is_late = now >= began + execution.attempt.timeout
             code = received.refusal.code
             if code is not ResultCode.UPSTREAM_TIMEOUT or not is_late:
                 return False
-        if now - received.heard < SILENCE:
+        if now - received.last_piece_at < MIN_SILENCE:
             return True
-        report = trial.state.report
-        has_begun = received.read > trial.attempt.skip
+        report = execution.state.report
+        has_begun = received.next_index > execution.attempt.skip
         return report is not None and report.is_full and not has_begun
 
     def _cost(self, start: AttemptStart, prompt: int, output: int) -> float:
-        """Return what an attempt cost at today's prices."""
+        """Return the cost of an attempt at the current prices."""
         entry = self._configuration.entry(start.version)
         if entry is None:
             return 0
         return cost_of(entry, prompt, output)
 
 
-def _finish(received: Received, ending: Ending) -> None:
-    """Take the ending, unless it comes before what was there already."""
-    if received.read < len(received.pieces):
-        received.refusal = _other_answer()
+def _accept_ending(received: Received, ending: Ending) -> None:
+    """Accept the end marker unless pieces received before are missing."""
+    if received.next_index < len(received.pieces):
+        received.refusal = _crossed_answer()
     else:
         received.ending = ending
 
 
-def _other_answer() -> Refusal:
-    """Say that an engine has resumed something else."""
+def _crossed_answer() -> Refusal:
+    """Return the refusal for a resumed answer with a different text."""
     return Refusal(
         ResultCode.ANSWER_CROSSED,
-        'The resumed answer does not go on as the one before.',
+        'The resumed answer differs from the pieces received before.',
         Ran.UNKNOWN,
     )
--- a/src/nutmegroad/routing/directory.py
+++ b/src/nutmegroad/routing/directory.py
@@ -1,8 +1,8 @@
-"""The upstreams that this host knows, and what it knows of each.
+"""Directory of the upstreams known to this host, with their state.
 
-Work is looked up by version or by service many times a second, and what is
-known changes a few times a second; so both lookups go through an index that
-is made anew after a change.
+Upstreams are looked up by version or by service many times a second, while
+the state changes a few times a second. Both lookups therefore use an index
+that is rebuilt after a change.
 """
 
 from collections import OrderedDict, defaultdict
@@ -24,27 +24,29 @@
     VersionId,
 )
 
-#: Connections refused in a row after which an upstream counts as leaving.
-REFUSALS: Final = 2
+#: Consecutive refused connections after which an upstream counts as draining.
+REFUSALS_UNTIL_DRAINING: Final = 2
 
-#: Seconds for which an upstream's own report can lag behind what others
-#: say of it; only a later one takes its leaving back.
+#: Seconds by which an upstream's own report may lag behind other sources.
+#: Only a report requested at least this long after the upstream was last
+#: said to be draining clears that state.
 REPORT_LAG: Final = 3.0
 
-#: Seconds after which a plain service that refused connections is tried
-#: again, as it has no report that could speak for it.
-SERVICE_HOLD: Final = 10.0
+#: Seconds after which a plain service that refused connections gets requests
+#: again; a plain service sends no report that could clear the state.
+SERVICE_RETRY_DELAY: Final = 10.0
 
-#: Seconds after which an engine that has said nothing is not waited for.
-SURVEY_LIMIT: Final = 5.0
+#: Seconds after which a host no longer waits for an engine's first report.
+FIRST_REPORT_TIMEOUT: Final = 5.0
 
-#: Upstreams heard of as leaving before the host list named them.
-MOST_HEARSAY: Final = 1000
+#: Maximum number of draining notices kept for upstreams that the host list
+#: does not name yet.
+MAX_UNLISTED_NOTICES: Final = 1000
 
 
 @unique
 class LeavingSource(Enum):
-    """Who said that an upstream is leaving."""
+    """The source of the information that an upstream is draining."""
 
     LIST = 'list'
     REPORT = 'report'
@@ -52,28 +54,28 @@
     PEER = 'peer'
 
 
-#: Is told of each upstream that has begun to leave.
+#: Called for each upstream that starts to drain.
 LeavingListener = Callable[[UpstreamInfo, LeavingSource], None]
 
 
-class _Hearsay:
-    """What was said of upstreams that are not listed yet."""
+class _UnlistedNotices:
+    """Draining notices for upstreams that are not listed yet."""
 
     def __init__(self) -> None:
         self._leaving: OrderedDict[tuple[UpstreamId, Address], None]
         self._leaving = OrderedDict()
 
     def add(self, upstream: UpstreamId, address: Address) -> bool:
-        """Note that an upstream is leaving; tell whether that is new."""
+        """Store a draining notice; return whether it is new."""
         key = (upstream, address)
-        fresh = key not in self._leaving
+        is_new = key not in self._leaving
         self._leaving[key] = None
-        if len(self._leaving) > MOST_HEARSAY:
+        if len(self._leaving) > MAX_UNLISTED_NOTICES:
             self._leaving.popitem(last=False)
-        return fresh
+        return is_new
 
     def take(self, info: UpstreamInfo) -> bool:
-        """Tell whether an upstream was said to leave, and forget that."""
+        """Remove the notice for an upstream; return whether there was one."""
         key = (info.upstream, info.address)
         known = key in self._leaving
         self._leaving.pop(key, None)
@@ -81,7 +83,7 @@
 
 
 class Directory:
-    """Keeps the state of each upstream.
+    """Holds the state of each upstream.
 
     Args:
         clock: The host's clock.
@@ -93,11 +95,11 @@
         self._by_version: dict[VersionId, tuple[UpstreamState, ...]] = {}
         self._by_service: dict[ServiceName, tuple[UpstreamState, ...]] = {}
         self._stale = False
-        self._hearsay = _Hearsay()
+        self._unlisted = _UnlistedNotices()
         self._listeners: list[LeavingListener] = []
 
     def listen(self, listener: LeavingListener) -> None:
-        """Tell a listener of each upstream that begins to leave."""
+        """Add a listener to call for each upstream that starts to drain."""
         self._listeners.append(listener)
 
     def update(
@@ -106,17 +108,17 @@
         *,
         whole: bool = True,
     ) -> None:
-        """Take the host list's entries.
+        """Apply entries of the host list.
 
         Args:
             upstreams: The entries.
-            whole: Whether they are the whole list, so that what is left
-                out is to be forgotten.
+            whole: Whether these are all entries of the list, so that
+                upstreams without an entry are removed.
         """
         listed = {info.upstream for info in upstreams}
-        for gone in sorted(set(self._states) - listed) if whole else ():
-            state = self._states.pop(gone)
-            # Requests that still hold this state must see it as leaving.
+        for removed in sorted(set(self._states) - listed) if whole else ():
+            state = self._states.pop(removed)
+            # Requests that still refer to this state must see it as draining.
             state.leaving = True
         for info in upstreams:
             self._update_one(info)
@@ -127,7 +129,7 @@
         return tuple(self._states.values())
 
     def state(self, upstream: UpstreamId) -> UpstreamState | None:
-        """Return one upstream, or None if it is not known."""
+        """Return one upstream, or None if it is unknown."""
         return self._states.get(upstream)
 
     def engines(self, version: VersionId) -> tuple[UpstreamState, ...]:
@@ -146,29 +148,34 @@
         report: EngineReport,
         asked: float | None = None,
     ) -> None:
-        """Take an engine's report.
+        """Apply an engine's report to this host.
 
         Args:
             upstream: The engine.
-            report: What it says.
-            asked: Clock seconds before it was asked; None for now.
+            report: The report.
+            asked: Clock seconds just before the report was requested; None
+                for the current time.
         """
         state = self._states.get(upstream)
         if state is None:
             return
         asked = self._clock.now() if asked is None else asked
-        before = state.report
+        previous = state.report
         state.report = report
         state.reported = asked
         state.refusals = 0
-        if before is None or before.versions != report.versions:
+        if previous is None or previous.versions != report.versions:
             self._stale = True
         if report.leaving:
-            # Others may have taken back already what is still held here.
-            anew = before is not None and not before.leaving
-            self._begin_leaving(state, LeavingSource.REPORT, anew=anew)
+            # Other hosts may have cleared already a draining state that is
+            # still set here, so a new notice is announced again.
+            announced_again = previous is not None and not previous.leaving
+            self._begin_leaving(
+                state, LeavingSource.REPORT, announced_again=announced_again
+            )
         elif state.leaving and asked >= state.leaving_since + REPORT_LAG:
-            # Only its own word takes back what anybody has said.
+            # Only the upstream's own report clears the draining state,
+            # whichever source has set it.
             state.leaving = False
             self._stale = True
 
@@ -178,27 +185,27 @@
         report: EngineReport,
         asked: float,
     ) -> None:
-        """Take a report that an engine gave to another host.
+        """Apply a report that an engine sent to another host.
 
-        It may make the engine leave, but takes no leaving back, and says
-        nothing about connections from here.
+        It can set the engine to draining but does not clear that state. It
+        shows nothing about connections from this host.
 
         Args:
             upstream: The engine.
-            report: What it says.
-            asked: Clock seconds at which the other host asked.
+            report: The report.
+            asked: Clock seconds at which the other host requested it.
         """
         state = self._states.get(upstream)
         if state is None:
             return
         if report.leaving:
             self._begin_leaving(state, LeavingSource.PEER)
-        before = state.report
-        if before is not None and asked <= state.reported:
+        previous = state.report
+        if previous is not None and asked <= state.reported:
             return
         state.report = report
         state.reported = asked
-        if before is None or before.versions != report.versions:
+        if previous is None or previous.versions != report.versions:
             self._stale = True
 
     def mark_leaving(
@@ -207,34 +214,35 @@
         address: Address | None = None,
         source: LeavingSource = LeavingSource.PEER,
     ) -> bool:
-        """Note that an upstream leaves; tell whether that was new.
+        """Set an upstream to draining; return whether that is new.
 
         Args:
             upstream: Its id.
-            address: Where it listens; another address is another run of
-                it, of which this says nothing. None for any.
-            source: Who said so.
+            address: The address of the incarnation that drains; the call has
+                no effect on an incarnation at another address. None matches
+                any address.
+            source: Where the information comes from.
         """
         state = self._states.get(upstream)
         other = state and address is not None and state.info.address != address
         if state is None or other:
-            return address is not None and self._hearsay.add(
+            return address is not None and self._unlisted.add(
                 upstream,
                 address,
             )
         return self._begin_leaving(state, source)
 
     def refused(self, upstream: UpstreamId) -> None:
-        """Note that an upstream refused a connection."""
+        """Record that an upstream refused a connection."""
         state = self._states.get(upstream)
         if state is None:
             return
         state.refusals += 1
-        if state.refusals >= REFUSALS:
+        if state.refusals >= REFUSALS_UNTIL_DRAINING:
             self._begin_leaving(state, LeavingSource.REFUSED)
 
     def answered(self, upstream: UpstreamId) -> None:
-        """Note that an upstream took a request."""
+        """Record that an upstream accepted a request."""
         state = self._states.get(upstream)
         if state is not None:
             state.refusals = 0
@@ -245,7 +253,7 @@
         state: UpstreamState,
         version: VersionId,
     ) -> Iterator[None]:
-        """Count a request at an upstream while it runs there."""
+        """Count a request as in flight at an upstream within the context."""
         counts = state.in_flight_versions
         state.in_flight += 1
         counts[version] = counts.get(version, 0) + 1
@@ -256,51 +264,54 @@
             counts[version] -= 1
 
     def _update_one(self, info: UpstreamInfo) -> None:
-        """Take one entry of the host list."""
+        """Apply one entry of the host list."""
         known = self._states.get(info.upstream)
         now = self._clock.now()
         if known is None or known.info.address != info.address:
             if known is not None:
                 known.leaving = True
-            # Another address is another run: what was known is void.
+            # A new address means a new incarnation: discard the old state.
             known = UpstreamState(info, first_seen=now)
             self._states[info.upstream] = known
-            if self._hearsay.take(info):
+            if self._unlisted.take(info):
                 self._begin_leaving(known, LeavingSource.PEER)
         was_live = known.info.presence is Presence.LIVE
         known.info = info
         if was_live and info.presence is not Presence.LIVE:
             self._begin_leaving(known, LeavingSource.LIST)
-        _try_service_again(known, now)
+        _retry_service(known, now)
 
     def _begin_leaving(
         self,
         state: UpstreamState,
         source: LeavingSource,
         *,
-        anew: bool = False,
+        announced_again: bool = False,
     ) -> bool:
-        """Give an upstream no new work; tell whether that is new.
+        """Stop sending new work to an upstream; return whether that is new.
 
-        Listeners are told of what is new, and of a word that was given anew.
+        Listeners are called if it is new or if the upstream has announced
+        it again (``announced_again``).
         """
         state.leaving_since = self._clock.now()
-        fresh = not state.leaving
-        if fresh:
+        is_new = not state.leaving
+        if is_new:
             state.leaving = True
             self._stale = True
-        if fresh or anew:
+        if is_new or announced_again:
             for listener in self._listeners:
                 listener(state.info, source)
-        return fresh
+        return is_new
 
     def is_surveyed(self, domain: DomainId) -> bool:
-        """Tell whether the engines of a domain are known well enough.
+        """Return whether enough engines of a domain are known to serve.
 
-        An engine that has said nothing yet counts as having no slots, so a
-        host that serves before it has heard of them refuses in vain.
+        Each engine must have reported, have failed to report, or have been
+        known for ``FIRST_REPORT_TIMEOUT`` seconds. An engine without a report
+        counts as having no slots, so a host that serves earlier refuses
+        requests needlessly.
         """
-        oldest = self._clock.now() - SURVEY_LIMIT
+        oldest = self._clock.now() - FIRST_REPORT_TIMEOUT
         return bool(self._states) and all(
             state.report is not None
             or state.failures > 0
@@ -310,7 +321,7 @@
         )
 
     def _refresh(self) -> None:
-        """Make the index anew if something has changed."""
+        """Rebuild the index if something has changed."""
         if not self._stale:
             return
         versions: defaultdict[VersionId, list[UpstreamState]]
@@ -328,17 +339,17 @@
         self._stale = False
 
 
-def _try_service_again(state: UpstreamState, now: float) -> None:
-    """Let a listed service that refused connections be tried again."""
+def _retry_service(state: UpstreamState, now: float) -> None:
+    """Allow requests again to a listed service that refused connections."""
     if state.info.kind is UpstreamKind.ENGINE or not state.refusals:
         return
-    held = now - state.leaving_since
-    if state.leaving and held >= SERVICE_HOLD:
+    excluded_for = now - state.leaving_since
+    if state.leaving and excluded_for >= SERVICE_RETRY_DELAY:
         state.leaving = False
-        # One more refusal is enough to hold it back again.
-        state.refusals = REFUSALS - 1
+        # A single further refusal excludes the service again.
+        state.refusals = REFUSALS_UNTIL_DRAINING - 1
 
 
 def is_engine(state: UpstreamState) -> bool:
-    """Tell whether an upstream is a model engine."""
+    """Return whether an upstream is a model engine."""
     return state.info.kind is UpstreamKind.ENGINE
--- a/src/nutmegroad/routing/gates.py
+++ b/src/nutmegroad/routing/gates.py
@@ -1,8 +1,8 @@
-"""The last check, in one step with the first byte of every attempt.
+"""The final check of an attempt, made in the step that sends its first byte.
 
-It looks at what holds at that moment, not at what held when the request
-was planned: a version may have been withdrawn or an upstream have begun
-to leave while the request waited.
+The check uses the state at that time rather than at planning time: while
+the request waited, a version may have been withdrawn, or an upstream may
+have started to drain.
 """
 
 from collections.abc import Callable
@@ -26,18 +26,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Passage:
-    """What a gate is asked about.
+    """The attempt that a gate checks.
 
     Attributes:
-        workspace: Who asks.
-        task: The task class; empty for a plain service's call.
-        version: The version; empty for a plain service's call.
-        service: The plain service; empty for a model's request.
-        epoch: The epoch that a session holds to; None for the present one.
-        upstream: Where the first byte would go.
+        workspace: The workspace of the caller.
+        task: The task class; empty for a call to a plain service.
+        version: The version; empty for a call to a plain service.
+        service: The plain service; empty for a model request.
+        epoch: The epoch that a session is bound to; None for the current one.
+        upstream: The upstream that would receive the first byte.
         deadline: Clock seconds at which the caller gives up.
-        attempt_fence: The attempt's way through the fence of its request; it
-            is asked last, so what it lets pass goes out.
+        attempt_fence: The attempt's part of the fence of its request. It is
+            checked last, so that an attempt it admits is sent.
     """
 
     workspace: WorkspaceId
@@ -50,17 +50,17 @@
     attempt_fence: AttemptFence | None = None
 
 
-#: Tells why this host may send nothing now, or None.
-Condition = Callable[[], Refusal | None]
+#: Returns why this host may send nothing now, or None.
+HostCondition = Callable[[], Refusal | None]
 
 
 class Gatekeeper:
-    """Makes the gates of this host's attempts.
+    """Creates the gates for this host's attempts.
 
     Args:
-        configuration: What is in force.
+        configuration: The configuration in force.
         clock: The host's clock.
-        quarantine: Versions that evidence speaks against.
+        quarantine: Versions that are blocked because of evidence.
     """
 
     def __init__(
@@ -72,46 +72,46 @@
         self._configuration = configuration
         self._clock = clock
         self._quarantine = quarantine
-        self._conditions: list[Condition] = []
+        self._conditions: list[HostCondition] = []
 
-    def require(self, condition: Condition) -> None:
-        """Hold every first byte to one more condition of the host."""
+    def require(self, condition: HostCondition) -> None:
+        """Add a condition that must hold before this host sends anything."""
         self._conditions.append(condition)
 
-    def gate(self, passage: Passage) -> Gate:
-        """Return the check for one attempt."""
+    def gate(self, context: Passage) -> Gate:
+        """Return the gate for one attempt."""
 
         def check() -> Refusal | None:
-            """Look at everything once more."""
-            refusal = self.check(passage)
-            if refusal is None and passage.attempt_fence is not None:
-                return passage.attempt_fence.check()
+            """Run all checks, the attempt fence last."""
+            refusal = self.check(context)
+            if refusal is None and context.attempt_fence is not None:
+                return context.attempt_fence.check()
             return refusal
 
         return check
 
-    def check(self, passage: Passage) -> Refusal | None:
-        """Return why the first byte must not go out, or None."""
+    def check(self, context: Passage) -> Refusal | None:
+        """Return why the first byte must not be sent, or None."""
         refusal = self.host_refusal()
         if refusal is not None:
             return refusal
-        if self._clock.now() >= passage.deadline:
+        if self._clock.now() >= context.deadline:
             return Refusal(
                 ResultCode.DEADLINE_PASSED,
                 'The deadline passed before the request was sent.',
             )
-        upstream = passage.upstream
+        upstream = context.upstream
         if not upstream.is_open:
             return Refusal(
                 ResultCode.UPSTREAM_LEAVING,
-                f'The upstream {upstream.info.upstream} is leaving.',
+                f'The upstream {upstream.info.upstream} is draining.',
             )
-        workspace = self._workspace(passage.workspace)
+        workspace = self._workspace(context.workspace)
         if isinstance(workspace, Refusal):
             return workspace
-        if passage.service:
-            return self._check_service(passage, workspace)
-        return self._check_version(passage, workspace)
+        if context.service:
+            return self._check_service(context, workspace)
+        return self._check_version(context, workspace)
 
     def host_refusal(self) -> Refusal | None:
         """Return why this host may send nothing now, or None."""
@@ -128,18 +128,18 @@
         version: VersionId,
         epoch: Epoch | None,
     ) -> Refusal | None:
-        """Return why a version may not answer now, wherever it runs."""
+        """Return why a version may not answer now, on any upstream."""
         entry = self._workspace(workspace)
         if isinstance(entry, Refusal):
             return entry
         return self._version_refusal(entry, task, version, epoch)
 
     def _workspace(self, name: WorkspaceId) -> WorkspaceEntry | Refusal:
-        """Return the workspace's entry as it is now."""
+        """Return the workspace's current entry, or why there is none."""
         if self._configuration.accepted and self._configuration.must_confirm:
             return Refusal(
                 ResultCode.HOST_PAUSED,
-                'This host was paused and has to confirm its configuration.',
+                'This host was paused and must confirm its configuration.',
                 retry_after=1,
             )
         accepted = self._configuration.accepted
@@ -154,34 +154,34 @@
                 return entry
         return Refusal(
             ResultCode.UNAUTHENTICATED,
-            f'The workspace {name!r} is not in the configuration.',
+            f'The configuration has no workspace {name!r}.',
         )
 
     def _check_service(
         self,
-        passage: Passage,
+        context: Passage,
         workspace: WorkspaceEntry,
     ) -> Refusal | None:
-        """Check a plain service's call."""
-        if passage.service not in workspace.services:
+        """Check a call to a plain service."""
+        if context.service not in workspace.services:
             return Refusal(
                 ResultCode.SERVICE_UNKNOWN,
                 f'The workspace {workspace.name!r} may not call the service '
-                f'{passage.service!r}.',
+                f'{context.service!r}.',
             )
         return self._isolation_refusal(workspace)
 
     def _check_version(
         self,
-        passage: Passage,
+        context: Passage,
         workspace: WorkspaceEntry,
     ) -> Refusal | None:
-        """Check a model's request."""
+        """Check a model request."""
         return self._version_refusal(
             workspace,
-            passage.task,
-            passage.version,
-            passage.epoch,
+            context.task,
+            context.version,
+            context.epoch,
         )
 
     def _version_refusal(
@@ -198,8 +198,8 @@
                 ResultCode.VERSION_NOT_ALLOWED,
                 f'The workspace {workspace.name!r} may not use {version}.',
             )
-        held = Epoch(entry.epoch) if epoch is None else epoch
-        if self._configuration.is_withdrawn(version, held):
+        checked_epoch = Epoch(entry.epoch) if epoch is None else epoch
+        if self._configuration.is_withdrawn(version, checked_epoch):
             return Refusal(
                 ResultCode.VERSION_WITHDRAWN,
                 f'The version {version} has been withdrawn.',
@@ -208,7 +208,8 @@
             if entry.stage is Stage.ROLLOUT or not entry.isolated:
                 return Refusal(
                     ResultCode.ISOLATED,
-                    f'No confirmed configuration allows {version} now.',
+                    f'Without a confirmed configuration, {version} may not '
+                    'be used now.',
                     retry_after=2,
                 )
             refusal = self._isolation_refusal(workspace)
@@ -220,12 +221,12 @@
         self,
         workspace: WorkspaceEntry,
     ) -> Refusal | None:
-        """Return why an isolated host may not serve the workspace."""
+        """Return why an isolated host may not serve a workspace."""
         if not self._configuration.isolated:
             return None
         age = self._configuration.confirmation_age
-        serve = workspace.isolation is Isolation.SERVE
-        if serve and age <= workspace.isolation_limit:
+        may_serve = workspace.isolation is Isolation.SERVE
+        if may_serve and age <= workspace.isolation_limit:
             return None
         return Refusal(
             ResultCode.ISOLATED,
--- a/src/nutmegroad/routing/harmful.py
+++ b/src/nutmegroad/routing/harmful.py
@@ -1,8 +1,9 @@
-"""Requests that end the engines which run them, kept from doing it again.
+"""Keeps requests under which engines crashed from reaching further engines.
 
-What is remembered is a request's content, since it comes again under other ids,
-and at other hosts. Whoever runs beside it looks the same, so before a request
-is kept out for long, one host of each failure domain tries it once more.
+Requests are remembered by their content, since callers send them again under
+other ids and to other hosts. A request that merely ran beside a harmful one
+looks the same at first. Therefore one host of each failure domain executes a
+suspected request once more, as a probe, before it is blocked for long.
 """
 
 import asyncio
@@ -30,35 +31,39 @@
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import HostId, Ran, UpstreamIncarnation
-from nutmegroad.routing.attempts import Trial
+from nutmegroad.routing.attempts import AttemptExecution
 
 _LOG: Final = part_logger('harmful')
 
-#: Seconds for which a request waits until it is known whether its engine has
-#: ended; a machine without power does not say so, and the request goes on.
-LOOK_WAIT: Final = 0.05
+#: Seconds that a request waits for the check whether its engine terminated.
+#: An engine whose computer lost power does not refuse the connection, so the
+#: request continues after this time.
+TERMINATION_CHECK_TIMEOUT: Final = 0.05
 
-#: Seconds within which a host does not try the same request again.
-TRIED_SPAN: Final = 10.0
+#: Minimum seconds between two probe executions of a request by one host.
+MIN_PROBE_INTERVAL: Final = 10.0
 
-#: Seconds after which a caller may come back to see what a trial has shown.
-TRIED_NEXT: Final = 1.5
+#: Minimum seconds after which a refused caller should retry; the result of a
+#: probe execution is expected by then.
+PROBE_RETRY_AFTER: Final = 1.5
 
-#: Requests that are remembered as tried at most.
-MOST_TRIED: Final = 1000
+#: Maximum number of requests whose last probe execution is remembered.
+MAX_PROBED_REQUESTS: Final = 1000
 
-#: Seconds between two tellings while there is something to tell.
-PERIOD: Final = 0.25
+#: Seconds between two broadcasts while there is something to send.
+BROADCAST_INTERVAL: Final = 0.25
 
-#: What an attempt ends with whose engine may have ended under it.
-_BREAKS: Final = frozenset((ResultCode.ANSWER_CUT, ResultCode.UPSTREAM_ERROR))
+#: Results of an attempt whose engine may have terminated meanwhile.
+_INTERRUPTED: Final = frozenset(
+    (ResultCode.ANSWER_CUT, ResultCode.UPSTREAM_ERROR)
+)
 
 
 class CrashDigest(Message, frozen=True, tag='crash-digest'):
-    """Under which requests engines have ended a moment ago.
+    """Requests under which engines have terminated recently.
 
     Attributes:
-        crashes: The ends, and answers since.
+        crashes: The terminations, and answers received since.
     """
 
     part: ClassVar[str] = 'harmful'
@@ -68,29 +73,29 @@
 
 
 class HarmfulRequests:
-    """Knows which requests are kept from engines.
+    """Decides which requests are kept from engines.
 
     Args:
-        engines: How engines are reached.
+        engines: Client for engines.
         clock: The host's clock.
     """
 
     def __init__(self, engines: EngineClient, clock: Clock) -> None:
         self.book = CrashBook(clock)
-        #: Tells whether this host may try a request that is kept out.
-        self.may_try: Callable[[ContentMark], bool] = _always
+        #: Returns whether this host may probe a request that is blocked.
+        self.may_try: Callable[[ContentMark], bool] = _allow_always
         self._engines = engines
         self._clock = clock
-        # When each was tried last, the latest at the end.
-        self._tried: dict[ContentMark, float] = {}
+        # Clock seconds of the last probe of each request, newest last.
+        self._probed: dict[ContentMark, float] = {}
 
     def keeps_out(self, request: ModelRequest) -> Refusal | None:
         """Return why a request may not go to an engine now, or None."""
-        content = content_of(request)
+        content = content_fingerprint(request)
         harmful = self.book.harmful(content)
         if harmful is None:
             return None
-        if not harmful.pause and self._claim(content):
+        if not harmful.pause and self._claim_probe(content):
             _LOG.decision(
                 'tried once more',
                 request=request.request,
@@ -100,22 +105,24 @@
             return None
         return Refusal(
             ResultCode.REQUEST_HARMFUL,
-            f'{harmful.ends} engines have ended under it.',
+            f'{harmful.ends} engines have terminated while executing it.',
             Ran.NOT_RUN,
-            max(harmful.pause, TRIED_NEXT),
+            max(harmful.pause, PROBE_RETRY_AFTER),
         )
 
-    async def ended(self, request: ModelRequest, trial: Trial) -> None:
-        """Take in how an attempt ended."""
-        refusal = trial.received.refusal
-        if trial.received.ending is not None:
-            self._answered(request)
-        elif refusal is not None and refusal.code in _BREAKS:
-            await self._broke(request, trial)
-
-    def _answered(self, request: ModelRequest) -> None:
-        """Take in a whole answer; it clears the request."""
-        content = content_of(request)
+    async def attempt_ended(
+        self, request: ModelRequest, execution: AttemptExecution
+    ) -> None:
+        """Record how an attempt ended."""
+        refusal = execution.received.refusal
+        if execution.received.ending is not None:
+            self._record_answer(request)
+        elif refusal is not None and refusal.code in _INTERRUPTED:
+            await self._record_interruption(request, execution)
+
+    def _record_answer(self, request: ModelRequest) -> None:
+        """Record a complete answer, which clears the request."""
+        content = content_fingerprint(request)
         if self.book.answered(content, self._clock.now()):
             _LOG.decision(
                 'cleared by an answer',
@@ -123,87 +130,91 @@
                 content=spell_mark(content),
             )
 
-    async def _broke(self, request: ModelRequest, trial: Trial) -> None:
-        """Find out whether the engine of a broken attempt has ended."""
+    async def _record_interruption(
+        self, request: ModelRequest, execution: AttemptExecution
+    ) -> None:
+        """Record a failed attempt if its engine has terminated."""
         now = self._clock.now()
-        end = trial.end
+        end = execution.end
         seconds = 0 if end is None else end.seconds
-        if not await self._has_ended(trial):
+        if not await self._is_terminated(execution):
             return
-        content = content_of(request)
-        # An engine starts again under its id; an attempt names just one end.
+        content = content_fingerprint(request)
+        # An engine restarts under the same id, so the attempt id is added to
+        # identify this one termination.
         name = UpstreamIncarnation(
-            f'{trial.start.upstream}/{trial.start.attempt}',
+            f'{execution.start.upstream}/{execution.start.attempt}',
         )
-        under = EndUnder(mark_upstream(name), now - seconds, now)
-        self.book.ended(content, under)
+        crash = EndUnder(mark_upstream(name), now - seconds, now)
+        self.book.ended(content, crash)
         _LOG.decision(
             'engine ended under it',
             request=request.request,
             content=spell_mark(content),
-            upstream=trial.start.upstream,
-            version=trial.start.version,
+            upstream=execution.start.upstream,
+            version=execution.start.version,
             ran=round(seconds, 3),
             ends=len(self.book.ends_of(content)),
         )
 
-    async def _has_ended(self, trial: Trial) -> bool:
-        """Tell whether an engine accepts no connection any more."""
+    async def _is_terminated(self, execution: AttemptExecution) -> bool:
+        """Return whether an engine refuses new connections."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(LOOK_WAIT):
-                report = await self._engines.report(trial.state.info)
+            async with asyncio.timeout(TERMINATION_CHECK_TIMEOUT):
+                report = await self._engines.report(execution.state.info)
                 return (
                     isinstance(report, Refusal)
                     and report.code is ResultCode.UPSTREAM_UNREACHABLE
                 )
         return False
 
-    def _claim(self, content: ContentMark) -> bool:
-        """Tell whether this host tries a request, and remember that."""
+    def _claim_probe(self, content: ContentMark) -> bool:
+        """Return whether this host probes a request now, and record it."""
         now = self._clock.now()
-        if now - self._tried.get(content, float('-inf')) < TRIED_SPAN:
+        if now - self._probed.get(content, float('-inf')) < MIN_PROBE_INTERVAL:
             return False
         if not self.may_try(content):
             return False
-        self._tried.pop(content, None)
-        self._tried[content] = now
-        if len(self._tried) > MOST_TRIED:
-            self._tried.pop(next(iter(self._tried)))
+        self._probed.pop(content, None)
+        self._probed[content] = now
+        if len(self._probed) > MAX_PROBED_REQUESTS:
+            self._probed.pop(next(iter(self._probed)))
         return True
 
 
 class CrashExchange:
-    """Tells other hosts under which requests engines have ended.
+    """Broadcasts under which requests engines have terminated.
 
     Args:
         mesh: Links to other hosts.
-        book: What is known of such requests.
+        crashes: What this host knows of such requests.
         clock: The host's clock.
     """
 
-    def __init__(self, mesh: Mesh, book: CrashBook, clock: Clock) -> None:
+    def __init__(self, mesh: Mesh, crashes: CrashBook, clock: Clock) -> None:
         self._mesh = mesh
-        self._book = book
+        self._crashes = crashes
         self._clock = clock
-        mesh.handle(CrashDigest, self._hear)
+        mesh.handle(CrashDigest, self._receive)
 
     async def run(self) -> None:
-        """Tell while there is something to tell, until cancelled.
+        """Broadcast while there is something to send, until cancelled.
 
-        What was heard is told on, so it reaches hosts without a link.
+        Received entries are sent on, so that they reach hosts without a
+        direct link.
         """
         while True:
-            await self._clock.sleep(PERIOD)
-            if self._book.has_news:
-                self._mesh.tell_all(CrashDigest(self._book.telling()))
+            await self._clock.sleep(BROADCAST_INTERVAL)
+            if self._crashes.has_news:
+                self._mesh.tell_all(CrashDigest(self._crashes.telling()))
 
-    async def _hear(self, host: HostId, digest: CrashDigest) -> None:
-        """Take in what another host tells."""
-        self._book.told(digest.crashes)
+    async def _receive(self, host: HostId, digest: CrashDigest) -> None:
+        """Store the entries that another host has sent."""
+        self._crashes.told(digest.crashes)
 
 
-def content_of(request: ModelRequest) -> ContentMark:
-    """Return the mark of what a request contains, whatever its id."""
+def content_fingerprint(request: ModelRequest) -> ContentMark:
+    """Return the fingerprint of a request's content, without its id."""
     return mark_content(
         request.workspace,
         request.task.encode(),
@@ -211,6 +222,6 @@
     )
 
 
-def _always(content: ContentMark) -> bool:
-    """Let a host alone try any request."""
+def _allow_always(content: ContentMark) -> bool:
+    """Allow every probe; used when there is no other host to decide."""
     return True
--- a/src/nutmegroad/routing/request_progress.py
+++ b/src/nutmegroad/routing/request_progress.py
@@ -1,4 +1,4 @@
-"""What a model request has come to, while the dispatcher works on it."""
+"""State of a model request while the dispatcher handles it."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer.
+    """A complete answer.
 
     Attributes:
         version: The version that wrote it.
-        text: All of it.
+        text: The full text.
         finish: Why the engine stopped.
-        prompt_tokens: Tokens read by that version.
+        prompt_tokens: Prompt tokens read by that version.
         output_tokens: Tokens written by that version.
-        cost: What the request cost, all attempts and steps summed.
-        attempts: How many attempts were made.
+        cost: Cost of the request, over all attempts and steps.
+        attempts: Number of attempts made.
     """
 
     version: VersionId
@@ -39,14 +39,14 @@
 
 @dataclass(slots=True)
 class Spent:
-    """What a request has cost so far; it holds also if it is cancelled.
+    """Resources that a request has used so far; valid after cancellation too.
 
     Attributes:
-        cost: Costs of all attempts and steps.
+        cost: Cost of all attempts and steps.
         attempts: Attempts made.
-        ran: The most that may have run.
+        ran: Whether any attempt was or may have been executed.
         version: The version of the last attempt.
-        prompt_tokens: Tokens that it read.
+        prompt_tokens: Prompt tokens that it read.
         output_tokens: Tokens that it wrote.
     """
 
@@ -59,26 +59,26 @@
 
 
 class KeptBack:
-    """A sink that keeps an answer back: of a cascade, or not streamed."""
+    """A sink for an answer that is withheld: of a cascade, or not streamed."""
 
     def answering(self, version: VersionId) -> None:
-        """Say nothing yet."""
+        """Ignore the version for now."""
 
     async def piece(self, text: str) -> None:
-        """Show nothing yet."""
+        """Discard the piece; the attempt stores the text."""
 
 
-class CountedSink:
-    """A sink that counts and times what the caller is shown.
+class MeteredSink:
+    """A sink that counts and times what the caller receives.
 
     Args:
         inner: The caller's sink.
         task: The task class.
         clock: The host's clock.
-        metrics: Where times are observed.
+        metrics: Records the times.
 
     Attributes:
-        shown: Pieces shown.
+        pieces_written: Number of pieces written to the caller.
         version: The version that wrote them.
     """
 
@@ -89,53 +89,56 @@
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        self.shown = 0
+        self.pieces_written = 0
         self.version = _NO_VERSION
         self._inner = inner
         self._task = task
         self._clock = clock
         self._latency = metrics.latency
-        self._began = clock.now()
-        self._last = self._began
+        self._started_at = clock.now()
+        self._last_piece_at = self._started_at
 
     def answering(self, version: VersionId) -> None:
-        """Learn which version writes what comes next."""
+        """Record which version writes the pieces that follow."""
         self.version = version
         self._inner.answering(version)
 
     async def piece(self, text: str) -> None:
-        """Show a piece."""
+        """Write a piece, recording its latency."""
         now = self._clock.now()
-        if self.shown:
-            self._latency.between_tokens(self._task, now - self._last)
+        if self.pieces_written:
+            self._latency.between_tokens(self._task, now - self._last_piece_at)
         else:
-            self._latency.first_token(self._task, now - self._began)
-        self.shown += 1
-        self._last = now
+            self._latency.first_token(self._task, now - self._started_at)
+        self.pieces_written += 1
+        self._last_piece_at = now
         await self._inner.piece(text)
 
     def finish(self) -> None:
-        """Observe the time that a whole answer took."""
-        self._latency.whole_time(self._task, self._clock.now() - self._began)
+        """Record the time that the complete answer took."""
+        self._latency.whole_time(
+            self._task, self._clock.now() - self._started_at
+        )
 
 
 @dataclass(slots=True)
-class Progress:
-    """What a request has come to so far.
+class RequestProgress:
+    """The state of a request in progress.
 
     Attributes:
         request: The request.
-        explanation: Where each step is noted.
-        sink: The caller's side.
-        spent: What it has cost.
-        seed: Draws the answer, so that another engine can go on with it.
-        excluded: Upstreams that have failed it.
+        explanation: Records each step of the decision.
+        sink: The sink of the caller.
+        usage: Resources used so far.
+        seed: Sampling seed, the same for all attempts, so that another
+            engine can continue the answer.
+        excluded: Upstreams on which the request has failed.
     """
 
     request: ModelRequest
     explanation: Explanation
-    sink: CountedSink
-    spent: Spent
+    sink: MeteredSink
+    usage: Spent
     seed: int
     excluded: frozenset[UpstreamId] = field(default_factory=frozenset)
 
@@ -144,13 +147,13 @@
         self.explanation.note(part, text)
 
 
-def why(received: Received) -> Refusal:
-    """Return why an attempt failed."""
-    # A refusal is false, so ``or`` would pass over it.
+def failure_of(received: Received) -> Refusal:
+    """Return the refusal of a failed attempt."""
+    # A refusal is falsy, so ``or`` would skip it.
     if received.refusal is not None:
         return received.refusal
     return Refusal(
         ResultCode.ANSWER_CUT,
-        'The answer ended without its terminal mark.',
+        'The answer stream ended without an end marker.',
         Ran.UNKNOWN,
     )
--- a/src/nutmegroad/routing/service_traffic.py
+++ b/src/nutmegroad/routing/service_traffic.py
@@ -1,4 +1,4 @@
-"""Counts calls to plain services, and bounds their retries."""
+"""Counts calls to plain services and bounds their retries."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -25,31 +25,31 @@
 
 
 class ServiceRetries(RetryBudget, Observer, Protocol):
-    """A retry budget that learns of each attempt, as it is told of it."""
+    """A retry budget that is notified of each attempt."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Begun:
-    """An attempt that runs.
+class _RunningAttempt:
+    """An attempt in progress.
 
     Attributes:
-        start: What the budget was told of it.
-        at: Clock seconds of its beginning.
+        start: The event that the budget has received.
+        at: Clock seconds at which it started.
     """
 
     start: AttemptStart
-    at: float
+    started_at: float
 
 
 class ServiceTraffic:
-    """What is counted and allowed of all calls to plain services.
+    """Metrics and retry budget for all calls to plain services.
 
-    The budget is not that of model requests: neither kind of traffic can
-    use up the other's retries.
+    The budget is separate from that of model requests, so that neither kind
+    of traffic can use up the retries of the other.
 
     Args:
         retries: Bounds retries.
-        metrics: Where outcomes are counted.
+        metrics: Counts the outcomes.
         clock: The host's clock.
     """
 
@@ -62,7 +62,7 @@
         self._retries = retries
         self._metrics = metrics
         self._clock = clock
-        self._begun: dict[AttemptId, _Begun] = {}
+        self._running: dict[AttemptId, _RunningAttempt] = {}
 
     def started(
         self,
@@ -71,7 +71,7 @@
         attempt: AttemptId,
         upstream: UpstreamId,
     ) -> None:
-        """Note that an attempt begins."""
+        """Record the start of an attempt."""
         start = AttemptStart(
             attempt,
             call.request,
@@ -80,19 +80,19 @@
             _NO_VERSION,
             upstream,
         )
-        self._begun[attempt] = _Begun(start, self._clock.now())
+        self._running[attempt] = _RunningAttempt(start, self._clock.now())
         self._retries.started(start)
 
     def ended(self, attempt: AttemptId, code: ResultCode) -> None:
-        """Note how an attempt ended, and count it."""
-        begun = self._begun.pop(attempt)
-        seconds = self._clock.now() - begun.at
-        end = AttemptEnd(begun.start, code, None, seconds, 0, 0, 0, '')
+        """Record and count how an attempt ended."""
+        running = self._running.pop(attempt)
+        seconds = self._clock.now() - running.started_at
+        end = AttemptEnd(running.start, code, None, seconds, 0, 0, 0, '')
         self._retries.ended(end)
-        self._metrics.service_attempt_ended(begun.start.task, code)
+        self._metrics.service_attempt_ended(running.start.task, code)
 
     def may_retry(self, call: Spender, code: ResultCode) -> bool:
-        """Take a retry out of the budget, if there is one, and count it."""
+        """Take a retry from the budget, and count it if there was one."""
         if not self._retries.spend(call):
             return False
         self._metrics.retried(code)
@@ -104,5 +104,5 @@
         service: ServiceName,
         code: ResultCode,
     ) -> None:
-        """Count a call that has its reply or its refusal."""
+        """Count a call that has received its reply or refusal."""
         self._metrics.request_ended(call.workspace, TaskName(service), code)
--- a/src/nutmegroad/routing/services.py
+++ b/src/nutmegroad/routing/services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services, of which some may not be repeated."""
+"""Makes calls to plain services, retrying those that may be repeated."""
 
 import random
 from dataclasses import dataclass, replace
@@ -31,10 +31,10 @@
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.gates import Gatekeeper, Passage
 from nutmegroad.routing.service_traffic import ServiceTraffic
-from nutmegroad.routing.steps import OWN_REFUSALS
+from nutmegroad.routing.steps import HOST_REFUSALS
 
-#: Attempts that one repeatable call may make in all.
-MOST_ATTEMPTS: Final = 3
+#: Maximum attempts for one repeatable call.
+MAX_ATTEMPTS: Final = 3
 
 _NO_VERSION: Final = VersionId('')
 
@@ -45,7 +45,7 @@
 
     Attributes:
         request: Its id.
-        workspace: Who asks.
+        workspace: The workspace of the caller.
         service: The service.
         method: HTTP method.
         path: Path below the service.
@@ -53,7 +53,7 @@
         content_type: Media type of the body.
         key: The caller's idempotency key; empty for none.
         deadline: Clock seconds at which the caller gives up.
-        fence: What each attempt must pass.
+        fence: Checked before each attempt is sent.
     """
 
     request: RequestId
@@ -69,7 +69,7 @@
 
 
 def is_repeatable(entry: ServiceEntry, method: str, path: str) -> bool:
-    """Tell whether a call may run twice; what no rule names may not."""
+    """Return whether a call may be executed twice; by default it may not."""
     for rule in entry.calls:
         if rule.method == method and fnmatchcase(path, rule.path):
             return rule.repeatable
@@ -80,13 +80,13 @@
     """Makes calls to plain services.
 
     Args:
-        clients: How services are reached.
-        directory: The upstreams.
-        gatekeeper: Makes the last check of each attempt.
-        configuration: Knows which calls may be repeated.
+        clients: Client for services.
+        directory: The upstreams known to this host.
+        gatekeeper: Makes the final check before each attempt.
+        configuration: Defines which calls may be repeated.
         traffic: Counts calls and bounds their retries.
         clock: The host's clock.
-        randomness: Names attempts and breaks ties.
+        randomness: Breaks ties between upstreams.
     """
 
     def __init__(
@@ -109,13 +109,13 @@
         self._healths = Healths(randomness)
 
     def entry(self, service: ServiceName) -> ServiceEntry | Refusal:
-        """Return a service's entry in the configuration."""
+        """Return the service's entry in the configuration."""
         accepted = self._configuration.accepted
         entry = accepted.document.service(service) if accepted else None
         if entry is None:
             return Refusal(
                 ResultCode.SERVICE_UNKNOWN,
-                f'There is no service {service!r}.',
+                f'The configuration has no service {service!r}.',
             )
         return entry
 
@@ -125,7 +125,7 @@
         entry: ServiceEntry,
         explanation: Explanation,
     ) -> ServiceReply | Refusal:
-        """Make a call, again only where that can do no harm."""
+        """Make a call, and retry it only if that is safe."""
         code = ResultCode.ANSWER_CUT
         try:
             outcome = await self._attempts(request, entry, explanation)
@@ -140,60 +140,65 @@
         entry: ServiceEntry,
         explanation: Explanation,
     ) -> ServiceReply | Refusal:
-        """Make attempts until one is answered or none may follow."""
+        """Make attempts until one succeeds or no further one is allowed."""
         repeatable = is_repeatable(entry, request.method, request.path)
         tried: frozenset[UpstreamId] = frozenset()
         ran = Ran.NOT_RUN
         refusal = _no_upstream(request.service)
-        for number in range(MOST_ATTEMPTS):
-            state = self._next(request, tried, refusal.code, explanation)
+        for number in range(MAX_ATTEMPTS):
+            state = self._next_upstream(
+                request, tried, refusal.code, explanation
+            )
             if state is None:
                 break
             tried |= {state.info.upstream}
             reply = await self._attempt(request, entry, state, number)
-            explanation.note('service', _describe(state, reply))
+            explanation.note('service', _describe_reply(state, reply))
             if isinstance(reply, ServiceReply):
                 return reply
             refusal = reply
             if reply.ran is not Ran.NOT_RUN:
                 ran = Ran.UNKNOWN
-            harmless = repeatable or ran is Ran.NOT_RUN
-            if not _may_go_on(reply, harmless):
+            is_safe = repeatable or ran is Ran.NOT_RUN
+            if not _may_continue(reply, is_safe):
                 break
         return replace(refusal, ran=ran)
 
-    def _next(
+    def _next_upstream(
         self,
         request: ServiceRequest,
         tried: frozenset[UpstreamId],
         code: ResultCode,
         explanation: Explanation,
     ) -> UpstreamState | None:
-        """Return where the next attempt goes; a retry must be allowed."""
-        state = self._choose(request.service, tried)
+        """Return the upstream of the next attempt if the budget allows it."""
+        state = self._choose_upstream(request.service, tried)
         if state is None or not tried:
             return state
         if self._traffic.may_retry(request, code):
             return state
-        explanation.note('retries', 'The retry budget is spent.')
+        explanation.note('retries', 'The retry budget is exhausted.')
         return None
 
-    def _choose(
+    def _choose_upstream(
         self,
         service: ServiceName,
         tried: frozenset[UpstreamId],
     ) -> UpstreamState | None:
-        """Return the upstream with the least in flight, if any is left.
+        """Return the untried upstream with the fewest requests in flight.
 
-        One that keeps failing is left out for a while, unless all are.
+        An upstream that keeps failing is skipped for a while, unless all
+        that are left keep failing.
         """
-        left = [
+        remaining = [
             state
             for state in self._directory.services(service)
             if state.info.upstream not in tried
         ]
         now = self._clock.now()
-        states = [one for one in left if self._healths.admits(one, now)] or left
+        states = [
+            one for one in remaining if self._healths.admits(one, now)
+        ] or remaining
         if not states:
             return None
         self._randomness.shuffle(states)
@@ -208,7 +213,7 @@
     ) -> ServiceReply | Refusal:
         """Make one attempt."""
         attempt_fence = request.fence.attempt()
-        passage = Passage(
+        context = Passage(
             request.workspace,
             TaskName(''),
             _NO_VERSION,
@@ -218,7 +223,7 @@
             request.deadline,
             attempt_fence,
         )
-        left = request.deadline - self._clock.now()
+        remaining = request.deadline - self._clock.now()
         call = ServiceCall(
             attempt=AttemptId(f'{request.request}.{number}'),
             upstream=state.info,
@@ -226,8 +231,8 @@
             path=request.path,
             body=request.body,
             content_type=request.content_type,
-            gate=self._gatekeeper.gate(passage),
-            timeout=max(0, min(left, entry.timeout)),
+            gate=self._gatekeeper.gate(context),
+            timeout=max(0, min(remaining, entry.timeout)),
             key=request.key,
         )
         health = self._healths.health(state)
@@ -255,26 +260,26 @@
 
 
 def _code_of(reply: ServiceReply | Refusal) -> ResultCode:
-    """Return how an attempt ended."""
+    """Return the result code of a reply."""
     return reply.code if isinstance(reply, Refusal) else ResultCode.OK
 
 
-def _may_go_on(reply: Refusal, harmless: bool) -> bool:
-    """Tell whether another upstream may be tried after a failure."""
-    return harmless and reply.code not in OWN_REFUSALS
+def _may_continue(reply: Refusal, is_safe: bool) -> bool:
+    """Return whether another upstream may be tried after a refusal."""
+    return is_safe and reply.code not in HOST_REFUSALS
 
 
-def _describe(state: UpstreamState, reply: ServiceReply | Refusal) -> str:
-    """Say how an attempt ended."""
+def _describe_reply(state: UpstreamState, reply: ServiceReply | Refusal) -> str:
+    """Return a description of how an attempt ended."""
     if isinstance(reply, Refusal):
         return f'{state.info.upstream}: {reply.code.name}.'
     return f'{state.info.upstream}: status {reply.status}.'
 
 
 def _no_upstream(service: ServiceName) -> Refusal:
-    """Say that there is nowhere to send a call."""
+    """Return the refusal for a call without an upstream to try."""
     return Refusal(
         ResultCode.NO_UPSTREAM,
-        f'No upstream of the service {service!r} is left to try.',
+        f'No untried upstream of the service {service!r} is available.',
         retry_after=2,
     )
--- a/src/nutmegroad/routing/watch.py
+++ b/src/nutmegroad/routing/watch.py
@@ -1,8 +1,8 @@
-"""Watches upstreams: the host list, and what each engine says itself.
+"""Monitors upstreams: reads the host list and polls engines for reports.
 
-Each engine is asked by a task of its own, so that one which is frozen holds
-up nobody else. How many are asked at the same moment is bounded. Which ones
-this host asks is said by a plan, since the hosts share that work.
+Each engine is polled by a task of its own, so that a frozen engine delays no
+other. The number of concurrent polls is bounded. The hosts share the work;
+a plan decides which engines this host polls.
 """
 
 import asyncio
@@ -27,60 +27,60 @@
 
 _LOG: Final = part_logger('watch')
 
-#: PendingReplies are spread over this share of their period.
+#: Fraction by which the interval of polls varies at random.
 JITTER: Final = 0.2
 
-#: Engines that are asked at the same moment, at most.
-MOST_QUESTIONS: Final = 64
+#: Maximum number of concurrent polls.
+MAX_CONCURRENT_POLLS: Final = 64
 
 
 class WatchPlan(Protocol):
-    """Says what this host asks itself, and hands on what it hears.
+    """Decides what this host polls, and sends the results to other hosts.
 
     Attributes:
-        account: Where processor time is written, if anywhere.
+        account: Account for processor time; None for none.
     """
 
     account: Account | None
 
     @property
     def list_period(self) -> float:
-        """Return the seconds until the list has to be read again."""
+        """Return the seconds between two reads of the host list."""
 
     def refresh(self) -> None:
-        """Work out anew, once a period, whom to ask."""
+        """Update the plan; called once a period."""
 
-    def wants(self, state: UpstreamState) -> bool:
-        """Tell whether this host has to ask an engine itself."""
+    def should_poll(self, state: UpstreamState) -> bool:
+        """Return whether this host has to poll an engine itself."""
 
-    def pause(self, state: UpstreamState) -> float:
-        """Return the seconds until the next question to an engine."""
+    def poll_interval(self, state: UpstreamState) -> float:
+        """Return the seconds until the next poll of an engine."""
 
-    def answered(
+    def record_answer(
         self,
         state: UpstreamState,
         answer: EngineReport | Refusal,
     ) -> None:
-        """Note what an engine has said."""
+        """Record an engine's report or refusal."""
 
-    def tell(self) -> None:
-        """Tell others, once a period, what is news."""
+    def broadcast_reports(self) -> None:
+        """Send what has changed to other hosts; called once a period."""
 
     def merge_list(
         self,
         upstreams: tuple[UpstreamInfo, ...],
     ) -> tuple[UpstreamInfo, ...]:
-        """Return the list as it holds."""
+        """Return the list, merged with entries from other hosts."""
 
-    def tell_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
-        """Tell others which entries of the list are new."""
+    def broadcast_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
+        """Send new or changed entries of the list to other hosts."""
 
 
-class AskAll:
-    """The plan of a host that shares with nobody.
+class PollAll:
+    """The plan of a host that shares its work with no other host.
 
     Args:
-        period: Seconds between two questions to the same engine.
+        period: Seconds between two polls of an engine.
     """
 
     def __init__(self, period: float) -> None:
@@ -93,48 +93,49 @@
         return self._period
 
     def refresh(self) -> None:
-        """Work out nothing."""
+        """Do nothing: the plan never changes."""
 
-    def wants(self, state: UpstreamState) -> bool:
-        """Want every engine."""
+    def should_poll(self, state: UpstreamState) -> bool:
+        """Return true, since this host polls every engine."""
         return True
 
-    def pause(self, state: UpstreamState) -> float:
+    def poll_interval(self, state: UpstreamState) -> float:
         """Return the period."""
         return self._period
 
-    def answered(
+    def record_answer(
         self,
         state: UpstreamState,
         answer: EngineReport | Refusal,
     ) -> None:
-        """Note nothing."""
+        """Do nothing: nothing is sent to other hosts."""
 
-    def tell(self) -> None:
-        """Tell nobody."""
+    def broadcast_reports(self) -> None:
+        """Do nothing: there is no other host."""
 
     def merge_list(
         self,
         upstreams: tuple[UpstreamInfo, ...],
     ) -> tuple[UpstreamInfo, ...]:
-        """Return the list as it was read."""
+        """Return the list unchanged."""
         return upstreams
 
-    def tell_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
-        """Tell nobody."""
+    def broadcast_listed(self, changed: tuple[UpstreamInfo, ...]) -> None:
+        """Do nothing: there is no other host."""
 
 
 class UpstreamWatcher:
-    """Keeps the directory in step while it is open.
+    """Keeps the directory up to date while it is open.
 
     Args:
-        host_list: The platform's list.
-        engines: How engines are asked.
-        directory: What this host knows of upstreams.
+        host_list: The platform's host list.
+        engines: Client for engines.
+        directory: The upstreams known to this host.
         clock: The host's clock.
-        randomness: Spreads the questions.
-        period: Seconds between two looks at the plan.
-        plan: Whom this host asks; None for every engine each period.
+        randomness: Source of jitter.
+        period: Seconds between two updates of the plan.
+        plan: Decides which engines to poll; None to poll each engine every
+            period.
     """
 
     def __init__(
@@ -153,15 +154,15 @@
         self._clock = clock
         self._randomness = randomness
         self._period = period
-        self._plan = AskAll(period) if plan is None else plan
-        self._room = asyncio.Semaphore(MOST_QUESTIONS)
+        self._plan = PollAll(period) if plan is None else plan
+        self._poll_limit = asyncio.Semaphore(MAX_CONCURRENT_POLLS)
         self._tasks: dict[UpstreamId, asyncio.Task[None]] = {}
         self._own_tasks: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> Self:
-        """Begin to watch."""
+        """Start the tasks that monitor upstreams."""
         self._own_tasks.append(self._start(self._read_list()))
-        self._own_tasks.append(self._start(self._keep_step()))
+        self._own_tasks.append(self._start(self._follow_plan()))
         return self
 
     async def __aexit__(
@@ -176,97 +177,102 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def look(self) -> None:
-        """Read the list once and ask every engine once, all together."""
-        await self._take_list()
+    async def poll_once(self) -> None:
+        """Read the host list once, then poll all engines once at a time."""
+        await self._update_from_list()
         engines = filter(is_engine, self._directory.states())
-        asks = [self._ask(state.info.upstream) for state in engines]
-        await asyncio.gather(*asks)
+        polls = [self._poll(state.info.upstream) for state in engines]
+        await asyncio.gather(*polls)
 
     async def _read_list(self) -> None:
-        """Read the list again and again; watch whatever it names."""
+        """Read the host list regularly, and poll the engines it names."""
         while True:
-            await self._take_list()
-            self._start_missing()
-            await self._clock.sleep(self._spread(self._plan.list_period))
+            await self._update_from_list()
+            self._update_tasks()
+            await self._clock.sleep(self._jittered(self._plan.list_period))
 
-    async def _keep_step(self) -> None:
-        """Follow the plan again and again."""
+    async def _follow_plan(self) -> None:
+        """Apply the plan regularly."""
         while True:
-            await self._clock.sleep(self._spread(self._period))
-            self._start_missing()
-            self._plan.tell()
+            await self._clock.sleep(self._jittered(self._period))
+            self._update_tasks()
+            self._plan.broadcast_reports()
 
-    async def _take_list(self) -> None:
-        """Read the list once."""
+    async def _update_from_list(self) -> None:
+        """Read the host list once and update the directory."""
         listing = await self._host_list.listing()
         if isinstance(listing, Refusal):
-            _LOG.info('host list not read: %s', listing.reason)
+            _LOG.info('cannot read the host list: %s', listing.reason)
             return
         upstreams = self._plan.merge_list(listing.upstreams)
         was_empty = not self._directory.states()
-        changed = tuple(filter(self._is_news, upstreams))
+        changed = tuple(filter(self._is_changed, upstreams))
         self._directory.update(upstreams)
         if changed and not was_empty:
-            self._plan.tell_listed(changed)
+            self._plan.broadcast_listed(changed)
 
-    def _is_news(self, info: UpstreamInfo) -> bool:
-        """Tell whether an entry of the list differs from what is known."""
+    def _is_changed(self, info: UpstreamInfo) -> bool:
+        """Return whether an entry of the list differs from the directory."""
         state = self._directory.state(info.upstream)
         return state is None or state.info != info
 
-    def _start_missing(self) -> None:
-        """Have a task for each engine that this host has to ask."""
+    def _update_tasks(self) -> None:
+        """Start and stop tasks, so that each engine of the plan has one."""
         self._plan.refresh()
         states = filter(is_engine, self._directory.states())
         wanted = {
-            state.info.upstream for state in states if self._plan.wants(state)
+            state.info.upstream
+            for state in states
+            if self._plan.should_poll(state)
         }
-        for gone in self._tasks.keys() - wanted:
-            self._tasks.pop(gone).cancel()
-        # In order, so that what is drawn for each does not hang on hashes.
-        for fresh in sorted(wanted - self._tasks.keys()):
-            self._tasks[fresh] = self._start(self._follow(fresh))
-
-    async def _follow(self, upstream: UpstreamId) -> None:
-        """Ask one engine again and again."""
+        for removed in self._tasks.keys() - wanted:
+            self._tasks.pop(removed).cancel()
+        # Sorted, so that the random delay of an engine does not depend on
+        # hash order.
+        for added in sorted(wanted - self._tasks.keys()):
+            self._tasks[added] = self._start(self._poll_regularly(added))
+
+    async def _poll_regularly(self, upstream: UpstreamId) -> None:
+        """Poll one engine regularly."""
         await self._clock.sleep(self._randomness.random() * self._period)
         while True:
-            await self._ask(upstream)
+            await self._poll(upstream)
             state = self._directory.state(upstream)
             if state is None:
                 return
-            await self._clock.sleep(self._spread(self._plan.pause(state)))
+            await self._clock.sleep(
+                self._jittered(self._plan.poll_interval(state))
+            )
 
-    async def _ask(self, upstream: UpstreamId) -> None:
-        """Ask one engine for its report."""
+    async def _poll(self, upstream: UpstreamId) -> None:
+        """Request one engine's report and apply it."""
         state = self._directory.state(upstream)
         if state is None:
             return
-        async with self._room:
-            asked = self._clock.now()
+        async with self._poll_limit:
+            requested_at = self._clock.now()
             report = await self._engines.report(state.info)
         if isinstance(report, Refusal):
             state.failures += 1
             if report.code is ResultCode.UPSTREAM_UNREACHABLE:
                 self._directory.refused(upstream)
-            self._plan.answered(state, report)
+            self._plan.record_answer(state, report)
             return
         state.failures = 0
         if self._directory.state(upstream) is state:
-            self._directory.reported(upstream, report, asked)
-            self._plan.answered(state, report)
+            self._directory.reported(upstream, report, requested_at)
+            self._plan.record_answer(state, report)
 
     def _start(
         self,
         work: Coroutine[Any, Any, None],
     ) -> asyncio.Task[None]:
-        """Run a task, and charge it to the watch."""
+        """Start a task whose processor time is charged to this module."""
         account = self._plan.account
         if account is None:
             return asyncio.create_task(work)
         return asyncio.create_task(Metered(account, WATCH_PART, work))
 
-    def _spread(self, seconds: float) -> float:
-        """Return about as many seconds, spread at random."""
+    def _jittered(self, seconds: float) -> float:
+        """Return a duration with random jitter, in seconds."""
         return seconds * self._randomness.uniform(1 - JITTER, 1 + JITTER)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -6,7 +6,12 @@
 
 from nutmegroad.foundations.results import ResultCode
 from nutmegroad.foundations.types import UpstreamId, WorkspaceId
-from nutmegroad.routing.retries import FLOOR, MOST_SAVED, SHARE, SharedRetries
+from nutmegroad.routing.retries import (
+    MAX_SAVED_RETRIES,
+    MIN_RETRY_RATE,
+    RETRY_FRACTION,
+    SharedRetries,
+)
 from nutmegroad.testing.virtual import ManualClock
 from tests.loads import ask, end_of, start_of
 
@@ -21,30 +26,30 @@
     def test_retries_of_an_outage_are_a_share_of_the_traffic(self) -> None:
         requests = 1000
         retried = sum(self._fail(number) for number in range(requests))
-        allowed = MOST_SAVED + SHARE * requests
+        allowed = MAX_SAVED_RETRIES + RETRY_FRACTION * requests
         self.assertLessEqual(retried, allowed)
         self.assertGreaterEqual(retried, allowed - 1)
 
     def test_a_quiet_host_may_retry_now_and_then(self) -> None:
-        self._drain()
+        self._exhaust()
         self.assertFalse(self._fail(0))
 
     async def test_the_floor_comes_back_with_time(self) -> None:
-        self._drain()
-        await self.clock.advance(1 / FLOOR)
+        self._exhaust()
+        await self.clock.advance(1 / MIN_RETRY_RATE)
         self.assertTrue(self._fail(0))
 
     def test_what_is_saved_up_is_bounded(self) -> None:
         for number in range(1000):
             self.budget.started(start_of(ask(number), 'e'))
         retried = sum(self.budget.spend(ask()) for _ in range(100))
-        self.assertEqual(retried, int(MOST_SAVED))
+        self.assertEqual(retried, int(MAX_SAVED_RETRIES))
 
     def test_a_failing_workspace_leaves_others_their_retries(self) -> None:
-        self._drain()
+        self._exhaust()
         for number in range(100):
             self._traffic(number, workspace=_OTHER)
-        # The large workspace may not use what the small one saved up.
+        # The large workspace may not use what the small one has saved up.
         self.assertFalse(self.budget.spend(ask()))
         self.assertTrue(self.budget.spend(ask(workspace=_OTHER)))
 
@@ -52,9 +57,9 @@
         counts = []
         for code in (ResultCode.UPSTREAM_BUSY, ResultCode.UPSTREAM_ERROR):
             self.budget = SharedRetries(self.clock)
-            tries = (self._fail(n, code, traffic=False) for n in range(99))
-            counts.append(sum(tries))
-        self.assertEqual(counts, [4 * MOST_SAVED, MOST_SAVED])
+            retried = (self._fail(n, code, traffic=False) for n in range(99))
+            counts.append(sum(retried))
+        self.assertEqual(counts, [4 * MAX_SAVED_RETRIES, MAX_SAVED_RETRIES])
 
     def _fail(
         self,
@@ -69,13 +74,13 @@
         self.budget.ended(end_of(start, code))
         if not self.budget.spend(ask(number)):
             return False
-        # The retry itself saves nothing up.
+        # The retry itself adds nothing to the budget.
         self.budget.started(replace(start, upstream=UpstreamId('other')))
         return True
 
     def _traffic(self, number: int, workspace: WorkspaceId) -> None:
         self.budget.started(start_of(ask(number, workspace=workspace), 'e'))
 
-    def _drain(self) -> None:
-        # Bounded, so that a budget without end fails a test.
+    def _exhaust(self) -> None:
+        # Bounded, so that an unlimited budget fails the test.
         sum(self.budget.spend(ask()) for _ in range(100))
