--- a/src/nutmegroad/upstreams/__init__.py
+++ b/src/nutmegroad/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""What a host believes of each upstream, and which one it chooses."""
+"""The state a host keeps about each upstream, and upstream selection."""
--- a/src/nutmegroad/upstreams/directory.py
+++ b/src/nutmegroad/upstreams/directory.py
@@ -1,8 +1,9 @@
-"""The upstreams that a host knows, and what it is doing at each.
+"""Directory of the upstreams known to this host, by id and by service.
 
-The list of the platform says which there are; it lags, and after the
-platform was away entries are missing that are about to return. What this
-host has sent where, and how that went, it knows itself.
+The entries come from the platform's upstream list. The list lags behind
+reality, and after an outage of the platform's store it may lack entries that
+are about to return. What this host has sent to an upstream, and how those
+requests went, is tracked locally and does not depend on the list.
 """
 
 from collections.abc import Callable, Iterable
@@ -21,30 +22,31 @@
 )
 from nutmegroad.upstreams.health import Health
 
-#: The version of an upstream's software, as the list writes it.
+#: The version of an upstream's software, as written in the list.
 SoftwareVersion = NewType('SoftwareVersion', str)
 
 _LOG: Final = part_logger('upstreams')
 
-#: Upstreams that have gone and are remembered, to know them if they start
-#: again: more than the largest deployment in view has (890).
+#: Maximum number of removed upstreams that are remembered, so that a restart
+#: under the same id is recognized. Larger than the largest planned deployment
+#: (890 upstreams).
 MOST_GONE: Final = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamEntry:
-    """An upstream as the platform's list has it.
+    """An upstream as listed by the platform.
 
     Attributes:
-        upstream: Its id.
-        service: The service that it answers for.
-        address: Where it listens.
-        domain: The failure domain that it stands in.
+        upstream: Id of the upstream.
+        service: The service that the upstream provides.
+        address: Address on which it listens.
+        domain: Failure domain in which it runs.
         version: Version of its software.
-        slots: Requests that it runs at once.
-        leaving: Whether it takes no new work soon.
-        born: Milliseconds since 1970, by its own clock, at which it started;
-            0 if the list does not tell.
+        slots: Number of requests that it executes concurrently.
+        leaving: Whether it is draining and will soon accept no new work.
+        born: Start time of its process in milliseconds since 1970, by its own
+            clock; 0 if the list does not give it.
     """
 
     upstream: UpstreamId
@@ -58,7 +60,7 @@
 
     @property
     def incarnation(self) -> UpstreamIncarnation:
-        """Return the name of this start of it, which no other start has."""
+        """Return an identifier that is unique to this start of the upstream."""
         if not self.born:
             return UpstreamIncarnation(self.upstream)
         return UpstreamIncarnation(f'{self.upstream}@{self.born}')
@@ -66,31 +68,33 @@
 
 @unique
 class End(Enum):
-    """How an incarnation of an upstream ended, as far as the list tells."""
+    """How an incarnation of an upstream ended, according to the list."""
 
-    #: It is not listed any more; what it has begun it may still finish.
+    #: No longer listed. Requests in progress may still complete.
     GONE = 'gone'
-    #: Another start has its id, so nothing of it is left.
+    #: Another incarnation has taken over the id, so nothing of this one
+    #: remains.
     RESTARTED = 'restarted'
 
 
-#: Told of each incarnation that has ended.
+#: Called with each incarnation that has ended, and how it ended.
 TellOfEnd = Callable[[UpstreamIncarnation, End], None]
 
 
 @dataclass(slots=True)
 class Upstream:
-    """One incarnation of an upstream, with what this host knows of it.
+    """One incarnation of an upstream and what this host knows about it.
 
     Attributes:
-        entry: What the list says.
-        health: What own exchanges say.
-        missing_until: Clock seconds until which it may be missing from the
-            list; None if the list has it.
-        restarted: Whether another start has its id: what it still answers
-            tells nothing of the one that is there now.
-        earlier_start: A start before this one that the list has told once
-            since, in milliseconds since 1970; 0 for none.
+        entry: The entry in the platform's list.
+        health: Health as seen from this host's own exchanges.
+        missing_until: Clock seconds until which the upstream may be missing
+            from the list before it is removed; None while it is listed.
+        restarted: Whether another incarnation has taken over the id. Late
+            answers from this incarnation then say nothing about the current
+            one.
+        earlier_start: Start time of an earlier incarnation that the list has
+            reported once since, in milliseconds since 1970; 0 for none.
     """
 
     entry: UpstreamEntry
@@ -101,48 +105,48 @@
 
 
 class EndedIncarnations:
-    """Tells of incarnations that end, and knows those that are gone."""
+    """Notifies listeners of ended incarnations; remembers removed upstreams."""
 
     def __init__(self) -> None:
         self._told: list[TellOfEnd] = []
-        # The oldest first; one of these may come back as another start.
+        # Oldest first. Any of these may return as a new incarnation.
         self._gone: dict[UpstreamId, Upstream] = {}
 
     def tell_of_ends(self, tell: TellOfEnd) -> None:
-        """Let somebody hear of each incarnation that ends."""
+        """Register a callback for each incarnation that ends."""
         self._told.append(tell)
 
     def gone(self, known: Upstream) -> None:
-        """Note that an upstream is not listed any more."""
+        """Record that an upstream is no longer listed."""
         self._gone[known.entry.upstream] = known
         while len(self._gone) > MOST_GONE:
             self._gone.pop(next(iter(self._gone)))
         self._tell(known, End.GONE)
 
     def restarted(self, known: Upstream) -> None:
-        """Note that another start has an upstream's id."""
+        """Record that another incarnation has taken over an upstream's id."""
         known.restarted = True
         self._tell(known, End.RESTARTED)
 
     def has_gone(self, entry: UpstreamEntry) -> bool:
-        """Tell whether an entry is of a start that is not listed any more."""
+        """Return whether an entry belongs to an incarnation already removed."""
         known = self._gone.get(entry.upstream)
         return known is not None and known.entry.born == entry.born
 
     def listed(self, entry: UpstreamEntry) -> None:
-        """Note an upstream that is new to the list, or back."""
+        """Record an upstream that is new to the list or listed again."""
         before = self._gone.pop(entry.upstream, None)
         if before is not None and before.entry.born != entry.born:
             self.restarted(before)
 
     def _tell(self, known: Upstream, end: End) -> None:
-        """Tell whoever wants to know."""
+        """Notify all listeners."""
         for tell in self._told:
             tell(known.entry.incarnation, end)
 
 
 class Directory:
-    """All upstreams that requests may be sent to.
+    """All upstreams to which requests may be sent.
 
     Args:
         clock: The host's clock.
@@ -153,16 +157,16 @@
         self._clock = clock
         self._known: dict[UpstreamId, Upstream] = {}
         self._at: dict[Address, UpstreamId] = {}
-        # Grouped anew when it is asked for after a change: the first list
-        # brings all entries at once.
+        # Rebuilt on the first access after a change, because the first read of
+        # the list adds all entries at once.
         self._services: dict[ServiceName, tuple[Upstream, ...]] | None = None
 
     def __len__(self) -> int:
-        """Return how many upstreams are known."""
+        """Return the number of known upstreams."""
         return len(self._known)
 
     def of_service(self, service: ServiceName) -> tuple[Upstream, ...]:
-        """Return the upstreams of a service that do not leave."""
+        """Return the upstreams of a service that are not draining."""
         services = self._services
         if services is None:
             services = self._group()
@@ -170,17 +174,17 @@
         return services.get(service, ())
 
     def find(self, upstream: UpstreamId) -> Upstream | None:
-        """Return one upstream, or None if it is not known."""
+        """Return an upstream by id, or None if it is unknown."""
         return self._known.get(upstream)
 
     def put(self, entry: UpstreamEntry) -> None:
-        """Take an entry in, or its change."""
+        """Add an entry, or apply a change to a known one."""
         known = self._known.get(entry.upstream)
         if known is None:
             self._take_in(entry)
         elif entry.born and entry.born != known.entry.born:
             if not _is_later_start(known, entry):
-                self._say('kept out: an earlier start', entry)
+                self._say('rejected: earlier incarnation', entry)
                 return
             self._leave_address(known)
             self._restart(known, entry)
@@ -191,72 +195,78 @@
         self._services = None
 
     def remove(self, upstream: UpstreamId, reason: str) -> None:
-        """Forget an upstream that the list does not have any more."""
+        """Remove an upstream that is no longer listed.
+
+        Args:
+            upstream: Id of the upstream.
+            reason: Reason for the log.
+        """
         known = self._known.pop(upstream, None)
         if known is not None:
-            self._say(f'dropped: {reason}', known.entry)
+            self._say(f'removed: {reason}', known.entry)
             self._leave_address(known)
             self._services = None
             self.ended.gone(known)
 
     def missing(self, upstream: UpstreamId, patience: float) -> None:
-        """Note that an entry is missing which may be about to return.
+        """Record that a known upstream is missing from the list for now.
 
         Args:
-            upstream: Whose entry.
-            patience: Seconds that it has for that.
+            upstream: Id of the upstream.
+            patience: Seconds after which it is removed unless it is listed
+                again.
         """
         known = self._known.get(upstream)
         if known is not None and known.missing_until is None:
             known.missing_until = self._clock.now() + patience
 
     def remove_missing(self) -> None:
-        """Forget entries that have been missing for too long."""
+        """Remove upstreams whose grace period has expired."""
         now = self._clock.now()
         for upstream, known in tuple(self._known.items()):
             until = known.missing_until
             if until is not None and now >= until:
-                self.remove(upstream, 'missing since the store came back')
+                self.remove(upstream, 'missing since the store was restored')
 
     def others(self, listed: Iterable[UpstreamId]) -> tuple[UpstreamId, ...]:
-        """Return the known upstreams that are not among those listed."""
+        """Return the ids of known upstreams that are not in ``listed``."""
         present = frozenset(listed)
         return tuple(each for each in self._known if each not in present)
 
     def _take_in(self, entry: UpstreamEntry) -> None:
-        """Take in an upstream that the list did not have."""
+        """Add an upstream that is new to the list."""
         self._replace_at(entry)
         self._known[entry.upstream] = Upstream(entry)
-        self._say('taken in', entry)
+        self._say('added', entry)
         self.ended.listed(entry)
 
     def _leave_address(self, known: Upstream) -> None:
-        """Forget where an upstream stood."""
+        """Clear the address index entry of an upstream."""
         if self._at.get(known.entry.address) == known.entry.upstream:
             self._at.pop(known.entry.address)
 
     def _change(self, known: Upstream, entry: UpstreamEntry) -> None:
-        """Take in what the same start of an upstream tells anew."""
+        """Apply changed attributes of the same incarnation."""
         if entry.leaving and not known.entry.leaving:
-            self._say('leaving', entry)
+            self._say('draining', entry)
         known.entry = replace(entry, born=known.entry.born)
         known.missing_until = None
         known.earlier_start = 0
 
     def _restart(self, known: Upstream, entry: UpstreamEntry) -> None:
-        """Put a new start in the place of the one before."""
+        """Replace an upstream by its new incarnation."""
         self._known[entry.upstream] = Upstream(entry)
-        self._say('started again', entry)
+        self._say('restarted', entry)
         self.ended.restarted(known)
 
     def _replace_at(self, entry: UpstreamEntry) -> None:
-        """Forget whoever stood at the address of a new upstream before."""
+        """Remove the upstream that used a new upstream's address before."""
         before = self._at.get(entry.address)
         if before is not None:
             self.remove(before, f'replaced by {entry.upstream}')
 
     def _group(self) -> dict[ServiceName, tuple[Upstream, ...]]:
-        """Return the upstreams that take new work, by service."""
+        """Return the upstreams that accept new work, by service."""
         grouped: dict[ServiceName, list[Upstream]] = {}
         for known in self._known.values():
             if not known.entry.leaving:
@@ -264,7 +274,7 @@
         return {service: tuple(members) for service, members in grouped.items()}
 
     def _say(self, what: str, entry: UpstreamEntry) -> None:
-        """Log a change of what the host believes."""
+        """Log a change to the directory."""
         _LOG.decision(
             what,
             upstream=entry.upstream,
@@ -277,11 +287,11 @@
 
 
 def _is_later_start(known: Upstream, entry: UpstreamEntry) -> bool:
-    """Tell whether an entry is of a start after the one that is known.
+    """Return whether an entry belongs to a later incarnation than ``known``.
 
-    An earlier time is a write of the start before that took effect late;
-    told twice, it is a clock that was set back: what is dead tells
-    nothing twice.
+    An earlier start time usually is a delayed write by a previous incarnation.
+    If the same earlier time is reported twice, the upstream's clock was set
+    back: a terminated process does not report twice.
     """
     if entry.born > known.entry.born:
         return True
@@ -292,7 +302,7 @@
 
 
 def has_left(directory: Directory, entry: UpstreamEntry) -> bool:
-    """Tell whether an upstream has left, or leaves, unlike its entry."""
+    """Return whether an upstream has left or is draining, unlike ``entry``."""
     known = directory.find(entry.upstream)
     if known is None:
         return directory.ended.has_gone(entry)
--- a/src/nutmegroad/upstreams/estimates.py
+++ b/src/nutmegroad/upstreams/estimates.py
@@ -1,8 +1,9 @@
-"""How long an upstream's answer will take to begin.
+"""Estimates of the time until an upstream's answer starts.
 
-An engine reads the prompts that wait one after another, so an answer begins
-when those before it and its own have been read. How fast a model is read is
-learnt from answers: each tells how far its own estimate was off.
+An engine processes the prompts in its queue one after another, so an answer
+starts when all prompts before it and its own have been processed. The time per
+prompt token is learned for each service and model: each answer shows by which
+factor its estimate was wrong.
 """
 
 from dataclasses import dataclass
@@ -10,33 +11,34 @@
 
 from nutmegroad.foundations.types import ModelName, ServiceName
 
-#: Seconds for a token before the first answer: 20,000 tokens a second, a
-#: slow engine of today. Only the first few requests go by it.
+#: Initial estimate in seconds per prompt token, before the first answer: 20,000
+#: tokens per second, a slow present-day engine. Only the first few requests
+#: rely on it.
 FIRST_PACE: Final = 0.00005
 
-#: Seconds that an answer takes besides its prompt.
+#: Initial estimate in seconds for the part that does not depend on the prompt.
 FIRST_BASE: Final = 0.05
 
-#: Weight of the newest answer: about the last twenty decide, so that one
-#: that waited behind requests of which this host did not know weighs little.
-#: The first few answers weigh as in a plain mean.
+#: Weight of the newest answer. About the last twenty answers decide, so a
+#: single answer that waited behind requests unknown to this host has little
+#: effect. The first few answers are weighted as in an arithmetic mean.
 RECENT: Final = 0.05
 
-#: Times by which one answer may change an estimate at most.
+#: Maximum factor by which a single answer may correct an estimate.
 MOST_CHANGE: Final = 10.0
 
-#: Prompt tokens from which an answer tells more of the pace than of the
-#: time besides.
+#: Prompt tokens from which an answer says more about the time per token than
+#: about the constant part.
 LONG_PROMPT: Final = 500
 
 
 @dataclass(frozen=True, slots=True)
 class PaceKey:
-    """What is read at one pace.
+    """Requests that share one latency estimate.
 
     Attributes:
         service: The service.
-        model: The model; None for calls that are no generations.
+        model: The model; None for calls that generate no text.
     """
 
     service: ServiceName
@@ -45,31 +47,32 @@
 
 @dataclass(slots=True)
 class _Mean:
-    """A moving mean that follows ratios.
+    """A moving average that is corrected by ratios.
 
     Attributes:
-        level: Its present value.
-        count: Answers that it rests on.
+        level: Its current value.
+        count: Number of answers that it is based on.
     """
 
     level: float
     count: int = 0
 
     def correct(self, ratio: float) -> None:
-        """Follow an answer that took so many times what was expected."""
+        """Apply the ratio of a measured time to its estimate."""
         self.count += 1
         self.level *= ratio ** max(RECENT, 1 / (self.count + 1))
 
 
 @dataclass(slots=True)
 class _Pace:
-    """What is known of one model.
+    """Latency estimates for one service and model.
 
     Attributes:
-        base: Seconds that an answer takes besides its prompt.
-        tokens: Seconds to read a token, by the size class of the prompt: a
-            token of a long prompt takes longer, since it heeds all before.
-        generated: Seconds to generate a token; None before the first answer.
+        base: Seconds that an answer takes apart from its prompt.
+        tokens: Seconds per prompt token, by the size class of the prompt. A
+            token of a long prompt takes longer, because it attends to all
+            tokens before it.
+        generated: Seconds to generate one token; None before the first answer.
     """
 
     base: _Mean
@@ -77,7 +80,10 @@
     generated: float | None = None
 
     def token(self, size: int) -> _Mean:
-        """Return a size class; a new one begins like the nearest known."""
+        """Return the mean of a size class.
+
+        A new class starts with the value of the nearest known class.
+        """
         found = self.tokens.get(size)
         if found is None:
             nearest = min(
@@ -94,21 +100,21 @@
 
 
 class Paces:
-    """Learns how fast answers begin, by service and model."""
+    """Learns the time until answers start, by service and model."""
 
     def __init__(self) -> None:
         self._paces: dict[PaceKey, _Pace] = {}
 
     def work(self, key: PaceKey, tokens: int) -> float:
-        """Return the seconds that an upstream takes to read a prompt."""
+        """Return the seconds that an upstream takes to process a prompt."""
         return self._of(key).token(_size_class(tokens)).level * tokens
 
     def base(self, key: PaceKey) -> float:
-        """Return the seconds that an answer takes besides its prompt."""
+        """Return the seconds that an answer takes apart from its prompt."""
         return self._of(key).base.level
 
     def generation(self, key: PaceKey, tokens: int) -> float:
-        """Return the seconds to generate tokens, 0 if that is not known."""
+        """Return the seconds to generate tokens, or 0 if unknown."""
         return (self._of(key).generated or 0) * tokens
 
     def observe_generation(
@@ -117,7 +123,13 @@
         tokens: int,
         seconds: float,
     ) -> None:
-        """Learn from a whole stream how fast a model generates."""
+        """Update the seconds per generated token from a complete stream.
+
+        Args:
+            key: Service and model of the answer.
+            tokens: Number of tokens generated.
+            seconds: Seconds from the start of the answer to its end.
+        """
         if tokens <= 0 or seconds <= 0:
             return
         pace = self._of(key)
@@ -132,16 +144,16 @@
         waited: float,
         expected: float,
     ) -> float:
-        """Learn from an answer.
+        """Update the estimates from the start of an answer.
 
         Args:
-            key: What it was read as.
-            tokens: Tokens of its prompt that had to be read.
-            waited: Seconds until it began.
-            expected: The estimate of that.
+            key: Service and model of the answer.
+            tokens: Prompt tokens that the engine had to process.
+            waited: Seconds until the answer started.
+            expected: The estimate of those seconds.
 
         Returns:
-            How many times the estimate it took.
+            Ratio of the measured time to the estimate.
         """
         ratio = waited / max(expected, FIRST_PACE)
         bounded = min(MOST_CHANGE, max(1 / MOST_CHANGE, ratio))
@@ -153,10 +165,10 @@
         return ratio
 
     def _of(self, key: PaceKey) -> _Pace:
-        """Return what is known of a model."""
+        """Return the estimates for a service and model; created if new."""
         return self._paces.setdefault(key, _Pace(_Mean(FIRST_BASE), {}))
 
 
 def _size_class(tokens: int) -> int:
-    """Return the class of a prompt; each is four times the one before."""
+    """Return the size class of a prompt; each class is four times the last."""
     return (tokens // LONG_PROMPT).bit_length() // 2
--- a/src/nutmegroad/upstreams/health.py
+++ b/src/nutmegroad/upstreams/health.py
@@ -1,26 +1,29 @@
-"""What own exchanges tell of one upstream's health.
+"""Health of one upstream as seen from this host's own exchanges.
 
-An upstream whose connections fail is left out for a while that grows, and
-comes back with one trial at a time. One that fails part of its requests
-stays in, with a penalty: its health check may be good all the while.
+An upstream whose connections fail is excluded for a period that grows with each
+failure; it returns with one probe request at a time. An upstream that fails
+only some of its requests stays available with a penalty, because its health
+check may succeed all the while.
 """
 
 from dataclasses import dataclass
 from typing import Final
 
-#: Seconds for which an upstream is left out after its first failure to
-#: connect; doubles with each further one. Two round trips of the slowest
-#: trial, so that a single lost packet costs little.
+#: Seconds for which an upstream is excluded after its first connection failure;
+#: doubles with each further failure. Two round trips on the slowest test
+#: scenario, so that a single lost packet costs little.
 FIRST_PAUSE: Final = 0.5
 
-#: Longest pause in seconds; an upstream that restarts is back in seconds.
+#: Maximum exclusion in seconds; an upstream that restarts is back within
+#: seconds.
 LONGEST_PAUSE: Final = 4.0
 
-#: Weight of the newest outcome in the moving averages: about the last six
-#: decide, since a host sees one upstream a few times a second at most.
+#: Weight of the newest outcome in the moving averages. About the last six
+#: outcomes decide, because a host uses one upstream a few times per second at
+#: most.
 RECENT: Final = 0.3
 
-#: Seconds in which half of what was seen of failures is forgotten.
+#: Half-life in seconds of the observed failure rate.
 FORGET: Final = 4.0
 
 _HALF: Final = 0.5
@@ -28,15 +31,16 @@
 
 @dataclass(slots=True)
 class Health:
-    """What a host knows of one upstream from its own exchanges.
+    """What a host knows about one upstream from its own exchanges.
 
     Attributes:
-        failures: Recent share of exchanges that failed.
-        pace: Recent time to an answer's beginning against what is usual
-            for the same kind of request; 1 is usual.
-        excluded_until: Clock seconds until which it gets nothing.
-        pause: Seconds of the last exclusion.
-        trial: Whether the one trial after an exclusion is under way.
+        failures: Moving average of the fraction of failed exchanges, as of the
+            last outcome.
+        pace: Moving average of the time until an answer starts, relative to the
+            estimate for such a request; 1 is as expected.
+        excluded_until: Clock seconds until which the upstream gets no requests.
+        pause: Length in seconds of the last exclusion; 0 if it is reachable.
+        trial: Whether the probe request after an exclusion is in progress.
         changed: Clock seconds of the last outcome.
     """
 
@@ -48,51 +52,59 @@
     changed: float = 0
 
     def available(self, now: float) -> bool:
-        """Tell whether a request may be sent to it."""
+        """Return whether a request may be sent to the upstream."""
         if now < self.excluded_until:
             return False
         return not (self.pause and self.trial)
 
     def hopeless(self, now: float) -> bool:
-        """Tell whether a request sent to it now would only wait in vain.
+        """Return whether a request sent now would almost certainly fail.
 
-        It could not be reached twice in a row, and somebody tries just now,
-        or did a moment ago. One failure is no reason: a packet may be lost.
+        True if the upstream was unreachable twice in a row and a probe request
+        is in progress or has just failed. A single failure is not enough,
+        because it may be a lost packet.
         """
         if self.pause <= FIRST_PAUSE:
             return False
         return self.trial or now - self.changed < FIRST_PAUSE
 
     def begin(self) -> None:
-        """Note that a request goes out to it."""
+        """Record that a request is sent to the upstream."""
         if self.pause:
             self.trial = True
 
     def abandon(self) -> None:
-        """Note that a request ended without telling anything of it."""
+        """Record that a request ended without saying anything about it."""
         self.trial = False
 
     def unreachable(self, now: float) -> None:
-        """Note that no connection could be had, or one went silent."""
+        """Record that connecting failed or a connection became unresponsive."""
         self.pause = min(LONGEST_PAUSE, max(FIRST_PAUSE, self.pause * 2))
         self.excluded_until = now + self.pause
         self.trial = False
         self._fold(1, now)
 
     def failed(self, now: float) -> None:
-        """Note an answer that was a failure, or was cut."""
+        """Record an answer that was a failure or was cut off."""
         self.trial = False
         self._fold(1, now)
 
     def silent(self, now: float) -> None:
-        """Note that it has not answered for longer than is usual.
+        """Record that an answer is overdue.
 
-        The answer may still come; until it does, others go elsewhere.
+        The answer may still arrive. Until then other requests prefer other
+        upstreams.
         """
         self._fold(1, now)
 
     def answered(self, now: float, pace: float | None = None) -> None:
-        """Note a sound answer, and its pace if that could be told."""
+        """Record a successful answer.
+
+        Args:
+            now: Clock seconds.
+            pace: Ratio of the time until the answer started to its estimate;
+                None if it could not be measured.
+        """
         self.pause = 0
         self.trial = False
         self._fold(0, now)
@@ -100,12 +112,12 @@
             self.pace += RECENT * (pace - self.pace)
 
     def failure_share(self, now: float) -> float:
-        """Return the recent share of failures, older ones forgotten."""
+        """Return the recent failure rate, decayed to ``now``."""
         age = max(0, now - self.changed)
         return self.failures * float(_HALF ** (age / FORGET))
 
     def _fold(self, failure: float, now: float) -> None:
-        """Take an outcome into the moving average."""
+        """Add an outcome to the moving average of failures."""
         present = self.failure_share(now)
         self.failures = present + RECENT * (failure - present)
         self.changed = now
--- a/src/nutmegroad/upstreams/prefixes.py
+++ b/src/nutmegroad/upstreams/prefixes.py
@@ -1,8 +1,8 @@
-"""How much of a prompt an upstream has to read, and what it may fetch.
+"""Estimates of how much of a prompt an upstream must process or can fetch.
 
-A part is kept for one model, and only with all parts before it. What another
-upstream of the service keeps can be fetched from there, which is quicker than
-reading it where a model reads slowly.
+A prompt part is cached for one model, and it is usable only together with all
+parts before it. Parts cached by another upstream of the service can be fetched
+from there, which is faster than processing them with a slow model.
 """
 
 from collections.abc import Iterable
@@ -18,30 +18,32 @@
 from nutmegroad.upstreams.directory import Upstream
 from nutmegroad.upstreams.estimates import PaceKey, Paces
 
-#: Part of the shared tokens that the first upstream of a subject is taken to
-#: keep though nobody has told so: hosts that choose at the same moment then
-#: meet there.
+#: Fraction of the shared prompt tokens that the preferred upstream of a subject
+#: is assumed to have cached even if no host has reported it. Hosts that choose
+#: at the same time then choose the same upstream.
 LIKELY_KEPT: Final = 0.5
 
-#: Seconds of an engine's time that a fetch has to spare: it takes two engines'
-#: links and costs as much as what it moves, so it has to bring more. Fetching
-#: was worth 0.014 (standard error 0.005) of a day's whole worth by nine paired
-#: days, before hosts told each other of sends at once; beside that nothing is
-#: shown (0.004 less, 0.005).
+#: Minimum engine time in seconds that a fetch must save. A fetch uses the links
+#: of two engines and costs as much as the bytes it moves, so it has to gain
+#: more than that. Fetching was worth 0.014 (standard error 0.005) of a day's
+#: total value over nine paired days, measured before hosts advertised sends
+#: immediately. With immediate advertising no significant effect remains
+#: (-0.004, standard error 0.005).
 FETCH_SPARES: Final = 0.1
 
-#: Recent share of failures from which nothing is fetched from an upstream.
+#: Recent failure rate from which on nothing is fetched from an upstream.
 FETCH_FAILURES: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What an upstream would do about a prompt.
+    """How an upstream would obtain the state for one prompt.
 
     Attributes:
-        tokens: Tokens that it reads.
-        seconds: Seconds until it has read or fetched all of it.
-        source: Where it fetches from; None if it reads what it lacks.
+        tokens: Prompt tokens that it would process.
+        seconds: Seconds until all of the prompt is processed or fetched.
+        source: Upstream from which it would fetch cached parts; None if it
+            would process all that it lacks.
     """
 
     tokens: int
@@ -50,11 +52,11 @@
 
     @property
     def source_id(self) -> UpstreamId | None:
-        """Return the id of the upstream that it fetches from, or None."""
+        """Return the id of the upstream to fetch from, or None."""
         return None if self.source is None else self.source.entry.upstream
 
 
-#: The reading of a call that is no generation.
+#: The estimate for a call that generates no text and has no prompt.
 NOTHING: Final = Reading(0, 0)
 
 
@@ -62,7 +64,7 @@
     model: ModelName | None,
     parts: Iterable[PromptPart],
 ) -> tuple[MarkedPart, ...]:
-    """Return a prompt's parts as one model reads them."""
+    """Return the fingerprints of a prompt's parts for one model."""
     return tuple(
         MarkedPart(
             PrefixMark(xxh32_intdigest(f'{model}/{each.part}'.encode())),
@@ -73,14 +75,14 @@
 
 
 class PromptReadings:
-    """What each upstream would do about one prompt.
+    """Estimates for each candidate upstream of one prompt.
 
     Args:
-        generation: The request's generation.
-        key: What it is read as.
-        facts: What is known of the engines; None for nothing.
-        paces: How fast models read.
-        held: What upstreams hold.
+        generation: Prompt and generation parameters of the request.
+        key: Service and model whose latency estimates apply.
+        facts: Properties of the service's engines; None if unknown.
+        paces: Latency estimates by service and model.
+        held: Prefixes that upstreams have cached.
     """
 
     def __init__(
@@ -108,7 +110,11 @@
         domain: DomainId,
         now: float,
     ) -> None:
-        """Find where the subject is at home, and who holds most of it.
+        """Find the subject's preferred upstream and the best fetch source.
+
+        The preferred upstream is determined by rendezvous hashing, among the
+        upstreams of the local domain if there are any. The fetch source is the
+        healthy upstream that lacks the fewest shared tokens.
 
         Args:
             candidates: The upstreams to choose from.
@@ -131,7 +137,7 @@
                 self._source_lacks = lacks
 
     def at(self, upstream: Upstream) -> Reading:
-        """Return what one upstream would do."""
+        """Return the estimate for one upstream."""
         lacks = self._lacks(upstream)
         fetching = self._fetching(upstream, lacks)
         if fetching is not None:
@@ -141,7 +147,7 @@
         return self._reading(lacks)
 
     def _lacks(self, upstream: Upstream) -> int:
-        """Return the shared tokens that an upstream does not hold."""
+        """Return how many shared tokens an upstream has not cached."""
         lacks = self._shared
         for part in self._parts:
             if not self._held.holds(upstream.entry.incarnation, part.mark):
@@ -150,12 +156,12 @@
         return lacks
 
     def _reading(self, lacks: int) -> Reading:
-        """Return the reading of an upstream that lacks shared tokens."""
+        """Return the estimate without a fetch, for some missing tokens."""
         own = max(0, self._generation.prompt_tokens - self._shared)
         return Reading(lacks + own, self._paces.work(self._key, lacks + own))
 
     def _fetching(self, upstream: Upstream, lacks: int) -> Reading | None:
-        """Return the reading with a fetch; None if that does not pay."""
+        """Return the estimate with a fetch, or None if a fetch does not pay."""
         if self._facts is None or self._facts.fetch_time is None:
             return None
         if self._source is None or self._source is upstream:
@@ -169,7 +175,7 @@
 
 
 def _is_sound(upstream: Upstream, now: float) -> bool:
-    """Tell whether something may be fetched from an upstream."""
+    """Return whether cached parts may be fetched from an upstream."""
     health = upstream.health
     if not health.available(now):
         return False
@@ -177,6 +183,6 @@
 
 
 def _place(subject: str, upstream: Upstream) -> int:
-    """Return an upstream's place for a subject; the least is the first."""
+    """Return the rendezvous hash of a subject and an upstream; lowest wins."""
     name = f'{subject}/{upstream.entry.upstream}'
     return xxh3_64_intdigest(name.encode())
--- a/src/nutmegroad/upstreams/ranks.py
+++ b/src/nutmegroad/upstreams/ranks.py
@@ -1,37 +1,40 @@
-"""At which rank a request waits at an engine: what is read soonest, first.
+"""Queue ranks at an engine: short prompts before long ones.
 
-An engine reads the prompts that wait one after another, and nothing that
-waits behind a long one begins before it has been read. A short prompt that
-goes first delays the long one by little; a long one that goes first makes all
-short ones late.
+An engine processes the prompts in its queue one after another, and no request
+behind a long prompt starts before that prompt has been processed. A short
+prompt that goes first delays the long one only a little; a long prompt that
+goes first makes all short ones late.
 """
 
 from typing import Final
 
-#: Parts of the time to a route's target. A prompt that is read within the
-#: first delays nobody so that it counts; one that takes longer than the second
-#: makes whatever waits behind it late, where a few such meet.
+#: Fractions of the route's target latency. A prompt that is processed within
+#: the first fraction delays no other request noticeably. A prompt that takes
+#: longer than the second makes the requests behind it late where a few such
+#: prompts meet.
 SHORT: Final = 0.05
 LONG: Final = 0.2
 
-#: The operator's ranks that are told apart among prompts of one length.
+#: Number of operator priorities that are distinguished among prompts of one
+#: length class.
 RANKS: Final = 3
 
 
 def engine_rank(reading: float, target: float, priority: int) -> int:
-    """Return the rank of a request at its engine, 0 first, 8 last.
+    """Return the rank of a request at its engine, from 0 (first) to 8 (last).
 
-    Short prompts go before long ones, and among those alike the operator's
-    rank decides. Where the larger model reads ten times as long as the small
-    one, ranks by length alone were worth 0.015 (standard error 0.008) of a
-    day's whole worth by nine paired days, before hosts told each other of
-    sends at once; beside that nothing is shown (0.003 less, 0.004) but on
-    one pair of days of another deployment (0.039).
+    Short prompts go before long ones; among prompts of one length class the
+    operator's priority decides. Where the large model processes prompts ten
+    times as slowly as the small one, ranking by length alone was worth 0.015
+    (standard error 0.008) of a day's total value over nine paired days,
+    measured before hosts advertised sends immediately. With immediate
+    advertising no significant effect remains (-0.003, standard error 0.004),
+    except on one pair of days of another deployment (0.039).
 
     Args:
-        reading: Seconds that the engine takes to read the prompt.
-        target: Seconds in which the route's answers should begin.
-        priority: The operator's rank of the request, 0 first.
+        reading: Seconds that the engine takes to process the prompt.
+        target: Seconds within which the route's answers should start.
+        priority: The operator's priority of the request, 0 first.
     """
     length = (reading > target * SHORT) + (reading > target * LONG)
     return RANKS * length + min(RANKS - 1, priority)
--- a/src/nutmegroad/upstreams/selection.py
+++ b/src/nutmegroad/upstreams/selection.py
@@ -1,10 +1,11 @@
-"""Which upstream a request goes to: the one that is expected to begin first.
-
-What is expected follows from the prompts that wait there, the parts of its
-own prompt that are kept there, how crowded the upstream is, and how own
-exchanges with it went. Requests about one subject share parts of prompts;
-all hosts of a failure domain rank upstreams for a subject alike, by
-rendezvous hashing, so they tend to meet without a word.
+"""Selection of the upstream whose answer is expected to start first.
+
+The estimate is based on the prompts queued at each upstream, the parts of the
+request's own prompt that are cached there, how many of its slots are taken, and
+the results of this host's exchanges with it. Requests about one subject share
+prompt parts. All hosts of a failure domain order the upstreams for a subject
+alike, by rendezvous hashing, so their requests tend to meet at one upstream
+without any messages.
 """
 
 import random
@@ -28,34 +29,39 @@
 from nutmegroad.upstreams.estimates import PaceKey, Paces
 from nutmegroad.upstreams.prefixes import NOTHING, PromptReadings, Reading
 
-#: Part of the time to a request's target that an upstream in another failure
-#: domain counts as slower: bytes between domains are dear, a far answer that
-#: is no later is no better, and a late one loses most of its worth.
+#: Penalty for an upstream in a remote failure domain, as a fraction of the
+#: request's target latency. Traffic between domains is expensive, a remote
+#: answer that is no later than a local one is no better, and a late answer
+#: loses most of its value.
 FAR_PART: Final = 0.12
 
-#: Part of that time that an upstream counts as slower which fails all that
-#: it gets, beyond what the others fail.
+#: Penalty for an upstream that fails all its requests while the best candidate
+#: fails none, as a fraction of the target latency. Scaled by the failure rate
+#: in excess of the best candidate's.
 FAILING_PART: Final = 2.0
 
-#: The same for one in a failure domain that is likely cut off: as one that
-#: fails all. If all others are full it is tried, since it may be there.
+#: Penalty for an upstream in a failure domain that is probably cut off, as a
+#: fraction of the target latency; equal to that for failing all requests. If
+#: all other upstreams are full it is still tried, since it may be reachable.
 CUT_PART: Final = 2.0
 
-#: The same for one that has all its slots taken.
+#: Penalty for an upstream whose slots are all taken, as a fraction of the
+#: target latency.
 FULL_PART: Final = 0.5
 
-#: The same for each tenth of its memory that is asked for beyond what it
-#: has; requests are put back then and read again.
+#: Penalty for each tenth of an engine's memory that is requested beyond its
+#: capacity, as a fraction of the target latency. The engine then preempts
+#: requests and processes their prompts again.
 MEMORY_PART: Final = 0.5
 
-#: Part of an engine's memory from which it counts as full: what neighbours
-#: sent a moment ago is not known yet.
+#: Fraction of an engine's memory from which it counts as full. The rest is for
+#: requests that peers have just sent and this host does not know of yet.
 MEMORY_FULL: Final = 0.9
 
-#: Times its estimate an upstream has to take to count as slow.
+#: Ratio of measured to estimated time from which an upstream counts as slow.
 SLOW: Final = 2.0
 
-#: Seconds within which estimates count as equal.
+#: Estimates that differ by less than this many seconds count as equal.
 TIE: Final = 0.002
 
 _TENTH: Final = 0.1
@@ -63,17 +69,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Where a request goes, and why.
+    """The upstream selected for a request, and the estimates behind it.
 
     Attributes:
-        upstream: The one chosen.
-        expected: Seconds until its answer should begin.
-        reading: What it does about the request's prompt.
-        tokens: Tokens that the request adds to its memory.
-        held: Tokens that others hold there.
-        running: Requests there, as far as is known.
-        ahead: Seconds of prompts that wait there.
-        candidates: How many there were.
+        upstream: The selected upstream.
+        expected: Seconds until its answer should start.
+        reading: How the upstream obtains the state for the request's prompt.
+        tokens: Tokens that the request adds to the upstream's memory.
+        held: Tokens that other requests occupy there.
+        running: Number of requests there, as far as is known.
+        ahead: Seconds of prompt processing queued there.
+        candidates: Number of candidates.
     """
 
     upstream: Upstream
@@ -87,19 +93,20 @@
 
     @property
     def load(self) -> Load:
-        """Return what the request adds to the upstream."""
+        """Return the load that the request adds to the upstream."""
         return Load(1, self.reading.seconds, self.tokens)
 
 
 @dataclass(frozen=True, slots=True)
 class Asked:
-    """What is to be sent somewhere.
+    """A request for which an upstream is to be selected.
 
     Attributes:
-        request: The request.
-        service: The service that answers.
-        model: The model to be named; None if the caller's word stands.
-        facts: What is known of the service's engines; None if plain.
+        request: The caller's request.
+        service: The service that is to answer.
+        model: The model to request; None to pass on the model named by the
+            caller.
+        facts: Properties of the service's engines; None for a plain service.
     """
 
     request: CallerRequest
@@ -109,20 +116,20 @@
 
     @property
     def key(self) -> PaceKey:
-        """Return what it is read as."""
+        """Return the key of the latency estimates that apply."""
         return PaceKey(self.service, self.model)
 
 
 class Selector:
-    """Chooses upstreams.
+    """Selects upstreams for requests.
 
     Args:
         clock: The host's clock.
         randomness: Breaks ties.
         domain: The host's failure domain.
-        ledger: What upstreams are busy with.
-        prefixes: What they hold of prompts.
-        silence: When other failure domains were heard.
+        ledger: Current load of each upstream.
+        prefixes: Prompt prefixes cached by each upstream.
+        silence: When each failure domain was last heard from.
     """
 
     def __init__(
@@ -148,16 +155,16 @@
         upstreams: Collection[Upstream],
         tried: Collection[UpstreamIncarnation],
     ) -> Choice | None:
-        """Return where a request goes next, or None if nowhere.
+        """Return the best upstream for a request, or None if there is none.
 
-        Where no upstream can be reached, one request in a while tries; the
-        rest had better be refused at once.
+        While all upstreams are unreachable, only an occasional request is
+        allowed to probe one; all others are better refused immediately.
 
         Args:
-            asked: What is to be sent.
-            upstreams: Those that may run it.
-            tried: Those that have failed with it; taken again only if
-                there are no others.
+            asked: The request, its service and model.
+            upstreams: Upstreams that may execute it.
+            tried: Incarnations that have already failed with the request;
+                selected again only if there are no others.
         """
         now = self._clock.now()
         candidates = _candidates(upstreams, tried, now)
@@ -175,7 +182,7 @@
         return None if best is None else best[1]
 
     def is_cut_off(self, upstream: Upstream) -> bool:
-        """Tell whether another failure domain is likely cut off, with this."""
+        """Return whether an upstream's remote domain is probably cut off."""
         domain = upstream.entry.domain
         return domain != self._domain and self.silence.suspected(domain)
 
@@ -186,7 +193,7 @@
         reading: Reading,
         candidates: int,
     ) -> Choice:
-        """Return what is expected of one upstream."""
+        """Return the estimate for one upstream."""
         load = self.ledger.load(upstream.entry.incarnation)
         base = self.paces.base(asked.key)
         queue = max(0, load.running + 1 - upstream.entry.slots)
@@ -207,7 +214,13 @@
         )
 
     def _cost(self, asked: Asked, choice: Choice, usual: float) -> float:
-        """Return an estimate in seconds, made longer by trouble."""
+        """Return the expected seconds of a choice plus its penalties.
+
+        Args:
+            asked: The request.
+            choice: The estimate for one upstream.
+            usual: Failure rate of the best candidate.
+        """
         upstream = choice.upstream
         health = upstream.health
         target = asked.request.route.target_latency
@@ -228,7 +241,7 @@
         asked: Asked,
         candidates: list[Upstream],
     ) -> PromptReadings | None:
-        """Return what upstreams would do about a prompt; None without one."""
+        """Return the prompt estimates; None if the request has no prompt."""
         generation = asked.request.generation
         if generation is None:
             return None
@@ -248,7 +261,11 @@
     tried: Collection[UpstreamIncarnation],
     now: float,
 ) -> list[Upstream]:
-    """Return the upstreams to choose from: the best that there are."""
+    """Return the candidates of the best non-empty category.
+
+    The categories are: available and not yet tried; available; and those that
+    are not known to be unreachable right now.
+    """
     able = [each for each in upstreams if each.health.available(now)]
     fresh = [each for each in able if each.entry.incarnation not in tried]
     hoped = [each for each in upstreams if not each.health.hopeless(now)]
@@ -256,7 +273,7 @@
 
 
 def _excess(facts: EngineFacts | None, choice: Choice) -> float:
-    """Return the tenths of memory that are asked for in excess."""
+    """Return the requested memory beyond the limit, in tenths of the total."""
     if facts is None or not facts.memory:
         return 0
     share = (choice.held + choice.tokens) / facts.memory
