--- a/src/nutmegroad/routing/__init__.py
+++ b/src/nutmegroad/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Where a request goes, whether it is let in, and how often it is tried."""
+"""Admission, upstream selection, retries and dispatch of requests."""
--- a/src/nutmegroad/routing/_demand.py
+++ b/src/nutmegroad/routing/_demand.py
@@ -1,4 +1,4 @@
-"""What workspaces ask for, at this host and at the others of its domain."""
+"""Demand for slots by workspace, at this host and across its failure domain."""
 
 from typing import Final
 
@@ -8,26 +8,26 @@
 from nutmegroad.routing.fleet import FleetLoad
 from nutmegroad.routing.shares import water_fill
 
-#: Workspaces that a digest names, the largest.
+#: Maximum number of workspaces named in a digest, the largest first.
 NAMED: Final = 8
 
 #: Weight of the newest observation.
 _GAIN: Final = 0.3
 
-#: Below this a workspace asks for nothing.
+#: Demand in slots below which a workspace counts as idle.
 _LEAST: Final = 0.05
 
-#: The least part of its weight that a workspace has at any one host.
+#: Minimum fraction of its weight that a workspace has at any one host.
 _LEAST_PART: Final = 0.05
 
 
 class Demand:
-    """Slots that each workspace would use, smoothed.
+    """Smoothed number of slots that each workspace would use.
 
     Args:
-        configuration: Knows the shares.
-        fleet: What other hosts say.
-        identity: Who this host is.
+        configuration: Configuration with the quota shares.
+        fleet: Load digests of the other hosts.
+        identity: Id and failure domain of this host.
     """
 
     def __init__(
@@ -47,21 +47,25 @@
         self._parts: dict[WorkspaceId, float] = {}
 
     def began(self, workspace: WorkspaceId) -> None:
-        """Count a request that runs."""
+        """Count a request that starts to run."""
         self._running[workspace] = self._running.get(workspace, 0) + 1
 
     def ended(self, workspace: WorkspaceId) -> None:
-        """Count a request that runs no more."""
+        """Count off a request that has ended."""
         self._running[workspace] -= 1
         if not self._running[workspace]:
             self._running.pop(workspace)
 
     def refused(self, workspace: WorkspaceId, cost: float) -> None:
-        """Count slot-seconds that were refused since the last look."""
+        """Add slot-seconds that were refused since the last observation."""
         self._refused[workspace] = self._refused.get(workspace, 0) + cost
 
     def observe(self, queued: dict[WorkspaceId, int]) -> None:
-        """Look at what is asked for; called about once a second."""
+        """Update the smoothed demand; called for each digest that is sent.
+
+        Args:
+            queued: Number of queued requests by workspace.
+        """
         found = dict(self._refused)
         for counts in (self._running, queued):
             for workspace, count in counts.items():
@@ -77,14 +81,18 @@
         self._divide()
 
     def largest(self) -> dict[str, float]:
-        """Return the largest demands, for a digest."""
+        """Return the largest demands in slots by workspace, for a digest."""
         names = sorted(self._smooth, key=self._smooth.__getitem__)
         return {
             str(name): round(self._smooth[name], 1) for name in names[-NAMED:]
         }
 
     def entitlement(self, permits: int) -> float:
-        """Return this host's part if permits were divided by share."""
+        """Return this host's permits if all were divided by quota share.
+
+        Args:
+            permits: Permits of all hosts of the failure domain.
+        """
         domain = self._identity.domain
         total = self._fleet.demand(domain)
         for workspace, slots in self._smooth.items():
@@ -99,36 +107,38 @@
         return mine + (permits - sum(granted.values())) / hosts
 
     def share(self, workspace: WorkspaceId) -> float:
-        """Return a workspace's share as the configuration has it."""
+        """Return a workspace's quota share in the current configuration."""
         if self._configuration.revision != self._revision:
             self._read_shares()
         return self._shares.get(workspace, 1.0)
 
     def weight(self, workspace: WorkspaceId) -> float:
-        """Return a workspace's weight at this host.
+        """Return a workspace's weight in this host's queue.
 
-        A workspace that comes in at few hosts has more of its weight there,
-        so that it gets its share of the whole domain.
+        A workspace whose requests arrive at few hosts has a higher weight at
+        these, so that it gets its quota share of the domain's slots as a whole.
         """
         return self.share(workspace) * self._parts.get(workspace, 1.0)
 
     def _smoothed(self, workspace: WorkspaceId, found: float) -> float:
-        """Return a workspace's demand with the newest observation."""
+        """Return a workspace's demand including the newest observation."""
         before = self._smooth.get(workspace, found)
         return before + (found - before) * _GAIN
 
     def _read_shares(self) -> None:
-        """Read the shares of the configuration in force."""
+        """Read the quota shares from the current configuration."""
         accepted = self._configuration.accepted
         entries = accepted.document.workspaces if accepted else ()
         self._shares = {entry.workspace: entry.share for entry in entries}
         self._revision = self._configuration.revision
 
     def _divide(self) -> None:
-        """Find which part of each workspace's demand comes in here."""
+        """Update the fraction of each workspace's demand that arrives here."""
         others = self._fleet.demand(self._identity.domain)
         hosts = len(self._fleet.hosts(self._identity.domain)) + 1
-        # In parts of an even spread, so that 1 is as if none were known.
+        # Relative to an even distribution over the hosts: 1 means that the host
+        # gets its even part, which is also the default for an unknown
+        # workspace.
         self._parts = {
             name: max(_LEAST_PART, hosts * own / (own + others.get(name, 0)))
             for name, own in self._smooth.items()
--- a/src/nutmegroad/routing/_ejection.py
+++ b/src/nutmegroad/routing/_ejection.py
@@ -1,4 +1,4 @@
-"""Whether an upstream may be tried: ejection, probation, slow start."""
+"""Ejection of failing upstreams, probation after it, and slow start."""
 
 import random
 from types import MappingProxyType
@@ -8,8 +8,8 @@
 from nutmegroad.foundations.results import ResultCode
 from nutmegroad.foundations.types import AttemptId, UpstreamId
 
-#: How much a result counts against an upstream. A cut answer counts little:
-#: a caller who goes away looks the same.
+#: Weight of each result code in an upstream's failure score. A cut-off answer
+#: counts little, because a caller that disconnects looks the same.
 FAILURE_WEIGHTS: Final = MappingProxyType(
     {
         ResultCode.UPSTREAM_UNREACHABLE: 1.5,
@@ -20,21 +20,22 @@
     }
 )
 
-#: Sum of weights without a success between at which it is ejected.
+#: Failure score without a success in between at which an upstream is ejected.
 EJECTED_AT: Final = 3.0
 
-#: Seconds of the first ejection; each one that follows doubles it.
+#: Duration of the first ejection in seconds; doubles with each further one.
 FIRST_EJECTION: Final = 1.0
 
+#: Maximum duration of an ejection in seconds.
 LONGEST_EJECTION: Final = 60.0
 
-#: Seconds by which an engine's report may be behind.
+#: Maximum delay in seconds of an engine's load report.
 REPORT_LAG: Final = 0.5
 
-#: Seconds in which a new or recovered upstream comes to its full share.
+#: Seconds until a new or recovered upstream gets its full traffic.
 SLOW_START: Final = 10.0
 
-#: Share of its slots that it may have at once.
+#: Fraction of its slots that a new or recovered upstream may use at first.
 SLOWEST_START: Final = 0.2
 
 _MOST_DOUBLINGS: Final = 10
@@ -42,11 +43,11 @@
 
 
 class Health:
-    """What this host's own attempts say of one upstream.
+    """Health of one upstream as seen from this host's own attempts.
 
     Args:
-        since: Clock seconds at which it was first seen.
-        randomness: Jitter of ejections.
+        since: Clock seconds at which the upstream was first seen.
+        randomness: Jitter of ejection times.
     """
 
     def __init__(self, since: float, randomness: random.Random) -> None:
@@ -61,15 +62,16 @@
         self._unreachable = False
 
     def admits(self, now: float, reported: float) -> bool:
-        """Tell whether it may get work; on probation one at a time.
+        """Return whether the upstream may get work.
 
-        What could not be reached, and has reported since, is back at once
-        with a slow start: to wait for the end of one trial would cost
-        seconds in which the others carry its load.
+        On probation it gets one request at a time. An upstream that was ejected
+        as unreachable and has sent a report since is readmitted immediately
+        with a slow start: waiting for the result of a probe request would take
+        seconds during which the other upstreams carry its load.
 
         Args:
             now: Clock seconds.
-            reported: Clock seconds of its last report.
+            reported: Clock seconds of the upstream's last report.
         """
         if not self._is_out:
             return True
@@ -79,12 +81,12 @@
         return self._trial is None and now >= self._until
 
     def ramp(self, now: float) -> float:
-        """Return the share of its slots to use, from 0.2 to 1."""
+        """Return the fraction of its slots to use, from 0.2 to 1."""
         age = (now - self._since) / SLOW_START
         return min(1.0, max(SLOWEST_START, age))
 
     def started(self, attempt: AttemptId) -> None:
-        """Note an attempt; on probation it is the one trial."""
+        """Record the start of an attempt; on probation it is the probe."""
         if self._is_out and self._trial is None:
             self._trial = attempt
 
@@ -94,9 +96,10 @@
         code: ResultCode,
         now: float,
     ) -> None:
-        """Note how an attempt ended."""
+        """Record the end of an attempt."""
         if self._is_out:
-            # What was under way before the ejection proves nothing of now.
+            # Attempts that began before the ejection say nothing about the
+            # upstream's present state.
             if attempt == self._trial:
                 self._judge(code, now)
             return
@@ -109,7 +112,7 @@
             self._eject(code, now)
 
     def _judge(self, code: ResultCode, now: float) -> None:
-        """End a trial; what has passed it starts slowly."""
+        """Evaluate the probe request; on success readmit with a slow start."""
         self._trial = None
         if code is ResultCode.OK:
             self._ejections = 0
@@ -118,13 +121,13 @@
             self._eject(code, now)
 
     def _readmit(self, now: float) -> None:
-        """Give it work again, slowly."""
+        """Return the upstream to service with a slow start."""
         self._is_out = False
         self._trial = None
         self._since = now
 
     def _eject(self, code: ResultCode, now: float) -> None:
-        """Give it no work for a while."""
+        """Send the upstream no work for a while."""
         doublings = min(self._ejections, _MOST_DOUBLINGS)
         seconds = min(LONGEST_EJECTION, FIRST_EJECTION * 2**doublings)
         self._until = now + seconds * self._randomness.uniform(*_JITTER)
@@ -136,10 +139,10 @@
 
 
 class Healths:
-    """The health of each upstream of some kind.
+    """Registry of the health of each upstream of one kind.
 
     Args:
-        randomness: Jitter of ejections.
+        randomness: Jitter of ejection times.
     """
 
     def __init__(self, randomness: random.Random) -> None:
@@ -147,7 +150,7 @@
         self._known: dict[UpstreamId, tuple[UpstreamState, Health]] = {}
 
     def health(self, state: UpstreamState) -> Health:
-        """Return an upstream's health; another run of it starts anew."""
+        """Return an upstream's health; a new incarnation starts afresh."""
         known = self._known.get(state.info.upstream)
         if known is not None and known[0] is state:
             return known[1]
@@ -156,5 +159,5 @@
         return health
 
     def admits(self, state: UpstreamState, now: float) -> bool:
-        """Tell whether an upstream may get work."""
+        """Return whether an upstream may get work."""
         return self.health(state).admits(now, state.reported)
--- a/src/nutmegroad/routing/_engine_pools.py
+++ b/src/nutmegroad/routing/_engine_pools.py
@@ -1,4 +1,4 @@
-"""The engines of a version by failure domain, kept for quick draws."""
+"""The engines of each version by failure domain, cached for fast sampling."""
 
 import random
 from bisect import bisect_right
@@ -13,22 +13,22 @@
 from nutmegroad.foundations.types import DomainId, UpstreamId, VersionId
 from nutmegroad.routing.directory import Directory
 
-#: Seconds for which a version's engines are taken to be the same. What has
-#: left in the meantime is seen at the engine itself.
+#: Seconds for which the cached list of a version's engines is used. Engines
+#: that have left in the meantime are recognized by their own state.
 REFRESH: Final = 1.0
 
-#: Draws for each engine that is wanted; some may not be tried.
+#: Samples drawn for each engine wanted, since some may be unusable.
 _TRIES: Final = 3
 
-#: Places of each engine on the ring.
+#: Points of each engine on the hash ring.
 _POINTS: Final = 16
 
 
 class Ring:
-    """Gives each prefix a home among some engines, by consistent hashing.
+    """Assigns each prefix to one of some engines by consistent hashing.
 
-    Hosts that know the same engines agree without a message, and an engine
-    that comes or goes moves only its own part of the prefixes.
+    Hosts that know the same engines agree without exchanging messages. An
+    engine that is added or removed moves only its own fraction of the prefixes.
 
     Args:
         states: The engines.
@@ -45,7 +45,7 @@
         self._hashes = [point for point, _ in points]
 
     def home(self, prefix: int) -> UpstreamState:
-        """Return a prefix's home."""
+        """Return the engine to which a prefix is assigned."""
         point = crc32(str(prefix).encode())
         found = bisect_right(self._hashes, point) % len(self._hashes)
         return self._states[self._places[found]]
@@ -56,10 +56,11 @@
     """The engines of a version.
 
     Attributes:
-        built: Clock seconds at which they were listed.
-        source: The directory's own list.
+        built: Clock seconds at which the engines were listed.
+        source: The list as returned by the directory.
         domains: Engines by failure domain.
-        ring: Gives prefixes a home in the host's own domain.
+        ring: Hash ring of the engines in the host's own domain; None if it has
+            none.
     """
 
     built: float
@@ -69,7 +70,7 @@
 
 
 class EnginePools:
-    """Lists the engines of each version once in a while.
+    """Caches the engines of each version and refreshes them periodically.
 
     Args:
         directory: The upstreams.
@@ -112,7 +113,15 @@
     wanted: int,
     randomness: random.Random,
 ) -> Iterator[UpstreamState]:
-    """Draw engines without a scan; few are all given, in random order."""
+    """Sample engines without scanning the list.
+
+    A short list is returned as a whole, in random order.
+
+    Args:
+        states: The engines to sample.
+        wanted: Number of usable engines wanted.
+        randomness: Source of the sample.
+    """
     if len(states) <= wanted * _TRIES:
         yield from randomness.sample(states, len(states))
         return
@@ -124,14 +133,14 @@
 
 
 def has_loaded(state: UpstreamState, version: VersionId) -> bool:
-    """Tell whether an engine may get new work for a version, as known now."""
+    """Return whether an engine can take new work for a version right now."""
     if not state.is_open:
         return False
     return state.report is not None and version in state.report.versions
 
 
 def slots_of(state: UpstreamState) -> int:
-    """Return the slots that an engine has reported."""
+    """Return the number of slots that an engine has reported, at least 1."""
     return max(1, state.report.slots) if state.report else 1
 
 
@@ -144,5 +153,5 @@
     one: tuple[UpstreamState, ...],
     other: tuple[UpstreamState, ...],
 ) -> bool:
-    """Tell whether two lists hold the very same engines."""
+    """Return whether two lists contain the same state objects in order."""
     return len(one) == len(other) and all(map(is_, one, other))
--- a/src/nutmegroad/routing/_estimates.py
+++ b/src/nutmegroad/routing/_estimates.py
@@ -1,4 +1,4 @@
-"""How fast versions and engines are, learnt from this host's attempts."""
+"""Speed estimates of versions and engines, learned from own attempts."""
 
 import random
 from bisect import bisect_right
@@ -8,27 +8,28 @@
 from nutmegroad.contracts.upstreams import UpstreamState
 from nutmegroad.routing._ejection import REPORT_LAG, Health
 
-#: Own counts that are kept, to know what a late report had seen of us.
+#: Number of recent counts of own attempts that are kept, to determine how many
+#: of them a delayed report included.
 _HISTORY: Final = 64
 
 #: Weight of the newest observation.
 _GAIN: Final = 0.05
 _SLOWNESS_GAIN: Final = 0.2
 
-#: Observations beyond this factor of the expected count as the factor.
+#: Factor from the expected value beyond which an observation is clamped.
 _OUTLIER: Final = 8.0
 
 #: Weight of the newest report.
 _REPORT_GAIN: Final = 0.2
 
-#: Hosts that are taken to do as this one does. All read the same reports, so
-#: what draws this host to an engine draws others there too.
+#: Number of other hosts assumed to behave like this one. All hosts read the
+#: same reports, so an engine that attracts this host attracts others too.
 _ALIKE: Final = 3
 
-#: Seconds after which half of a measured slowness is forgotten.
+#: Half-life in seconds of a measured slowness.
 _FORGETTING: Final = 30.0
 
-#: Slowness from which on an engine counts as slow.
+#: Slowness from which an engine counts as slow.
 _NOTABLE: Final = 1.4
 
 _FIRST_STEP: Final = 0.03
@@ -39,10 +40,10 @@
 
 
 class Line:
-    """A line through points, of which old ones fade away.
+    """A linear fit to points whose weight decays with age.
 
     Args:
-        level: What is expected before the first point.
+        level: Expected value before the first point.
     """
 
     def __init__(self, level: float) -> None:
@@ -54,7 +55,7 @@
 
     @property
     def slope(self) -> float:
-        """Return the rise for each unit, never below 0."""
+        """Return the increase per unit, never below 0."""
         if self._xx < _LEAST_SPREAD:
             return 0
         return max(0, self._xy / self._xx)
@@ -65,7 +66,7 @@
         return max(floor, self._y + self.slope * (place - self._x))
 
     def add(self, place: float, found: float) -> None:
-        """Take a point; one far out is taken as less far."""
+        """Add a point; an outlier is clamped."""
         self._count += 1
         gain = max(_GAIN, 1 / self._count)
         if self._count > 1:
@@ -79,10 +80,10 @@
 
 
 class Median:
-    """A running median: each value moves it by a small factor only.
+    """A running median that each value moves by a small factor only.
 
     Args:
-        level: Where it starts.
+        level: Initial value.
     """
 
     def __init__(self, level: float) -> None:
@@ -90,7 +91,7 @@
         self._fresh = True
 
     def add(self, found: float) -> None:
-        """Take a value."""
+        """Add a value."""
         if self._fresh:
             self._fresh = False
             self.level = found
@@ -101,13 +102,13 @@
 
 
 class VersionSpeed:
-    """How fast a version is on the engines that have it.
+    """Speed of a version on the engines that have it loaded.
 
     Attributes:
-        step: Seconds between two tokens, by requests at the engine.
+        step: Seconds between two output tokens, by requests at the engine.
         prefill: Seconds for each prompt token that is not cached.
-        service: Seconds that a request takes in all.
-        saved: Prompt tokens that a prefix in the cache saves.
+        service: Total seconds of a request, by requests at the engine.
+        saved: Prompt tokens that a cached prefix saves.
     """
 
     def __init__(self) -> None:
@@ -117,20 +118,20 @@
         self.saved = _FIRST_SAVED
 
     def found_cached(self, tokens: int) -> None:
-        """Note how much a prefix saved that was in the cache.
+        """Record the tokens that a cached prefix saved.
 
-        Misses do not count here: an engine that gets a prefix more often
-        will have it more often, and a busy one is left all the same.
+        Cache misses are not counted. An engine that gets a prefix more often
+        will have it cached more often, and a busy engine is avoided anyway.
         """
         self.saved += (tokens - self.saved) * _SLOWNESS_GAIN
 
 
 class EngineView:
-    """What this host has learnt of one engine.
+    """Load and speed of one engine as learned by this host.
 
     Args:
         state: The engine.
-        randomness: Jitter of ejections.
+        randomness: Jitter of ejection times.
     """
 
     def __init__(
@@ -149,7 +150,7 @@
         self._measured = float('-inf')
 
     def load(self, state: UpstreamState) -> float:
-        """Return the requests that are there now, ours and others'."""
+        """Return the estimated number of requests there, from all hosts."""
         if state.report is not None and state.reported != self._reported:
             self._reported = state.reported
             total = state.report.running + state.report.queued
@@ -163,35 +164,40 @@
         return max(own, expected)
 
     def slowness(self, now: float) -> float:
-        """Return its times in relation to its peers'; 1 is as usual.
+        """Return the engine's times relative to its peers'; 1 is normal.
 
-        Small differences are those of the load; following them would fill
+        Small differences result from load. Reacting to them would fill the
         engines up one after another.
         """
         measured = self._smoothed(now)
         return measured if measured > _NOTABLE else 1.0
 
     def changed(self, now: float, step: int) -> None:
-        """Note that one of our attempts began or ended."""
+        """Record that one of this host's attempts has started or ended.
+
+        Args:
+            now: Clock seconds.
+            step: 1 for a start, -1 for an end.
+        """
         self._own += step
         self._times.append(now)
         self._counts.append(self._own)
 
     def compare(self, ratio: float, now: float) -> None:
-        """Note a time in relation to what its peers would have taken."""
+        """Record a measured time relative to that expected of a peer."""
         bounded = min(_OUTLIER, max(1 / _OUTLIER, ratio))
         before = self._smoothed(now)
         self._slowness = before + (bounded - before) * _SLOWNESS_GAIN
         self._measured = now
 
     def _smoothed(self, now: float) -> float:
-        """Return the measured slowness, forgotten with time."""
+        """Return the measured slowness, decayed to ``now``."""
         age = max(0, now - self._measured)
         kept: float = 0.5 ** (age / _FORGETTING)
         return 1 + (self._slowness - 1) * kept
 
     def _own_at(self, moment: float) -> int:
-        """Return how many of our attempts were there at a moment."""
+        """Return how many own attempts were running at a given time."""
         place = bisect_right(self._times, moment)
         if place:
             return self._counts[place - 1]
--- a/src/nutmegroad/routing/_fair_queue.py
+++ b/src/nutmegroad/routing/_fair_queue.py
@@ -1,9 +1,9 @@
-"""Requests that wait for a slot, in start-time fair order.
+"""Queue of requests waiting for a slot, in start-time fair queueing order.
 
-Each workspace has a finish tag on a virtual time that the slot-seconds given
-out drive. The workspace whose turn began earliest goes next; one that asks
-for more than its share falls behind, one that asked for little does not
-save anything up.
+Each workspace has a finish tag in virtual time, which advances with the
+slot-seconds granted. The workspace with the earliest start tag goes next. A
+workspace that requests more than its quota share falls behind; one that
+requests less does not accumulate credit.
 """
 
 import asyncio
@@ -17,24 +17,25 @@
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.types import VersionId, WorkspaceId
 
-#: The versions that may answer; requests with the same need the same slots.
+#: The set of versions that may answer a request. Requests with the same set
+#: compete for the same slots.
 Lane = frozenset[VersionId]
 
-#: Finish tags beyond which those of the past are dropped.
+#: Number of finish tags beyond which those in the past are dropped.
 _MOST_TAGS: Final = 4096
 
 
 @dataclass(eq=False, slots=True)
 class Waiting:
-    """A request that waits.
+    """A queued request.
 
     Attributes:
         request: The request.
-        lane: Which slots it needs.
+        lane: Versions that may answer it, which determine the slots it can use.
         cost: Slot-seconds that it is expected to take.
-        outcome: None for a slot, or why it gets none.
-        order: Its place among all arrivals; the last until it waits.
-        gone: It waits no more.
+        outcome: Set to None when it gets a slot, or to a refusal.
+        order: Its number in order of arrival; the maximum until it is queued.
+        gone: Whether it has been removed from the queue.
         began: Clock seconds at which it got its slot.
     """
 
@@ -49,19 +50,19 @@
 
 @dataclass(eq=False, slots=True)
 class _Flow:
-    """What one workspace has waiting in one lane."""
+    """The queued requests of one workspace in one lane."""
 
     heap: list[tuple[int, float, int, Waiting]] = field(default_factory=list)
 
     def head(self) -> Waiting | None:
-        """Return the next one, or None."""
+        """Return the next request, or None if the flow is empty."""
         while self.heap and self.heap[0][-1].gone:
             heappop(self.heap)
         return self.heap[0][-1] if self.heap else None
 
 
 class FinishTags:
-    """Virtual times at which what workspaces were given ends.
+    """Finish tags of the workspaces in virtual time.
 
     Args:
         weight: Returns a workspace's weight.
@@ -73,15 +74,18 @@
         self._virtual: float = 0
 
     def start(self, workspace: WorkspaceId) -> float:
-        """Return when a workspace's next turn begins."""
+        """Return the start tag of a workspace's next request."""
         return max(self._virtual, self._finish.get(workspace, 0))
 
     def ahead(self, workspace: WorkspaceId) -> float:
-        """Return how much more than its share a workspace has had."""
+        """Return how far a workspace's start tag is ahead of virtual time.
+
+        This is the service it has received beyond its quota share.
+        """
         return self.start(workspace) - self._virtual
 
     def charge(self, workspace: WorkspaceId, cost: float) -> None:
-        """Count slot-seconds that a workspace is given."""
+        """Charge a workspace for granted slot-seconds."""
         start = self.start(workspace)
         self._finish[workspace] = start + cost / self._weight(workspace)
         self._virtual = start
@@ -93,19 +97,24 @@
             }
 
     def correct(self, workspace: WorkspaceId, more: float) -> None:
-        """Count slot-seconds that were taken beyond those expected."""
+        """Charge for slot-seconds beyond the expected ones.
+
+        Args:
+            workspace: Which workspace.
+            more: Slot-seconds used beyond the expectation; negative if fewer.
+        """
         tag = self._finish.get(workspace, self._virtual)
         self._finish[workspace] = tag + more / self._weight(workspace)
 
 
 class FairQueue:
-    """Orders waiting requests by workspace, priority and deadline.
+    """Orders queued requests by workspace, priority and deadline.
 
     Args:
         weight: Returns a workspace's weight.
 
     Attributes:
-        tags: What workspaces have been given.
+        tags: The finish tags of the workspaces.
     """
 
     def __init__(self, weight: Callable[[WorkspaceId], float]) -> None:
@@ -119,21 +128,21 @@
         self._size = 0
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of queued requests."""
         return self._size
 
     @property
     def counts(self) -> dict[WorkspaceId, int]:
-        """Return how many wait for each workspace that has any."""
+        """Return the number of queued requests by workspace."""
         return self._counts
 
     @property
     def work(self) -> float:
-        """Return the slot-seconds that wait."""
+        """Return the total slot-seconds of the queued requests."""
         return sum(self._work.values())
 
     def lane_waiting(self, lane: Lane) -> bool:
-        """Tell whether anything waits in a lane."""
+        """Return whether any request is queued in a lane."""
         return lane in self._lanes
 
     def push(self, waiting: Waiting) -> None:
@@ -147,14 +156,21 @@
         self._count(waiting, 1)
 
     def remove(self, waiting: Waiting) -> None:
-        """Take a request out, wherever it stands."""
+        """Remove a request, wherever it is in the queue."""
         if not waiting.gone:
             waiting.gone = True
             self._count(waiting, -1)
             self._prune(waiting)
 
     def pop(self, has_room: Callable[[Lane], bool]) -> Waiting | None:
-        """Take the next request whose lane has room, and charge it."""
+        """Remove and charge the next request whose lane has a free slot.
+
+        Args:
+            has_room: Returns whether a lane has a free slot.
+
+        Returns:
+            The request, or None if no lane with requests has a free slot.
+        """
         rooms = {lane: has_room(lane) for lane in self._lanes}
         open_keys = [key for key in self._flows if rooms.get(key[1])]
         if not open_keys:
@@ -167,11 +183,11 @@
         return chosen
 
     def wait(self, workspace: WorkspaceId, slots: float) -> float:
-        """Return the seconds that a new request would wait at most.
+        """Return an upper bound of a new request's wait in seconds.
 
         Args:
-            workspace: Whose it is.
-            slots: Slots that are shared out.
+            workspace: The request's workspace.
+            slots: Number of slots to be divided.
         """
         own = self._work.get(workspace, 0)
         mine = self._weight(workspace)
@@ -182,21 +198,26 @@
         return min(by_share, self.work / slots)
 
     def largest(self) -> WorkspaceId | None:
-        """Return the workspace that has and wants most for its weight."""
+        """Return the workspace furthest beyond its share; None if empty."""
         return max(self._work, key=self.excess, default=None)
 
     def excess(self, workspace: WorkspaceId, more: float = 0) -> float:
-        """Return how far a workspace is ahead, with all that it wants."""
+        """Return a workspace's lead over its share, queued work included.
+
+        Args:
+            workspace: Which workspace.
+            more: Slot-seconds to add to its queued work.
+        """
         work = self._work.get(workspace, 0) + more
         return self.tags.ahead(workspace) + work / self._weight(workspace)
 
     def is_behind(self, workspace: WorkspaceId) -> bool:
-        """Tell whether a workspace has had less than its share lately."""
+        """Return whether a workspace has recently had less than its share."""
         waits = workspace in self._work
         return not waits and self.tags.ahead(workspace) <= 0
 
     def of_workspace(self, workspace: WorkspaceId) -> Iterable[Waiting]:
-        """Return what a workspace has waiting."""
+        """Return the queued requests of a workspace."""
         for key, flow in self._flows.items():
             if key[0] == workspace:
                 yield from (
@@ -204,12 +225,12 @@
                 )
 
     def _rank(self, key: tuple[WorkspaceId, Lane]) -> tuple[float, int]:
-        """Return when a flow's turn begins, and its head's arrival."""
+        """Return a flow's start tag and the arrival number of its head."""
         head = self._flows[key].head()
         return self.tags.start(key[0]), head.order if head else 0
 
     def _count(self, waiting: Waiting, step: int) -> None:
-        """Count a request in or out."""
+        """Update the counters when a request enters (1) or leaves (-1)."""
         self._size += step
         workspace = waiting.request.workspace
         count = self._counts.get(workspace, 0) + step
@@ -225,7 +246,7 @@
             self._lanes.pop(waiting.lane)
 
     def _prune(self, waiting: Waiting) -> None:
-        """Drop a flow that is empty."""
+        """Remove a flow that has become empty."""
         key = (waiting.request.workspace, waiting.lane)
         flow = self._flows.get(key)
         if flow is not None and flow.head() is None:
--- a/src/nutmegroad/routing/_listed.py
+++ b/src/nutmegroad/routing/_listed.py
@@ -1,4 +1,4 @@
-"""Entries of the platform's host list that hosts tell each other."""
+"""Entries of the platform's host list, as exchanged between hosts."""
 
 from collections.abc import Iterable
 from typing import ClassVar, Final, Self
@@ -17,8 +17,9 @@
     UpstreamKind,
 )
 
-#: The list lags, and not alike for all who read it: what another host has
-#: read goes before one's own reading for so many seconds.
+#: Seconds for which an entry received from another host takes precedence over
+#: this host's own reading. The list lags, and by different amounts for
+#: different readers.
 HOLD: Final = 10.0
 
 
@@ -35,7 +36,7 @@
 
 
 class ListedUpstreams(Message, frozen=True, tag='listed', array_like=True):
-    """Tells which entries of the list are new or changed.
+    """Advertises new or changed entries of the list.
 
     Attributes:
         entries: The entries.
@@ -56,7 +57,7 @@
 
 
 class ListMemory:
-    """Remembers for a while what others have read from the list.
+    """Retains entries read by other hosts for a limited time.
 
     Args:
         clock: The host's clock.
@@ -67,7 +68,7 @@
         self._noted: dict[UpstreamId, tuple[float, UpstreamInfo]] = {}
 
     def note(self, infos: Iterable[UpstreamInfo]) -> None:
-        """Take in what another host has read."""
+        """Add entries that another host has read."""
         now = self._clock.now()
         for info in infos:
             self._noted[info.upstream] = (now, info)
@@ -76,7 +77,7 @@
         self,
         upstreams: tuple[UpstreamInfo, ...],
     ) -> tuple[UpstreamInfo, ...]:
-        """Return a list with what others have just read in its place."""
+        """Return a list updated with the retained entries of other hosts."""
         oldest = self._clock.now() - HOLD
         self._noted = {
             name: noted
--- a/src/nutmegroad/routing/_permits.py
+++ b/src/nutmegroad/routing/_permits.py
@@ -1,4 +1,4 @@
-"""The permits that a host has given out, and who gets the next one."""
+"""The permits that a host has issued, and handing them to queued requests."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -10,12 +10,12 @@
 
 
 class Permits:
-    """Counts permits and hands free ones to those that wait.
+    """Counts issued permits and passes free ones to queued requests.
 
     Args:
         slots: How many requests may run at once.
-        queue: Those that wait.
-        demand: Told of what begins and ends.
+        queue: The queued requests.
+        demand: Notified of the start and end of each request.
         clock: The host's clock.
     """
 
@@ -35,22 +35,22 @@
 
     @property
     def limit(self) -> int:
-        """Return how many permits may be out."""
+        """Return the maximum number of issued permits."""
         return self._slots.limit(self.running)
 
     def has_room(self, lane: Lane) -> bool:
-        """Tell whether a request could run now."""
+        """Return whether a request of a lane could run now."""
         return self.running < self.limit and self._lane_has_room(lane)
 
     def take(self, waiting: Waiting) -> None:
-        """Count a permit."""
+        """Issue a permit."""
         waiting.began = self._clock.now()
         self.running += 1
         self._lanes[waiting.lane] = self._lanes.get(waiting.lane, 0) + 1
         self._demand.began(waiting.request.workspace)
 
     def release(self, waiting: Waiting) -> None:
-        """Take a permit back, and wake whoever is next."""
+        """Return a permit, and grant free permits to queued requests."""
         self.running -= 1
         self._lanes[waiting.lane] -= 1
         if not self._lanes[waiting.lane]:
@@ -62,25 +62,25 @@
         self.wake()
 
     def wake(self) -> None:
-        """Give out what room there is; called when limits may have grown."""
+        """Grant all free permits; called when limits may have increased."""
         while self.running < self.limit:
             waiting = self._queue.pop(self._lane_has_room)
             if waiting is None:
                 return
-            # One whose caller has just gone away gets no permit.
+            # A request whose caller has just disconnected gets no permit.
             if not waiting.outcome.done():
                 self.take(waiting)
                 waiting.outcome.set_result(None)
 
     @contextmanager
     def held(self, waiting: Waiting) -> Iterator[None]:
-        """Hold a permit that was taken."""
+        """Hold an issued permit for the duration of the context."""
         try:
             yield
         finally:
             self.release(waiting)
 
     def _lane_has_room(self, lane: Lane) -> bool:
-        """Tell whether a lane has a slot left."""
+        """Return whether a lane has a free slot."""
         limit = self._slots.lane_limit(lane, self.running)
         return self._lanes.get(lane, 0) < limit
--- a/src/nutmegroad/routing/_prefixes.py
+++ b/src/nutmegroad/routing/_prefixes.py
@@ -1,24 +1,24 @@
-"""Which engines this host has sent a prompt's prefix to."""
+"""Tracks to which engines this host has sent a prompt's prefix."""
 
 from collections import OrderedDict
 from typing import Final
 
 from nutmegroad.foundations.types import UpstreamId, VersionId
 
-#: Prefixes remembered of each engine.
+#: Maximum number of prefixes remembered for each engine.
 KEPT: Final = 256
 
-#: Engines remembered for each prefix.
+#: Maximum number of engines remembered for each prefix.
 HOLDERS: Final = 1
 
 _Key = tuple[VersionId, int]
 
 
 class PrefixMemory:
-    """Remembers where prefixes went, the newest of each engine.
+    """Remembers where prefixes were sent, with an LRU list for each engine.
 
     Args:
-        kept: Prefixes remembered of each engine.
+        kept: Maximum number of prefixes remembered for each engine.
     """
 
     def __init__(self, kept: int = KEPT) -> None:
@@ -31,7 +31,7 @@
         version: VersionId,
         prefix: int,
     ) -> tuple[UpstreamId, ...]:
-        """Return engines that ought to have a prefix, the newest first."""
+        """Return engines expected to have a prefix cached, newest first."""
         return self._holders.get((version, prefix), ())
 
     def add(
@@ -40,7 +40,7 @@
         prefix: int,
         upstream: UpstreamId,
     ) -> None:
-        """Note that an engine reads a prefix."""
+        """Record that an engine processes a prefix."""
         key = (version, prefix)
         sent = self._sent.setdefault(upstream, OrderedDict())
         sent[key] = None
@@ -57,18 +57,18 @@
         prefix: int,
         upstream: UpstreamId,
     ) -> None:
-        """Note that an engine had forgotten a prefix."""
+        """Record that an engine had evicted a prefix."""
         key = (version, prefix)
         self._sent.get(upstream, OrderedDict()).pop(key, None)
         self._drop(key, upstream)
 
     def forget(self, upstream: UpstreamId) -> None:
-        """Forget all of an engine that is gone."""
+        """Drop all prefixes of an engine that has terminated."""
         for key in self._sent.pop(upstream, OrderedDict()):
             self._drop(key, upstream)
 
     def _drop(self, key: _Key, upstream: UpstreamId) -> None:
-        """Take an engine from a prefix's holders."""
+        """Remove an engine from those of a prefix."""
         left = tuple(one for one in self.holders(*key) if one != upstream)
         if left:
             self._holders[key] = left
--- a/src/nutmegroad/routing/_service_times.py
+++ b/src/nutmegroad/routing/_service_times.py
@@ -1,4 +1,4 @@
-"""How long requests take, learnt by this host."""
+"""Estimates of how long requests run, learned by this host."""
 
 from typing import Final
 
@@ -7,8 +7,8 @@
 from nutmegroad.foundations.types import TaskName
 from nutmegroad.routing._estimates import Line, Median
 
-#: Seconds for each output token before any was seen, on the low side: a
-#: request must not be refused on a guess.
+#: Seconds for each output token before any was observed. On the low side,
+#: because no request may be refused on a guess.
 _FIRST_TOKEN_SECONDS: Final = 0.01
 
 
@@ -21,7 +21,7 @@
         self._output: dict[TaskName, Line] = {}
 
     def add(self, end: AttemptEnd) -> None:
-        """Learn from a whole answer."""
+        """Learn from a complete answer."""
         if end.first_token is None or not end.output_tokens:
             return
         task = end.start.task
@@ -34,13 +34,13 @@
         output.add(0, end.output_tokens)
 
     def expected(self, request: ModelRequest) -> float:
-        """Return the seconds that a request will run."""
+        """Return the seconds that a request is expected to run."""
         first = self._first.get(request.task)
         output = self._output.get(request.task)
         tokens: float = request.output_tokens
         if output is not None:
-            # What a caller may want at most says little; what the task's
-            # answers had says more.
+            # The caller's maximum says little about the length of the answer;
+            # the lengths of the task's previous answers say more.
             tokens = min(tokens, output.at(0))
         rest = tokens * self._per_token.level
         if first is None:
--- a/src/nutmegroad/routing/_shedding.py
+++ b/src/nutmegroad/routing/_shedding.py
@@ -1,4 +1,4 @@
-"""Whom to refuse where too many wait, and when to tell it to come back."""
+"""Load shedding: which request to refuse when the queue is full."""
 
 import random
 from typing import Final
@@ -9,36 +9,39 @@
 from nutmegroad.routing._demand import Demand
 from nutmegroad.routing._fair_queue import FairQueue, Waiting
 
-#: Requests that may wait for each slot while no preset says so.
+#: Queued requests per slot if no preset sets a limit.
 _QUEUE_LIMIT: Final = 0.5
 
-#: How far beyond the bound a workspace may wait that has had less than its
-#: share lately; a flood of others is no reason to refuse it.
+#: Factor by which the queue limit is raised for a workspace that has recently
+#: had less than its quota share, so that it is not refused because of a flood
+#: of other workspaces' requests.
 _BEHIND: Final = 4
 
-#: How much more another workspace must have and want for one of its requests
-#: to be pushed out; between equals the newcomer is refused, which is at once.
+#: Factor by which another workspace's lead over its share must exceed the
+#: newcomer's before one of its queued requests is evicted. Between equals the
+#: newcomer is refused, because that happens without any wait.
 _CLEARLY: Final = 1.5
 
-#: Callers are told to come back after so many times the backlog, so that
-#: they do not come back together.
+#: Range of the factor by which the backlog is multiplied in the retry time
+#: given to refused callers, so that they do not retry at the same time.
 _SPREAD: Final = (1, 2)
+#: Minimum and maximum retry time in seconds given to refused callers.
 _SOONEST: Final = 0.2
 _LATEST: Final = 60.0
 
-#: Seconds after a refusal for which the host counts as shedding.
+#: Seconds after a refusal during which the host counts as shedding load.
 _SHEDDING: Final = 3.0
 
 
 class LoadShedder:
-    """Bounds a queue.
+    """Enforces the queue limit.
 
     Args:
         queue: The queue.
-        configuration: Knows the queue's bound.
-        demand: Told of what is refused.
+        configuration: Configuration with the queue limit.
+        demand: Notified of refused work.
         clock: The host's clock.
-        randomness: Spreads when callers come back.
+        randomness: Jitter of retry times.
     """
 
     def __init__(
@@ -58,18 +61,19 @@
 
     @property
     def shedding(self) -> bool:
-        """Tell whether anything was refused lately."""
+        """Whether any request was refused recently."""
         return self._clock.now() - self._shed < _SHEDDING
 
     def to_refuse(self, waiting: Waiting, limit: int) -> Waiting | None:
-        """Return whom to refuse so that a request may wait.
+        """Return the request to refuse so that another may be queued.
 
         Args:
-            waiting: The request that comes.
-            limit: Requests that may run at once.
+            waiting: The arriving request.
+            limit: Number of requests that may run at once.
 
         Returns:
-            One that waits, the request itself, or None if there is room.
+            A queued request, the arriving request itself, or None if the queue
+            is not full.
         """
         bound = max(1, self._per_slot() * limit)
         workspace = waiting.request.workspace
@@ -87,21 +91,21 @@
         return max(crowd, key=_cheapness)
 
     def refuse_crowded(self, waiting: Waiting, limit: int) -> Refusal:
-        """Refuse for lack of room."""
+        """Refuse a request because the queue is full."""
         workspace = waiting.request.workspace
         if len(self._queue.counts) > 1:
             return self.refuse(
                 waiting,
                 limit,
                 ResultCode.SHARE_EXCEEDED,
-                f'The workspace {workspace!r} has used its share of '
-                f'{limit} slots, and others wait.',
+                f'Workspace {workspace!r} has used its quota share of {limit} '
+                f'slots, and other workspaces are waiting.',
             )
         return self.refuse(
             waiting,
             limit,
             ResultCode.OVERLOADED,
-            f'{len(self._queue)} requests wait for {limit} slots.',
+            f'{len(self._queue)} requests are queued for {limit} slots.',
         )
 
     def refuse(
@@ -111,7 +115,7 @@
         code: ResultCode,
         reason: str,
     ) -> Refusal:
-        """Refuse, with when to come back by the real backlog."""
+        """Refuse a request, with a retry time based on the actual backlog."""
         self._shed = self._clock.now()
         workspace = waiting.request.workspace
         self._demand.refused(workspace, waiting.cost)
@@ -121,7 +125,7 @@
         return Refusal(code, reason, retry_after=after)
 
     def _per_slot(self) -> float:
-        """Return how many requests may wait for each slot."""
+        """Return the maximum number of queued requests per slot."""
         accepted = self._configuration.accepted
         if accepted is None:
             return _QUEUE_LIMIT
@@ -129,7 +133,7 @@
 
 
 def _cheapness(waiting: Waiting) -> tuple[bool, int, int]:
-    """Order by how little it costs to refuse a request now."""
+    """Return a sort key that is largest for the request cheapest to refuse."""
     request = waiting.request
     cheap = request.repeatable and request.session is None
     return cheap, request.priority, waiting.order
--- a/src/nutmegroad/routing/_slots.py
+++ b/src/nutmegroad/routing/_slots.py
@@ -1,4 +1,4 @@
-"""How many requests this host may run at once, in all and for a lane."""
+"""Concurrency limits of this host, in total and for each lane."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -13,24 +13,25 @@
 from nutmegroad.routing.fleet import FleetLoad
 from nutmegroad.routing.shares import ShareLedger, static_part
 
-#: Seconds for which counted slots are taken to be the same.
+#: Seconds for which counted slots are cached.
 REFRESH: Final = 0.5
 
-#: Permits for each slot: a permit is held a little longer than a slot, and
-#: a host's part is small enough for chance to leave slots empty.
+#: Permits per slot. A permit is held slightly longer than a slot, and a host's
+#: part is so small that random variation would leave slots empty.
 OVERCOMMIT: Final = 1.2
 
-#: The limit falls by this factor when an engine turns out to be full.
+#: Factor by which the limit decreases when an engine reports that it is full.
 _DECREASE: Final = 0.95
-#: The least share of the slots, and how fast the limit comes back.
+#: Minimum fraction of the slots to use, and the recovery of the limit per
+#: second.
 _LEAST: Final = 0.4
 _INCREASE_PER_SECOND: Final = 0.05
-#: Seconds in which the limit falls at most once.
+#: Minimum seconds between two decreases of the limit.
 _PAUSE: Final = 0.5
 
 
 class Pressure:
-    """Lowers the limit while engines prove to be full, slowly raises it.
+    """Decreases the limit while engines are full and slowly restores it.
 
     Args:
         clock: The host's clock.
@@ -43,12 +44,12 @@
 
     @property
     def factor(self) -> float:
-        """Return the share of the slots to use now."""
+        """Return the fraction of the slots to use now."""
         grown = _INCREASE_PER_SECOND * (self._clock.now() - self._changed)
         return min(1.0, self._factor + grown)
 
     def ended(self, code: ResultCode) -> None:
-        """Note how an attempt ended."""
+        """Record the end of an attempt."""
         if code is not ResultCode.UPSTREAM_BUSY:
             return
         now = self._clock.now()
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who this host is.
+    """Identity of this host.
 
     Attributes:
         host: Its id.
@@ -74,10 +75,10 @@
     """This host's part of its failure domain's slots.
 
     Args:
-        identity: Who this host is.
+        identity: Id and failure domain of this host.
         directory: The upstreams.
-        fleet: What other hosts say.
-        ledger: What this host has lent and borrowed.
+        fleet: Load digests of the other hosts.
+        ledger: Slots that this host has lent and borrowed.
         clock: The host's clock.
     """
 
@@ -101,12 +102,12 @@
 
     @property
     def permits(self) -> int:
-        """Return the permits of all this domain's hosts."""
+        """Return the total permits of all hosts in this domain."""
         return int(self.domain_slots(None) * OVERCOMMIT)
 
     @property
     def holding(self) -> int:
-        """Return the permits of this host before pressure is seen to."""
+        """Return this host's permits before any decrease for full engines."""
         others = self._fleet.hosts(self.identity.domain)
         static = static_part(self.permits, self.identity.host, others)
         return max(1, static + self._ledger.balance(self._clock.now()))
@@ -115,14 +116,19 @@
         """Return how many requests may run at once.
 
         Args:
-            running: How many run now.
+            running: Number of requests running now.
         """
         local = self.holding * self.pressure.factor
         held = int(local + self._spilled())
         return max(1, held, self._visible(running))
 
     def lane_limit(self, lane: Lane, running: int) -> int:
-        """Return how many requests of a lane may run at once."""
+        """Return how many requests of a lane may run at once.
+
+        Args:
+            lane: The lane.
+            running: Number of requests running now, in all lanes.
+        """
         limit = self.limit(running)
         every = self.domain_slots(None)
         slots = self.domain_slots(lane)
@@ -131,11 +137,15 @@
         return max(1, limit * slots // max(1, every))
 
     def domain_slots(self, lane: Lane | None) -> int:
-        """Return the slots of this domain's engines that fit a lane."""
+        """Return the slots of this domain's engines that serve a lane.
+
+        Args:
+            lane: The lane; None for all engines.
+        """
         now = self._clock.now()
         counted = self._counted.get(lane)
-        # That there is nothing is not kept: a host that has just opened
-        # would refuse what it could serve from the next report on.
+        # A count of 0 is not cached. Otherwise a host that has just started
+        # would refuse requests that it could serve from the next report on.
         if counted and counted[1] and now - counted[0] < REFRESH:
             return counted[1]
         slots = sum(
@@ -147,11 +157,11 @@
         return slots
 
     def _visible(self, running: int) -> int:
-        """Return the limit by the room that engines report.
+        """Return the limit that follows from the free slots of the engines.
 
-        Whatever the parts, slots that stay empty help nobody. Each host of
-        the domain takes its part of the empty ones, on top of what it had
-        running when it saw them.
+        Slots must not stay empty, however they are divided between hosts. Each
+        host of the domain therefore adds its even part of the free slots to the
+        number of requests it was running when it read the reports.
         """
         now = self._clock.now()
         if self._seen and now - self._looked < REFRESH:
@@ -170,7 +180,7 @@
         return self._seen
 
     def _engines(self, lane: Lane | None) -> tuple[UpstreamState, ...]:
-        """Return the live engines that fit a lane; None for all."""
+        """Return the live engines that serve a lane; None for all lanes."""
         if lane is None:
             return tuple(
                 state
@@ -185,10 +195,10 @@
         return tuple(found.values())
 
     def _spilled(self) -> float:
-        """Return what other domains have to spare for this host."""
+        """Return the slots of remote domains that this host may use."""
         local = self.identity.domain
         others = [one for one in self._fleet.domains() if one != local]
         if not others:
             return 0
-        # Each domain's room is shared by the hosts of all others.
+        # The free slots of a domain are shared by the hosts of all others.
         return sum(self._fleet.spare(one) for one in others) / len(others)
--- a/src/nutmegroad/routing/admission.py
+++ b/src/nutmegroad/routing/admission.py
@@ -1,8 +1,8 @@
-"""Lets requests in by deadline and by fair shares, or refuses at once.
+"""Admission control by deadline and fair shares.
 
-A request gets a permit as soon as this host's part of the engines' slots
-has room. Until then it waits in a bounded queue. Whoever is refused, or is
-pushed out of the queue, is answered in the same step.
+A request gets a permit as soon as this host's part of the engines' slots has
+room. Until then it waits in a bounded queue. A request that is refused on
+arrival or evicted from the queue is answered immediately.
 """
 
 import asyncio
@@ -28,18 +28,18 @@
 
 
 class FairAdmitter:
-    """Admits by deadline, share and priority.
+    """Admits requests by deadline, quota share and priority.
 
     Args:
         slots: How many requests may run at once.
-        configuration: Knows shares and the queue's bound.
-        demand: Knows what workspaces ask for, here and elsewhere.
+        configuration: Configuration with quota shares and the queue limit.
+        demand: Demand of the workspaces, here and at other hosts.
         clock: The host's clock.
-        randomness: Spreads when callers come back.
+        randomness: Jitter of retry times.
 
     Attributes:
         slots: How many requests may run at once.
-        permits: Those that are out.
+        permits: The issued permits.
     """
 
     def __init__(
@@ -66,12 +66,12 @@
 
     @property
     def queued(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return len(self._queue)
 
     @property
     def entitlement(self) -> float:
-        """Return this host's slots if all were divided by share."""
+        """Return this host's slots if all were divided by quota share."""
         return self._demand.entitlement(self.slots.permits)
 
     async def admit(
@@ -91,16 +91,16 @@
         return self.permits.held(waiting) if refusal is None else refusal
 
     def started(self, start: AttemptStart) -> None:
-        """Learn nothing from a beginning."""
+        """Ignore the start of an attempt."""
 
     def ended(self, end: AttemptEnd) -> None:
-        """Learn how long requests take, and whether engines are full."""
+        """Learn how long requests run and whether engines are full."""
         self.slots.pressure.ended(end.code)
         if end.code is ResultCode.OK:
             self._times.add(end)
 
     def digest(self) -> LoadDigest:
-        """Return what other hosts are to know."""
+        """Return the load digest to send to other hosts."""
         self._demand.observe(self._queue.counts)
         return LoadDigest(
             host=self.slots.identity.host,
@@ -113,7 +113,7 @@
         )
 
     def _waiting(self, request: ModelRequest) -> Waiting:
-        """Return the request as the queue holds it."""
+        """Return the queue entry of a request."""
         return Waiting(
             request,
             frozenset(request.versions),
@@ -122,7 +122,7 @@
         )
 
     def _may_run(self, waiting: Waiting) -> bool:
-        """Tell whether a request may run before anything that waits."""
+        """Return whether a request may run ahead of the queue."""
         if self._left(waiting) <= 0:
             return False
         if self._queue.lane_waiting(waiting.lane):
@@ -130,12 +130,15 @@
         return self.permits.has_room(waiting.lane)
 
     def _left(self, waiting: Waiting) -> float:
-        """Return the seconds within which a request has to begin."""
+        """Return the seconds within which a request has to start."""
         ends = waiting.request.deadline - self._clock.now()
         return ends - waiting.cost
 
     def _refusal(self, waiting: Waiting) -> Refusal | None:
-        """Return why a request may not even wait, or None."""
+        """Return why a request may not be queued, or None if it may.
+
+        A request already in the queue is evicted if that makes room.
+        """
         limit = self.permits.limit
         wait = self._queue.wait(waiting.request.workspace, limit)
         left = self._left(waiting)
@@ -144,8 +147,8 @@
                 waiting,
                 limit,
                 ResultCode.DEADLINE_UNREACHABLE,
-                f'It would wait {wait:.1f} s and has to begin within '
-                f'{max(0, left):.1f} s to end by its deadline.',
+                f'The expected wait is {wait:.1f} s, but the request must '
+                f'start within {max(0, left):.1f} s to meet its deadline.',
             )
         refused = self._shedder.to_refuse(waiting, limit)
         if refused is None:
@@ -159,7 +162,7 @@
         return None
 
     async def _wait(self, waiting: Waiting) -> Refusal | None:
-        """Wait for a slot, at most until the deadline is out of reach."""
+        """Wait for a slot, at most until the deadline cannot be met."""
         timer = asyncio.create_task(self._expire(waiting))
         try:
             return await waiting.outcome
@@ -170,7 +173,7 @@
             timer.cancel()
 
     def _abandon(self, waiting: Waiting) -> None:
-        """Clean up after a caller that went away."""
+        """Clean up after a caller that has disconnected."""
         outcome = waiting.outcome
         self._queue.remove(waiting)
         granted = outcome.done() and not outcome.cancelled()
@@ -178,7 +181,7 @@
             self.permits.release(waiting)
 
     async def _expire(self, waiting: Waiting) -> None:
-        """Answer a request once it could not end in time any more."""
+        """Refuse a queued request as soon as it cannot meet its deadline."""
         await self._clock.sleep(max(0, self._left(waiting)))
         if waiting.outcome.done():
             return
@@ -187,14 +190,14 @@
             waiting,
             self.permits.limit,
             ResultCode.DEADLINE_UNREACHABLE,
-            'No slot came free in time for the deadline.',
+            'No slot became free in time to meet the deadline.',
         )
         waiting.outcome.set_result(refusal)
 
 
 @register('admitter', 'fair')
 def fair_admitter(kernel: Kernel) -> FairAdmitter:
-    """Make the admitter for a host."""
+    """Create the admitter of a host."""
     configuration = kernel.need(Configuration)
     fleet = kernel.need(FleetLoad)
     identity = Identity(kernel.settings.host, kernel.settings.domain)
--- a/src/nutmegroad/routing/baselines.py
+++ b/src/nutmegroad/routing/baselines.py
@@ -1,4 +1,4 @@
-"""Planners to compare with: they look at no rating."""
+"""Baseline planners for comparisons; they ignore ratings."""
 
 import random
 from collections.abc import Callable
@@ -12,17 +12,17 @@
 from nutmegroad.kernel.registry import register
 from nutmegroad.quality.prices import cost_of
 
-#: Picks one of some versions, which are in the order of their cost.
+#: Picks one of some versions, which are sorted by ascending cost.
 Pick = Callable[[list[VersionEntry]], VersionEntry]
 
 
 class FixedPlanner:
-    """Picks a version by its price alone.
+    """Selects a version by its price alone.
 
     Args:
-        configuration: What is in force.
-        pick: Picks one of the versions, cheapest first.
-        reason: Why, in words.
+        configuration: The current configuration.
+        pick: Picks one of the versions, which are sorted by ascending cost.
+        reason: The reason to give in plans.
     """
 
     def __init__(
@@ -46,7 +46,9 @@
             costs[entry.id] = cost_of(entry, prompt, output)
             entries.append(entry)
         if not entries:
-            return Refusal(ResultCode.NO_PLAN, 'No version may answer.')
+            return Refusal(
+                ResultCode.NO_PLAN, 'No allowed version is configured.'
+            )
         entries.sort(key=lambda priced: costs[priced.id])
         chosen = self._pick(entries)
         return Plan(
@@ -58,26 +60,26 @@
         )
 
     def estimate(self, request: ModelRequest, end: AttemptEnd) -> float:
-        """Return what the version's owner declared."""
+        """Return the quality declared by the version's owner."""
         entry = self._configuration.entry(end.start.version)
         return entry.quality.get(request.task, 0) if entry else 0
 
 
 def dearest(configuration: Configuration) -> FixedPlanner:
-    """Return the planner that always takes the dearest version."""
+    """Return the planner that always selects the most expensive version."""
     return FixedPlanner(
         configuration,
         lambda entries: entries[-1],
-        'the dearest version',
+        'most expensive version',
     )
 
 
 def cheapest_only(configuration: Configuration) -> FixedPlanner:
-    """Return the planner that always takes the cheapest version."""
+    """Return the planner that always selects the cheapest version."""
     return FixedPlanner(
         configuration,
         lambda entries: entries[0],
-        'the cheapest version, whatever the target',
+        'cheapest version, regardless of the target',
     )
 
 
@@ -85,27 +87,27 @@
     configuration: Configuration,
     randomness: random.Random,
 ) -> FixedPlanner:
-    """Return the planner that gives each version the same share."""
+    """Return the planner that divides requests evenly between versions."""
     return FixedPlanner(
         configuration,
         randomness.choice,
-        'equal shares between all versions',
+        'equal traffic shares for all versions',
     )
 
 
 @register('planner', 'dearest')
 def dearest_planner(kernel: Kernel) -> FixedPlanner:
-    """Make the planner for a host."""
+    """Create the planner of a host."""
     return dearest(kernel.need(Configuration))
 
 
 @register('planner', 'cheapest-only')
 def cheapest_only_planner(kernel: Kernel) -> FixedPlanner:
-    """Make the planner for a host."""
+    """Create the planner of a host."""
     return cheapest_only(kernel.need(Configuration))
 
 
 @register('planner', 'static-share')
 def static_share_planner(kernel: Kernel) -> FixedPlanner:
-    """Make the planner for a host."""
+    """Create the planner of a host."""
     return static_share(kernel.need(Configuration), kernel.randomness)
--- a/src/nutmegroad/routing/far_loads.py
+++ b/src/nutmegroad/routing/far_loads.py
@@ -1,9 +1,9 @@
-"""Fetches what is reported by the engines of other domains.
+"""Fetches the load reports of engines in remote failure domains.
 
-One host of each other domain is asked for all that its domain knows. Such
-figures are as old as the time between two fetches, so they tell whether a
-domain has room rather than which of its engines is the least loaded. That
-an engine leaves is told at once, by ``departures``.
+One host of each remote domain is asked for all that its domain knows. The
+reports are as old as the interval between two fetches, so they show whether a
+domain has free slots rather than which of its engines has the least load. An
+engine that is draining is announced immediately by ``departures``.
 """
 
 import random
@@ -24,20 +24,21 @@
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.watch_sharing import WatchSharer
 
-#: Seconds that a host of another domain may take to answer.
+#: Seconds to wait for an answer from a host of a remote domain.
 ASK_TIMEOUT: Final = 2.0
+#: Relative jitter of the interval between two fetches.
 JITTER: Final = 0.2
 
 
 class FarLoads:
-    """Asks hosts of other domains, and answers theirs.
+    """Requests load reports from remote hosts, and answers their requests.
 
     Args:
         mesh: The other hosts.
         directory: What this host knows of upstreams.
-        sharer: Takes the reports.
+        sharer: Receives the reports.
         clock: The host's clock.
-        randomness: Chooses whom to ask.
+        randomness: Chooses the hosts to ask, and the jitter.
         domain: The failure domain of this host.
     """
 
@@ -60,14 +61,14 @@
         mesh.handle(LoadAsk, self._answer)
 
     async def run(self) -> None:
-        """Fetch from each other domain until cancelled."""
+        """Fetch from each remote domain periodically until cancelled."""
         while True:
             spread = self._randomness.uniform(1 - JITTER, 1 + JITTER)
             await self._clock.sleep(self._sharer.far_period * spread)
             await self.fetch()
 
     async def fetch(self) -> None:
-        """Ask one host of each other domain."""
+        """Ask one host of each remote domain."""
         hosts: defaultdict[DomainId, list[HostId]] = defaultdict(list)
         for member in self._mesh.members():
             if member.presence is Presence.LIVE:
@@ -77,7 +78,7 @@
             await self._fetch_from(there)
 
     async def _fetch_from(self, hosts: list[HostId]) -> None:
-        """Ask the first of a domain's hosts that there is a link to."""
+        """Ask a domain's hosts in random order until one answers."""
         self._randomness.shuffle(hosts)
         for host in hosts:
             reply = await self._mesh.ask(host, LoadAsk(), ASK_TIMEOUT)
@@ -96,7 +97,7 @@
             self._sharer.take_report(state, report, now - age_of(row))
 
     async def _answer(self, host: HostId, ask: LoadAsk) -> LoadReply:
-        """Return what the engines of this domain have reported."""
+        """Return the reports of the engines in this host's domain."""
         writer = RowWriter(self._clock.now())
         for state in self._directory.states():
             if state.info.domain == self._domain:
--- a/src/nutmegroad/routing/fleet.py
+++ b/src/nutmegroad/routing/fleet.py
@@ -1,4 +1,4 @@
-"""What other hosts say of their load, in small digests."""
+"""Load of the other hosts, received in small digests."""
 
 from collections.abc import Iterable
 from typing import ClassVar, Final
@@ -9,27 +9,28 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import DomainId, HostId, WorkspaceId
 
-#: Seconds after which a digest says nothing any more.
+#: Seconds after which a digest is ignored.
 DIGEST_HOLDS: Final = 10.0
 
-#: Seconds for which hosts that are not heard still count in their domain.
+#: Seconds for which hosts that are no longer seen count in their domain.
 HOST_HOLDS: Final = 60.0
 
-#: Share of a domain's hosts that shed for the domain to count as shedding.
+#: Fraction of a domain's hosts that must be shedding load for the domain to
+#: count as shedding.
 _SHEDDING_SHARE: Final = 0.25
 
 
 class LoadDigest(Message, frozen=True, tag='load-digest'):
-    """A host's load.
+    """The load of a host.
 
     Attributes:
-        host: Whose.
+        host: The host's id.
         domain: Its failure domain.
-        limit: Requests that it may run at once.
-        running: Requests that it runs.
-        waiting: Requests that wait.
-        shedding: Whether it has refused any lately for lack of room.
-        demand: Slots that each workspace would use, its largest ones.
+        limit: Number of requests that it may run at once.
+        running: Number of requests running.
+        waiting: Number of requests queued.
+        shedding: Whether it has recently refused requests for lack of slots.
+        demand: Slots that each workspace would use, for its largest workspaces.
     """
 
     part: ClassVar[str] = 'admission'
@@ -45,16 +46,16 @@
 
     @property
     def spare(self) -> int:
-        """Return the slots that it does not use."""
+        """Return the number of unused slots."""
         return max(0, self.limit - self.running - self.waiting)
 
 
-#: Digests by host, with the clock seconds at which each came.
+#: Digests by host, with the clock seconds at which each was received.
 _Digests = dict[HostId, tuple[float, LoadDigest]]
 
 
 class FleetLoad:
-    """The newest digest of each host that was heard.
+    """The latest digest received from each host.
 
     Args:
         clock: The host's clock.
@@ -66,7 +67,7 @@
         self._seen: dict[DomainId, dict[HostId, float]] = {}
 
     def count(self, members: Iterable[Member]) -> None:
-        """Note which hosts are live now."""
+        """Record which hosts are live now."""
         now = self._clock.now()
         for member in members:
             seen = self._seen.setdefault(member.domain, {})
@@ -74,36 +75,39 @@
         self._forget()
 
     def hosts(self, domain: DomainId) -> list[HostId]:
-        """Return a domain's other hosts.
+        """Return the other hosts of a domain.
 
-        One that is not seen any more counts for a while: it may be cut off
-        and go on using its part.
+        A host that is no longer seen counts for a while, because it may be cut
+        off from this one and still use its part of the slots.
         """
         return list(self._seen.get(domain, ()))
 
     def take(self, digest: LoadDigest) -> None:
-        """Keep a host's newest digest."""
+        """Store a host's latest digest."""
         domain = self._heard.setdefault(DomainId(digest.domain), {})
         domain[HostId(digest.host)] = (self._clock.now(), digest)
 
     def domains(self) -> tuple[DomainId, ...]:
-        """Return the domains of which anything was heard."""
+        """Return the domains from which any digest was received."""
         return tuple(self._heard)
 
     def fresh(self, domain: DomainId) -> list[LoadDigest]:
-        """Return the digests of a domain that still hold."""
+        """Return the digests of a domain that have not expired."""
         oldest = self._clock.now() - DIGEST_HOLDS
         heard = self._heard.get(domain, {})
         return [digest for at, digest in heard.values() if at > oldest]
 
     def is_shedding(self, domain: DomainId) -> bool:
-        """Tell whether a domain refuses work for lack of room."""
+        """Return whether a domain is refusing requests for lack of slots."""
         digests = self.fresh(domain)
         shedding = sum(digest.shedding for digest in digests)
         return shedding > _SHEDDING_SHARE * len(digests)
 
     def spare(self, domain: DomainId) -> float:
-        """Return what a host of a domain has to spare on average."""
+        """Return the average number of unused slots per host of a domain.
+
+        0 if no digest is valid or the domain is shedding load.
+        """
         digests = self.fresh(domain)
         if not digests or self.is_shedding(domain):
             return 0
@@ -112,7 +116,8 @@
     def demand(self, domain: DomainId) -> dict[WorkspaceId, float]:
         """Return the slots that workspaces would use at a domain's hosts.
 
-        Only some hosts of a large domain are heard; they stand for all.
+        In a large domain only some hosts' digests are received; they are
+        extrapolated to all hosts.
         """
         digests = self.fresh(domain)
         scale = max(1, len(self.hosts(domain)) / max(1, len(digests)))
@@ -125,7 +130,7 @@
         return summed
 
     def _forget(self) -> None:
-        """Drop hosts that have not been seen for long."""
+        """Drop hosts that have not been seen for the retention period."""
         oldest = self._clock.now() - HOST_HOLDS
         for domain, seen in self._seen.items():
             self._seen[domain] = {
--- a/src/nutmegroad/routing/load_part.py
+++ b/src/nutmegroad/routing/load_part.py
@@ -1,4 +1,4 @@
-"""The parts that share load, and what has ended engines, between hosts."""
+"""Kernel parts that exchange load, slots and crash reports between hosts."""
 
 from nutmegroad.contracts.peers import Mesh
 from nutmegroad.fleet.content_marks import ContentMark, spell_mark
@@ -16,29 +16,29 @@
 
 @register('part', 'fleet-load')
 class FleetLoadPart:
-    """Provides what other hosts say of their load."""
+    """Provides the load digests and the ledger of lent slots."""
 
     needs = ()
 
     async def open(self, kernel: Kernel) -> None:
-        """Start knowing nothing."""
+        """Provide both empty."""
         kernel.provide(FleetLoad, FleetLoad(kernel.clock))
         kernel.provide(ShareLedger, ShareLedger())
 
 
 @register('part', 'crash-exchange')
 class CrashExchangePart:
-    """Tells other hosts under which requests engines have ended."""
+    """Broadcasts which requests were running when engines crashed."""
 
     needs = (Mesh, Duties, Dispatcher)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to tell, and share out who tries such a request."""
+        """Start the exchange, and assign the probes of harmful requests."""
         harmful = kernel.need(Policies).harmful
         duties = kernel.need(Duties)
 
         def may_try(content: ContentMark) -> bool:
-            """Tell whether this host is the one of its domain that tries."""
+            """Return whether this host is the one of its domain that probes."""
             return duties.is_mine(DutyName(f'harmful/{spell_mark(content)}'))
 
         harmful.may_try = may_try
@@ -52,12 +52,12 @@
 
 @register('part', 'share-exchange')
 class ShareExchangePart:
-    """Tells other hosts of this one's load and moves shares."""
+    """Exchanges load digests and slots with other hosts."""
 
     needs = (Mesh, Dispatcher, FleetLoad)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to exchange, if the admitter is one that shares."""
+        """Start the exchange if the configured admitter shares slots."""
         if kernel.settings.admitter != 'fair':
             return
         exchange = ShareExchange(
--- a/src/nutmegroad/routing/plain_selectors.py
+++ b/src/nutmegroad/routing/plain_selectors.py
@@ -1,4 +1,4 @@
-"""Plain selectors: a first version of the decision, and baselines."""
+"""Simple engine selectors, used as baselines."""
 
 import random
 from abc import ABC, abstractmethod
@@ -14,7 +14,7 @@
 
 
 class _PlainSelector(ABC):
-    """Takes one of the engines that have a version loaded.
+    """Base of selectors that pick among the engines with a version loaded.
 
     Args:
         directory: The upstreams.
@@ -29,7 +29,7 @@
         version: VersionId,
         excluded: frozenset[UpstreamId],
     ) -> Choice | Refusal:
-        """Return an engine, or why there is none."""
+        """Return an engine, or a refusal if there is none."""
         states = [
             state
             for state in self._directory.engines(version)
@@ -39,11 +39,11 @@
 
     @abstractmethod
     def _pick(self, states: list[UpstreamState], version: VersionId) -> Choice:
-        """Return one of the engines; there is at least one."""
+        """Return one of the engines; ``states`` is never empty."""
 
 
 class RoundRobin(_PlainSelector):
-    """Takes the engines of a version in turn.
+    """Selects the engines of a version in turn.
 
     Args:
         directory: The upstreams.
@@ -57,15 +57,15 @@
         """Return the next engine."""
         turn = self._turns.get(version, 0)
         self._turns[version] = turn + 1
-        return Choice(states[turn % len(states)], 0, 'next in turn')
+        return Choice(states[turn % len(states)], 0, 'round robin')
 
 
 class RandomChoice(_PlainSelector):
-    """Takes any engine of a version.
+    """Selects a random engine of a version.
 
     Args:
         directory: The upstreams.
-        randomness: Draws it.
+        randomness: Source of the selection.
     """
 
     def __init__(
@@ -77,45 +77,45 @@
         self._randomness = randomness
 
     def _pick(self, states: list[UpstreamState], version: VersionId) -> Choice:
-        """Return any engine."""
-        return Choice(self._randomness.choice(states), 0, 'drawn')
+        """Return a random engine."""
+        return Choice(self._randomness.choice(states), 0, 'random choice')
 
 
 class LeastInFlight(RandomChoice):
-    """Takes the upstream at which this host has the least in flight.
+    """Selects the engine with the fewest requests from this host in flight.
 
     Ties are broken at random.
     """
 
     def _pick(self, states: list[UpstreamState], version: VersionId) -> Choice:
-        """Return the upstream with the least in flight."""
+        """Return the engine with the fewest requests in flight."""
         self._randomness.shuffle(states)
         chosen = min(states, key=lambda state: state.in_flight)
-        return Choice(chosen, 0, 'least in flight')
+        return Choice(chosen, 0, 'fewest requests in flight')
 
 
 def no_engine(version: VersionId) -> Refusal:
-    """Say that no engine can be had."""
+    """Return the refusal for a version without an available engine."""
     return Refusal(
         ResultCode.NO_UPSTREAM,
-        f'No live engine that may be tried has {version} loaded.',
+        f'No available engine has version {version} loaded.',
         retry_after=1,
     )
 
 
 @register('selector', 'round-robin')
 def round_robin(kernel: Kernel) -> RoundRobin:
-    """Make the selector for a host."""
+    """Create the selector of a host."""
     return RoundRobin(kernel.need(Directory))
 
 
 @register('selector', 'random')
 def random_choice(kernel: Kernel) -> RandomChoice:
-    """Make the selector for a host."""
+    """Create the selector of a host."""
     return RandomChoice(kernel.need(Directory), kernel.randomness)
 
 
 @register('selector', 'least-in-flight')
 def least_in_flight(kernel: Kernel) -> LeastInFlight:
-    """Make the selector for a host."""
+    """Create the selector of a host."""
     return LeastInFlight(kernel.need(Directory), kernel.randomness)
--- a/src/nutmegroad/routing/policies.py
+++ b/src/nutmegroad/routing/policies.py
@@ -1,4 +1,4 @@
-"""Plain policies: a first version of each decision, and baselines."""
+"""Minimal policies: the simplest form of each decision, used as baselines."""
 
 from collections.abc import Iterator
 from contextlib import AbstractContextManager, contextmanager
@@ -15,10 +15,10 @@
 
 
 class CheapestPlanner:
-    """Takes the cheapest version whose declared quality is enough.
+    """Selects the cheapest version whose declared quality is sufficient.
 
     Args:
-        configuration: What is in force.
+        configuration: The current configuration.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -41,23 +41,23 @@
         return min(fit, key=lambda plan: plan.cost)
 
     def estimate(self, request: ModelRequest, end: AttemptEnd) -> float:
-        """Return what the version's owner declared."""
+        """Return the quality declared by the version's owner."""
         entry = self._configuration.entry(end.start.version)
         return entry.quality.get(request.task, 0) if entry else 0
 
     def _single(self, request: ModelRequest, entry: VersionEntry) -> Plan:
-        """Return the plan that asks one version."""
+        """Return the plan that requests one version."""
         return Plan(
             steps=(entry.version,),
             accept=(),
             cost=cost_of(entry, request.prompt_tokens, request.output_tokens),
             quality=entry.quality.get(request.task, 0),
-            reason='cheapest declared quality that meets the target',
+            reason='cheapest version whose declared quality meets the target',
         )
 
 
 class OpenAdmitter:
-    """Lets everything in."""
+    """Admits every request."""
 
     async def admit(
         self,
@@ -68,52 +68,52 @@
 
 
 class CountedRetries:
-    """Allows every retry; the dispatcher's own bound still holds."""
+    """Allows every retry; the dispatcher's own limit still applies."""
 
     def spend(self, request: Spender) -> bool:
-        """Allow it."""
+        """Allow the retry."""
         return True
 
     def started(self, start: AttemptStart) -> None:
-        """Learn nothing from a beginning."""
+        """Ignore the start of an attempt."""
 
     def ended(self, end: AttemptEnd) -> None:
-        """Learn nothing from an end."""
+        """Ignore the end of an attempt."""
 
 
 class NoQuarantine:
     """Blocks nothing."""
 
     def blocked(self, version: VersionId, task: TaskName) -> Refusal | None:
-        """Block nothing."""
+        """Return None."""
 
 
 @register('planner', 'cheapest')
 def cheapest_planner(kernel: Kernel) -> CheapestPlanner:
-    """Make the planner for a host."""
+    """Create the planner of a host."""
     return CheapestPlanner(kernel.need(Configuration))
 
 
 @register('admitter', 'open')
 def open_admitter(kernel: Kernel) -> OpenAdmitter:
-    """Make the admitter for a host."""
+    """Create the admitter of a host."""
     return OpenAdmitter()
 
 
 @register('service-retries', 'unbounded')
 @register('retries', 'unbounded')
 def unbounded_retries(kernel: Kernel) -> CountedRetries:
-    """Make the retry budget for a host."""
+    """Create the retry budget of a host."""
     return CountedRetries()
 
 
 @register('quarantine', 'none')
 def no_quarantine(kernel: Kernel) -> NoQuarantine:
-    """Make the quarantine for a host."""
+    """Create the quarantine of a host."""
     return NoQuarantine()
 
 
 @contextmanager
 def _permit() -> Iterator[None]:
-    """Hold nothing."""
+    """Return a permit that limits nothing."""
     yield
--- a/src/nutmegroad/routing/selection.py
+++ b/src/nutmegroad/routing/selection.py
@@ -1,4 +1,4 @@
-"""Chooses the engine from which the first token is expected soonest."""
+"""Engine selection by the earliest expected first token."""
 
 import math
 import random
@@ -38,22 +38,23 @@
 from nutmegroad.routing.fleet import FleetLoad
 from nutmegroad.routing.plain_selectors import no_engine
 
-#: Engines drawn for each choice, beside those that hold the prefix.
+#: Engines sampled for each choice, in addition to those that are expected to
+#: have the prefix cached.
 DRAWN: Final = 3
 
-#: Seconds that another failure domain has to be better by.
+#: Seconds by which an engine in a remote failure domain must be faster.
 SPILL_MARGIN: Final = 0.05
 
-#: Choices that are remembered until their attempt begins.
+#: Maximum number of choices remembered until their attempt starts.
 _MOST_EXPECTED: Final = 1000
 
-#: Engines that a reason names.
+#: Maximum number of engines named in a reason.
 _NAMED: Final = 4
 
 
 @dataclass(slots=True)
 class _Pending:
-    """What was expected of an attempt that is under way."""
+    """Expectations about an attempt in progress."""
 
     load: float
     slots: int
@@ -64,7 +65,7 @@
 
 @dataclass(slots=True)
 class _Candidate:
-    """An engine that was looked at."""
+    """An engine that was evaluated."""
 
     state: UpstreamState
     load: float
@@ -74,7 +75,7 @@
 
 @dataclass(slots=True)
 class _Search:
-    """One choice, as it is made."""
+    """State of one selection in progress."""
 
     request: ModelRequest
     version: VersionId
@@ -88,13 +89,13 @@
 
 
 class ExpectedSelector:
-    """Draws a few engines and takes the soonest first token among them.
+    """Samples a few engines and selects the earliest expected first token.
 
     Args:
         directory: The upstreams.
-        fleet: What other hosts and domains say of their load.
+        fleet: Load digests of other hosts and domains.
         clock: The host's clock.
-        randomness: Draws engines.
+        randomness: Samples engines.
         domain: The failure domain of this host.
     """
 
@@ -124,7 +125,7 @@
         version: VersionId,
         excluded: frozenset[UpstreamId],
     ) -> Choice | Refusal:
-        """Return the engine from which the first token is soonest."""
+        """Return the engine with the earliest expected first token."""
         search = _Search(
             request,
             version,
@@ -138,7 +139,7 @@
         self._look(search, self._holders(search, pool))
         self._look(search, draw(local, DRAWN, self._randomness))
         if search.best is None:
-            # Rare: all that were drawn are left out.
+            # Rare: all sampled engines are unusable.
             self._look(search, local)
         if _is_full(search):
             self._spill(search, domains)
@@ -149,7 +150,7 @@
         return self._chosen(search, search.best)
 
     def started(self, start: AttemptStart) -> None:
-        """Count an attempt."""
+        """Record the start of an attempt."""
         view = self._view_by_name(start.upstream)
         if view is not None:
             view.changed(self._clock.now(), 1)
@@ -162,7 +163,7 @@
         self._prefixes.add(start.version, pending.prefix, start.upstream)
 
     def ended(self, end: AttemptEnd) -> None:
-        """Learn from an attempt."""
+        """Learn from the end of an attempt."""
         start = end.start
         pending = self._pending.pop(start.attempt, None)
         view = self._view_by_name(start.upstream)
@@ -180,7 +181,7 @@
         pending: _Pending,
         view: EngineView,
     ) -> None:
-        """Take the times of a whole answer."""
+        """Update the speed estimates from a complete answer."""
         speed = self._speed(end.start.version)
         speed.service.add(pending.load, end.seconds)
         if end.first_token is None or end.output_tokens <= 1:
@@ -195,7 +196,7 @@
         if end.cached_tokens:
             speed.found_cached(end.cached_tokens)
         if pending.cached and not end.cached_tokens:
-            # The engine had evicted it.
+            # The engine had evicted the prefix.
             self._prefixes.discard(
                 end.start.version,
                 pending.prefix,
@@ -203,10 +204,11 @@
             )
 
     def _holders(self, search: _Search, pool: Pool) -> list[UpstreamState]:
-        """Return local engines that ought to have the prefix cached.
+        """Return local engines that probably have the prefix cached.
 
-        The first is its home, which is the same for all hosts of the
-        domain; the others are where this host has sent it.
+        The first is the engine to which the hash ring assigns the prefix, the
+        same for all hosts of the domain. The others are engines to which this
+        host has sent the prefix.
         """
         prefix = search.request.prefix
         home = pool.ring.home(prefix) if pool.ring else None
@@ -225,7 +227,7 @@
         search: _Search,
         states: Iterable[UpstreamState],
     ) -> None:
-        """Estimate engines and keep the best."""
+        """Evaluate engines and keep the best."""
         for state in states:
             reason = self._why_not(search, state)
             if reason:
@@ -241,11 +243,11 @@
             search.best = candidate
 
     def _why_not(self, search: _Search, state: UpstreamState) -> str:
-        """Return why an engine may not be tried; empty if it may."""
+        """Return why an engine may not be used; empty if it may."""
         if state.info.upstream in search.excluded:
             return 'failed before'
         if not has_loaded(state, search.version):
-            return 'leaves or lacks it'
+            return 'draining or version not loaded'
         health = self._view(state).health
         if not health.admits(search.now, state.reported):
             return 'ejected'
@@ -256,7 +258,7 @@
         search: _Search,
         state: UpstreamState,
     ) -> _Candidate:
-        """Return an engine with the seconds to its first token."""
+        """Return an engine with its expected seconds to the first token."""
         view = self._view(state)
         speed = search.speed
         load = view.load(state)
@@ -275,14 +277,14 @@
         search: _Search,
         domains: dict[DomainId, list[UpstreamState]],
     ) -> None:
-        """Look at other failure domains that have room."""
+        """Consider remote failure domains that are not shedding load."""
         local = search.best
         search.best = None
         for domain, states in domains.items():
             if domain == self._domain:
                 continue
             if self._fleet.is_shedding(domain):
-                search.left_out.append(f'{domain} sheds')
+                search.left_out.append(f'{domain} is shedding load')
                 continue
             self._look(search, draw(states, DRAWN, self._randomness))
         other = search.best
@@ -297,10 +299,11 @@
         search: _Search,
         local: list[UpstreamState],
     ) -> None:
-        """Try what is ejected rather than nothing.
+        """Use an ejected engine rather than none.
 
-        All are out together where all were down: then none is more suspect
-        than the others, and the first one back must not get everything.
+        After a failure of all engines all are ejected at once. None is then
+        more suspect than another, and the first one to recover must not get all
+        requests.
         """
         for state in draw(local, DRAWN, self._randomness):
             if state.info.upstream in search.excluded:
@@ -309,12 +312,12 @@
                 self._consider(search, self._estimate(search, state))
 
     def _chosen(self, search: _Search, best: _Candidate) -> Choice:
-        """Return the choice, and remember what was expected of it."""
+        """Return the choice, and remember the expectations about it."""
         request = search.request
         upstream = best.state.info.upstream
         saved = search.speed.saved if best.cached else 0
         if len(self._expected) >= _MOST_EXPECTED:
-            # Only choices that no attempt followed are left here.
+            # Only choices that were never followed by an attempt are left here.
             self._expected.clear()
         self._expected[request.request, upstream] = _Pending(
             best.load,
@@ -326,7 +329,7 @@
         return Choice(best.state, best.seconds, _describe(search, best))
 
     def _speed(self, version: VersionId) -> VersionSpeed:
-        """Return what is known of a version's speed."""
+        """Return the speed estimates of a version."""
         known = self._speeds.get(version)
         if known is None:
             known = VersionSpeed()
@@ -334,7 +337,7 @@
         return known
 
     def _view(self, state: UpstreamState) -> EngineView:
-        """Return what is known of an engine; another run is another one."""
+        """Return an engine's estimates; a new incarnation starts afresh."""
         upstream = state.info.upstream
         known = self._views.get(upstream)
         if known is not None and known[0] is state:
@@ -345,14 +348,14 @@
         return view
 
     def _view_by_name(self, upstream: UpstreamId) -> EngineView | None:
-        """Return what is known of an engine that was chosen."""
+        """Return the estimates of an engine that was chosen before."""
         known = self._views.get(upstream)
         return None if known is None else known[1]
 
 
 @register('selector', 'expected')
 def expected_selector(kernel: Kernel) -> ExpectedSelector:
-    """Make the selector for a host."""
+    """Create the selector of a host."""
     selector = ExpectedSelector(
         kernel.need(Directory),
         kernel.need(FleetLoad),
@@ -365,32 +368,34 @@
 
 
 def _is_full(search: _Search) -> bool:
-    """Tell whether the engines looked at have no slot to offer."""
+    """Return whether none of the evaluated engines has a free slot."""
     best = search.best
     return best is None or best.load >= slots_of(best.state)
 
 
 def _queue_length(load: float, slots: float) -> float:
-    """Return how many are likely to be ahead in an engine's queue.
+    """Return the expected number of requests ahead in an engine's queue.
 
-    The load is known late, so an engine that is nearly full may be full by
-    the time that the request is there: the excess over the slots, softened
-    by about the spread of the load.
+    Load is known with a delay, so an engine that is nearly full may be full by
+    the time the request arrives. The result is the excess of the load over the
+    slots, smoothed by about the standard deviation of the load.
     """
     spread = math.sqrt(slots) / 2
     return spread * math.log1p(math.exp((load - slots + 1) / spread))
 
 
 def _describe(search: _Search, best: _Candidate) -> str:
-    """Say why this one, with the others and those that were left out."""
+    """Return the reason for a choice, with alternatives and exclusions."""
     cached = ', prefix cached' if best.cached else ''
     others = '; '.join(
-        f'{one.state.info.upstream} {one.seconds:.3f} s at {one.load:.0f}'
+        f'{one.state.info.upstream} {one.seconds:.3f} s at load {one.load:.0f}'
         for one in search.candidates[:_NAMED]
         if one is not best
     )
     left_out = ', '.join(search.left_out[:_NAMED])
-    reason = f'first token in {best.seconds:.3f} s at {best.load:.0f}{cached}'
+    reason = (
+        f'first token in {best.seconds:.3f} s at load {best.load:.0f}{cached}'
+    )
     if others:
         reason = f'{reason}; others: {others}'
-    return f'{reason}; out: {left_out}' if left_out else reason
+    return f'{reason}; excluded: {left_out}' if left_out else reason
--- a/src/nutmegroad/routing/shares.py
+++ b/src/nutmegroad/routing/shares.py
@@ -1,10 +1,10 @@
-"""Limits that hold across hosts with no central counter.
+"""Concurrency limits across hosts without a central counter.
 
 Each host has a static part of its failure domain's slots. A host that needs
-more borrows from one that needs less. A loan ends by itself: the lender
-counts from when it lent, the borrower from before it asked, so no slot is
-ever with both. A host that is cut off is back at its static part when its
-loans have lapsed.
+more borrows from one that needs less. A loan expires by itself. The lender
+counts its duration from when it lent the slots, and the borrower from before it
+asked for them, so no slot is ever available to both. A host that is cut off
+from the others is back at its static part when its loans have expired.
 """
 
 from dataclasses import dataclass
@@ -13,19 +13,20 @@
 from nutmegroad.contracts.peers import Message
 from nutmegroad.foundations.types import HostId, WorkspaceId
 
-#: Seconds for which a loan holds.
+#: Duration of a loan in seconds.
 LOAN_HOLDS: Final = 4.0
 
-#: Share by which the borrower's clock may be slow against the lender's.
+#: Maximum relative lag of the borrower's clock against the lender's.
 _CLOCK_MARGIN: Final = 0.01
 
 
 class ShareAsk(Message, frozen=True, tag='share-ask'):
-    """A host asks another one for slots.
+    """Requests slots from another host.
 
     Attributes:
-        wanted: How many.
-        claim: How many of these its workspaces are entitled to.
+        wanted: Number of slots.
+        claim: Number of these slots to which the host's workspaces are
+            entitled.
     """
 
     part: ClassVar[str] = 'admission'
@@ -35,10 +36,10 @@
 
 
 class ShareLoan(Message, frozen=True, tag='share-loan'):
-    """The reply: slots that are lent.
+    """Reply to a ``ShareAsk``: the slots that are lent.
 
     Attributes:
-        slots: How many; 0 for none.
+        slots: Number of slots; 0 for none.
     """
 
     part: ClassVar[str] = 'admission'
@@ -48,29 +49,34 @@
 
 @dataclass(frozen=True, slots=True)
 class _Loan:
-    """Slots lent or borrowed, and the clock seconds at which that ends."""
+    """Slots lent or borrowed, and the clock seconds at which the loan ends."""
 
     slots: int
     until: float
 
 
 class ShareLedger:
-    """The slots that a host has lent and borrowed."""
+    """Tracks the slots that a host has lent and borrowed."""
 
     def __init__(self) -> None:
         self._lent: list[_Loan] = []
         self._borrowed: list[_Loan] = []
 
     def lend(self, slots: int, now: float) -> None:
-        """Give slots away for a while."""
+        """Record slots lent to another host.
+
+        Args:
+            slots: Number of slots.
+            now: Clock seconds.
+        """
         self._lent.append(_Loan(slots, now + LOAN_HOLDS))
 
     def borrow(self, slots: int, asked: float) -> None:
-        """Take slots that were lent.
+        """Record slots borrowed from another host.
 
         Args:
-            slots: How many.
-            asked: Clock seconds before they were asked for.
+            slots: Number of slots.
+            asked: Clock seconds before they were requested.
         """
         until = asked + LOAN_HOLDS * (1 - _CLOCK_MARGIN)
         self._borrowed.append(_Loan(slots, until))
@@ -83,7 +89,12 @@
         return borrowed - sum(loan.slots for loan in self._lent)
 
     def expiring(self, now: float, within: float) -> int:
-        """Return the borrowed slots whose loan ends soon."""
+        """Return the borrowed slots whose loan expires soon.
+
+        Args:
+            now: Clock seconds.
+            within: Seconds from now within which the loan expires.
+        """
         return sum(
             loan.slots
             for loan in self._borrowed
@@ -92,7 +103,15 @@
 
 
 def static_part(total: int, host: HostId, others: list[HostId]) -> int:
-    """Return a host's part of some slots, so that all parts sum to them."""
+    """Return a host's static part of some slots.
+
+    The parts of all hosts add up to ``total``.
+
+    Args:
+        total: Slots to divide.
+        host: The host.
+        others: The other hosts of its failure domain.
+    """
     names = sorted({host, *others})
     whole, left = divmod(total, len(names))
     return whole + (names.index(host) < left)
@@ -103,10 +122,16 @@
     demand: dict[WorkspaceId, float],
     weights: dict[WorkspaceId, float],
 ) -> dict[WorkspaceId, float]:
-    """Divide slots by weight; what one does not need goes to the others."""
+    """Divide slots by weight, and unneeded slots among the other workspaces.
+
+    Args:
+        total: Slots to divide.
+        demand: Slots that each workspace would use.
+        weights: Weight of each workspace.
+    """
     granted: dict[WorkspaceId, float] = {}
     left = total
-    # Those that need least for their weight are served first.
+    # The smallest demands for their weight are met first.
     ordered = sorted(demand, key=lambda one: demand[one] / weights[one])
     weight_left = sum(weights[one] for one in ordered)
     for workspace in ordered:
