--- a/tests/loads.py
+++ b/tests/loads.py
@@ -1,4 +1,4 @@
-"""What tests of selection and admission share."""
+"""Helpers shared by the tests of selection and admission."""
 
 import random
 from dataclasses import replace
@@ -56,13 +56,13 @@
 
 
 def ask(number: int = 0, **changes: object) -> ModelRequest:
-    """Return a request with a number of its own."""
+    """Return a request with its own number."""
     named = replace(REQUEST, request=RequestId(f'r{number}'))
     return replace(named, **changes)  # type: ignore[arg-type]
 
 
 def engine(name: str, domain: DomainId = HOME) -> UpstreamInfo:
-    """Return the host list's entry of an engine."""
+    """Return an engine's entry in the host list."""
     address = Address('127.0.0.1', 1)
     kind = UpstreamKind.ENGINE
     return UpstreamInfo(UpstreamId(name), domain, kind, address)
@@ -84,14 +84,14 @@
 def fill(
     directory: Directory, *infos: UpstreamInfo, slots: int = SLOTS
 ) -> None:
-    """Have a directory know engines that have nothing to do."""
+    """Add idle engines to a directory."""
     directory.update(infos)
     for info in infos:
         directory.reported(info.upstream, report(slots=slots))
 
 
 def start_of(request: ModelRequest, upstream: str) -> AttemptStart:
-    """Return the beginning of an attempt."""
+    """Return the start of an attempt."""
     return AttemptStart(
         AttemptId(f'{request.request}.{upstream}'),
         request.request,
@@ -113,14 +113,14 @@
 
 
 class AdmittingHost:
-    """An admitter with all that it needs, before one engine.
+    """An admitter and its dependencies, with one engine.
 
     Args:
-        clock: Time.
+        clock: The host's clock.
         slots: Slots of the engine.
-        queue_limit: Requests that may wait for each slot.
+        queue_limit: Queued requests allowed per slot.
         name: Id of the host.
-        shares: Share of each workspace.
+        shares: Quota share of each workspace.
     """
 
     def __init__(
@@ -136,7 +136,7 @@
         self.ledger = ShareLedger()
         self.directory = Directory(clock)
         fill(self.directory, engine('e1'), slots=slots)
-        # Nobody sees room at the engine: only the parts count.
+        # The engine reports no free slots, so only the static parts count.
         busy = report(running=slots, slots=slots)
         self.directory.reported(UpstreamId('e1'), busy)
         configuration = configure(clock, queue_limit, **shares)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission by deadline, share and priority."""
+"""Tests of admission by deadline, quota share and priority."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 _LARGE: Final = WorkspaceId('large')
 _SMALL: Final = WorkspaceId('small')
 _SLOTS: Final = 5
-#: Permits of five slots, with the overcommitment of a fifth.
+#: Permits for five slots, including the overcommitment of a fifth.
 _LIMIT: Final = 6
 
 
@@ -44,7 +44,7 @@
         self.admitter = self.host.admitter
         self.order: list[str] = []
 
-    async def test_an_engine_that_the_list_says_leaves_has_no_slots(
+    async def test_an_engine_listed_as_leaving_has_no_slots(
         self,
     ) -> None:
         host = self.host
@@ -86,7 +86,9 @@
         self.assertTrue(waiting.done())
         self.assertEqual(self.admitter.permits.running, _LIMIT)
 
-    async def test_what_cannot_finish_is_refused_at_once(self) -> None:
+    async def test_a_request_that_cannot_finish_is_refused_at_once(
+        self,
+    ) -> None:
         self._teach(seconds=10)
         entered = await self._enter(ask(deadline=9))
         self._assert_refused(entered.result(), ResultCode.DEADLINE_UNREACHABLE)
@@ -99,7 +101,9 @@
         entered = await self._enter(ask(9, deadline=15))
         self._assert_refused(entered.result(), ResultCode.DEADLINE_UNREACHABLE)
 
-    async def test_who_waits_is_answered_when_time_is_up(self) -> None:
+    async def test_a_queued_request_is_refused_once_it_cannot_finish(
+        self,
+    ) -> None:
         self._teach(seconds=10)
         await self._fill()
         waiting = await self._enter(ask(9, deadline=13))
@@ -117,12 +121,14 @@
         await self.clock.settle()
         self.assertEqual(self.admitter.queued, 0)
 
-    async def test_a_permit_of_one_who_went_away_is_not_lost(self) -> None:
+    async def test_the_permit_of_a_disconnected_caller_is_not_lost(
+        self,
+    ) -> None:
         permits = await self._fill()
         first = await self._enter(ask(8))
         second = await self._enter(ask(9))
         _leave(permits[0])
-        # It has the permit already but has not run since.
+        # It has been granted the permit but has not run since.
         first.cancel()
         await self.clock.settle()
         self.assertTrue(second.done())
@@ -137,7 +143,7 @@
         self.assertTrue(soon.done())
         self.assertFalse(late.done())
 
-    async def test_a_flood_does_not_hold_up_the_rest(self) -> None:
+    async def test_a_flood_does_not_delay_other_workspaces(self) -> None:
         permits = await self._fill()
         for number in range(8):
             await self._enter(ask(number))
@@ -147,7 +153,7 @@
         await self.clock.settle()
         self.assertTrue(small.done())
 
-    async def test_the_flood_itself_is_pushed_out(self) -> None:
+    async def test_the_flooding_workspace_is_evicted(self) -> None:
         await self._fill()
         crowd = [await self._enter(ask(number)) for number in range(12)]
         small = await self._enter(ask(99, workspace=_SMALL))
@@ -158,7 +164,7 @@
         self.assertEqual(len(out), 1)
         self._assert_refused(out[0], ResultCode.SHARE_EXCEEDED)
 
-    async def test_the_cheap_to_repeat_goes_first(self) -> None:
+    async def test_the_cheapest_to_repeat_is_evicted_first(self) -> None:
         await self._fill()
         kept = [
             await self._enter(ask(number, repeatable=number != 4))
@@ -169,7 +175,7 @@
         gone = [number for number, one in enumerate(kept) if one.done()]
         self.assertEqual(gone, [11])
 
-    async def test_refused_callers_do_not_come_back_together(self) -> None:
+    async def test_refused_callers_do_not_retry_together(self) -> None:
         self._make(0.1)
         await self._fill()
         await self._enter(ask(0))
@@ -198,7 +204,7 @@
         await self.clock.advance(20)
         self.assertEqual(self.admitter.permits.limit, full)
 
-    async def test_random_comings_and_goings(self) -> None:
+    async def test_random_arrivals_and_cancellations(self) -> None:
         for seed in range(3):
             with self.subTest(seed=seed):
                 self._make(1)
@@ -221,7 +227,8 @@
             await self.clock.advance(draws.uniform(0, 0.3))
             running = self.admitter.permits.running
             self.assertLessEqual(running, _LIMIT)
-            # No wake-up was lost: nobody waits while there is room.
+            # Guards against lost wake-ups: no request waits while a slot is
+            # free.
             self.assertTrue(running == _LIMIT or not self.admitter.queued)
         await self.clock.advance(30)
         self.assertEqual(self.admitter.permits.running, 0)
@@ -285,18 +292,18 @@
 
 
 def _retry_after(found: object) -> float:
-    """Return when a refused caller is to come back."""
+    """Return the retry time given to a refused caller."""
     assert isinstance(found, Refusal)
     return found.retry_after
 
 
 def _leave(permit: object) -> None:
-    """Give a permit back."""
+    """Return a permit."""
     assert isinstance(permit, AbstractContextManager)
     permit.__exit__(None, None, None)
 
 
 def _is_failure(found: object) -> bool:
-    """Tell whether a task failed otherwise than by being cancelled."""
+    """Return whether a task failed other than by cancellation."""
     cancelled = isinstance(found, asyncio.CancelledError)
     return isinstance(found, BaseException) and not cancelled
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Tests of ejection as plain services use it."""
+"""Tests of the ejection of failing upstreams, as used by plain services."""
 
 import random
 import unittest
@@ -17,23 +17,23 @@
         self.healths = Healths(random.Random(1))
         self.state = UpstreamState(engine('s1'))
 
-    def test_what_keeps_failing_is_left_out(self) -> None:
+    def test_a_repeatedly_failing_upstream_is_ejected(self) -> None:
         self._fail(ResultCode.UPSTREAM_ERROR, 2)
         self.assertTrue(self.healths.admits(self.state, 0))
         self._fail(ResultCode.UPSTREAM_ERROR, 1)
         self.assertFalse(self.healths.admits(self.state, 0))
 
-    def test_a_success_between_forgives(self) -> None:
+    def test_a_success_resets_the_failure_score(self) -> None:
         self._fail(ResultCode.UPSTREAM_ERROR, 2)
         self._fail(ResultCode.OK, 1)
         self._fail(ResultCode.UPSTREAM_ERROR, 2)
         self.assertTrue(self.healths.admits(self.state, 0))
 
-    def test_callers_who_go_away_eject_nothing(self) -> None:
+    def test_disconnecting_callers_eject_nothing(self) -> None:
         self._fail(ResultCode.ANSWER_CUT, 9)
         self.assertTrue(self.healths.admits(self.state, 0))
 
-    def test_another_run_starts_anew(self) -> None:
+    def test_a_new_incarnation_starts_afresh(self) -> None:
         self._fail(ResultCode.UPSTREAM_ERROR, 3)
         again = UpstreamState(engine('s1'))
         self.assertTrue(self.healths.admits(again, 0))
--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -1,8 +1,9 @@
-"""What upstreams hold of prompts: pattern of subjects that many ask about.
+"""Tests of cached prompt prefixes and of the estimates based on them.
 
-Long prompts share their beginnings. Whichever host sends one, the engine that
-has read its beginning answers soonest; the large model reads so slowly that
-fetching the beginning from another engine is quicker than reading it.
+Many requests ask about the same subjects, and their long prompts share
+prefixes. The engine that has processed a prefix answers soonest, whichever host
+sent it. The large model processes prompts so slowly that fetching a prefix from
+another engine is faster.
 """
 
 import unittest
@@ -33,17 +34,17 @@
 )
 from tests.relay_samples import ENGINES, LARGE, NORTH, SMALL, an_entry
 
-#: Engines whose links move a token in a microsecond.
+#: Engines with links that transfer one token per microsecond.
 LINKED = EngineFacts(memory=100_000, event_tokens=1, fetch_time=1e-6)
 SHARED = tuple(PromptPart(PartId(part), 5000) for part in 'ab')
 OWN = PromptPart(PartId('own'), 1000)
 
 
 class PromptReadingsTest(unittest.TestCase):
-    """What each upstream would read or fetch."""
+    """Prompt tokens that each upstream would process or fetch."""
 
     def setUp(self) -> None:
-        """Make two upstreams that hold nothing."""
+        """Create two upstreams without cached prefixes."""
         self.held = HeldPrefixes(ManualClock())
         self.paces = Paces()
         self.both = (Upstream(an_entry('u')), Upstream(an_entry('v')))
@@ -59,7 +60,7 @@
         facts: EngineFacts | None = None,
         parts: tuple[PromptPart, ...] = (*SHARED, OWN),
     ) -> Reading:
-        """Return what an upstream would do about a prompt."""
+        """Return the estimate for one upstream and a prompt."""
         tokens = sum(part.tokens for part in parts)
         readings = PromptReadings(
             Generation(ModelName('*'), tokens, 10, 10, parts),
@@ -72,12 +73,12 @@
         return readings.at(upstream)
 
     def sent(self, upstream: Upstream, model: ModelName, count: int) -> None:
-        """Let an upstream hold the first parts of the prompt."""
+        """Record that an upstream has cached the first parts of the prompt."""
         parts = marked(model, SHARED[:count])
         self.held.sent(upstream.entry.incarnation, parts, 0)
 
     def test_part_counts_only_with_all_before_it(self) -> None:
-        """And only for the same model."""
+        """It also counts only for the model that has processed it."""
         self.sent(self.other, SMALL, 1)
         self.assertEqual(self.readings(SMALL, self.other).tokens, 6000)
         unread = PromptPart(PartId('c'), 5000)
@@ -86,13 +87,13 @@
         self.assertEqual(found.tokens, 16_000)
         self.assertEqual(self.readings(LARGE, self.other).tokens, 11_000)
 
-    def test_home_of_a_subject_is_taken_to_hold_part_of_it(self) -> None:
-        """So hosts that choose at the same moment meet there."""
+    def test_preferred_upstream_is_assumed_to_have_part_cached(self) -> None:
+        """Hosts that choose at the same time then choose the same upstream."""
         expected = 1000 + int(10_000 * (1 - LIKELY_KEPT))
         self.assertEqual(self.readings(LARGE, self.first).tokens, expected)
 
-    def test_slow_model_fetches_what_another_engine_holds(self) -> None:
-        """Ten thousand tokens at 50 microseconds against one of the link."""
+    def test_slow_model_fetches_prefix_from_another_engine(self) -> None:
+        """Processing takes 50 us for each of 10,000 tokens, fetching 1 us."""
         self.sent(self.first, LARGE, 2)
         found = self.readings(LARGE, self.other, LINKED)
         self.assertIs(found.source, self.first)
@@ -102,8 +103,8 @@
             self.paces.work(PaceKey(ENGINES, LARGE), 1000) + 0.01,
         )
 
-    def test_nothing_is_fetched_where_that_spares_little(self) -> None:
-        """Links unknown, a short part, or an engine that holds it all."""
+    def test_nothing_is_fetched_if_that_saves_little(self) -> None:
+        """Covers an unknown link, a short prefix, and a complete cache."""
         self.sent(self.first, LARGE, 2)
         self.assertIsNone(self.readings(LARGE, self.other).source)
         short = tuple(PromptPart(part.part, 500) for part in SHARED)
@@ -111,14 +112,14 @@
         self.assertIsNone(found.source)
         self.assertIsNone(self.readings(LARGE, self.first, LINKED).source)
 
-    def test_nothing_is_fetched_from_an_engine_in_trouble(self) -> None:
-        """Pattern: the holder is behind a cut, and the fetch would hang."""
+    def test_nothing_is_fetched_from_an_unhealthy_engine(self) -> None:
+        """A fetch would hang if the source is cut off from the network."""
         self.sent(self.first, LARGE, 2)
         self.first.health.unreachable(0)
         self.assertIsNone(self.readings(LARGE, self.other, LINKED).source)
 
-    def test_home_is_in_the_own_domain_if_there_is_one(self) -> None:
-        """Bytes between failure domains are dear."""
+    def test_preferred_upstream_is_in_the_local_domain(self) -> None:
+        """Traffic between failure domains is expensive."""
         far = Upstream(an_entry('far', domain=DomainId('south')))
         self.both = (far, self.other)
         found = self.readings(LARGE, self.other).tokens
@@ -126,30 +127,30 @@
 
 
 class HeldPrefixesTest(unittest.TestCase):
-    """What hosts remember, and tell each other."""
+    """Prefixes that hosts remember and advertise to each other."""
 
     def setUp(self) -> None:
-        """Make two hosts."""
+        """Create the prefix caches of two hosts."""
         self.clock = ManualClock()
         self.mine = HeldPrefixes(self.clock)
         self.theirs = HeldPrefixes(self.clock)
         self.upstream = UpstreamIncarnation('u')
 
     def sent(self, *numbers: int, memory: int = 0) -> None:
-        """Send parts of ten tokens each."""
+        """Record sent parts of ten tokens each."""
         parts = tuple(MarkedPart(PrefixMark(each), 10) for each in numbers)
         self.mine.sent(self.upstream, parts, memory)
 
     def held(self, host: HeldPrefixes, count: int) -> list[int]:
-        """Return which of the first marks a host believes to be held."""
+        """Return which of the first fingerprints a host takes to be cached."""
         return [
             number
             for number in range(count)
             if host.holds(self.upstream, PrefixMark(number))
         ]
 
-    def test_others_hear_what_was_sent_a_moment_ago(self) -> None:
-        """And are not told for ever."""
+    def test_recent_sends_are_advertised(self) -> None:
+        """Older sends are no longer advertised."""
         self.sent(0)
         self.clock._now += 1
         self.sent(1)
@@ -157,28 +158,28 @@
         self.assertEqual(self.held(self.theirs, 3), [1])
         self.assertEqual(self.mine.recent(0.5), {self.upstream: [1, 10]})
 
-    def test_what_is_told_is_bounded(self) -> None:
-        """Pattern: a burst; the newest parts are told."""
+    def test_advertisement_is_bounded(self) -> None:
+        """After a burst of sends, the newest parts are advertised."""
         self.sent(*range(MOST_TOLD * 2))
         told = self.mine.recent(1)[self.upstream]
         self.assertEqual(len(told), MOST_TOLD * 2)
         self.assertEqual(told[-2], MOST_TOLD * 2 - 1)
 
-    def test_what_was_used_longest_ago_yields(self) -> None:
-        """An engine's memory is as large as the configuration says."""
+    def test_least_recently_used_part_is_evicted(self) -> None:
+        """The memory of an engine is as large as configured."""
         self.sent(0, 1)
         self.sent(0)
         self.sent(2, memory=25)
         self.assertEqual(self.held(self.mine, 4), [0, 2])
 
-    def test_memory_that_nobody_told_is_bounded(self) -> None:
-        """A host's own memory is."""
+    def test_prefixes_are_bounded_if_memory_is_unknown(self) -> None:
+        """The host's own memory must not grow without limit."""
         self.sent(*range(MOST_HELD + 5))
         found = self.held(self.mine, MOST_HELD + 5)
         self.assertEqual(len(found), MOST_HELD)
 
-    def test_upstreams_that_nobody_forgets_are_bounded(self) -> None:
-        """Pattern: workers are replaced for weeks, and others still tell."""
+    def test_number_of_upstreams_is_bounded(self) -> None:
+        """Upstreams are replaced for weeks; peers still advertise old ones."""
         for number in range(MOST_UPSTREAMS + 1):
             self.theirs.told({UpstreamIncarnation(f'u{number}'): [1, 10]})
         oldest = UpstreamIncarnation('u0')
@@ -186,8 +187,8 @@
         self.assertFalse(self.theirs.holds(oldest, PrefixMark(1)))
         self.assertTrue(self.theirs.holds(newest, PrefixMark(1)))
 
-    def test_upstream_that_is_gone_holds_nothing(self) -> None:
-        """Its next start has read nothing."""
+    def test_terminated_upstream_has_no_prefixes(self) -> None:
+        """Its next incarnation has not processed anything yet."""
         self.sent(0)
         self.mine.forget(self.upstream)
         self.assertEqual(self.held(self.mine, 1), [])
--- a/tests/test_relay_selection.py
+++ b/tests/test_relay_selection.py
@@ -1,4 +1,4 @@
-"""Which upstream is chosen, and what is expected of it."""
+"""Tests of upstream selection, health, and latency estimates."""
 
 import random
 import unittest
@@ -34,10 +34,10 @@
 
 
 class HealthTest(unittest.TestCase):
-    """What exchanges tell of an upstream."""
+    """Health of an upstream from the results of exchanges."""
 
-    def test_dead_upstream_is_left_out_longer_and_longer(self) -> None:
-        """Pattern: a worker is dark; each try costs a caller its time."""
+    def test_exclusion_of_a_dead_upstream_grows(self) -> None:
+        """Each attempt at an unreachable upstream costs a caller time."""
         health = Health()
         health.unreachable(0)
         self.assertFalse(health.available(0.4))
@@ -50,16 +50,17 @@
         health.answered(2, 1)
         self.assertTrue(health.available(2))
 
-    def test_one_lost_packet_gives_nobody_up(self) -> None:
-        """Pattern: a link loses packets, and the service has one upstream."""
+    def test_one_lost_packet_does_not_rule_out_an_upstream(self) -> None:
+        """A link may lose packets while the service has only one upstream."""
         health = Health()
         health.unreachable(0)
         self.assertFalse(health.hopeless(0.1))
 
-    def test_upstream_behind_a_cut_is_tried_by_one_request(self) -> None:
-        """Pattern: a failure domain is cut off from its only upstream.
+    def test_unreachable_upstream_is_probed_by_one_request(self) -> None:
+        """A failure domain may be cut off from its only upstream.
 
-        All requests there tried it, 0.3 s each, until their callers left.
+        Without the limit, every request there attempted it, 0.3 s each, until
+        their callers gave up.
         """
         health = Health()
         health.unreachable(0)
@@ -71,8 +72,8 @@
         health.answered(1.7)
         self.assertFalse(health.hopeless(1.7))
 
-    def test_failures_are_forgotten(self) -> None:
-        """Pattern: a grey worker recovers while it gets no requests."""
+    def test_failure_rate_decays(self) -> None:
+        """An upstream may recover while it gets no requests."""
         health = Health()
         for _ in range(6):
             health.failed(0)
@@ -81,10 +82,10 @@
 
 
 class SelectionTest(unittest.TestCase):
-    """Which upstream is expected to answer first."""
+    """Selection of the upstream expected to answer first."""
 
     def setUp(self) -> None:
-        """Make a selector with three upstreams."""
+        """Create a selector and three upstreams."""
         self.clock = ManualClock()
         self.ledger = LoadLedger(self.clock)
         self.selector = Selector(
@@ -102,7 +103,7 @@
         ]
 
     def chosen(self, tried: tuple[str, ...] = ()) -> str:
-        """Return where a request goes."""
+        """Return the upstream selected for a request."""
         parts = (PromptPart(PartId('s'), 900), PromptPart(PartId('o'), 100))
         asked = Asked(a_request(parts=parts), ENGINES, SMALL, None)
         names = [UpstreamId(name) for name in tried]
@@ -110,16 +111,17 @@
         assert choice is not None
         return choice.upstream.entry.upstream
 
-    def test_prompts_that_wait_send_a_request_elsewhere(self) -> None:
-        """Pattern: one long prompt holds an engine for seconds."""
+    def test_queued_prompts_divert_a_request(self) -> None:
+        """One long prompt occupies an engine for seconds."""
         first = self.chosen()
         self.ledger.begin(UpstreamId(first), Load(1, 5.0, 50_000))
         self.assertNotEqual(self.chosen(), first)
 
-    def test_domain_that_fell_silent_gets_what_no_other_can_take(self) -> None:
-        """Pattern: a failure domain is cut off while its engines stand idle.
+    def test_unresponsive_domain_is_the_last_choice(self) -> None:
+        """A failure domain may be cut off while its engines are idle.
 
-        Each host lost a request to each upstream there before it knew.
+        Without this rule, each host lost a request to each upstream there
+        before it knew.
         """
         for name in ('a', 'b'):
             self.ledger.begin(UpstreamId(name), Load(1, 2.0, 9000))
@@ -132,8 +134,8 @@
         self.assertNotEqual(self.chosen(), 'far')
         self.assertEqual(self.chosen(('a', 'b')), 'far')
 
-    def test_own_domain_is_never_cut_off(self) -> None:
-        """Pattern: a quiet night; nobody in the own domain says anything."""
+    def test_local_domain_is_never_cut_off(self) -> None:
+        """At low load no messages may arrive from the local domain at all."""
         near = self.upstreams[0]
         for _ in range(40):
             self.clock._now += 0.1
@@ -141,36 +143,36 @@
         self.clock._now += 60
         self.assertFalse(self.selector.is_cut_off(near))
 
-    def test_what_neighbours_have_sent_counts(self) -> None:
-        """Pattern: hosts that see only their own load all choose one."""
+    def test_load_reported_by_peers_counts(self) -> None:
+        """Hosts that see only their own load would all choose one upstream."""
         first = self.chosen()
         told = {UpstreamId(first): Load(3, 5.0, 9000)}
         self.ledger.told(HostId('n'), told)
         self.assertNotEqual(self.chosen(), first)
 
-    def test_what_was_told_long_ago_does_not_count(self) -> None:
-        """Pattern: a neighbour dies with requests under way."""
+    def test_stale_load_of_peers_does_not_count(self) -> None:
+        """A peer may terminate while its requests are in progress."""
         first = self.chosen()
         told = {UpstreamId(first): Load(3, 5.0, 9000)}
         self.ledger.told(HostId('n'), told)
         self.clock._now += 3
         self.assertEqual(self.chosen(), first)
 
-    def test_own_domain_goes_first_until_it_is_busy(self) -> None:
-        """A far upstream is taken only for a gain that counts."""
+    def test_local_domain_is_preferred_until_it_is_busy(self) -> None:
+        """A remote upstream is selected only if it is considerably faster."""
         self.assertNotEqual(self.chosen(), 'far')
         for name in ('a', 'b'):
             self.ledger.begin(UpstreamId(name), Load(1, 1.0, 9000))
         self.assertEqual(self.chosen(), 'far')
 
     def test_tried_upstreams_come_last(self) -> None:
-        """One that failed a request gets it again only if no other is left."""
+        """An upstream that failed a request gets it again as a last resort."""
         first = self.chosen()
         self.assertNotEqual(self.chosen(tried=(first,)), first)
         self.assertIn(self.chosen(tried=('a', 'b', 'far')), ('a', 'b', 'far'))
 
-    def test_nowhere_is_better_than_in_vain(self) -> None:
-        """All upstreams are behind a cut: the caller is told at once."""
+    def test_nothing_is_selected_if_all_are_unreachable(self) -> None:
+        """With all upstreams unreachable, the caller is refused immediately."""
         for upstream in self.upstreams:
             upstream.health.unreachable(0)
             upstream.health.unreachable(0)
@@ -178,8 +180,8 @@
         asked = Asked(a_request(parts=parts), ENGINES, SMALL, None)
         self.assertIsNone(self.selector.choose(asked, self.upstreams, ()))
 
-    def test_silent_upstream_is_avoided_before_it_fails(self) -> None:
-        """Pattern: connections go silent when a failure domain is cut off."""
+    def test_overdue_upstream_is_avoided_before_it_fails(self) -> None:
+        """Connections get no answers when a failure domain is cut off."""
         first = self.chosen()
         silent = next(
             each for each in self.upstreams if each.entry.upstream == first
@@ -189,7 +191,7 @@
         self.assertNotEqual(self.chosen(), first)
 
     def test_failing_upstream_is_avoided(self) -> None:
-        """Pattern: a grey worker, its health check good."""
+        """An upstream may fail requests although its health check succeeds."""
         first = self.chosen()
         bad = next(
             each for each in self.upstreams if each.entry.upstream == first
@@ -198,8 +200,8 @@
             bad.health.failed(0)
         self.assertNotEqual(self.chosen(), first)
 
-    def test_subject_has_the_same_first_upstream_on_all_hosts(self) -> None:
-        """Two hosts with different randomness agree."""
+    def test_subject_has_the_same_preferred_upstream_on_all_hosts(self) -> None:
+        """Two hosts with different random generators agree."""
         other = Selector(
             self.clock,
             random.Random(9),
@@ -213,10 +215,10 @@
 
 
 class LedgerTest(unittest.TestCase):
-    """What upstreams are busy with."""
+    """Load ledger of requests sent by this host."""
 
     def test_request_leaves_nothing_behind(self) -> None:
-        """Begun, read and ended, however often it is said to be read."""
+        """Begin, read and end; the prompt is counted off only once."""
         ledger = LoadLedger(ManualClock())
         name = UpstreamId('u')
         load = Load(1, 0.5, 10)
@@ -229,11 +231,11 @@
         self.assertEqual(ledger.own, {})
 
 
-class ToldTest(unittest.TestCase):
-    """The sum of what neighbours told."""
+class PeerLoadTest(unittest.TestCase):
+    """Sum of the loads received from peers."""
 
-    def test_sum_follows_each_telling(self) -> None:
-        """A host that tells anew replaces what it told before."""
+    def test_sum_follows_each_message(self) -> None:
+        """A new message from a host replaces its previous one."""
         clock = ManualClock()
         ledger = LoadLedger(clock)
         name = UpstreamId('a')
@@ -247,13 +249,14 @@
         self.assertEqual(ledger.load(name), NO_LOAD)
 
 
-class TurnTest(unittest.TestCase):
-    """Which hosts are told at a turn."""
+class GossipRoundTest(unittest.TestCase):
+    """Selection of the receivers of a gossip round."""
 
-    def test_telling_is_bounded_and_reaches_everybody(self) -> None:
-        """Pattern: forty-four hosts in a failure domain, as the letter has.
+    def test_gossip_is_bounded_and_reaches_all_hosts(self) -> None:
+        """A failure domain may have 44 hosts.
 
-        Telling all at every turn would cost a host 150 KB a second there.
+        Sending to all of them in every round would cost a host 150 KB per
+        second there.
         """
         hosts = tuple(HostId(f'h{number}') for number in range(44))
         told = [take(hosts, turn * 8, 8) for turn in range(11)]
@@ -262,11 +265,11 @@
         self.assertEqual(take(hosts[:3], 5 * 8, 8), hosts[:3])
 
 
-class PaceTest(unittest.TestCase):
-    """Estimates learn from answers."""
+class LatencyEstimatesTest(unittest.TestCase):
+    """Latency estimates are corrected by answers."""
 
     def test_slow_model_is_known_after_few_answers(self) -> None:
-        """Pattern: ten times slower than the first guess."""
+        """The model is ten times slower than the initial estimate."""
         paces = Paces()
         for _ in range(10):
             expected = paces.work(KEY, 10_000)
@@ -274,10 +277,10 @@
         self.assertAlmostEqual(paces.work(KEY, 10_000), 5.0, delta=1.0)
 
     def test_tokens_of_long_prompts_take_longer(self) -> None:
-        """Pattern: sixty thousand tokens hold an engine for seconds.
+        """A prompt of 60,000 tokens occupies an engine for seconds.
 
-        Seen on lsf trouble-1: 0.9 s expected, 3.2 s taken, and others sent
-        to wait behind it.
+        In one test scenario 0.9 s were expected for such a prompt and 3.2 s
+        were needed, and other requests were sent to wait behind it.
         """
         paces = Paces()
         for _ in range(20):
@@ -287,7 +290,7 @@
         self.assertAlmostEqual(paces.work(KEY, 60_000), 3.0, delta=0.3)
         self.assertAlmostEqual(paces.work(KEY, 1000), 0.01, delta=0.002)
 
-    def test_new_size_begins_like_the_nearest(self) -> None:
+    def test_new_size_class_starts_like_the_nearest(self) -> None:
         """The first very long prompt is expected to take at least as long."""
         paces = Paces()
         for _ in range(20):
@@ -295,11 +298,11 @@
         self.assertAlmostEqual(paces.work(KEY, 60_000), 6.0, delta=0.6)
 
 
-class GenerationTest(unittest.TestCase):
-    """How long whole answers take."""
+class GenerationEstimatesTest(unittest.TestCase):
+    """Estimates of the duration of complete answers."""
 
-    def test_pace_of_generation_is_learnt_from_whole_streams(self) -> None:
-        """Nothing is claimed before the first; nonsense changes nothing."""
+    def test_generation_time_is_learned_from_complete_streams(self) -> None:
+        """No estimate before the first stream; invalid values are ignored."""
         paces = Paces()
         self.assertEqual(paces.generation(KEY, 100), 0)
         paces.observe_generation(KEY, 0, 5)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of shares that move between hosts."""
+"""Tests of slots that are lent between hosts, and of load digests."""
 
 import asyncio
 import random
@@ -33,7 +33,7 @@
 
 
 class StaticPartTest(unittest.TestCase):
-    def test_parts_sum_to_the_whole(self) -> None:
+    def test_parts_add_up_to_the_total(self) -> None:
         names = [HostId(f'h{number}') for number in range(7)]
         for total in (0, 1, 6, 7, 100):
             with self.subTest(total=total):
@@ -43,21 +43,21 @@
 
 
 class WaterFillTest(unittest.TestCase):
-    def test_what_one_does_not_need_goes_to_the_others(self) -> None:
+    def test_unneeded_slots_go_to_the_others(self) -> None:
         large, small = WorkspaceId('large'), WorkspaceId('small')
         granted = water_fill(10, {large: 90, small: 2}, {large: 1, small: 1})
         self.assertEqual(granted, {large: 8, small: 2})
 
-    def test_weights_divide_what_is_short(self) -> None:
+    def test_weights_divide_scarce_slots(self) -> None:
         large, small = WorkspaceId('large'), WorkspaceId('small')
         granted = water_fill(9, {large: 90, small: 90}, {large: 2, small: 1})
         self.assertEqual(granted, {large: 6, small: 3})
 
 
 class ShareLedgerTest(unittest.TestCase):
-    def test_the_borrower_gives_back_before_the_lender_takes(self) -> None:
+    def test_the_borrower_returns_before_the_lender_reclaims(self) -> None:
         lender, borrower = ShareLedger(), ShareLedger()
-        # The reply may be under way for long; the loan counts from the ask.
+        # The reply may be delayed; the loan counts from the request.
         asked, lent = 10.0, 10.3
         lender.lend(4, lent)
         borrower.borrow(4, asked)
@@ -66,7 +66,7 @@
             total = lender.balance(now) + borrower.balance(now)
             self.assertLessEqual(total, 0)
 
-    def test_a_loan_ends_by_itself(self) -> None:
+    def test_a_loan_expires(self) -> None:
         ledger = ShareLedger()
         ledger.borrow(4, 0)
         self.assertEqual(ledger.balance(LOAN_HOLDS / 2), 4)
@@ -89,13 +89,13 @@
         self.fleet.take(_digest('x', shedding=True))
         self.assertEqual(self.fleet.spare(AWAY), 0)
 
-    async def test_old_digests_say_nothing(self) -> None:
+    async def test_old_digests_are_ignored(self) -> None:
         self.fleet.take(_digest('x', shedding=False))
         self.assertEqual(self.fleet.spare(AWAY), 6)
         await self.clock.advance(DIGEST_HOLDS)
         self.assertEqual(self.fleet.spare(AWAY), 0)
 
-    def test_hosts_that_are_heard_stand_for_all(self) -> None:
+    def test_received_digests_are_extrapolated(self) -> None:
         members = [_member(name) for name in 'wxyz']
         self.fleet.count(members)
         self.fleet.take(LoadDigest('w', AWAY, 9, 9, 0, False, {'large': 3}))
@@ -127,7 +127,7 @@
         task = asyncio.create_task(exchange.run())
         self.addCleanup(task.cancel)
 
-    async def test_slots_move_to_where_they_lack(self) -> None:
+    async def test_slots_move_to_where_they_are_needed(self) -> None:
         await self.clock.advance(2)
         await self._load('a', 20)
         await self.clock.advance(2)
@@ -145,7 +145,7 @@
         await self.clock.advance(LOAN_HOLDS + 1)
         self.assertEqual(self._holding('a'), static)
 
-    async def test_no_network_faults_make_slots_out_of_nothing(self) -> None:
+    async def test_network_faults_create_no_slots(self) -> None:
         self.mesh.faults = NetworkFaults((0.01, 1.5), 0.2, 0.2, 0.3)
         draws = random.Random(3)
         for _ in range(60):
@@ -181,7 +181,7 @@
     request: ModelRequest,
     clock: ManualClock,
 ) -> None:
-    """Hold a permit for long."""
+    """Hold a permit for 30 seconds."""
     permit = await admitter.admit(request)
     if isinstance(permit, Refusal):
         return
@@ -190,13 +190,13 @@
 
 
 def _member(name: str) -> Member:
-    """Return a host of another domain."""
+    """Return a host of a remote domain."""
     address = Address('127.0.0.1', 1)
     run = Incarnation(f'{name}.1')
     return Member(HostId(name), run, AWAY, address, Presence.LIVE, 0)
 
 
 def _digest(host: str, *, shedding: bool) -> LoadDigest:
-    """Return a digest of a host of another domain."""
+    """Return a digest of a host of a remote domain."""
     domain: DomainId = AWAY
     return LoadDigest(host, domain, 10, 4, 0, shedding)
