--- a/src/nutmegroad/routing/_demand.py
+++ b/src/nutmegroad/routing/_demand.py
@@ -9,16 +9,16 @@
 from nutmegroad.routing.shares import water_fill
 
 #: Maximum number of workspaces named in a digest, the largest first.
-NAMED: Final = 8
+MAX_NAMED_WORKSPACES: Final = 8
 
 #: Weight of the newest observation.
 _GAIN: Final = 0.3
 
 #: Demand in slots below which a workspace counts as idle.
-_LEAST: Final = 0.05
+_MIN_DEMAND: Final = 0.05
 
 #: Minimum fraction of its weight that a workspace has at any one host.
-_LEAST_PART: Final = 0.05
+_MIN_WEIGHT_FRACTION: Final = 0.05
 
 
 class Demand:
@@ -44,9 +44,9 @@
         self._smooth: dict[WorkspaceId, float] = {}
         self._shares: dict[WorkspaceId, float] = {}
         self._revision = Revision(-1)
-        self._parts: dict[WorkspaceId, float] = {}
+        self._fractions: dict[WorkspaceId, float] = {}
 
-    def began(self, workspace: WorkspaceId) -> None:
+    def started(self, workspace: WorkspaceId) -> None:
         """Count a request that starts to run."""
         self._running[workspace] = self._running.get(workspace, 0) + 1
 
@@ -75,16 +75,17 @@
             for name in found.keys() | self._smooth.keys()
         }
         self._smooth = {
-            name: slots for name, slots in fresh.items() if slots > _LEAST
+            name: slots for name, slots in fresh.items() if slots > _MIN_DEMAND
         }
         self._refused = {}
-        self._divide()
+        self._update_fractions()
 
     def largest(self) -> dict[str, float]:
         """Return the largest demands in slots by workspace, for a digest."""
         names = sorted(self._smooth, key=self._smooth.__getitem__)
         return {
-            str(name): round(self._smooth[name], 1) for name in names[-NAMED:]
+            str(name): round(self._smooth[name], 1)
+            for name in names[-MAX_NAMED_WORKSPACES:]
         }
 
     def entitlement(self, permits: int) -> float:
@@ -118,7 +119,7 @@
         A workspace whose requests arrive at few hosts has a higher weight at
         these, so that it gets its quota share of the domain's slots as a whole.
         """
-        return self.share(workspace) * self._parts.get(workspace, 1.0)
+        return self.share(workspace) * self._fractions.get(workspace, 1.0)
 
     def _smoothed(self, workspace: WorkspaceId, found: float) -> float:
         """Return a workspace's demand including the newest observation."""
@@ -132,14 +133,16 @@
         self._shares = {entry.workspace: entry.share for entry in entries}
         self._revision = self._configuration.revision
 
-    def _divide(self) -> None:
+    def _update_fractions(self) -> None:
         """Update the fraction of each workspace's demand that arrives here."""
         others = self._fleet.demand(self._identity.domain)
         hosts = len(self._fleet.hosts(self._identity.domain)) + 1
         # Relative to an even distribution over the hosts: 1 means that the host
         # gets its even part, which is also the default for an unknown
         # workspace.
-        self._parts = {
-            name: max(_LEAST_PART, hosts * own / (own + others.get(name, 0)))
+        self._fractions = {
+            name: max(
+                _MIN_WEIGHT_FRACTION, hosts * own / (own + others.get(name, 0))
+            )
             for name, own in self._smooth.items()
         }
--- a/src/nutmegroad/routing/_ejection.py
+++ b/src/nutmegroad/routing/_ejection.py
@@ -21,22 +21,22 @@
 )
 
 #: Failure score without a success in between at which an upstream is ejected.
-EJECTED_AT: Final = 3.0
+EJECTION_SCORE: Final = 3.0
 
 #: Duration of the first ejection in seconds; doubles with each further one.
-FIRST_EJECTION: Final = 1.0
+INITIAL_EJECTION: Final = 1.0
 
 #: Maximum duration of an ejection in seconds.
-LONGEST_EJECTION: Final = 60.0
+MAX_EJECTION: Final = 60.0
 
 #: Maximum delay in seconds of an engine's load report.
 REPORT_LAG: Final = 0.5
 
 #: Seconds until a new or recovered upstream gets its full traffic.
-SLOW_START: Final = 10.0
+SLOW_START_PERIOD: Final = 10.0
 
 #: Fraction of its slots that a new or recovered upstream may use at first.
-SLOWEST_START: Final = 0.2
+MIN_START_FRACTION: Final = 0.2
 
 _MOST_DOUBLINGS: Final = 10
 _JITTER: Final = (0.75, 1.25)
@@ -54,11 +54,11 @@
         self._randomness = randomness
         self._since = since
         self._score: float = 0
-        self._is_out = False
+        self._is_ejected = False
         self._ejections = 0
-        self._until = float('-inf')
-        self._trial: AttemptId | None = None
-        self._ejected = float('-inf')
+        self._ejected_until = float('-inf')
+        self._probe: AttemptId | None = None
+        self._ejected_at = float('-inf')
         self._unreachable = False
 
     def admits(self, now: float, reported: float) -> bool:
@@ -73,22 +73,22 @@
             now: Clock seconds.
             reported: Clock seconds of the upstream's last report.
         """
-        if not self._is_out:
+        if not self._is_ejected:
             return True
-        if self._unreachable and reported > self._ejected + REPORT_LAG:
+        if self._unreachable and reported > self._ejected_at + REPORT_LAG:
             self._readmit(now)
             return True
-        return self._trial is None and now >= self._until
+        return self._probe is None and now >= self._ejected_until
 
     def ramp(self, now: float) -> float:
         """Return the fraction of its slots to use, from 0.2 to 1."""
-        age = (now - self._since) / SLOW_START
-        return min(1.0, max(SLOWEST_START, age))
+        age = (now - self._since) / SLOW_START_PERIOD
+        return min(1.0, max(MIN_START_FRACTION, age))
 
     def started(self, attempt: AttemptId) -> None:
         """Record the start of an attempt; on probation it is the probe."""
-        if self._is_out and self._trial is None:
-            self._trial = attempt
+        if self._is_ejected and self._probe is None:
+            self._probe = attempt
 
     def ended(
         self,
@@ -97,23 +97,23 @@
         now: float,
     ) -> None:
         """Record the end of an attempt."""
-        if self._is_out:
+        if self._is_ejected:
             # Attempts that began before the ejection say nothing about the
             # upstream's present state.
-            if attempt == self._trial:
-                self._judge(code, now)
+            if attempt == self._probe:
+                self._evaluate_probe(code, now)
             return
         if code is ResultCode.OK:
             self._score = 0
             self._ejections = 0
             return
         self._score += FAILURE_WEIGHTS.get(code, 0)
-        if self._score >= EJECTED_AT:
+        if self._score >= EJECTION_SCORE:
             self._eject(code, now)
 
-    def _judge(self, code: ResultCode, now: float) -> None:
+    def _evaluate_probe(self, code: ResultCode, now: float) -> None:
         """Evaluate the probe request; on success readmit with a slow start."""
-        self._trial = None
+        self._probe = None
         if code is ResultCode.OK:
             self._ejections = 0
             self._readmit(now)
@@ -122,17 +122,17 @@
 
     def _readmit(self, now: float) -> None:
         """Return the upstream to service with a slow start."""
-        self._is_out = False
-        self._trial = None
+        self._is_ejected = False
+        self._probe = None
         self._since = now
 
     def _eject(self, code: ResultCode, now: float) -> None:
         """Send the upstream no work for a while."""
         doublings = min(self._ejections, _MOST_DOUBLINGS)
-        seconds = min(LONGEST_EJECTION, FIRST_EJECTION * 2**doublings)
-        self._until = now + seconds * self._randomness.uniform(*_JITTER)
-        self._is_out = True
-        self._ejected = now
+        seconds = min(MAX_EJECTION, INITIAL_EJECTION * 2**doublings)
+        self._ejected_until = now + seconds * self._randomness.uniform(*_JITTER)
+        self._is_ejected = True
+        self._ejected_at = now
         self._unreachable = code is ResultCode.UPSTREAM_UNREACHABLE
         self._ejections += 1
         self._score = 0
--- a/src/nutmegroad/routing/_engine_pools.py
+++ b/src/nutmegroad/routing/_engine_pools.py
@@ -15,16 +15,16 @@
 
 #: Seconds for which the cached list of a version's engines is used. Engines
 #: that have left in the meantime are recognized by their own state.
-REFRESH: Final = 1.0
+REFRESH_INTERVAL: Final = 1.0
 
 #: Samples drawn for each engine wanted, since some may be unusable.
-_TRIES: Final = 3
+_SAMPLES_PER_ENGINE: Final = 3
 
 #: Points of each engine on the hash ring.
-_POINTS: Final = 16
+_POINTS_PER_ENGINE: Final = 16
 
 
-class Ring:
+class HashRing:
     """Assigns each prefix to one of some engines by consistent hashing.
 
     Hosts that know the same engines agree without exchanging messages. An
@@ -38,13 +38,13 @@
         points = sorted(
             (crc32(f'{state.info.upstream}#{number}'.encode()), place)
             for place, state in enumerate(states)
-            for number in range(_POINTS)
+            for number in range(_POINTS_PER_ENGINE)
         )
         self._states = states
         self._places = [place for _, place in points]
         self._hashes = [point for point, _ in points]
 
-    def home(self, prefix: int) -> UpstreamState:
+    def engine_for(self, prefix: int) -> UpstreamState:
         """Return the engine to which a prefix is assigned."""
         point = crc32(str(prefix).encode())
         found = bisect_right(self._hashes, point) % len(self._hashes)
@@ -66,7 +66,7 @@
     built: float
     source: tuple[UpstreamState, ...]
     domains: dict[DomainId, list[UpstreamState]] = field(default_factory=dict)
-    ring: 'Ring | None' = None
+    ring: 'HashRing | None' = None
 
 
 class EnginePools:
@@ -93,22 +93,22 @@
         """Return the engines of a version."""
         now = self._clock.now()
         known = self._pools.get(version)
-        if known and known.source and now - known.built < REFRESH:
+        if known and known.source and now - known.built < REFRESH_INTERVAL:
             return known
         fresh = Pool(now, self._directory.engines(version))
-        if known and _same(known.source, fresh.source):
+        if known and _is_same(known.source, fresh.source):
             known.built = now
             return known
         for state in fresh.source:
             fresh.domains.setdefault(state.info.domain, []).append(state)
         local = fresh.domains.get(self._domain)
         if local:
-            fresh.ring = Ring(local)
+            fresh.ring = HashRing(local)
         self._pools[version] = fresh
         return fresh
 
 
-def draw(
+def sample(
     states: list[UpstreamState],
     wanted: int,
     randomness: random.Random,
@@ -122,17 +122,17 @@
         wanted: Number of usable engines wanted.
         randomness: Source of the sample.
     """
-    if len(states) <= wanted * _TRIES:
+    if len(states) <= wanted * _SAMPLES_PER_ENGINE:
         yield from randomness.sample(states, len(states))
         return
     places: set[int] = set()
-    for _ in range(wanted * _TRIES):
+    for _ in range(wanted * _SAMPLES_PER_ENGINE):
         places.add(int(randomness.random() * len(states)))
     for place in places:
         yield states[place]
 
 
-def has_loaded(state: UpstreamState, version: VersionId) -> bool:
+def can_serve(state: UpstreamState, version: VersionId) -> bool:
     """Return whether an engine can take new work for a version right now."""
     if not state.is_open:
         return False
@@ -144,12 +144,12 @@
     return max(1, state.report.slots) if state.report else 1
 
 
-def names_of(states: list[UpstreamState]) -> tuple[UpstreamId, ...]:
+def ids_of(states: list[UpstreamState]) -> tuple[UpstreamId, ...]:
     """Return the engines' ids."""
     return tuple(state.info.upstream for state in states)
 
 
-def _same(
+def _is_same(
     one: tuple[UpstreamState, ...],
     other: tuple[UpstreamState, ...],
 ) -> bool:
--- a/src/nutmegroad/routing/_estimates.py
+++ b/src/nutmegroad/routing/_estimates.py
@@ -24,22 +24,22 @@
 
 #: Number of other hosts assumed to behave like this one. All hosts read the
 #: same reports, so an engine that attracts this host attracts others too.
-_ALIKE: Final = 3
+_SIMILAR_HOSTS: Final = 3
 
 #: Half-life in seconds of a measured slowness.
-_FORGETTING: Final = 30.0
+_SLOWNESS_HALF_LIFE: Final = 30.0
 
 #: Slowness from which an engine counts as slow.
-_NOTABLE: Final = 1.4
+_SLOW_RATIO: Final = 1.4
 
 _FIRST_STEP: Final = 0.03
 _FIRST_PREFILL: Final = 0.0002
 _FIRST_SERVICE: Final = 5.0
 _FIRST_SAVED: Final = 64.0
-_LEAST_SPREAD: Final = 0.25
+_MIN_VARIANCE: Final = 0.25
 
 
-class Line:
+class LinearFit:
     """A linear fit to points whose weight decays with age.
 
     Args:
@@ -56,30 +56,30 @@
     @property
     def slope(self) -> float:
         """Return the increase per unit, never below 0."""
-        if self._xx < _LEAST_SPREAD:
+        if self._xx < _MIN_VARIANCE:
             return 0
         return max(0, self._xy / self._xx)
 
-    def at(self, place: float) -> float:
-        """Return the expected value at a place."""
+    def at(self, x: float) -> float:
+        """Return the expected value at ``x``."""
         floor = self._y / _OUTLIER
-        return max(floor, self._y + self.slope * (place - self._x))
+        return max(floor, self._y + self.slope * (x - self._x))
 
-    def add(self, place: float, found: float) -> None:
+    def add(self, x: float, y: float) -> None:
         """Add a point; an outlier is clamped."""
         self._count += 1
         gain = max(_GAIN, 1 / self._count)
         if self._count > 1:
-            found = min(found, self.at(place) * _OUTLIER)
-        right = place - self._x
-        up = found - self._y
-        self._x += gain * right
-        self._y += gain * up
-        self._xx = (1 - gain) * (self._xx + gain * right * right)
-        self._xy = (1 - gain) * (self._xy + gain * right * up)
+            y = min(y, self.at(x) * _OUTLIER)
+        dx = x - self._x
+        dy = y - self._y
+        self._x += gain * dx
+        self._y += gain * dy
+        self._xx = (1 - gain) * (self._xx + gain * dx * dx)
+        self._xy = (1 - gain) * (self._xy + gain * dx * dy)
 
 
-class Median:
+class RunningMedian:
     """A running median that each value moves by a small factor only.
 
     Args:
@@ -105,25 +105,26 @@
     """Speed of a version on the engines that have it loaded.
 
     Attributes:
-        step: Seconds between two output tokens, by requests at the engine.
+        token_interval: Seconds between two output tokens, by requests at the
+            engine.
         prefill: Seconds for each prompt token that is not cached.
-        service: Total seconds of a request, by requests at the engine.
-        saved: Prompt tokens that a cached prefix saves.
+        service_time: Total seconds of a request, by requests at the engine.
+        saved_tokens: Prompt tokens that a cached prefix saves.
     """
 
     def __init__(self) -> None:
-        self.step = Line(_FIRST_STEP)
-        self.prefill = Median(_FIRST_PREFILL)
-        self.service = Line(_FIRST_SERVICE)
-        self.saved = _FIRST_SAVED
+        self.token_interval = LinearFit(_FIRST_STEP)
+        self.prefill = RunningMedian(_FIRST_PREFILL)
+        self.service_time = LinearFit(_FIRST_SERVICE)
+        self.saved_tokens = _FIRST_SAVED
 
-    def found_cached(self, tokens: int) -> None:
+    def add_cached(self, tokens: int) -> None:
         """Record the tokens that a cached prefix saved.
 
         Cache misses are not counted. An engine that gets a prefix more often
         will have it cached more often, and a busy engine is avoided anyway.
         """
-        self.saved += (tokens - self.saved) * _SLOWNESS_GAIN
+        self.saved_tokens += (tokens - self.saved_tokens) * _SLOWNESS_GAIN
 
 
 class EngineView:
@@ -140,8 +141,8 @@
         randomness: random.Random,
     ) -> None:
         self.health = Health(state.first_seen, randomness)
-        self._others: float = 0
-        self._usual: float = 0
+        self._other_load: float = 0
+        self._usual_in_flight: float = 0
         self._reported = float('-inf')
         self._own = 0
         self._times: deque[float] = deque(maxlen=_HISTORY)
@@ -157,10 +158,16 @@
             seen = self._own_at(state.reported - REPORT_LAG)
             fresh = max(0, total - seen)
             gain = _REPORT_GAIN
-            self._others += (fresh - self._others) * gain
-            self._usual += (state.in_flight - self._usual) * gain
+            self._other_load += (fresh - self._other_load) * gain
+            self._usual_in_flight += (
+                state.in_flight - self._usual_in_flight
+            ) * gain
         own = state.in_flight
-        expected = own + self._others + _ALIKE * (own - self._usual)
+        expected = (
+            own
+            + self._other_load
+            + _SIMILAR_HOSTS * (own - self._usual_in_flight)
+        )
         return max(own, expected)
 
     def slowness(self, now: float) -> float:
@@ -170,9 +177,9 @@
         engines up one after another.
         """
         measured = self._smoothed(now)
-        return measured if measured > _NOTABLE else 1.0
+        return measured if measured > _SLOW_RATIO else 1.0
 
-    def changed(self, now: float, step: int) -> None:
+    def count_attempt(self, now: float, step: int) -> None:
         """Record that one of this host's attempts has started or ended.
 
         Args:
@@ -183,7 +190,7 @@
         self._times.append(now)
         self._counts.append(self._own)
 
-    def compare(self, ratio: float, now: float) -> None:
+    def add_ratio(self, ratio: float, now: float) -> None:
         """Record a measured time relative to that expected of a peer."""
         bounded = min(_OUTLIER, max(1 / _OUTLIER, ratio))
         before = self._smoothed(now)
@@ -193,12 +200,12 @@
     def _smoothed(self, now: float) -> float:
         """Return the measured slowness, decayed to ``now``."""
         age = max(0, now - self._measured)
-        kept: float = 0.5 ** (age / _FORGETTING)
+        kept: float = 0.5 ** (age / _SLOWNESS_HALF_LIFE)
         return 1 + (self._slowness - 1) * kept
 
-    def _own_at(self, moment: float) -> int:
+    def _own_at(self, at_time: float) -> int:
         """Return how many own attempts were running at a given time."""
-        place = bisect_right(self._times, moment)
+        place = bisect_right(self._times, at_time)
         if place:
             return self._counts[place - 1]
         return 0 if len(self._times) < _HISTORY else self._counts[0]
--- a/src/nutmegroad/routing/_fair_queue.py
+++ b/src/nutmegroad/routing/_fair_queue.py
@@ -22,11 +22,11 @@
 Lane = frozenset[VersionId]
 
 #: Number of finish tags beyond which those in the past are dropped.
-_MOST_TAGS: Final = 4096
+_MAX_TAGS: Final = 4096
 
 
 @dataclass(eq=False, slots=True)
-class Waiting:
+class QueuedRequest:
     """A queued request.
 
     Attributes:
@@ -34,29 +34,31 @@
         lane: Versions that may answer it, which determine the slots it can use.
         cost: Slot-seconds that it is expected to take.
         outcome: Set to None when it gets a slot, or to a refusal.
-        order: Its number in order of arrival; the maximum until it is queued.
-        gone: Whether it has been removed from the queue.
-        began: Clock seconds at which it got its slot.
+        arrival: Its number in order of arrival; the maximum until it is queued.
+        removed: Whether it has been removed from the queue.
+        granted_at: Clock seconds at which it got its slot.
     """
 
     request: ModelRequest
     lane: Lane
     cost: float
     outcome: asyncio.Future[Refusal | None]
-    order: int = sys.maxsize
-    gone: bool = False
-    began: float = 0
+    arrival: int = sys.maxsize
+    removed: bool = False
+    granted_at: float = 0
 
 
 @dataclass(eq=False, slots=True)
 class _Flow:
     """The queued requests of one workspace in one lane."""
 
-    heap: list[tuple[int, float, int, Waiting]] = field(default_factory=list)
+    heap: list[tuple[int, float, int, QueuedRequest]] = field(
+        default_factory=list
+    )
 
-    def head(self) -> Waiting | None:
+    def head(self) -> QueuedRequest | None:
         """Return the next request, or None if the flow is empty."""
-        while self.heap and self.heap[0][-1].gone:
+        while self.heap and self.heap[0][-1].removed:
             heappop(self.heap)
         return self.heap[0][-1] if self.heap else None
 
@@ -77,7 +79,7 @@
         """Return the start tag of a workspace's next request."""
         return max(self._virtual, self._finish.get(workspace, 0))
 
-    def ahead(self, workspace: WorkspaceId) -> float:
+    def lead(self, workspace: WorkspaceId) -> float:
         """Return how far a workspace's start tag is ahead of virtual time.
 
         This is the service it has received beyond its quota share.
@@ -89,7 +91,7 @@
         start = self.start(workspace)
         self._finish[workspace] = start + cost / self._weight(workspace)
         self._virtual = start
-        if len(self._finish) > _MOST_TAGS:
+        if len(self._finish) > _MAX_TAGS:
             self._finish = {
                 one: tag
                 for one, tag in self._finish.items()
@@ -145,24 +147,24 @@
         """Return whether any request is queued in a lane."""
         return lane in self._lanes
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedRequest) -> None:
         """Add a request."""
         self._arrivals += 1
-        waiting.order = self._arrivals
+        waiting.arrival = self._arrivals
         request = waiting.request
         key = (request.workspace, waiting.lane)
-        entry = (request.priority, request.deadline, waiting.order, waiting)
+        entry = (request.priority, request.deadline, waiting.arrival, waiting)
         heappush(self._flows.setdefault(key, _Flow()).heap, entry)
         self._count(waiting, 1)
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: QueuedRequest) -> None:
         """Remove a request, wherever it is in the queue."""
-        if not waiting.gone:
-            waiting.gone = True
+        if not waiting.removed:
+            waiting.removed = True
             self._count(waiting, -1)
             self._prune(waiting)
 
-    def pop(self, has_room: Callable[[Lane], bool]) -> Waiting | None:
+    def pop(self, has_room: Callable[[Lane], bool]) -> QueuedRequest | None:
         """Remove and charge the next request whose lane has a free slot.
 
         Args:
@@ -182,7 +184,7 @@
             self.tags.charge(key[0], chosen.cost)
         return chosen
 
-    def wait(self, workspace: WorkspaceId, slots: float) -> float:
+    def max_wait(self, workspace: WorkspaceId, slots: float) -> float:
         """Return an upper bound of a new request's wait in seconds.
 
         Args:
@@ -209,27 +211,27 @@
             more: Slot-seconds to add to its queued work.
         """
         work = self._work.get(workspace, 0) + more
-        return self.tags.ahead(workspace) + work / self._weight(workspace)
+        return self.tags.lead(workspace) + work / self._weight(workspace)
 
     def is_behind(self, workspace: WorkspaceId) -> bool:
         """Return whether a workspace has recently had less than its share."""
         waits = workspace in self._work
-        return not waits and self.tags.ahead(workspace) <= 0
+        return not waits and self.tags.lead(workspace) <= 0
 
-    def of_workspace(self, workspace: WorkspaceId) -> Iterable[Waiting]:
+    def of_workspace(self, workspace: WorkspaceId) -> Iterable[QueuedRequest]:
         """Return the queued requests of a workspace."""
         for key, flow in self._flows.items():
             if key[0] == workspace:
                 yield from (
-                    entry[-1] for entry in flow.heap if not entry[-1].gone
+                    entry[-1] for entry in flow.heap if not entry[-1].removed
                 )
 
     def _rank(self, key: tuple[WorkspaceId, Lane]) -> tuple[float, int]:
         """Return a flow's start tag and the arrival number of its head."""
         head = self._flows[key].head()
-        return self.tags.start(key[0]), head.order if head else 0
+        return self.tags.start(key[0]), head.arrival if head else 0
 
-    def _count(self, waiting: Waiting, step: int) -> None:
+    def _count(self, waiting: QueuedRequest, step: int) -> None:
         """Update the counters when a request enters (1) or leaves (-1)."""
         self._size += step
         workspace = waiting.request.workspace
@@ -245,7 +247,7 @@
         if not lane_count:
             self._lanes.pop(waiting.lane)
 
-    def _prune(self, waiting: Waiting) -> None:
+    def _prune(self, waiting: QueuedRequest) -> None:
         """Remove a flow that has become empty."""
         key = (waiting.request.workspace, waiting.lane)
         flow = self._flows.get(key)
--- a/src/nutmegroad/routing/_listed.py
+++ b/src/nutmegroad/routing/_listed.py
@@ -20,7 +20,7 @@
 #: Seconds for which an entry received from another host takes precedence over
 #: this host's own reading. The list lags, and by different amounts for
 #: different readers.
-HOLD: Final = 10.0
+PEER_ENTRY_LIFETIME: Final = 10.0
 
 
 class ListedEntry(Struct, frozen=True, array_like=True):
@@ -78,7 +78,7 @@
         upstreams: tuple[UpstreamInfo, ...],
     ) -> tuple[UpstreamInfo, ...]:
         """Return a list updated with the retained entries of other hosts."""
-        oldest = self._clock.now() - HOLD
+        oldest = self._clock.now() - PEER_ENTRY_LIFETIME
         self._noted = {
             name: noted
             for name, noted in self._noted.items()
--- a/src/nutmegroad/routing/_permits.py
+++ b/src/nutmegroad/routing/_permits.py
@@ -5,7 +5,7 @@
 
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.routing._demand import Demand
-from nutmegroad.routing._fair_queue import FairQueue, Lane, Waiting
+from nutmegroad.routing._fair_queue import FairQueue, Lane, QueuedRequest
 from nutmegroad.routing._slots import HostSlots
 
 
@@ -42,14 +42,14 @@
         """Return whether a request of a lane could run now."""
         return self.running < self.limit and self._lane_has_room(lane)
 
-    def take(self, waiting: Waiting) -> None:
+    def take(self, waiting: QueuedRequest) -> None:
         """Issue a permit."""
-        waiting.began = self._clock.now()
+        waiting.granted_at = self._clock.now()
         self.running += 1
         self._lanes[waiting.lane] = self._lanes.get(waiting.lane, 0) + 1
-        self._demand.began(waiting.request.workspace)
+        self._demand.started(waiting.request.workspace)
 
-    def release(self, waiting: Waiting) -> None:
+    def release(self, waiting: QueuedRequest) -> None:
         """Return a permit, and grant free permits to queued requests."""
         self.running -= 1
         self._lanes[waiting.lane] -= 1
@@ -57,7 +57,7 @@
             self._lanes.pop(waiting.lane)
         workspace = waiting.request.workspace
         self._demand.ended(workspace)
-        held = self._clock.now() - waiting.began
+        held = self._clock.now() - waiting.granted_at
         self._queue.tags.correct(workspace, held - waiting.cost)
         self.wake()
 
@@ -73,7 +73,7 @@
                 waiting.outcome.set_result(None)
 
     @contextmanager
-    def held(self, waiting: Waiting) -> Iterator[None]:
+    def held(self, waiting: QueuedRequest) -> Iterator[None]:
         """Hold an issued permit for the duration of the context."""
         try:
             yield
--- a/src/nutmegroad/routing/_prefixes.py
+++ b/src/nutmegroad/routing/_prefixes.py
@@ -6,23 +6,23 @@
 from nutmegroad.foundations.types import UpstreamId, VersionId
 
 #: Maximum number of prefixes remembered for each engine.
-KEPT: Final = 256
+MAX_PREFIXES_PER_ENGINE: Final = 256
 
 #: Maximum number of engines remembered for each prefix.
-HOLDERS: Final = 1
+MAX_ENGINES_PER_PREFIX: Final = 1
 
 _Key = tuple[VersionId, int]
 
 
-class PrefixMemory:
+class PrefixTracker:
     """Remembers where prefixes were sent, with an LRU list for each engine.
 
     Args:
-        kept: Maximum number of prefixes remembered for each engine.
+        max_prefixes: Maximum number of prefixes remembered for each engine.
     """
 
-    def __init__(self, kept: int = KEPT) -> None:
-        self._kept = kept
+    def __init__(self, max_prefixes: int = MAX_PREFIXES_PER_ENGINE) -> None:
+        self._max_prefixes = max_prefixes
         self._sent: dict[UpstreamId, OrderedDict[_Key, None]] = {}
         self._holders: dict[_Key, tuple[UpstreamId, ...]] = {}
 
@@ -46,8 +46,8 @@
         sent[key] = None
         sent.move_to_end(key)
         others = [one for one in self.holders(*key) if one != upstream]
-        self._holders[key] = (upstream, *others[: HOLDERS - 1])
-        if len(sent) > self._kept:
+        self._holders[key] = (upstream, *others[: MAX_ENGINES_PER_PREFIX - 1])
+        if len(sent) > self._max_prefixes:
             oldest, _ = sent.popitem(last=False)
             self._drop(oldest, upstream)
 
--- a/src/nutmegroad/routing/_service_times.py
+++ b/src/nutmegroad/routing/_service_times.py
@@ -5,7 +5,7 @@
 from nutmegroad.contracts.decisions import AttemptEnd
 from nutmegroad.contracts.requests import ModelRequest
 from nutmegroad.foundations.types import TaskName
-from nutmegroad.routing._estimates import Line, Median
+from nutmegroad.routing._estimates import LinearFit, RunningMedian
 
 #: Seconds for each output token before any was observed. On the low side,
 #: because no request may be refused on a guess.
@@ -16,9 +16,9 @@
     """Estimates the seconds that a request will run."""
 
     def __init__(self) -> None:
-        self._per_token = Median(_FIRST_TOKEN_SECONDS)
-        self._first: dict[TaskName, Line] = {}
-        self._output: dict[TaskName, Line] = {}
+        self._per_token = RunningMedian(_FIRST_TOKEN_SECONDS)
+        self._first: dict[TaskName, LinearFit] = {}
+        self._output: dict[TaskName, LinearFit] = {}
 
     def add(self, end: AttemptEnd) -> None:
         """Learn from a complete answer."""
@@ -28,9 +28,9 @@
         rest = end.seconds - end.first_token
         if end.output_tokens > 1:
             self._per_token.add(rest / (end.output_tokens - 1))
-        first = self._first.setdefault(task, Line(end.first_token))
+        first = self._first.setdefault(task, LinearFit(end.first_token))
         first.add(0, end.first_token)
-        output = self._output.setdefault(task, Line(end.output_tokens))
+        output = self._output.setdefault(task, LinearFit(end.output_tokens))
         output.add(0, end.output_tokens)
 
     def expected(self, request: ModelRequest) -> float:
--- a/src/nutmegroad/routing/_shedding.py
+++ b/src/nutmegroad/routing/_shedding.py
@@ -7,7 +7,7 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.routing._demand import Demand
-from nutmegroad.routing._fair_queue import FairQueue, Waiting
+from nutmegroad.routing._fair_queue import FairQueue, QueuedRequest
 
 #: Queued requests per slot if no preset sets a limit.
 _QUEUE_LIMIT: Final = 0.5
@@ -15,22 +15,22 @@
 #: Factor by which the queue limit is raised for a workspace that has recently
 #: had less than its quota share, so that it is not refused because of a flood
 #: of other workspaces' requests.
-_BEHIND: Final = 4
+_BEHIND_FACTOR: Final = 4
 
 #: Factor by which another workspace's lead over its share must exceed the
 #: newcomer's before one of its queued requests is evicted. Between equals the
 #: newcomer is refused, because that happens without any wait.
-_CLEARLY: Final = 1.5
+_EVICTION_MARGIN: Final = 1.5
 
 #: Range of the factor by which the backlog is multiplied in the retry time
 #: given to refused callers, so that they do not retry at the same time.
-_SPREAD: Final = (1, 2)
+_RETRY_SPREAD: Final = (1, 2)
 #: Minimum and maximum retry time in seconds given to refused callers.
-_SOONEST: Final = 0.2
-_LATEST: Final = 60.0
+_MIN_RETRY_AFTER: Final = 0.2
+_MAX_RETRY_AFTER: Final = 60.0
 
 #: Seconds after a refusal during which the host counts as shedding load.
-_SHEDDING: Final = 3.0
+_SHEDDING_PERIOD: Final = 3.0
 
 
 class LoadShedder:
@@ -57,14 +57,16 @@
         self._demand = demand
         self._clock = clock
         self._randomness = randomness
-        self._shed = float('-inf')
+        self._last_refusal = float('-inf')
 
     @property
     def shedding(self) -> bool:
         """Whether any request was refused recently."""
-        return self._clock.now() - self._shed < _SHEDDING
+        return self._clock.now() - self._last_refusal < _SHEDDING_PERIOD
 
-    def to_refuse(self, waiting: Waiting, limit: int) -> Waiting | None:
+    def to_refuse(
+        self, waiting: QueuedRequest, limit: int
+    ) -> QueuedRequest | None:
         """Return the request to refuse so that another may be queued.
 
         Args:
@@ -78,19 +80,22 @@
         bound = max(1, self._per_slot() * limit)
         workspace = waiting.request.workspace
         if self._queue.is_behind(workspace):
-            bound *= _BEHIND
+            bound *= _BEHIND_FACTOR
         if len(self._queue) < bound:
             return None
         excess = self._queue.excess(workspace, waiting.cost)
         largest = self._queue.largest()
-        if largest is None or self._queue.excess(largest) < excess * _CLEARLY:
+        if (
+            largest is None
+            or self._queue.excess(largest) < excess * _EVICTION_MARGIN
+        ):
             largest = workspace
-        crowd = list(self._queue.of_workspace(largest))
+        candidates = list(self._queue.of_workspace(largest))
         if largest == workspace:
-            crowd.append(waiting)
-        return max(crowd, key=_cheapness)
+            candidates.append(waiting)
+        return max(candidates, key=_refusal_order)
 
-    def refuse_crowded(self, waiting: Waiting, limit: int) -> Refusal:
+    def refuse_queue_full(self, waiting: QueuedRequest, limit: int) -> Refusal:
         """Refuse a request because the queue is full."""
         workspace = waiting.request.workspace
         if len(self._queue.counts) > 1:
@@ -110,18 +115,18 @@
 
     def refuse(
         self,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         limit: int,
         code: ResultCode,
         reason: str,
     ) -> Refusal:
         """Refuse a request, with a retry time based on the actual backlog."""
-        self._shed = self._clock.now()
+        self._last_refusal = self._clock.now()
         workspace = waiting.request.workspace
         self._demand.refused(workspace, waiting.cost)
-        backlog = self._queue.wait(workspace, limit)
-        spread = self._randomness.uniform(*_SPREAD)
-        after = min(_LATEST, max(_SOONEST, backlog) * spread)
+        backlog = self._queue.max_wait(workspace, limit)
+        spread = self._randomness.uniform(*_RETRY_SPREAD)
+        after = min(_MAX_RETRY_AFTER, max(_MIN_RETRY_AFTER, backlog) * spread)
         return Refusal(code, reason, retry_after=after)
 
     def _per_slot(self) -> float:
@@ -132,8 +137,8 @@
         return accepted.preset_entry.queue_limit
 
 
-def _cheapness(waiting: Waiting) -> tuple[bool, int, int]:
+def _refusal_order(waiting: QueuedRequest) -> tuple[bool, int, int]:
     """Return a sort key that is largest for the request cheapest to refuse."""
     request = waiting.request
     cheap = request.repeatable and request.session is None
-    return cheap, request.priority, waiting.order
+    return cheap, request.priority, waiting.arrival
--- a/src/nutmegroad/routing/_slots.py
+++ b/src/nutmegroad/routing/_slots.py
@@ -14,7 +14,7 @@
 from nutmegroad.routing.shares import ShareLedger, static_part
 
 #: Seconds for which counted slots are cached.
-REFRESH: Final = 0.5
+REFRESH_INTERVAL: Final = 0.5
 
 #: Permits per slot. A permit is held slightly longer than a slot, and a host's
 #: part is so small that random variation would leave slots empty.
@@ -24,13 +24,13 @@
 _DECREASE: Final = 0.95
 #: Minimum fraction of the slots to use, and the recovery of the limit per
 #: second.
-_LEAST: Final = 0.4
+_MIN_FACTOR: Final = 0.4
 _INCREASE_PER_SECOND: Final = 0.05
 #: Minimum seconds between two decreases of the limit.
-_PAUSE: Final = 0.5
+_DECREASE_INTERVAL: Final = 0.5
 
 
-class Pressure:
+class AdaptiveLimit:
     """Decreases the limit while engines are full and slowly restores it.
 
     Args:
@@ -53,8 +53,8 @@
         if code is not ResultCode.UPSTREAM_BUSY:
             return
         now = self._clock.now()
-        if now - self._changed >= _PAUSE:
-            self._factor = max(_LEAST, self.factor * _DECREASE)
+        if now - self._changed >= _DECREASE_INTERVAL:
+            self._factor = max(_MIN_FACTOR, self.factor * _DECREASE)
             self._changed = now
 
 
@@ -90,14 +90,14 @@
         ledger: ShareLedger,
         clock: Clock,
     ) -> None:
-        self.pressure = Pressure(clock)
+        self.adaptive_limit = AdaptiveLimit(clock)
         self.identity = identity
         self._directory = directory
         self._fleet = fleet
         self._ledger = ledger
         self._clock = clock
-        self._looked = float('-inf')
-        self._seen = 0
+        self._read_at = float('-inf')
+        self._reported_limit = 0
         self._counted: dict[Lane | None, tuple[float, int]] = {}
 
     @property
@@ -118,9 +118,9 @@
         Args:
             running: Number of requests running now.
         """
-        local = self.holding * self.pressure.factor
-        held = int(local + self._spilled())
-        return max(1, held, self._visible(running))
+        local = self.holding * self.adaptive_limit.factor
+        held = int(local + self._remote_slots())
+        return max(1, held, self._limit_from_reports(running))
 
     def lane_limit(self, lane: Lane, running: int) -> int:
         """Return how many requests of a lane may run at once.
@@ -146,7 +146,7 @@
         counted = self._counted.get(lane)
         # A count of 0 is not cached. Otherwise a host that has just started
         # would refuse requests that it could serve from the next report on.
-        if counted and counted[1] and now - counted[0] < REFRESH:
+        if counted and counted[1] and now - counted[0] < REFRESH_INTERVAL:
             return counted[1]
         slots = sum(
             slots_of(state)
@@ -156,7 +156,7 @@
         self._counted[lane] = (now, slots)
         return slots
 
-    def _visible(self, running: int) -> int:
+    def _limit_from_reports(self, running: int) -> int:
         """Return the limit that follows from the free slots of the engines.
 
         Slots must not stay empty, however they are divided between hosts. Each
@@ -164,9 +164,9 @@
         number of requests it was running when it read the reports.
         """
         now = self._clock.now()
-        if self._seen and now - self._looked < REFRESH:
-            return self._seen
-        self._looked = now
+        if self._reported_limit and now - self._read_at < REFRESH_INTERVAL:
+            return self._reported_limit
+        self._read_at = now
         domain = self.identity.domain
         reports = [
             state.report
@@ -176,8 +176,10 @@
         busy = sum(report.running + report.queued for report in reports)
         empty = max(0, self.domain_slots(None) - busy)
         hosts = len(self._fleet.hosts(domain)) + 1
-        self._seen = running + int(empty * self.pressure.factor / hosts)
-        return self._seen
+        self._reported_limit = running + int(
+            empty * self.adaptive_limit.factor / hosts
+        )
+        return self._reported_limit
 
     def _engines(self, lane: Lane | None) -> tuple[UpstreamState, ...]:
         """Return the live engines that serve a lane; None for all lanes."""
@@ -194,7 +196,7 @@
         }
         return tuple(found.values())
 
-    def _spilled(self) -> float:
+    def _remote_slots(self) -> float:
         """Return the slots of remote domains that this host may use."""
         local = self.identity.domain
         others = [one for one in self._fleet.domains() if one != local]
--- a/src/nutmegroad/routing/admission.py
+++ b/src/nutmegroad/routing/admission.py
@@ -17,7 +17,7 @@
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
 from nutmegroad.routing._demand import Demand
-from nutmegroad.routing._fair_queue import FairQueue, Waiting
+from nutmegroad.routing._fair_queue import FairQueue, QueuedRequest
 from nutmegroad.routing._permits import Permits
 from nutmegroad.routing._service_times import ServiceTimes
 from nutmegroad.routing._shedding import LoadShedder
@@ -95,7 +95,7 @@
 
     def ended(self, end: AttemptEnd) -> None:
         """Learn how long requests run and whether engines are full."""
-        self.slots.pressure.ended(end.code)
+        self.slots.adaptive_limit.ended(end.code)
         if end.code is ResultCode.OK:
             self._times.add(end)
 
@@ -112,48 +112,48 @@
             demand=self._demand.largest(),
         )
 
-    def _waiting(self, request: ModelRequest) -> Waiting:
+    def _waiting(self, request: ModelRequest) -> QueuedRequest:
         """Return the queue entry of a request."""
-        return Waiting(
+        return QueuedRequest(
             request,
             frozenset(request.versions),
             self._times.expected(request),
             asyncio.get_running_loop().create_future(),
         )
 
-    def _may_run(self, waiting: Waiting) -> bool:
+    def _may_run(self, waiting: QueuedRequest) -> bool:
         """Return whether a request may run ahead of the queue."""
-        if self._left(waiting) <= 0:
+        if self._slack(waiting) <= 0:
             return False
         if self._queue.lane_waiting(waiting.lane):
             return False
         return self.permits.has_room(waiting.lane)
 
-    def _left(self, waiting: Waiting) -> float:
+    def _slack(self, waiting: QueuedRequest) -> float:
         """Return the seconds within which a request has to start."""
-        ends = waiting.request.deadline - self._clock.now()
-        return ends - waiting.cost
+        remaining = waiting.request.deadline - self._clock.now()
+        return remaining - waiting.cost
 
-    def _refusal(self, waiting: Waiting) -> Refusal | None:
+    def _refusal(self, waiting: QueuedRequest) -> Refusal | None:
         """Return why a request may not be queued, or None if it may.
 
         A request already in the queue is evicted if that makes room.
         """
         limit = self.permits.limit
-        wait = self._queue.wait(waiting.request.workspace, limit)
-        left = self._left(waiting)
-        if left <= 0 or wait > left:
+        wait = self._queue.max_wait(waiting.request.workspace, limit)
+        slack = self._slack(waiting)
+        if slack <= 0 or wait > slack:
             return self._shedder.refuse(
                 waiting,
                 limit,
                 ResultCode.DEADLINE_UNREACHABLE,
                 f'The expected wait is {wait:.1f} s, but the request must '
-                f'start within {max(0, left):.1f} s to meet its deadline.',
+                f'start within {max(0, slack):.1f} s to meet its deadline.',
             )
         refused = self._shedder.to_refuse(waiting, limit)
         if refused is None:
             return None
-        refusal = self._shedder.refuse_crowded(refused, limit)
+        refusal = self._shedder.refuse_queue_full(refused, limit)
         if refused is waiting:
             return refusal
         self._queue.remove(refused)
@@ -161,7 +161,7 @@
             refused.outcome.set_result(refusal)
         return None
 
-    async def _wait(self, waiting: Waiting) -> Refusal | None:
+    async def _wait(self, waiting: QueuedRequest) -> Refusal | None:
         """Wait for a slot, at most until the deadline cannot be met."""
         timer = asyncio.create_task(self._expire(waiting))
         try:
@@ -172,7 +172,7 @@
         finally:
             timer.cancel()
 
-    def _abandon(self, waiting: Waiting) -> None:
+    def _abandon(self, waiting: QueuedRequest) -> None:
         """Clean up after a caller that has disconnected."""
         outcome = waiting.outcome
         self._queue.remove(waiting)
@@ -180,9 +180,9 @@
         if granted and outcome.result() is None:
             self.permits.release(waiting)
 
-    async def _expire(self, waiting: Waiting) -> None:
+    async def _expire(self, waiting: QueuedRequest) -> None:
         """Refuse a queued request as soon as it cannot meet its deadline."""
-        await self._clock.sleep(max(0, self._left(waiting)))
+        await self._clock.sleep(max(0, self._slack(waiting)))
         if waiting.outcome.done():
             return
         self._queue.remove(waiting)
--- a/src/nutmegroad/routing/fleet.py
+++ b/src/nutmegroad/routing/fleet.py
@@ -10,14 +10,14 @@
 from nutmegroad.foundations.types import DomainId, HostId, WorkspaceId
 
 #: Seconds after which a digest is ignored.
-DIGEST_HOLDS: Final = 10.0
+DIGEST_LIFETIME: Final = 10.0
 
 #: Seconds for which hosts that are no longer seen count in their domain.
-HOST_HOLDS: Final = 60.0
+HOST_RETENTION: Final = 60.0
 
 #: Fraction of a domain's hosts that must be shedding load for the domain to
 #: count as shedding.
-_SHEDDING_SHARE: Final = 0.25
+_SHEDDING_FRACTION: Final = 0.25
 
 
 class LoadDigest(Message, frozen=True, tag='load-digest'):
@@ -63,16 +63,16 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._heard: dict[DomainId, _Digests] = {}
-        self._seen: dict[DomainId, dict[HostId, float]] = {}
+        self._digests: dict[DomainId, _Digests] = {}
+        self._last_seen: dict[DomainId, dict[HostId, float]] = {}
 
     def count(self, members: Iterable[Member]) -> None:
         """Record which hosts are live now."""
         now = self._clock.now()
         for member in members:
-            seen = self._seen.setdefault(member.domain, {})
+            seen = self._last_seen.setdefault(member.domain, {})
             seen[member.host] = now
-        self._forget()
+        self._expire()
 
     def hosts(self, domain: DomainId) -> list[HostId]:
         """Return the other hosts of a domain.
@@ -80,28 +80,28 @@
         A host that is no longer seen counts for a while, because it may be cut
         off from this one and still use its part of the slots.
         """
-        return list(self._seen.get(domain, ()))
+        return list(self._last_seen.get(domain, ()))
 
     def take(self, digest: LoadDigest) -> None:
         """Store a host's latest digest."""
-        domain = self._heard.setdefault(DomainId(digest.domain), {})
+        domain = self._digests.setdefault(DomainId(digest.domain), {})
         domain[HostId(digest.host)] = (self._clock.now(), digest)
 
     def domains(self) -> tuple[DomainId, ...]:
         """Return the domains from which any digest was received."""
-        return tuple(self._heard)
+        return tuple(self._digests)
 
     def fresh(self, domain: DomainId) -> list[LoadDigest]:
         """Return the digests of a domain that have not expired."""
-        oldest = self._clock.now() - DIGEST_HOLDS
-        heard = self._heard.get(domain, {})
-        return [digest for at, digest in heard.values() if at > oldest]
+        oldest = self._clock.now() - DIGEST_LIFETIME
+        received = self._digests.get(domain, {})
+        return [digest for at, digest in received.values() if at > oldest]
 
     def is_shedding(self, domain: DomainId) -> bool:
         """Return whether a domain is refusing requests for lack of slots."""
         digests = self.fresh(domain)
         shedding = sum(digest.shedding for digest in digests)
-        return shedding > _SHEDDING_SHARE * len(digests)
+        return shedding > _SHEDDING_FRACTION * len(digests)
 
     def spare(self, domain: DomainId) -> float:
         """Return the average number of unused slots per host of a domain.
@@ -129,16 +129,16 @@
                 summed[workspace] = before + slots * scale
         return summed
 
-    def _forget(self) -> None:
+    def _expire(self) -> None:
         """Drop hosts that have not been seen for the retention period."""
-        oldest = self._clock.now() - HOST_HOLDS
-        for domain, seen in self._seen.items():
-            self._seen[domain] = {
+        oldest = self._clock.now() - HOST_RETENTION
+        for domain, seen in self._last_seen.items():
+            self._last_seen[domain] = {
                 host: at for host, at in seen.items() if at > oldest
             }
-        for domain, heard in self._heard.items():
-            self._heard[domain] = {
+        for domain, received in self._digests.items():
+            self._digests[domain] = {
                 host: entry
-                for host, entry in heard.items()
+                for host, entry in received.items()
                 if entry[0] > oldest
             }
--- a/src/nutmegroad/routing/selection.py
+++ b/src/nutmegroad/routing/selection.py
@@ -27,29 +27,28 @@
 from nutmegroad.routing._engine_pools import (
     EnginePools,
     Pool,
-    draw,
-    has_loaded,
-    names_of,
+    can_serve,
+    ids_of,
+    sample,
     slots_of,
 )
 from nutmegroad.routing._estimates import EngineView, VersionSpeed
-from nutmegroad.routing._prefixes import PrefixMemory
+from nutmegroad.routing._prefixes import PrefixTracker
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.fleet import FleetLoad
 from nutmegroad.routing.plain_selectors import no_engine
 
-#: Engines sampled for each choice, in addition to those that are expected to
-#: have the prefix cached.
-DRAWN: Final = 3
+#: Engines sampled per choice, besides those with the prefix cached.
+SAMPLE_SIZE: Final = 3
 
 #: Seconds by which an engine in a remote failure domain must be faster.
 SPILL_MARGIN: Final = 0.05
 
 #: Maximum number of choices remembered until their attempt starts.
-_MOST_EXPECTED: Final = 1000
+_MAX_EXPECTED: Final = 1000
 
 #: Maximum number of engines named in a reason.
-_NAMED: Final = 4
+_MAX_NAMED: Final = 4
 
 
 @dataclass(slots=True)
@@ -83,7 +82,7 @@
     now: float
     speed: VersionSpeed
     candidates: list[_Candidate] = field(default_factory=list)
-    left_out: list[str] = field(default_factory=list)
+    exclusions: list[str] = field(default_factory=list)
     cached: tuple[UpstreamId, ...] = ()
     best: _Candidate | None = None
 
@@ -115,7 +114,7 @@
         self._domain = domain
         self._views: dict[UpstreamId, tuple[UpstreamState, EngineView]] = {}
         self._speeds: dict[VersionId, VersionSpeed] = {}
-        self._prefixes = PrefixMemory()
+        self._prefixes = PrefixTracker()
         self._expected: dict[tuple[str, UpstreamId], _Pending] = {}
         self._pending: dict[AttemptId, _Pending] = {}
 
@@ -136,11 +135,11 @@
         pool = self._pools.pool(version)
         domains = pool.domains
         local = domains.get(self._domain, [])
-        self._look(search, self._holders(search, pool))
-        self._look(search, draw(local, DRAWN, self._randomness))
+        self._evaluate(search, self._holders(search, pool))
+        self._evaluate(search, sample(local, SAMPLE_SIZE, self._randomness))
         if search.best is None:
             # Rare: all sampled engines are unusable.
-            self._look(search, local)
+            self._evaluate(search, local)
         if _is_full(search):
             self._spill(search, domains)
         if search.best is None:
@@ -153,7 +152,7 @@
         """Record the start of an attempt."""
         view = self._view_by_name(start.upstream)
         if view is not None:
-            view.changed(self._clock.now(), 1)
+            view.count_attempt(self._clock.now(), 1)
             view.health.started(start.attempt)
         key = (start.request, start.upstream)
         pending = self._expected.pop(key, None)
@@ -170,7 +169,7 @@
         if view is None:
             return
         now = self._clock.now()
-        view.changed(now, -1)
+        view.count_attempt(now, -1)
         view.health.ended(start.attempt, end.code, now)
         if pending is not None and end.code is ResultCode.OK:
             self._learn(end, pending, view)
@@ -183,18 +182,18 @@
     ) -> None:
         """Update the speed estimates from a complete answer."""
         speed = self._speed(end.start.version)
-        speed.service.add(pending.load, end.seconds)
+        speed.service_time.add(pending.load, end.seconds)
         if end.first_token is None or end.output_tokens <= 1:
             return
         step = (end.seconds - end.first_token) / (end.output_tokens - 1)
-        usual = speed.step.at(pending.load)
-        speed.step.add(pending.load, step)
-        view.compare(step / usual, self._clock.now())
+        usual = speed.token_interval.at(pending.load)
+        speed.token_interval.add(pending.load, step)
+        view.add_ratio(step / usual, self._clock.now())
         if pending.load < pending.slots and pending.uncached:
             prefill = max(0, end.first_token - step) / pending.uncached
             speed.prefill.add(prefill)
         if end.cached_tokens:
-            speed.found_cached(end.cached_tokens)
+            speed.add_cached(end.cached_tokens)
         if pending.cached and not end.cached_tokens:
             # The engine had evicted the prefix.
             self._prefixes.discard(
@@ -206,12 +205,11 @@
     def _holders(self, search: _Search, pool: Pool) -> list[UpstreamState]:
         """Return local engines that probably have the prefix cached.
 
-        The first is the engine to which the hash ring assigns the prefix, the
-        same for all hosts of the domain. The others are engines to which this
-        host has sent the prefix.
+        The first is assigned by the hash ring, alike for all hosts of the
+        domain. This host has sent the prefix to the others.
         """
         prefix = search.request.prefix
-        home = pool.ring.home(prefix) if pool.ring else None
+        home = pool.ring.engine_for(prefix) if pool.ring else None
         states = [] if home is None else [home]
         for name in self._prefixes.holders(search.version, prefix):
             state = self._directory.state(name)
@@ -219,19 +217,19 @@
                 continue
             if state is not home:
                 states.append(state)
-        search.cached = names_of(states)
+        search.cached = ids_of(states)
         return states
 
-    def _look(
+    def _evaluate(
         self,
         search: _Search,
         states: Iterable[UpstreamState],
     ) -> None:
         """Evaluate engines and keep the best."""
         for state in states:
-            reason = self._why_not(search, state)
+            reason = self._exclusion_reason(search, state)
             if reason:
-                search.left_out.append(f'{state.info.upstream} {reason}')
+                search.exclusions.append(f'{state.info.upstream} {reason}')
                 continue
             self._consider(search, self._estimate(search, state))
 
@@ -242,33 +240,29 @@
         if best is None or candidate.seconds < best.seconds:
             search.best = candidate
 
-    def _why_not(self, search: _Search, state: UpstreamState) -> str:
+    def _exclusion_reason(self, search: _Search, state: UpstreamState) -> str:
         """Return why an engine may not be used; empty if it may."""
         if state.info.upstream in search.excluded:
             return 'failed before'
-        if not has_loaded(state, search.version):
+        if not can_serve(state, search.version):
             return 'draining or version not loaded'
         health = self._view(state).health
         if not health.admits(search.now, state.reported):
             return 'ejected'
         return ''
 
-    def _estimate(
-        self,
-        search: _Search,
-        state: UpstreamState,
-    ) -> _Candidate:
+    def _estimate(self, search: _Search, state: UpstreamState) -> _Candidate:
         """Return an engine with its expected seconds to the first token."""
         view = self._view(state)
         speed = search.speed
         load = view.load(state)
         slots = slots_of(state) * view.health.ramp(search.now)
-        wait = _queue_length(load, slots) * speed.service.at(load) / slots
+        wait = _queue_length(load, slots) * speed.service_time.at(load) / slots
         cached = state.info.upstream in search.cached
-        saved = speed.saved if cached else 0
+        saved = speed.saved_tokens if cached else 0
         uncached = max(0, search.request.prompt_tokens - saved)
-        reading = uncached * speed.prefill.level
-        seconds = wait + reading + speed.step.at(load)
+        prefill = uncached * speed.prefill.level
+        seconds = wait + prefill + speed.token_interval.at(load)
         seconds *= view.slowness(search.now)
         return _Candidate(state, load, seconds, cached)
 
@@ -284,9 +278,11 @@
             if domain == self._domain:
                 continue
             if self._fleet.is_shedding(domain):
-                search.left_out.append(f'{domain} is shedding load')
+                search.exclusions.append(f'{domain} is shedding load')
                 continue
-            self._look(search, draw(states, DRAWN, self._randomness))
+            self._evaluate(
+                search, sample(states, SAMPLE_SIZE, self._randomness)
+            )
         other = search.best
         if other is None or local is None:
             search.best = other if local is None else local
@@ -301,22 +297,21 @@
     ) -> None:
         """Use an ejected engine rather than none.
 
-        After a failure of all engines all are ejected at once. None is then
-        more suspect than another, and the first one to recover must not get all
-        requests.
+        When all engines have failed, all are ejected at once. None is then more
+        suspect than another, and the first to recover must not get all work.
         """
-        for state in draw(local, DRAWN, self._randomness):
+        for state in sample(local, SAMPLE_SIZE, self._randomness):
             if state.info.upstream in search.excluded:
                 continue
-            if has_loaded(state, search.version):
+            if can_serve(state, search.version):
                 self._consider(search, self._estimate(search, state))
 
     def _chosen(self, search: _Search, best: _Candidate) -> Choice:
         """Return the choice, and remember the expectations about it."""
         request = search.request
         upstream = best.state.info.upstream
-        saved = search.speed.saved if best.cached else 0
-        if len(self._expected) >= _MOST_EXPECTED:
+        saved = search.speed.saved_tokens if best.cached else 0
+        if len(self._expected) >= _MAX_EXPECTED:
             # Only choices that were never followed by an attempt are left here.
             self._expected.clear()
         self._expected[request.request, upstream] = _Pending(
@@ -376,9 +371,9 @@
 def _queue_length(load: float, slots: float) -> float:
     """Return the expected number of requests ahead in an engine's queue.
 
-    Load is known with a delay, so an engine that is nearly full may be full by
-    the time the request arrives. The result is the excess of the load over the
-    slots, smoothed by about the standard deviation of the load.
+    Load is known with a delay, so a nearly full engine may be full when the
+    request arrives. The result is the excess of load over slots, smoothed by
+    about the standard deviation of the load.
     """
     spread = math.sqrt(slots) / 2
     return spread * math.log1p(math.exp((load - slots + 1) / spread))
@@ -389,13 +384,13 @@
     cached = ', prefix cached' if best.cached else ''
     others = '; '.join(
         f'{one.state.info.upstream} {one.seconds:.3f} s at load {one.load:.0f}'
-        for one in search.candidates[:_NAMED]
+        for one in search.candidates[:_MAX_NAMED]
         if one is not best
     )
-    left_out = ', '.join(search.left_out[:_NAMED])
+    exclusions = ', '.join(search.exclusions[:_MAX_NAMED])
     reason = (
         f'first token in {best.seconds:.3f} s at load {best.load:.0f}{cached}'
     )
     if others:
         reason = f'{reason}; others: {others}'
-    return f'{reason}; excluded: {left_out}' if left_out else reason
+    return f'{reason}; excluded: {exclusions}' if exclusions else reason
--- a/src/nutmegroad/routing/shares.py
+++ b/src/nutmegroad/routing/shares.py
@@ -14,7 +14,7 @@
 from nutmegroad.foundations.types import HostId, WorkspaceId
 
 #: Duration of a loan in seconds.
-LOAN_HOLDS: Final = 4.0
+LOAN_DURATION: Final = 4.0
 
 #: Maximum relative lag of the borrower's clock against the lender's.
 _CLOCK_MARGIN: Final = 0.01
@@ -69,7 +69,7 @@
             slots: Number of slots.
             now: Clock seconds.
         """
-        self._lent.append(_Loan(slots, now + LOAN_HOLDS))
+        self._lent.append(_Loan(slots, now + LOAN_DURATION))
 
     def borrow(self, slots: int, asked: float) -> None:
         """Record slots borrowed from another host.
@@ -78,7 +78,7 @@
             slots: Number of slots.
             asked: Clock seconds before they were requested.
         """
-        until = asked + LOAN_HOLDS * (1 - _CLOCK_MARGIN)
+        until = asked + LOAN_DURATION * (1 - _CLOCK_MARGIN)
         self._borrowed.append(_Loan(slots, until))
 
     def balance(self, now: float) -> int:
--- a/src/nutmegroad/upstreams/directory.py
+++ b/src/nutmegroad/upstreams/directory.py
@@ -30,7 +30,7 @@
 #: Maximum number of removed upstreams that are remembered, so that a restart
 #: under the same id is recognized. Larger than the largest planned deployment
 #: (890 upstreams).
-MOST_GONE: Final = 1000
+MAX_REMOVED: Final = 1000
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
 
 
 #: Called with each incarnation that has ended, and how it ended.
-TellOfEnd = Callable[[UpstreamIncarnation, End], None]
+EndListener = Callable[[UpstreamIncarnation, End], None]
 
 
 @dataclass(slots=True)
@@ -108,41 +108,41 @@
     """Notifies listeners of ended incarnations; remembers removed upstreams."""
 
     def __init__(self) -> None:
-        self._told: list[TellOfEnd] = []
+        self._listeners: list[EndListener] = []
         # Oldest first. Any of these may return as a new incarnation.
-        self._gone: dict[UpstreamId, Upstream] = {}
+        self._removed: dict[UpstreamId, Upstream] = {}
 
-    def tell_of_ends(self, tell: TellOfEnd) -> None:
+    def tell_of_ends(self, listener: EndListener) -> None:
         """Register a callback for each incarnation that ends."""
-        self._told.append(tell)
+        self._listeners.append(listener)
 
     def gone(self, known: Upstream) -> None:
         """Record that an upstream is no longer listed."""
-        self._gone[known.entry.upstream] = known
-        while len(self._gone) > MOST_GONE:
-            self._gone.pop(next(iter(self._gone)))
-        self._tell(known, End.GONE)
+        self._removed[known.entry.upstream] = known
+        while len(self._removed) > MAX_REMOVED:
+            self._removed.pop(next(iter(self._removed)))
+        self._notify(known, End.GONE)
 
     def restarted(self, known: Upstream) -> None:
         """Record that another incarnation has taken over an upstream's id."""
         known.restarted = True
-        self._tell(known, End.RESTARTED)
+        self._notify(known, End.RESTARTED)
 
     def has_gone(self, entry: UpstreamEntry) -> bool:
         """Return whether an entry belongs to an incarnation already removed."""
-        known = self._gone.get(entry.upstream)
+        known = self._removed.get(entry.upstream)
         return known is not None and known.entry.born == entry.born
 
     def listed(self, entry: UpstreamEntry) -> None:
         """Record an upstream that is new to the list or listed again."""
-        before = self._gone.pop(entry.upstream, None)
+        before = self._removed.pop(entry.upstream, None)
         if before is not None and before.entry.born != entry.born:
             self.restarted(before)
 
-    def _tell(self, known: Upstream, end: End) -> None:
+    def _notify(self, known: Upstream, end: End) -> None:
         """Notify all listeners."""
-        for tell in self._told:
-            tell(known.entry.incarnation, end)
+        for listener in self._listeners:
+            listener(known.entry.incarnation, end)
 
 
 class Directory:
@@ -156,7 +156,7 @@
         self.ended = EndedIncarnations()
         self._clock = clock
         self._known: dict[UpstreamId, Upstream] = {}
-        self._at: dict[Address, UpstreamId] = {}
+        self._by_address: dict[Address, UpstreamId] = {}
         # Rebuilt on the first access after a change, because the first read of
         # the list adds all entries at once.
         self._services: dict[ServiceName, tuple[Upstream, ...]] | None = None
@@ -181,17 +181,17 @@
         """Add an entry, or apply a change to a known one."""
         known = self._known.get(entry.upstream)
         if known is None:
-            self._take_in(entry)
+            self._add(entry)
         elif entry.born and entry.born != known.entry.born:
             if not _is_later_start(known, entry):
-                self._say('rejected: earlier incarnation', entry)
+                self._log_change('rejected: earlier incarnation', entry)
                 return
-            self._leave_address(known)
+            self._release_address(known)
             self._restart(known, entry)
         else:
-            self._leave_address(known)
+            self._release_address(known)
             self._change(known, entry)
-        self._at[entry.address] = entry.upstream
+        self._by_address[entry.address] = entry.upstream
         self._services = None
 
     def remove(self, upstream: UpstreamId, reason: str) -> None:
@@ -203,22 +203,22 @@
         """
         known = self._known.pop(upstream, None)
         if known is not None:
-            self._say(f'removed: {reason}', known.entry)
-            self._leave_address(known)
+            self._log_change(f'removed: {reason}', known.entry)
+            self._release_address(known)
             self._services = None
             self.ended.gone(known)
 
-    def missing(self, upstream: UpstreamId, patience: float) -> None:
+    def missing(self, upstream: UpstreamId, grace_period: float) -> None:
         """Record that a known upstream is missing from the list for now.
 
         Args:
             upstream: Id of the upstream.
-            patience: Seconds after which it is removed unless it is listed
+            grace_period: Seconds after which it is removed unless it is listed
                 again.
         """
         known = self._known.get(upstream)
         if known is not None and known.missing_until is None:
-            known.missing_until = self._clock.now() + patience
+            known.missing_until = self._clock.now() + grace_period
 
     def remove_missing(self) -> None:
         """Remove upstreams whose grace period has expired."""
@@ -233,22 +233,22 @@
         present = frozenset(listed)
         return tuple(each for each in self._known if each not in present)
 
-    def _take_in(self, entry: UpstreamEntry) -> None:
+    def _add(self, entry: UpstreamEntry) -> None:
         """Add an upstream that is new to the list."""
         self._replace_at(entry)
         self._known[entry.upstream] = Upstream(entry)
-        self._say('added', entry)
+        self._log_change('added', entry)
         self.ended.listed(entry)
 
-    def _leave_address(self, known: Upstream) -> None:
+    def _release_address(self, known: Upstream) -> None:
         """Clear the address index entry of an upstream."""
-        if self._at.get(known.entry.address) == known.entry.upstream:
-            self._at.pop(known.entry.address)
+        if self._by_address.get(known.entry.address) == known.entry.upstream:
+            self._by_address.pop(known.entry.address)
 
     def _change(self, known: Upstream, entry: UpstreamEntry) -> None:
         """Apply changed attributes of the same incarnation."""
         if entry.leaving and not known.entry.leaving:
-            self._say('draining', entry)
+            self._log_change('draining', entry)
         known.entry = replace(entry, born=known.entry.born)
         known.missing_until = None
         known.earlier_start = 0
@@ -256,12 +256,12 @@
     def _restart(self, known: Upstream, entry: UpstreamEntry) -> None:
         """Replace an upstream by its new incarnation."""
         self._known[entry.upstream] = Upstream(entry)
-        self._say('restarted', entry)
+        self._log_change('restarted', entry)
         self.ended.restarted(known)
 
     def _replace_at(self, entry: UpstreamEntry) -> None:
         """Remove the upstream that used a new upstream's address before."""
-        before = self._at.get(entry.address)
+        before = self._by_address.get(entry.address)
         if before is not None:
             self.remove(before, f'replaced by {entry.upstream}')
 
@@ -273,10 +273,10 @@
                 grouped.setdefault(known.entry.service, []).append(known)
         return {service: tuple(members) for service, members in grouped.items()}
 
-    def _say(self, what: str, entry: UpstreamEntry) -> None:
+    def _log_change(self, event: str, entry: UpstreamEntry) -> None:
         """Log a change to the directory."""
         _LOG.decision(
-            what,
+            event,
             upstream=entry.upstream,
             service=entry.service,
             address=str(entry.address),
--- a/src/nutmegroad/upstreams/estimates.py
+++ b/src/nutmegroad/upstreams/estimates.py
@@ -14,18 +14,18 @@
 #: Initial estimate in seconds per prompt token, before the first answer: 20,000
 #: tokens per second, a slow present-day engine. Only the first few requests
 #: rely on it.
-FIRST_PACE: Final = 0.00005
+INITIAL_TOKEN_SECONDS: Final = 0.00005
 
 #: Initial estimate in seconds for the part that does not depend on the prompt.
-FIRST_BASE: Final = 0.05
+INITIAL_BASE_SECONDS: Final = 0.05
 
 #: Weight of the newest answer. About the last twenty answers decide, so a
 #: single answer that waited behind requests unknown to this host has little
 #: effect. The first few answers are weighted as in an arithmetic mean.
-RECENT: Final = 0.05
+NEWEST_WEIGHT: Final = 0.05
 
 #: Maximum factor by which a single answer may correct an estimate.
-MOST_CHANGE: Final = 10.0
+MAX_CORRECTION: Final = 10.0
 
 #: Prompt tokens from which an answer says more about the time per token than
 #: about the constant part.
@@ -60,11 +60,11 @@
     def correct(self, ratio: float) -> None:
         """Apply the ratio of a measured time to its estimate."""
         self.count += 1
-        self.level *= ratio ** max(RECENT, 1 / (self.count + 1))
+        self.level *= ratio ** max(NEWEST_WEIGHT, 1 / (self.count + 1))
 
 
 @dataclass(slots=True)
-class _Pace:
+class _Latency:
     """Latency estimates for one service and model.
 
     Attributes:
@@ -91,7 +91,7 @@
                 key=lambda known: abs(known - size),
                 default=None,
             )
-            level = FIRST_PACE
+            level = INITIAL_TOKEN_SECONDS
             if nearest is not None:
                 level = self.tokens[nearest].level
             found = _Mean(level)
@@ -103,19 +103,19 @@
     """Learns the time until answers start, by service and model."""
 
     def __init__(self) -> None:
-        self._paces: dict[PaceKey, _Pace] = {}
+        self._latencies: dict[PaceKey, _Latency] = {}
 
     def work(self, key: PaceKey, tokens: int) -> float:
         """Return the seconds that an upstream takes to process a prompt."""
-        return self._of(key).token(_size_class(tokens)).level * tokens
+        return self._latency(key).token(_size_class(tokens)).level * tokens
 
     def base(self, key: PaceKey) -> float:
         """Return the seconds that an answer takes apart from its prompt."""
-        return self._of(key).base.level
+        return self._latency(key).base.level
 
     def generation(self, key: PaceKey, tokens: int) -> float:
         """Return the seconds to generate tokens, or 0 if unknown."""
-        return (self._of(key).generated or 0) * tokens
+        return (self._latency(key).generated or 0) * tokens
 
     def observe_generation(
         self,
@@ -132,10 +132,10 @@
         """
         if tokens <= 0 or seconds <= 0:
             return
-        pace = self._of(key)
+        latency = self._latency(key)
         found = seconds / tokens
-        known = found if pace.generated is None else pace.generated
-        pace.generated = known + RECENT * (found - known)
+        known = found if latency.generated is None else latency.generated
+        latency.generated = known + NEWEST_WEIGHT * (found - known)
 
     def observe(
         self,
@@ -155,18 +155,20 @@
         Returns:
             Ratio of the measured time to the estimate.
         """
-        ratio = waited / max(expected, FIRST_PACE)
-        bounded = min(MOST_CHANGE, max(1 / MOST_CHANGE, ratio))
-        pace = self._of(key)
+        ratio = waited / max(expected, INITIAL_TOKEN_SECONDS)
+        bounded = min(MAX_CORRECTION, max(1 / MAX_CORRECTION, ratio))
+        latency = self._latency(key)
         if tokens >= LONG_PROMPT:
-            pace.token(_size_class(tokens)).correct(bounded)
+            latency.token(_size_class(tokens)).correct(bounded)
         else:
-            pace.base.correct(bounded)
+            latency.base.correct(bounded)
         return ratio
 
-    def _of(self, key: PaceKey) -> _Pace:
+    def _latency(self, key: PaceKey) -> _Latency:
         """Return the estimates for a service and model; created if new."""
-        return self._paces.setdefault(key, _Pace(_Mean(FIRST_BASE), {}))
+        return self._latencies.setdefault(
+            key, _Latency(_Mean(INITIAL_BASE_SECONDS), {})
+        )
 
 
 def _size_class(tokens: int) -> int:
--- a/src/nutmegroad/upstreams/health.py
+++ b/src/nutmegroad/upstreams/health.py
@@ -16,15 +16,15 @@
 
 #: Maximum exclusion in seconds; an upstream that restarts is back within
 #: seconds.
-LONGEST_PAUSE: Final = 4.0
+MAX_EXCLUSION: Final = 4.0
 
 #: Weight of the newest outcome in the moving averages. About the last six
 #: outcomes decide, because a host uses one upstream a few times per second at
 #: most.
-RECENT: Final = 0.3
+NEWEST_WEIGHT: Final = 0.3
 
 #: Half-life in seconds of the observed failure rate.
-FORGET: Final = 4.0
+FAILURE_HALF_LIFE: Final = 4.0
 
 _HALF: Final = 0.5
 
@@ -79,15 +79,15 @@
 
     def unreachable(self, now: float) -> None:
         """Record that connecting failed or a connection became unresponsive."""
-        self.pause = min(LONGEST_PAUSE, max(FIRST_PAUSE, self.pause * 2))
+        self.pause = min(MAX_EXCLUSION, max(FIRST_PAUSE, self.pause * 2))
         self.excluded_until = now + self.pause
         self.trial = False
-        self._fold(1, now)
+        self._add_outcome(1, now)
 
     def failed(self, now: float) -> None:
         """Record an answer that was a failure or was cut off."""
         self.trial = False
-        self._fold(1, now)
+        self._add_outcome(1, now)
 
     def silent(self, now: float) -> None:
         """Record that an answer is overdue.
@@ -95,7 +95,7 @@
         The answer may still arrive. Until then other requests prefer other
         upstreams.
         """
-        self._fold(1, now)
+        self._add_outcome(1, now)
 
     def answered(self, now: float, pace: float | None = None) -> None:
         """Record a successful answer.
@@ -107,17 +107,17 @@
         """
         self.pause = 0
         self.trial = False
-        self._fold(0, now)
+        self._add_outcome(0, now)
         if pace is not None:
-            self.pace += RECENT * (pace - self.pace)
+            self.pace += NEWEST_WEIGHT * (pace - self.pace)
 
     def failure_share(self, now: float) -> float:
         """Return the recent failure rate, decayed to ``now``."""
         age = max(0, now - self.changed)
-        return self.failures * float(_HALF ** (age / FORGET))
+        return self.failures * float(_HALF ** (age / FAILURE_HALF_LIFE))
 
-    def _fold(self, failure: float, now: float) -> None:
+    def _add_outcome(self, failure: float, now: float) -> None:
         """Add an outcome to the moving average of failures."""
         present = self.failure_share(now)
-        self.failures = present + RECENT * (failure - present)
+        self.failures = present + NEWEST_WEIGHT * (failure - present)
         self.changed = now
--- a/src/nutmegroad/upstreams/prefixes.py
+++ b/src/nutmegroad/upstreams/prefixes.py
@@ -29,10 +29,10 @@
 #: total value over nine paired days, measured before hosts advertised sends
 #: immediately. With immediate advertising no significant effect remains
 #: (-0.004, standard error 0.005).
-FETCH_SPARES: Final = 0.1
+MIN_FETCH_SAVING: Final = 0.1
 
 #: Recent failure rate from which on nothing is fetched from an upstream.
-FETCH_FAILURES: Final = 0.2
+MAX_FETCH_FAILURE_RATE: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
 
 
 #: The estimate for a call that generates no text and has no prompt.
-NOTHING: Final = Reading(0, 0)
+NO_PREFILL: Final = Reading(0, 0)
 
 
 def marked(
@@ -90,19 +90,19 @@
         generation: Generation,
         key: PaceKey,
         facts: EngineFacts | None,
-        paces: Paces,
+        latencies: Paces,
         held: HeldPrefixes,
     ) -> None:
         self._generation = generation
         self._key = key
         self._facts = facts
-        self._paces = paces
+        self._latencies = latencies
         self._held = held
         self._parts = marked(key.model, generation.shared)
         self._shared = sum(part.tokens for part in self._parts)
-        self._first: UpstreamId | None = None
+        self._preferred: UpstreamId | None = None
         self._source: Upstream | None = None
-        self._source_lacks = self._shared
+        self._source_missing = self._shared
 
     def look(
         self,
@@ -122,67 +122,71 @@
             now: Clock seconds.
         """
         candidates = tuple(candidates)
-        near = [each for each in candidates if each.entry.domain == domain]
+        local = [each for each in candidates if each.entry.domain == domain]
         subject = self._generation.subject
         if subject is not None:
-            first = min(
-                near or candidates,
-                key=lambda upstream: _place(subject, upstream),
+            preferred = min(
+                local or candidates,
+                key=lambda upstream: _rendezvous_hash(subject, upstream),
             )
-            self._first = first.entry.upstream
+            self._preferred = preferred.entry.upstream
         for upstream in candidates:
-            lacks = self._lacks(upstream)
-            if lacks < self._source_lacks and _is_sound(upstream, now):
+            missing = self._missing_tokens(upstream)
+            if missing < self._source_missing and _may_fetch_from(
+                upstream, now
+            ):
                 self._source = upstream
-                self._source_lacks = lacks
+                self._source_missing = missing
 
     def at(self, upstream: Upstream) -> Reading:
         """Return the estimate for one upstream."""
-        lacks = self._lacks(upstream)
-        fetching = self._fetching(upstream, lacks)
-        if fetching is not None:
-            return fetching
-        if upstream.entry.upstream == self._first:
-            lacks = min(lacks, int(self._shared * (1 - LIKELY_KEPT)))
-        return self._reading(lacks)
-
-    def _lacks(self, upstream: Upstream) -> int:
+        missing = self._missing_tokens(upstream)
+        with_fetch = self._with_fetch(upstream, missing)
+        if with_fetch is not None:
+            return with_fetch
+        if upstream.entry.upstream == self._preferred:
+            missing = min(missing, int(self._shared * (1 - LIKELY_KEPT)))
+        return self._without_fetch(missing)
+
+    def _missing_tokens(self, upstream: Upstream) -> int:
         """Return how many shared tokens an upstream has not cached."""
-        lacks = self._shared
+        missing = self._shared
         for part in self._parts:
             if not self._held.holds(upstream.entry.incarnation, part.mark):
                 break
-            lacks -= part.tokens
-        return lacks
+            missing -= part.tokens
+        return missing
 
-    def _reading(self, lacks: int) -> Reading:
+    def _without_fetch(self, missing: int) -> Reading:
         """Return the estimate without a fetch, for some missing tokens."""
         own = max(0, self._generation.prompt_tokens - self._shared)
-        return Reading(lacks + own, self._paces.work(self._key, lacks + own))
+        return Reading(
+            missing + own, self._latencies.work(self._key, missing + own)
+        )
 
-    def _fetching(self, upstream: Upstream, lacks: int) -> Reading | None:
+    def _with_fetch(self, upstream: Upstream, missing: int) -> Reading | None:
         """Return the estimate with a fetch, or None if a fetch does not pay."""
         if self._facts is None or self._facts.fetch_time is None:
             return None
         if self._source is None or self._source is upstream:
             return None
-        alone = self._reading(lacks)
-        after = self._reading(self._source_lacks)
-        moving = (lacks - self._source_lacks) * self._facts.fetch_time
-        if alone.seconds - after.seconds - moving < FETCH_SPARES:
+        alone = self._without_fetch(missing)
+        after = self._without_fetch(self._source_missing)
+        transfer = (missing - self._source_missing) * self._facts.fetch_time
+        if alone.seconds - after.seconds - transfer < MIN_FETCH_SAVING:
             return None
-        return Reading(after.tokens, after.seconds + moving, self._source)
+        return Reading(after.tokens, after.seconds + transfer, self._source)
 
 
-def _is_sound(upstream: Upstream, now: float) -> bool:
+def _may_fetch_from(upstream: Upstream, now: float) -> bool:
     """Return whether cached parts may be fetched from an upstream."""
     health = upstream.health
     if not health.available(now):
         return False
-    return health.failure_share(now) < FETCH_FAILURES
+    return health.failure_share(now) < MAX_FETCH_FAILURE_RATE
 
 
-def _place(subject: str, upstream: Upstream) -> int:
+def _rendezvous_hash(subject: str, upstream: Upstream) -> int:
     """Return the rendezvous hash of a subject and an upstream; lowest wins."""
     name = f'{subject}/{upstream.entry.upstream}'
     return xxh3_64_intdigest(name.encode())
--- a/src/nutmegroad/upstreams/ranks.py
+++ b/src/nutmegroad/upstreams/ranks.py
@@ -12,8 +12,8 @@
 #: the first fraction delays no other request noticeably. A prompt that takes
 #: longer than the second makes the requests behind it late where a few such
 #: prompts meet.
-SHORT: Final = 0.05
-LONG: Final = 0.2
+SHORT_PREFILL_FRACTION: Final = 0.05
+LONG_PREFILL_FRACTION: Final = 0.2
 
 #: Number of operator priorities that are distinguished among prompts of one
 #: length class.
@@ -36,5 +36,7 @@
         target: Seconds within which the route's answers should start.
         priority: The operator's priority of the request, 0 first.
     """
-    length = (reading > target * SHORT) + (reading > target * LONG)
+    length = (reading > target * SHORT_PREFILL_FRACTION) + (
+        reading > target * LONG_PREFILL_FRACTION
+    )
     return RANKS * length + min(RANKS - 1, priority)
--- a/src/nutmegroad/upstreams/selection.py
+++ b/src/nutmegroad/upstreams/selection.py
@@ -27,42 +27,42 @@
 from nutmegroad.routes.requests import CallerRequest
 from nutmegroad.upstreams.directory import Upstream
 from nutmegroad.upstreams.estimates import PaceKey, Paces
-from nutmegroad.upstreams.prefixes import NOTHING, PromptReadings, Reading
+from nutmegroad.upstreams.prefixes import NO_PREFILL, PromptReadings, Reading
 
 #: Penalty for an upstream in a remote failure domain, as a fraction of the
 #: request's target latency. Traffic between domains is expensive, a remote
 #: answer that is no later than a local one is no better, and a late answer
 #: loses most of its value.
-FAR_PART: Final = 0.12
+REMOTE_PENALTY: Final = 0.12
 
 #: Penalty for an upstream that fails all its requests while the best candidate
 #: fails none, as a fraction of the target latency. Scaled by the failure rate
 #: in excess of the best candidate's.
-FAILING_PART: Final = 2.0
+FAILURE_PENALTY: Final = 2.0
 
 #: Penalty for an upstream in a failure domain that is probably cut off, as a
 #: fraction of the target latency; equal to that for failing all requests. If
 #: all other upstreams are full it is still tried, since it may be reachable.
-CUT_PART: Final = 2.0
+CUT_OFF_PENALTY: Final = 2.0
 
 #: Penalty for an upstream whose slots are all taken, as a fraction of the
 #: target latency.
-FULL_PART: Final = 0.5
+FULL_SLOTS_PENALTY: Final = 0.5
 
 #: Penalty for each tenth of an engine's memory that is requested beyond its
 #: capacity, as a fraction of the target latency. The engine then preempts
 #: requests and processes their prompts again.
-MEMORY_PART: Final = 0.5
+MEMORY_PENALTY: Final = 0.5
 
 #: Fraction of an engine's memory from which it counts as full. The rest is for
 #: requests that peers have just sent and this host does not know of yet.
-MEMORY_FULL: Final = 0.9
+MEMORY_FULL_FRACTION: Final = 0.9
 
 #: Ratio of measured to estimated time from which an upstream counts as slow.
-SLOW: Final = 2.0
+SLOW_RATIO: Final = 2.0
 
 #: Estimates that differ by less than this many seconds count as equal.
-TIE: Final = 0.002
+TIE_SECONDS: Final = 0.002
 
 _TENTH: Final = 0.1
 
@@ -151,7 +151,7 @@
 
     def choose(
         self,
-        asked: Asked,
+        query: Asked,
         upstreams: Collection[Upstream],
         tried: Collection[UpstreamIncarnation],
     ) -> Choice | None:
@@ -161,7 +161,7 @@
         allowed to probe one; all others are better refused immediately.
 
         Args:
-            asked: The request, its service and model.
+            query: The request, its service and model.
             upstreams: Upstreams that may execute it.
             tried: Incarnations that have already failed with the request;
                 selected again only if there are no others.
@@ -170,13 +170,15 @@
         candidates = _candidates(upstreams, tried, now)
         if not candidates:
             return None
-        readings = self._readings(asked, candidates)
-        usual = min(each.health.failure_share(now) for each in candidates)
+        estimator = self._prefill_estimator(query, candidates)
+        best_rate = min(each.health.failure_share(now) for each in candidates)
         best: tuple[float, Choice] | None = None
         for upstream in candidates:
-            reading = NOTHING if readings is None else readings.at(upstream)
-            choice = self._estimate(asked, upstream, reading, len(candidates))
-            cost = self._cost(asked, choice, usual)
+            prefill = (
+                NO_PREFILL if estimator is None else estimator.at(upstream)
+            )
+            choice = self._estimate(query, upstream, prefill, len(candidates))
+            cost = self._cost(query, choice, best_rate)
             if best is None or cost < best[0]:
                 best = (cost, choice)
         return None if best is None else best[1]
@@ -188,24 +190,24 @@
 
     def _estimate(
         self,
-        asked: Asked,
+        query: Asked,
         upstream: Upstream,
-        reading: Reading,
+        prefill: Reading,
         candidates: int,
     ) -> Choice:
         """Return the estimate for one upstream."""
         load = self.ledger.load(upstream.entry.incarnation)
-        base = self.paces.base(asked.key)
+        base = self.paces.base(query.key)
         queue = max(0, load.running + 1 - upstream.entry.slots)
         waiting = base * queue / max(1, upstream.entry.slots)
-        generation = asked.request.generation
+        generation = query.request.generation
         tokens = 0
         if generation is not None:
             tokens = generation.prompt_tokens + generation.expected_tokens
         return Choice(
             upstream,
-            load.reading + reading.seconds + base + waiting,
-            reading,
+            load.reading + prefill.seconds + base + waiting,
+            prefill,
             tokens,
             load.tokens,
             load.running,
@@ -213,47 +215,51 @@
             candidates,
         )
 
-    def _cost(self, asked: Asked, choice: Choice, usual: float) -> float:
+    def _cost(self, query: Asked, choice: Choice, best_rate: float) -> float:
         """Return the expected seconds of a choice plus its penalties.
 
         Args:
-            asked: The request.
+            query: The request.
             choice: The estimate for one upstream.
-            usual: Failure rate of the best candidate.
+            best_rate: Failure rate of the best candidate.
         """
         upstream = choice.upstream
         health = upstream.health
-        target = asked.request.route.target_latency
-        slowness = health.pace if health.pace > SLOW else 1
-        cost = choice.expected * slowness + self._randomness.random() * TIE
+        target = query.request.route.target_latency
+        slowness = health.pace if health.pace > SLOW_RATIO else 1
+        cost = (
+            choice.expected * slowness + self._randomness.random() * TIE_SECONDS
+        )
         if upstream.entry.domain != self._domain:
-            cost += target * FAR_PART
+            cost += target * REMOTE_PENALTY
         if self.is_cut_off(upstream):
-            cost += target * CUT_PART
-        failing = health.failure_share(self._clock.now()) - usual
-        cost += target * FAILING_PART * failing
-        crowd = choice.running / max(1, upstream.entry.slots)
-        cost += target * FULL_PART * crowd * crowd
-        return cost + target * MEMORY_PART * _excess(asked.facts, choice)
-
-    def _readings(
+            cost += target * CUT_OFF_PENALTY
+        failing = health.failure_share(self._clock.now()) - best_rate
+        cost += target * FAILURE_PENALTY * failing
+        occupancy = choice.running / max(1, upstream.entry.slots)
+        cost += target * FULL_SLOTS_PENALTY * occupancy * occupancy
+        return cost + target * MEMORY_PENALTY * _excess_memory(
+            query.facts, choice
+        )
+
+    def _prefill_estimator(
         self,
-        asked: Asked,
+        query: Asked,
         candidates: list[Upstream],
     ) -> PromptReadings | None:
         """Return the prompt estimates; None if the request has no prompt."""
-        generation = asked.request.generation
+        generation = query.request.generation
         if generation is None:
             return None
-        readings = PromptReadings(
+        estimator = PromptReadings(
             generation,
-            asked.key,
-            asked.facts,
+            query.key,
+            query.facts,
             self.paces,
             self.prefixes,
         )
-        readings.look(candidates, self._domain, self._clock.now())
-        return readings
+        estimator.look(candidates, self._domain, self._clock.now())
+        return estimator
 
 
 def _candidates(
@@ -266,15 +272,15 @@
     The categories are: available and not yet tried; available; and those that
     are not known to be unreachable right now.
     """
-    able = [each for each in upstreams if each.health.available(now)]
-    fresh = [each for each in able if each.entry.incarnation not in tried]
-    hoped = [each for each in upstreams if not each.health.hopeless(now)]
-    return fresh or able or hoped
+    usable = [each for each in upstreams if each.health.available(now)]
+    untried = [each for each in usable if each.entry.incarnation not in tried]
+    possible = [each for each in upstreams if not each.health.hopeless(now)]
+    return untried or usable or possible
 
 
-def _excess(facts: EngineFacts | None, choice: Choice) -> float:
+def _excess_memory(facts: EngineFacts | None, choice: Choice) -> float:
     """Return the requested memory beyond the limit, in tenths of the total."""
     if facts is None or not facts.memory:
         return 0
-    share = (choice.held + choice.tokens) / facts.memory
-    return max(0, share - MEMORY_FULL) / _TENTH
+    fraction = (choice.held + choice.tokens) / facts.memory
+    return max(0, fraction - MEMORY_FULL_FRACTION) / _TENTH
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -8,7 +8,7 @@
 from nutmegroad.contracts.decisions import Choice
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import UpstreamId
-from nutmegroad.routing._ejection import FIRST_EJECTION, SLOW_START
+from nutmegroad.routing._ejection import INITIAL_EJECTION, SLOW_START_PERIOD
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.fleet import FleetLoad, LoadDigest
 from nutmegroad.routing.plain_selectors import RandomChoice, RoundRobin
@@ -44,7 +44,7 @@
         )
         self.requests = 0
         fill(self.directory, engine('e1'), engine('e2'), engine('e3'))
-        await self.clock.advance(SLOW_START)
+        await self.clock.advance(SLOW_START_PERIOD)
 
     def test_own_requests_spread_over_all(self) -> None:
         chosen = Counter(self._send() for _ in range(9))
@@ -66,7 +66,7 @@
         for _ in range(3):
             self._fail('e1')
         self.assertNotIn('e1', self._chosen(20))
-        await self.clock.advance(FIRST_EJECTION * 1.3)
+        await self.clock.advance(INITIAL_EJECTION * 1.3)
         self._load_others()
         first = self._send()
         self.assertEqual(first, 'e1')
@@ -76,9 +76,9 @@
     async def test_a_failed_probe_lengthens_the_ejection(self) -> None:
         for _ in range(3):
             self._fail('e1')
-        await self.clock.advance(FIRST_EJECTION * 1.3)
+        await self.clock.advance(INITIAL_EJECTION * 1.3)
         self._fail('e1')
-        await self.clock.advance(FIRST_EJECTION * 1.3)
+        await self.clock.advance(INITIAL_EJECTION * 1.3)
         self.assertNotIn('e1', self._chosen(20))
 
     async def test_unreachable_engine_is_readmitted_by_its_report(self) -> None:
@@ -209,7 +209,7 @@
         infos = [engine(name) for name in ('e1', 'e2', 'e3')]
         self.directory.update((*infos, engine('far', AWAY)))
         self.directory.reported(UpstreamId('far'), report())
-        await self.clock.advance(2 * SLOW_START)
+        await self.clock.advance(2 * SLOW_START_PERIOD)
 
     async def _fill_home(self) -> None:
         for name in ('e1', 'e2', 'e3'):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -18,9 +18,9 @@
 )
 from nutmegroad.routing.admission import FairAdmitter
 from nutmegroad.routing.exchange import ShareExchange
-from nutmegroad.routing.fleet import DIGEST_HOLDS, FleetLoad, LoadDigest
+from nutmegroad.routing.fleet import DIGEST_LIFETIME, FleetLoad, LoadDigest
 from nutmegroad.routing.shares import (
-    LOAN_HOLDS,
+    LOAN_DURATION,
     ShareLedger,
     static_part,
     water_fill,
@@ -69,8 +69,8 @@
     def test_a_loan_expires(self) -> None:
         ledger = ShareLedger()
         ledger.borrow(4, 0)
-        self.assertEqual(ledger.balance(LOAN_HOLDS / 2), 4)
-        self.assertEqual(ledger.balance(LOAN_HOLDS), 0)
+        self.assertEqual(ledger.balance(LOAN_DURATION / 2), 4)
+        self.assertEqual(ledger.balance(LOAN_DURATION), 0)
 
 
 class FleetLoadTest(unittest.IsolatedAsyncioTestCase):
@@ -92,7 +92,7 @@
     async def test_old_digests_are_ignored(self) -> None:
         self.fleet.take(_digest('x', shedding=False))
         self.assertEqual(self.fleet.spare(AWAY), 6)
-        await self.clock.advance(DIGEST_HOLDS)
+        await self.clock.advance(DIGEST_LIFETIME)
         self.assertEqual(self.fleet.spare(AWAY), 0)
 
     def test_received_digests_are_extrapolated(self) -> None:
@@ -142,7 +142,7 @@
         await self.clock.advance(2)
         self.mesh.cut(HostId('a'), HostId('b'))
         self.mesh.cut(HostId('a'), HostId('c'))
-        await self.clock.advance(LOAN_HOLDS + 1)
+        await self.clock.advance(LOAN_DURATION + 1)
         self.assertEqual(self._holding('a'), static)
 
     async def test_network_faults_create_no_slots(self) -> None:
