--- a/src/nutmegroad/upstreams/health.py
+++ b/src/nutmegroad/upstreams/health.py
@@ -97,19 +97,19 @@
         """
         self._add_outcome(1, now)
 
-    def answered(self, now: float, pace: float | None = None) -> None:
+    def answered(self, now: float, ratio: float | None = None) -> None:
         """Record a successful answer.
 
         Args:
             now: Clock seconds.
-            pace: Ratio of the time until the answer started to its estimate;
+            ratio: Ratio of the time until the answer started to its estimate;
                 None if it could not be measured.
         """
         self.pause = 0
         self.trial = False
         self._add_outcome(0, now)
-        if pace is not None:
-            self.pace += NEWEST_WEIGHT * (pace - self.pace)
+        if ratio is not None:
+            self.pace += NEWEST_WEIGHT * (ratio - self.pace)
 
     def failure_share(self, now: float) -> float:
         """Return the recent failure rate, decayed to ``now``."""
--- a/src/nutmegroad/upstreams/prefixes.py
+++ b/src/nutmegroad/upstreams/prefixes.py
@@ -81,7 +81,7 @@
         generation: Prompt and generation parameters of the request.
         key: Service and model whose latency estimates apply.
         facts: Properties of the service's engines; None if unknown.
-        paces: Latency estimates by service and model.
+        latencies: Latency estimates by service and model.
         held: Prefixes that upstreams have cached.
     """
 
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -12,7 +12,7 @@
 _ATTEMPT = AttemptId('a')
 
 
-class HealthsTest(unittest.TestCase):
+class EjectionTest(unittest.TestCase):
     def setUp(self) -> None:
         self.healths = Healths(random.Random(1))
         self.state = UpstreamState(engine('s1'))
