--- a/src/nutmegroad/upstreams/directory.py
+++ b/src/nutmegroad/upstreams/directory.py
@@ -45,8 +45,8 @@
         version: Version of its software.
         slots: Number of requests that it executes concurrently.
         leaving: Whether it is draining and will soon accept no new work.
-        born: Start time of its process in milliseconds since 1970, by its own
-            clock; 0 if the list does not give it.
+        born: Start time of its process in milliseconds since 1970, by its
+            own clock; 0 if the list does not give it.
     """
 
     upstream: UpstreamId
