--- a/src/nutmegroad/upstreams/health.py
+++ b/src/nutmegroad/upstreams/health.py
@@ -36,11 +36,11 @@
     Attributes:
         failures: Moving average of the fraction of failed exchanges, as
             of the last outcome.
-        pace: Moving average of the time until an answer starts, relative
-            to the estimate for such a request; 1 is as expected.
+        pace: Moving average of the time until an answer starts,
+            relative to the estimate for such a request; 1 is as expected.
         excluded_until: Clock seconds until which the upstream gets no requests.
-        pause: Length in seconds of the last exclusion; 0 if the upstream
-            is reachable.
+        pause: Length in seconds of the last exclusion; 0 if the
+            upstream is reachable.
         trial: Whether the probe request after an exclusion is in progress.
         changed: Clock seconds of the last outcome.
     """
