--- a/src/nutmegroad/upstreams/health.py
+++ b/src/nutmegroad/upstreams/health.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 #: Seconds for which an upstream is excluded after its first connection failure;
-#: doubles with each further failure. Two round trips on the slowest test
+#: doubles with each further failure. Two round trips in the slowest test
 #: scenario, so that a single lost packet costs little.
 FIRST_PAUSE: Final = 0.5
 
