--- a/src/nutmegroad/routing/_ejection.py
+++ b/src/nutmegroad/routing/_ejection.py
@@ -1,4 +1,4 @@
-"""Whether an upstream may be tried: ejection, probation, slow start."""
+"""Ejection of failing upstreams, probation after it, and slow start."""
 
 import random
 from types import MappingProxyType
@@ -8,8 +8,8 @@
 from nutmegroad.foundations.results import ResultCode
 from nutmegroad.foundations.types import AttemptId, UpstreamId
 
-#: How much a result counts against an upstream. A cut answer counts little:
-#: a caller who goes away looks the same.
+#: Weight of each result code in an upstream's failure score. A cut-off answer
+#: counts little, because a caller that disconnects looks the same.
 FAILURE_WEIGHTS: Final = MappingProxyType(
     {
         ResultCode.UPSTREAM_UNREACHABLE: 1.5,
@@ -20,73 +20,75 @@
     }
 )
 
-#: Sum of weights without a success between at which it is ejected.
-EJECTED_AT: Final = 3.0
+#: Failure score without a success in between at which an upstream is ejected.
+EJECTION_SCORE: Final = 3.0
 
-#: Seconds of the first ejection; each one that follows doubles it.
-FIRST_EJECTION: Final = 1.0
+#: Duration of the first ejection in seconds; doubles with each further one.
+INITIAL_EJECTION: Final = 1.0
 
-LONGEST_EJECTION: Final = 60.0
+#: Maximum duration of an ejection in seconds.
+MAX_EJECTION: Final = 60.0
 
-#: Seconds by which an engine's report may be behind.
+#: Maximum delay in seconds of an engine's load report.
 REPORT_LAG: Final = 0.5
 
-#: Seconds in which a new or recovered upstream comes to its full share.
-SLOW_START: Final = 10.0
+#: Seconds until a new or recovered upstream gets its full traffic.
+SLOW_START_PERIOD: Final = 10.0
 
-#: Share of its slots that it may have at once.
-SLOWEST_START: Final = 0.2
+#: Fraction of its slots that a new or recovered upstream may use at first.
+MIN_START_FRACTION: Final = 0.2
 
 _MOST_DOUBLINGS: Final = 10
 _JITTER: Final = (0.75, 1.25)
 
 
 class Health:
-    """What this host's own attempts say of one upstream.
+    """Health of one upstream as seen from this host's own attempts.
 
     Args:
-        since: Clock seconds at which it was first seen.
-        randomness: Jitter of ejections.
+        since: Clock seconds at which the upstream was first seen.
+        randomness: Jitter of ejection times.
     """
 
     def __init__(self, since: float, randomness: random.Random) -> None:
         self._randomness = randomness
         self._since = since
         self._score: float = 0
-        self._is_out = False
+        self._is_ejected = False
         self._ejections = 0
-        self._until = float('-inf')
-        self._trial: AttemptId | None = None
-        self._ejected = float('-inf')
+        self._ejected_until = float('-inf')
+        self._probe: AttemptId | None = None
+        self._ejected_at = float('-inf')
         self._unreachable = False
 
     def admits(self, now: float, reported: float) -> bool:
-        """Tell whether it may get work; on probation one at a time.
+        """Return whether the upstream may get work.
 
-        What could not be reached, and has reported since, is back at once
-        with a slow start: to wait for the end of one trial would cost
-        seconds in which the others carry its load.
+        On probation it gets one request at a time. An upstream that was ejected
+        as unreachable and has sent a report since is readmitted immediately
+        with a slow start: waiting for the result of a probe request would take
+        seconds during which the other upstreams carry its load.
 
         Args:
             now: Clock seconds.
-            reported: Clock seconds of its last report.
+            reported: Clock seconds of the upstream's last report.
         """
-        if not self._is_out:
+        if not self._is_ejected:
             return True
-        if self._unreachable and reported > self._ejected + REPORT_LAG:
+        if self._unreachable and reported > self._ejected_at + REPORT_LAG:
             self._readmit(now)
             return True
-        return self._trial is None and now >= self._until
+        return self._probe is None and now >= self._ejected_until
 
     def ramp(self, now: float) -> float:
-        """Return the share of its slots to use, from 0.2 to 1."""
-        age = (now - self._since) / SLOW_START
-        return min(1.0, max(SLOWEST_START, age))
+        """Return the fraction of its slots to use, from 0.2 to 1."""
+        age = (now - self._since) / SLOW_START_PERIOD
+        return min(1.0, max(MIN_START_FRACTION, age))
 
     def started(self, attempt: AttemptId) -> None:
-        """Note an attempt; on probation it is the one trial."""
-        if self._is_out and self._trial is None:
-            self._trial = attempt
+        """Record the start of an attempt; on probation it is the probe."""
+        if self._is_ejected and self._probe is None:
+            self._probe = attempt
 
     def ended(
         self,
@@ -94,23 +96,24 @@
         code: ResultCode,
         now: float,
     ) -> None:
-        """Note how an attempt ended."""
-        if self._is_out:
-            # What was under way before the ejection proves nothing of now.
-            if attempt == self._trial:
-                self._judge(code, now)
+        """Record the end of an attempt."""
+        if self._is_ejected:
+            # Attempts that began before the ejection say nothing about the
+            # upstream's present state.
+            if attempt == self._probe:
+                self._evaluate_probe(code, now)
             return
         if code is ResultCode.OK:
             self._score = 0
             self._ejections = 0
             return
         self._score += FAILURE_WEIGHTS.get(code, 0)
-        if self._score >= EJECTED_AT:
+        if self._score >= EJECTION_SCORE:
             self._eject(code, now)
 
-    def _judge(self, code: ResultCode, now: float) -> None:
-        """End a trial; what has passed it starts slowly."""
-        self._trial = None
+    def _evaluate_probe(self, code: ResultCode, now: float) -> None:
+        """Evaluate the probe request; on success readmit with a slow start."""
+        self._probe = None
         if code is ResultCode.OK:
             self._ejections = 0
             self._readmit(now)
@@ -118,28 +121,28 @@
             self._eject(code, now)
 
     def _readmit(self, now: float) -> None:
-        """Give it work again, slowly."""
-        self._is_out = False
-        self._trial = None
+        """Return the upstream to service with a slow start."""
+        self._is_ejected = False
+        self._probe = None
         self._since = now
 
     def _eject(self, code: ResultCode, now: float) -> None:
-        """Give it no work for a while."""
+        """Send the upstream no work for a while."""
         doublings = min(self._ejections, _MOST_DOUBLINGS)
-        seconds = min(LONGEST_EJECTION, FIRST_EJECTION * 2**doublings)
-        self._until = now + seconds * self._randomness.uniform(*_JITTER)
-        self._is_out = True
-        self._ejected = now
+        seconds = min(MAX_EJECTION, INITIAL_EJECTION * 2**doublings)
+        self._ejected_until = now + seconds * self._randomness.uniform(*_JITTER)
+        self._is_ejected = True
+        self._ejected_at = now
         self._unreachable = code is ResultCode.UPSTREAM_UNREACHABLE
         self._ejections += 1
         self._score = 0
 
 
 class Healths:
-    """The health of each upstream of some kind.
+    """Registry of the health of each upstream of one kind.
 
     Args:
-        randomness: Jitter of ejections.
+        randomness: Jitter of ejection times.
     """
 
     def __init__(self, randomness: random.Random) -> None:
@@ -147,7 +150,7 @@
         self._known: dict[UpstreamId, tuple[UpstreamState, Health]] = {}
 
     def health(self, state: UpstreamState) -> Health:
-        """Return an upstream's health; another run of it starts anew."""
+        """Return an upstream's health; a new incarnation starts afresh."""
         known = self._known.get(state.info.upstream)
         if known is not None and known[0] is state:
             return known[1]
@@ -156,5 +159,5 @@
         return health
 
     def admits(self, state: UpstreamState, now: float) -> bool:
-        """Tell whether an upstream may get work."""
+        """Return whether an upstream may get work."""
         return self.health(state).admits(now, state.reported)
--- a/src/nutmegroad/routing/_engine_pools.py
+++ b/src/nutmegroad/routing/_engine_pools.py
@@ -1,4 +1,4 @@
-"""The engines of a version by failure domain, kept for quick draws."""
+"""The engines of each version by failure domain, cached for fast sampling."""
 
 import random
 from bisect import bisect_right
@@ -13,22 +13,22 @@
 from nutmegroad.foundations.types import DomainId, UpstreamId, VersionId
 from nutmegroad.routing.directory import Directory
 
-#: Seconds for which a version's engines are taken to be the same. What has
-#: left in the meantime is seen at the engine itself.
-REFRESH: Final = 1.0
+#: Seconds for which the cached list of a version's engines is used. Engines
+#: that have left in the meantime are recognized by their own state.
+REFRESH_INTERVAL: Final = 1.0
 
-#: Draws for each engine that is wanted; some may not be tried.
-_TRIES: Final = 3
+#: Samples drawn for each engine wanted, since some may be unusable.
+_SAMPLES_PER_ENGINE: Final = 3
 
-#: Places of each engine on the ring.
-_POINTS: Final = 16
+#: Points of each engine on the hash ring.
+_POINTS_PER_ENGINE: Final = 16
 
 
-class Ring:
-    """Gives each prefix a home among some engines, by consistent hashing.
+class HashRing:
+    """Assigns each prefix to one of some engines by consistent hashing.
 
-    Hosts that know the same engines agree without a message, and an engine
-    that comes or goes moves only its own part of the prefixes.
+    Hosts that know the same engines agree without exchanging messages. An
+    engine that is added or removed moves only its own fraction of the prefixes.
 
     Args:
         states: The engines.
@@ -38,14 +38,14 @@
         points = sorted(
             (crc32(f'{state.info.upstream}#{number}'.encode()), place)
             for place, state in enumerate(states)
-            for number in range(_POINTS)
+            for number in range(_POINTS_PER_ENGINE)
         )
         self._states = states
         self._places = [place for _, place in points]
         self._hashes = [point for point, _ in points]
 
-    def home(self, prefix: int) -> UpstreamState:
-        """Return a prefix's home."""
+    def engine_for(self, prefix: int) -> UpstreamState:
+        """Return the engine to which a prefix is assigned."""
         point = crc32(str(prefix).encode())
         found = bisect_right(self._hashes, point) % len(self._hashes)
         return self._states[self._places[found]]
@@ -56,20 +56,21 @@
     """The engines of a version.
 
     Attributes:
-        built: Clock seconds at which they were listed.
-        source: The directory's own list.
+        built: Clock seconds at which the engines were listed.
+        source: The list as returned by the directory.
         domains: Engines by failure domain.
-        ring: Gives prefixes a home in the host's own domain.
+        ring: Hash ring of the engines in the host's own domain; None if it has
+            none.
     """
 
     built: float
     source: tuple[UpstreamState, ...]
     domains: dict[DomainId, list[UpstreamState]] = field(default_factory=dict)
-    ring: 'Ring | None' = None
+    ring: 'HashRing | None' = None
 
 
 class EnginePools:
-    """Lists the engines of each version once in a while.
+    """Caches the engines of each version and refreshes them periodically.
 
     Args:
         directory: The upstreams.
@@ -92,57 +93,65 @@
         """Return the engines of a version."""
         now = self._clock.now()
         known = self._pools.get(version)
-        if known and known.source and now - known.built < REFRESH:
+        if known and known.source and now - known.built < REFRESH_INTERVAL:
             return known
         fresh = Pool(now, self._directory.engines(version))
-        if known and _same(known.source, fresh.source):
+        if known and _is_same(known.source, fresh.source):
             known.built = now
             return known
         for state in fresh.source:
             fresh.domains.setdefault(state.info.domain, []).append(state)
         local = fresh.domains.get(self._domain)
         if local:
-            fresh.ring = Ring(local)
+            fresh.ring = HashRing(local)
         self._pools[version] = fresh
         return fresh
 
 
-def draw(
+def sample(
     states: list[UpstreamState],
     wanted: int,
     randomness: random.Random,
 ) -> Iterator[UpstreamState]:
-    """Draw engines without a scan; few are all given, in random order."""
-    if len(states) <= wanted * _TRIES:
+    """Sample engines without scanning the list.
+
+    A short list is returned as a whole, in random order.
+
+    Args:
+        states: The engines to sample.
+        wanted: Number of usable engines wanted.
+        randomness: Source of the sample.
+    """
+    if len(states) <= wanted * _SAMPLES_PER_ENGINE:
         yield from randomness.sample(states, len(states))
         return
     places: set[int] = set()
-    for _ in range(wanted * _TRIES):
+    for _ in range(wanted * _SAMPLES_PER_ENGINE):
         places.add(int(randomness.random() * len(states)))
     for place in places:
         yield states[place]
 
 
-def has_loaded(state: UpstreamState, version: VersionId) -> bool:
-    """Tell whether an engine may get new work for a version, as known now."""
+def can_serve(state: UpstreamState, version: VersionId) -> bool:
+    """Return whether an engine can take new work for a version right now."""
     if not state.is_open:
         return False
     return state.report is not None and version in state.report.versions
 
 
 def slots_of(state: UpstreamState) -> int:
-    """Return the slots that an engine has reported."""
+    """Return the number of slots that an engine has reported, at least 1."""
     return max(1, state.report.slots) if state.report else 1
 
 
-def names_of(states: list[UpstreamState]) -> tuple[UpstreamId, ...]:
+def ids_of(states: list[UpstreamState]) -> tuple[UpstreamId, ...]:
     """Return the engines' ids."""
     return tuple(state.info.upstream for state in states)
 
 
-def _same(
+def _is_same(
     one: tuple[UpstreamState, ...],
     other: tuple[UpstreamState, ...],
 ) -> bool:
-    """Tell whether two lists hold the very same engines."""
+    """Return whether two lists contain the same state objects in order."""
     return len(one) == len(other) and all(map(is_, one, other))
--- a/src/nutmegroad/routing/_permits.py
+++ b/src/nutmegroad/routing/_permits.py
@@ -1,21 +1,21 @@
-"""The permits that a host has given out, and who gets the next one."""
+"""The permits that a host has issued, and handing them to queued requests."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
 
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.routing._demand import Demand
-from nutmegroad.routing._fair_queue import FairQueue, Lane, Waiting
+from nutmegroad.routing._fair_queue import FairQueue, Lane, QueuedRequest
 from nutmegroad.routing._slots import HostSlots
 
 
 class Permits:
-    """Counts permits and hands free ones to those that wait.
+    """Counts issued permits and passes free ones to queued requests.
 
     Args:
         slots: How many requests may run at once.
-        queue: Those that wait.
-        demand: Told of what begins and ends.
+        queue: The queued requests.
+        demand: Notified of the start and end of each request.
         clock: The host's clock.
     """
 
@@ -35,52 +35,52 @@
 
     @property
     def limit(self) -> int:
-        """Return how many permits may be out."""
+        """Return the maximum number of issued permits."""
         return self._slots.limit(self.running)
 
     def has_room(self, lane: Lane) -> bool:
-        """Tell whether a request could run now."""
+        """Return whether a request of a lane could run now."""
         return self.running < self.limit and self._lane_has_room(lane)
 
-    def take(self, waiting: Waiting) -> None:
-        """Count a permit."""
-        waiting.began = self._clock.now()
+    def take(self, waiting: QueuedRequest) -> None:
+        """Issue a permit."""
+        waiting.granted_at = self._clock.now()
         self.running += 1
         self._lanes[waiting.lane] = self._lanes.get(waiting.lane, 0) + 1
-        self._demand.began(waiting.request.workspace)
+        self._demand.started(waiting.request.workspace)
 
-    def release(self, waiting: Waiting) -> None:
-        """Take a permit back, and wake whoever is next."""
+    def release(self, waiting: QueuedRequest) -> None:
+        """Return a permit, and grant free permits to queued requests."""
         self.running -= 1
         self._lanes[waiting.lane] -= 1
         if not self._lanes[waiting.lane]:
             self._lanes.pop(waiting.lane)
         workspace = waiting.request.workspace
         self._demand.ended(workspace)
-        held = self._clock.now() - waiting.began
+        held = self._clock.now() - waiting.granted_at
         self._queue.tags.correct(workspace, held - waiting.cost)
         self.wake()
 
     def wake(self) -> None:
-        """Give out what room there is; called when limits may have grown."""
+        """Grant all free permits; called when limits may have increased."""
         while self.running < self.limit:
             waiting = self._queue.pop(self._lane_has_room)
             if waiting is None:
                 return
-            # One whose caller has just gone away gets no permit.
+            # A request whose caller has just disconnected gets no permit.
             if not waiting.outcome.done():
                 self.take(waiting)
                 waiting.outcome.set_result(None)
 
     @contextmanager
-    def held(self, waiting: Waiting) -> Iterator[None]:
-        """Hold a permit that was taken."""
+    def held(self, waiting: QueuedRequest) -> Iterator[None]:
+        """Hold an issued permit for the duration of the context."""
         try:
             yield
         finally:
             self.release(waiting)
 
     def _lane_has_room(self, lane: Lane) -> bool:
-        """Tell whether a lane has a slot left."""
+        """Return whether a lane has a free slot."""
         limit = self._slots.lane_limit(lane, self.running)
         return self._lanes.get(lane, 0) < limit
--- a/src/nutmegroad/routing/_prefixes.py
+++ b/src/nutmegroad/routing/_prefixes.py
@@ -1,28 +1,28 @@
-"""Which engines this host has sent a prompt's prefix to."""
+"""Tracks to which engines this host has sent a prompt's prefix."""
 
 from collections import OrderedDict
 from typing import Final
 
 from nutmegroad.foundations.types import UpstreamId, VersionId
 
-#: Prefixes remembered of each engine.
-KEPT: Final = 256
+#: Maximum number of prefixes remembered for each engine.
+MAX_PREFIXES_PER_ENGINE: Final = 256
 
-#: Engines remembered for each prefix.
-HOLDERS: Final = 1
+#: Maximum number of engines remembered for each prefix.
+MAX_ENGINES_PER_PREFIX: Final = 1
 
 _Key = tuple[VersionId, int]
 
 
-class PrefixMemory:
-    """Remembers where prefixes went, the newest of each engine.
+class PrefixTracker:
+    """Remembers where prefixes were sent, with an LRU list for each engine.
 
     Args:
-        kept: Prefixes remembered of each engine.
+        max_prefixes: Maximum number of prefixes remembered for each engine.
     """
 
-    def __init__(self, kept: int = KEPT) -> None:
-        self._kept = kept
+    def __init__(self, max_prefixes: int = MAX_PREFIXES_PER_ENGINE) -> None:
+        self._max_prefixes = max_prefixes
         self._sent: dict[UpstreamId, OrderedDict[_Key, None]] = {}
         self._holders: dict[_Key, tuple[UpstreamId, ...]] = {}
 
@@ -31,7 +31,7 @@
         version: VersionId,
         prefix: int,
     ) -> tuple[UpstreamId, ...]:
-        """Return engines that ought to have a prefix, the newest first."""
+        """Return engines expected to have a prefix cached, newest first."""
         return self._holders.get((version, prefix), ())
 
     def add(
@@ -40,14 +40,14 @@
         prefix: int,
         upstream: UpstreamId,
     ) -> None:
-        """Note that an engine reads a prefix."""
+        """Record that an engine processes a prefix."""
         key = (version, prefix)
         sent = self._sent.setdefault(upstream, OrderedDict())
         sent[key] = None
         sent.move_to_end(key)
         others = [one for one in self.holders(*key) if one != upstream]
-        self._holders[key] = (upstream, *others[: HOLDERS - 1])
-        if len(sent) > self._kept:
+        self._holders[key] = (upstream, *others[: MAX_ENGINES_PER_PREFIX - 1])
+        if len(sent) > self._max_prefixes:
             oldest, _ = sent.popitem(last=False)
             self._drop(oldest, upstream)
 
@@ -57,18 +57,18 @@
         prefix: int,
         upstream: UpstreamId,
     ) -> None:
-        """Note that an engine had forgotten a prefix."""
+        """Record that an engine had evicted a prefix."""
         key = (version, prefix)
         self._sent.get(upstream, OrderedDict()).pop(key, None)
         self._drop(key, upstream)
 
     def forget(self, upstream: UpstreamId) -> None:
-        """Forget all of an engine that is gone."""
+        """Drop all prefixes of an engine that has terminated."""
         for key in self._sent.pop(upstream, OrderedDict()):
             self._drop(key, upstream)
 
     def _drop(self, key: _Key, upstream: UpstreamId) -> None:
-        """Take an engine from a prefix's holders."""
+        """Remove an engine from those of a prefix."""
         left = tuple(one for one in self.holders(*key) if one != upstream)
         if left:
             self._holders[key] = left
--- a/src/nutmegroad/routing/_shedding.py
+++ b/src/nutmegroad/routing/_shedding.py
@@ -1,4 +1,4 @@
-"""Whom to refuse where too many wait, and when to tell it to come back."""
+"""Load shedding: which request to refuse when the queue is full."""
 
 import random
 from typing import Final
@@ -7,38 +7,41 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.routing._demand import Demand
-from nutmegroad.routing._fair_queue import FairQueue, Waiting
+from nutmegroad.routing._fair_queue import FairQueue, QueuedRequest
 
-#: Requests that may wait for each slot while no preset says so.
+#: Queued requests per slot if no preset sets a limit.
 _QUEUE_LIMIT: Final = 0.5
 
-#: How far beyond the bound a workspace may wait that has had less than its
-#: share lately; a flood of others is no reason to refuse it.
-_BEHIND: Final = 4
+#: Factor by which the queue limit is raised for a workspace that has recently
+#: had less than its quota share, so that it is not refused because of a flood
+#: of other workspaces' requests.
+_BEHIND_FACTOR: Final = 4
 
-#: How much more another workspace must have and want for one of its requests
-#: to be pushed out; between equals the newcomer is refused, which is at once.
-_CLEARLY: Final = 1.5
+#: Factor by which another workspace's lead over its share must exceed the
+#: newcomer's before one of its queued requests is evicted. Between equals the
+#: newcomer is refused, because that happens without any wait.
+_EVICTION_MARGIN: Final = 1.5
 
-#: Callers are told to come back after so many times the backlog, so that
-#: they do not come back together.
-_SPREAD: Final = (1, 2)
-_SOONEST: Final = 0.2
-_LATEST: Final = 60.0
+#: Range of the factor by which the backlog is multiplied in the retry time
+#: given to refused callers, so that they do not retry at the same time.
+_RETRY_SPREAD: Final = (1, 2)
+#: Minimum and maximum retry time in seconds given to refused callers.
+_MIN_RETRY_AFTER: Final = 0.2
+_MAX_RETRY_AFTER: Final = 60.0
 
-#: Seconds after a refusal for which the host counts as shedding.
-_SHEDDING: Final = 3.0
+#: Seconds after a refusal during which the host counts as shedding load.
+_SHEDDING_PERIOD: Final = 3.0
 
 
 class LoadShedder:
-    """Bounds a queue.
+    """Enforces the queue limit.
 
     Args:
         queue: The queue.
-        configuration: Knows the queue's bound.
-        demand: Told of what is refused.
+        configuration: Configuration with the queue limit.
+        demand: Notified of refused work.
         clock: The host's clock.
-        randomness: Spreads when callers come back.
+        randomness: Jitter of retry times.
     """
 
     def __init__(
@@ -54,82 +57,88 @@
         self._demand = demand
         self._clock = clock
         self._randomness = randomness
-        self._shed = float('-inf')
+        self._last_refusal = float('-inf')
 
     @property
     def shedding(self) -> bool:
-        """Tell whether anything was refused lately."""
-        return self._clock.now() - self._shed < _SHEDDING
+        """Whether any request was refused recently."""
+        return self._clock.now() - self._last_refusal < _SHEDDING_PERIOD
 
-    def to_refuse(self, waiting: Waiting, limit: int) -> Waiting | None:
-        """Return whom to refuse so that a request may wait.
+    def to_refuse(
+        self, waiting: QueuedRequest, limit: int
+    ) -> QueuedRequest | None:
+        """Return the request to refuse so that another may be queued.
 
         Args:
-            waiting: The request that comes.
-            limit: Requests that may run at once.
+            waiting: The arriving request.
+            limit: Number of requests that may run at once.
 
         Returns:
-            One that waits, the request itself, or None if there is room.
+            A queued request, the arriving request itself, or None if the queue
+            is not full.
         """
         bound = max(1, self._per_slot() * limit)
         workspace = waiting.request.workspace
         if self._queue.is_behind(workspace):
-            bound *= _BEHIND
+            bound *= _BEHIND_FACTOR
         if len(self._queue) < bound:
             return None
         excess = self._queue.excess(workspace, waiting.cost)
         largest = self._queue.largest()
-        if largest is None or self._queue.excess(largest) < excess * _CLEARLY:
+        if (
+            largest is None
+            or self._queue.excess(largest) < excess * _EVICTION_MARGIN
+        ):
             largest = workspace
-        crowd = list(self._queue.of_workspace(largest))
+        candidates = list(self._queue.of_workspace(largest))
         if largest == workspace:
-            crowd.append(waiting)
-        return max(crowd, key=_cheapness)
+            candidates.append(waiting)
+        return max(candidates, key=_refusal_order)
 
-    def refuse_crowded(self, waiting: Waiting, limit: int) -> Refusal:
-        """Refuse for lack of room."""
+    def refuse_queue_full(self, waiting: QueuedRequest, limit: int) -> Refusal:
+        """Refuse a request because the queue is full."""
         workspace = waiting.request.workspace
         if len(self._queue.counts) > 1:
             return self.refuse(
                 waiting,
                 limit,
                 ResultCode.SHARE_EXCEEDED,
-                f'The workspace {workspace!r} has used its share of '
-                f'{limit} slots, and others wait.',
+                f'Workspace {workspace!r} has used its quota share of {limit} '
+                f'slots, and other workspaces are waiting.',
             )
         return self.refuse(
             waiting,
             limit,
             ResultCode.OVERLOADED,
-            f'{len(self._queue)} requests wait for {limit} slots.',
+            f'{len(self._queue)} requests are queued for {limit} slots.',
         )
 
     def refuse(
         self,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         limit: int,
         code: ResultCode,
         reason: str,
     ) -> Refusal:
-        """Refuse, with when to come back by the real backlog."""
-        self._shed = self._clock.now()
+        """Refuse a request, with a retry time based on the actual backlog."""
+        self._last_refusal = self._clock.now()
         workspace = waiting.request.workspace
         self._demand.refused(workspace, waiting.cost)
-        backlog = self._queue.wait(workspace, limit)
-        spread = self._randomness.uniform(*_SPREAD)
-        after = min(_LATEST, max(_SOONEST, backlog) * spread)
+        backlog = self._queue.max_wait(workspace, limit)
+        spread = self._randomness.uniform(*_RETRY_SPREAD)
+        after = min(_MAX_RETRY_AFTER, max(_MIN_RETRY_AFTER, backlog) * spread)
         return Refusal(code, reason, retry_after=after)
 
     def _per_slot(self) -> float:
-        """Return how many requests may wait for each slot."""
+        """Return the maximum number of queued requests per slot."""
         accepted = self._configuration.accepted
         if accepted is None:
             return _QUEUE_LIMIT
         return accepted.preset_entry.queue_limit
 
 
-def _cheapness(waiting: Waiting) -> tuple[bool, int, int]:
-    """Order by how little it costs to refuse a request now."""
+def _refusal_order(waiting: QueuedRequest) -> tuple[bool, int, int]:
+    """Return a sort key that is largest for the request cheapest to refuse."""
     request = waiting.request
     cheap = request.repeatable and request.session is None
-    return cheap, request.priority, waiting.order
+    return cheap, request.priority, waiting.arrival
--- a/src/nutmegroad/routing/_slots.py
+++ b/src/nutmegroad/routing/_slots.py
@@ -1,4 +1,4 @@
-"""How many requests this host may run at once, in all and for a lane."""
+"""Concurrency limits of this host, in total and for each lane."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -13,24 +13,25 @@
 from nutmegroad.routing.fleet import FleetLoad
 from nutmegroad.routing.shares import ShareLedger, static_part
 
-#: Seconds for which counted slots are taken to be the same.
-REFRESH: Final = 0.5
+#: Seconds for which counted slots are cached.
+REFRESH_INTERVAL: Final = 0.5
 
-#: Permits for each slot: a permit is held a little longer than a slot, and
-#: a host's part is small enough for chance to leave slots empty.
+#: Permits per slot. A permit is held slightly longer than a slot, and a host's
+#: part is so small that random variation would leave slots empty.
 OVERCOMMIT: Final = 1.2
 
-#: The limit falls by this factor when an engine turns out to be full.
+#: Factor by which the limit decreases when an engine reports that it is full.
 _DECREASE: Final = 0.95
-#: The least share of the slots, and how fast the limit comes back.
-_LEAST: Final = 0.4
+#: Minimum fraction of the slots to use, and the recovery of the limit per
+#: second.
+_MIN_FACTOR: Final = 0.4
 _INCREASE_PER_SECOND: Final = 0.05
-#: Seconds in which the limit falls at most once.
-_PAUSE: Final = 0.5
+#: Minimum seconds between two decreases of the limit.
+_DECREASE_INTERVAL: Final = 0.5
 
 
-class Pressure:
-    """Lowers the limit while engines prove to be full, slowly raises it.
+class AdaptiveLimit:
+    """Decreases the limit while engines are full and slowly restores it.
 
     Args:
         clock: The host's clock.
@@ -43,23 +44,23 @@
 
     @property
     def factor(self) -> float:
-        """Return the share of the slots to use now."""
+        """Return the fraction of the slots to use now."""
         grown = _INCREASE_PER_SECOND * (self._clock.now() - self._changed)
         return min(1.0, self._factor + grown)
 
     def ended(self, code: ResultCode) -> None:
-        """Note how an attempt ended."""
+        """Record the end of an attempt."""
         if code is not ResultCode.UPSTREAM_BUSY:
             return
         now = self._clock.now()
-        if now - self._changed >= _PAUSE:
-            self._factor = max(_LEAST, self.factor * _DECREASE)
+        if now - self._changed >= _DECREASE_INTERVAL:
+            self._factor = max(_MIN_FACTOR, self.factor * _DECREASE)
             self._changed = now
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who this host is.
+    """Identity of this host.
 
     Attributes:
         host: Its id.
@@ -74,10 +75,10 @@
     """This host's part of its failure domain's slots.
 
     Args:
-        identity: Who this host is.
+        identity: Id and failure domain of this host.
         directory: The upstreams.
-        fleet: What other hosts say.
-        ledger: What this host has lent and borrowed.
+        fleet: Load digests of the other hosts.
+        ledger: Slots that this host has lent and borrowed.
         clock: The host's clock.
     """
 
@@ -89,24 +90,24 @@
         ledger: ShareLedger,
         clock: Clock,
     ) -> None:
-        self.pressure = Pressure(clock)
+        self.adaptive_limit = AdaptiveLimit(clock)
         self.identity = identity
         self._directory = directory
         self._fleet = fleet
         self._ledger = ledger
         self._clock = clock
-        self._looked = float('-inf')
-        self._seen = 0
+        self._read_at = float('-inf')
+        self._reported_limit = 0
         self._counted: dict[Lane | None, tuple[float, int]] = {}
 
     @property
     def permits(self) -> int:
-        """Return the permits of all this domain's hosts."""
+        """Return the total permits of all hosts in this domain."""
         return int(self.domain_slots(None) * OVERCOMMIT)
 
     @property
     def holding(self) -> int:
-        """Return the permits of this host before pressure is seen to."""
+        """Return this host's permits before any decrease for full engines."""
         others = self._fleet.hosts(self.identity.domain)
         static = static_part(self.permits, self.identity.host, others)
         return max(1, static + self._ledger.balance(self._clock.now()))
@@ -115,14 +116,19 @@
         """Return how many requests may run at once.
 
         Args:
-            running: How many run now.
+            running: Number of requests running now.
         """
-        local = self.holding * self.pressure.factor
-        held = int(local + self._spilled())
-        return max(1, held, self._visible(running))
+        local = self.holding * self.adaptive_limit.factor
+        held = int(local + self._remote_slots())
+        return max(1, held, self._limit_from_reports(running))
 
     def lane_limit(self, lane: Lane, running: int) -> int:
-        """Return how many requests of a lane may run at once."""
+        """Return how many requests of a lane may run at once.
+
+        Args:
+            lane: The lane.
+            running: Number of requests running now, in all lanes.
+        """
         limit = self.limit(running)
         every = self.domain_slots(None)
         slots = self.domain_slots(lane)
@@ -131,12 +137,16 @@
         return max(1, limit * slots // max(1, every))
 
     def domain_slots(self, lane: Lane | None) -> int:
-        """Return the slots of this domain's engines that fit a lane."""
+        """Return the slots of this domain's engines that serve a lane.
+
+        Args:
+            lane: The lane; None for all engines.
+        """
         now = self._clock.now()
         counted = self._counted.get(lane)
-        # That there is nothing is not kept: a host that has just opened
-        # would refuse what it could serve from the next report on.
-        if counted and counted[1] and now - counted[0] < REFRESH:
+        # A count of 0 is not cached. Otherwise a host that has just started
+        # would refuse requests that it could serve from the next report on.
+        if counted and counted[1] and now - counted[0] < REFRESH_INTERVAL:
             return counted[1]
         slots = sum(
             slots_of(state)
@@ -146,17 +156,17 @@
         self._counted[lane] = (now, slots)
         return slots
 
-    def _visible(self, running: int) -> int:
-        """Return the limit by the room that engines report.
+    def _limit_from_reports(self, running: int) -> int:
+        """Return the limit that follows from the free slots of the engines.
 
-        Whatever the parts, slots that stay empty help nobody. Each host of
-        the domain takes its part of the empty ones, on top of what it had
-        running when it saw them.
+        Slots must not stay empty, however they are divided between hosts. Each
+        host of the domain therefore adds its even part of the free slots to the
+        number of requests it was running when it read the reports.
         """
         now = self._clock.now()
-        if self._seen and now - self._looked < REFRESH:
-            return self._seen
-        self._looked = now
+        if self._reported_limit and now - self._read_at < REFRESH_INTERVAL:
+            return self._reported_limit
+        self._read_at = now
         domain = self.identity.domain
         reports = [
             state.report
@@ -166,11 +176,13 @@
         busy = sum(report.running + report.queued for report in reports)
         empty = max(0, self.domain_slots(None) - busy)
         hosts = len(self._fleet.hosts(domain)) + 1
-        self._seen = running + int(empty * self.pressure.factor / hosts)
-        return self._seen
+        self._reported_limit = running + int(
+            empty * self.adaptive_limit.factor / hosts
+        )
+        return self._reported_limit
 
     def _engines(self, lane: Lane | None) -> tuple[UpstreamState, ...]:
-        """Return the live engines that fit a lane; None for all."""
+        """Return the live engines that serve a lane; None for all lanes."""
         if lane is None:
             return tuple(
                 state
@@ -184,11 +196,11 @@
         }
         return tuple(found.values())
 
-    def _spilled(self) -> float:
-        """Return what other domains have to spare for this host."""
+    def _remote_slots(self) -> float:
+        """Return the slots of remote domains that this host may use."""
         local = self.identity.domain
         others = [one for one in self._fleet.domains() if one != local]
         if not others:
             return 0
-        # Each domain's room is shared by the hosts of all others.
+        # The free slots of a domain are shared by the hosts of all others.
         return sum(self._fleet.spare(one) for one in others) / len(others)
--- a/src/nutmegroad/routing/selection.py
+++ b/src/nutmegroad/routing/selection.py
@@ -1,4 +1,4 @@
-"""Chooses the engine from which the first token is expected soonest."""
+"""Engine selection by the earliest expected first token."""
 
 import math
 import random
@@ -27,33 +27,33 @@
 from nutmegroad.routing._engine_pools import (
     EnginePools,
     Pool,
-    draw,
-    has_loaded,
-    names_of,
+    can_serve,
+    ids_of,
+    sample,
     slots_of,
 )
 from nutmegroad.routing._estimates import EngineView, VersionSpeed
-from nutmegroad.routing._prefixes import PrefixMemory
+from nutmegroad.routing._prefixes import PrefixTracker
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.fleet import FleetLoad
 from nutmegroad.routing.plain_selectors import no_engine
 
-#: Engines drawn for each choice, beside those that hold the prefix.
-DRAWN: Final = 3
+#: Engines sampled per choice, besides those with the prefix cached.
+SAMPLE_SIZE: Final = 3
 
-#: Seconds that another failure domain has to be better by.
+#: Seconds by which an engine in a remote failure domain must be faster.
 SPILL_MARGIN: Final = 0.05
 
-#: Choices that are remembered until their attempt begins.
-_MOST_EXPECTED: Final = 1000
+#: Maximum number of choices remembered until their attempt starts.
+_MAX_EXPECTED: Final = 1000
 
-#: Engines that a reason names.
-_NAMED: Final = 4
+#: Maximum number of engines named in a reason.
+_MAX_NAMED: Final = 4
 
 
 @dataclass(slots=True)
 class _Pending:
-    """What was expected of an attempt that is under way."""
+    """Expectations about an attempt in progress."""
 
     load: float
     slots: int
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class _Candidate:
-    """An engine that was looked at."""
+    """An engine that was evaluated."""
 
     state: UpstreamState
     load: float
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class _Search:
-    """One choice, as it is made."""
+    """State of one selection in progress."""
 
     request: ModelRequest
     version: VersionId
@@ -82,19 +82,19 @@
     now: float
     speed: VersionSpeed
     candidates: list[_Candidate] = field(default_factory=list)
-    left_out: list[str] = field(default_factory=list)
+    exclusions: list[str] = field(default_factory=list)
     cached: tuple[UpstreamId, ...] = ()
     best: _Candidate | None = None
 
 
 class ExpectedSelector:
-    """Draws a few engines and takes the soonest first token among them.
+    """Samples a few engines and selects the earliest expected first token.
 
     Args:
         directory: The upstreams.
-        fleet: What other hosts and domains say of their load.
+        fleet: Load digests of other hosts and domains.
         clock: The host's clock.
-        randomness: Draws engines.
+        randomness: Samples engines.
         domain: The failure domain of this host.
     """
 
@@ -114,7 +114,7 @@
         self._domain = domain
         self._views: dict[UpstreamId, tuple[UpstreamState, EngineView]] = {}
         self._speeds: dict[VersionId, VersionSpeed] = {}
-        self._prefixes = PrefixMemory()
+        self._prefixes = PrefixTracker()
         self._expected: dict[tuple[str, UpstreamId], _Pending] = {}
         self._pending: dict[AttemptId, _Pending] = {}
 
@@ -124,7 +124,7 @@
         version: VersionId,
         excluded: frozenset[UpstreamId],
     ) -> Choice | Refusal:
-        """Return the engine from which the first token is soonest."""
+        """Return the engine with the earliest expected first token."""
         search = _Search(
             request,
             version,
@@ -135,11 +135,11 @@
         pool = self._pools.pool(version)
         domains = pool.domains
         local = domains.get(self._domain, [])
-        self._look(search, self._holders(search, pool))
-        self._look(search, draw(local, DRAWN, self._randomness))
+        self._evaluate(search, self._holders(search, pool))
+        self._evaluate(search, sample(local, SAMPLE_SIZE, self._randomness))
         if search.best is None:
-            # Rare: all that were drawn are left out.
-            self._look(search, local)
+            # Rare: all sampled engines are unusable.
+            self._evaluate(search, local)
         if _is_full(search):
             self._spill(search, domains)
         if search.best is None:
@@ -149,10 +149,10 @@
         return self._chosen(search, search.best)
 
     def started(self, start: AttemptStart) -> None:
-        """Count an attempt."""
+        """Record the start of an attempt."""
         view = self._view_by_name(start.upstream)
         if view is not None:
-            view.changed(self._clock.now(), 1)
+            view.count_attempt(self._clock.now(), 1)
             view.health.started(start.attempt)
         key = (start.request, start.upstream)
         pending = self._expected.pop(key, None)
@@ -162,14 +162,14 @@
         self._prefixes.add(start.version, pending.prefix, start.upstream)
 
     def ended(self, end: AttemptEnd) -> None:
-        """Learn from an attempt."""
+        """Learn from the end of an attempt."""
         start = end.start
         pending = self._pending.pop(start.attempt, None)
         view = self._view_by_name(start.upstream)
         if view is None:
             return
         now = self._clock.now()
-        view.changed(now, -1)
+        view.count_attempt(now, -1)
         view.health.ended(start.attempt, end.code, now)
         if pending is not None and end.code is ResultCode.OK:
             self._learn(end, pending, view)
@@ -180,22 +180,22 @@
         pending: _Pending,
         view: EngineView,
     ) -> None:
-        """Take the times of a whole answer."""
+        """Update the speed estimates from a complete answer."""
         speed = self._speed(end.start.version)
-        speed.service.add(pending.load, end.seconds)
+        speed.service_time.add(pending.load, end.seconds)
         if end.first_token is None or end.output_tokens <= 1:
             return
         step = (end.seconds - end.first_token) / (end.output_tokens - 1)
-        usual = speed.step.at(pending.load)
-        speed.step.add(pending.load, step)
-        view.compare(step / usual, self._clock.now())
+        usual = speed.token_interval.at(pending.load)
+        speed.token_interval.add(pending.load, step)
+        view.add_ratio(step / usual, self._clock.now())
         if pending.load < pending.slots and pending.uncached:
             prefill = max(0, end.first_token - step) / pending.uncached
             speed.prefill.add(prefill)
         if end.cached_tokens:
-            speed.found_cached(end.cached_tokens)
+            speed.add_cached(end.cached_tokens)
         if pending.cached and not end.cached_tokens:
-            # The engine had evicted it.
+            # The engine had evicted the prefix.
             self._prefixes.discard(
                 end.start.version,
                 pending.prefix,
@@ -203,13 +203,13 @@
             )
 
     def _holders(self, search: _Search, pool: Pool) -> list[UpstreamState]:
-        """Return local engines that ought to have the prefix cached.
+        """Return local engines that probably have the prefix cached.
 
-        The first is its home, which is the same for all hosts of the
-        domain; the others are where this host has sent it.
+        The first is assigned by the hash ring, alike for all hosts of the
+        domain. This host has sent the prefix to the others.
         """
         prefix = search.request.prefix
-        home = pool.ring.home(prefix) if pool.ring else None
+        home = pool.ring.engine_for(prefix) if pool.ring else None
         states = [] if home is None else [home]
         for name in self._prefixes.holders(search.version, prefix):
             state = self._directory.state(name)
@@ -217,19 +217,19 @@
                 continue
             if state is not home:
                 states.append(state)
-        search.cached = names_of(states)
+        search.cached = ids_of(states)
         return states
 
-    def _look(
+    def _evaluate(
         self,
         search: _Search,
         states: Iterable[UpstreamState],
     ) -> None:
-        """Estimate engines and keep the best."""
+        """Evaluate engines and keep the best."""
         for state in states:
-            reason = self._why_not(search, state)
+            reason = self._exclusion_reason(search, state)
             if reason:
-                search.left_out.append(f'{state.info.upstream} {reason}')
+                search.exclusions.append(f'{state.info.upstream} {reason}')
                 continue
             self._consider(search, self._estimate(search, state))
 
@@ -240,33 +240,29 @@
         if best is None or candidate.seconds < best.seconds:
             search.best = candidate
 
-    def _why_not(self, search: _Search, state: UpstreamState) -> str:
-        """Return why an engine may not be tried; empty if it may."""
+    def _exclusion_reason(self, search: _Search, state: UpstreamState) -> str:
+        """Return why an engine may not be used; empty if it may."""
         if state.info.upstream in search.excluded:
             return 'failed before'
-        if not has_loaded(state, search.version):
-            return 'leaves or lacks it'
+        if not can_serve(state, search.version):
+            return 'draining or version not loaded'
         health = self._view(state).health
         if not health.admits(search.now, state.reported):
             return 'ejected'
         return ''
 
-    def _estimate(
-        self,
-        search: _Search,
-        state: UpstreamState,
-    ) -> _Candidate:
-        """Return an engine with the seconds to its first token."""
+    def _estimate(self, search: _Search, state: UpstreamState) -> _Candidate:
+        """Return an engine with its expected seconds to the first token."""
         view = self._view(state)
         speed = search.speed
         load = view.load(state)
         slots = slots_of(state) * view.health.ramp(search.now)
-        wait = _queue_length(load, slots) * speed.service.at(load) / slots
+        wait = _queue_length(load, slots) * speed.service_time.at(load) / slots
         cached = state.info.upstream in search.cached
-        saved = speed.saved if cached else 0
+        saved = speed.saved_tokens if cached else 0
         uncached = max(0, search.request.prompt_tokens - saved)
-        reading = uncached * speed.prefill.level
-        seconds = wait + reading + speed.step.at(load)
+        prefill = uncached * speed.prefill.level
+        seconds = wait + prefill + speed.token_interval.at(load)
         seconds *= view.slowness(search.now)
         return _Candidate(state, load, seconds, cached)
 
@@ -275,16 +271,18 @@
         search: _Search,
         domains: dict[DomainId, list[UpstreamState]],
     ) -> None:
-        """Look at other failure domains that have room."""
+        """Consider remote failure domains that are not shedding load."""
         local = search.best
         search.best = None
         for domain, states in domains.items():
             if domain == self._domain:
                 continue
             if self._fleet.is_shedding(domain):
-                search.left_out.append(f'{domain} sheds')
+                search.exclusions.append(f'{domain} is shedding load')
                 continue
-            self._look(search, draw(states, DRAWN, self._randomness))
+            self._evaluate(
+                search, sample(states, SAMPLE_SIZE, self._randomness)
+            )
         other = search.best
         if other is None or local is None:
             search.best = other if local is None else local
@@ -297,24 +295,24 @@
         search: _Search,
         local: list[UpstreamState],
     ) -> None:
-        """Try what is ejected rather than nothing.
+        """Use an ejected engine rather than none.
 
-        All are out together where all were down: then none is more suspect
-        than the others, and the first one back must not get everything.
+        When all engines have failed, all are ejected at once. None is then more
+        suspect than another, and the first to recover must not get all work.
         """
-        for state in draw(local, DRAWN, self._randomness):
+        for state in sample(local, SAMPLE_SIZE, self._randomness):
             if state.info.upstream in search.excluded:
                 continue
-            if has_loaded(state, search.version):
+            if can_serve(state, search.version):
                 self._consider(search, self._estimate(search, state))
 
     def _chosen(self, search: _Search, best: _Candidate) -> Choice:
-        """Return the choice, and remember what was expected of it."""
+        """Return the choice, and remember the expectations about it."""
         request = search.request
         upstream = best.state.info.upstream
-        saved = search.speed.saved if best.cached else 0
-        if len(self._expected) >= _MOST_EXPECTED:
-            # Only choices that no attempt followed are left here.
+        saved = search.speed.saved_tokens if best.cached else 0
+        if len(self._expected) >= _MAX_EXPECTED:
+            # Only choices that were never followed by an attempt are left here.
             self._expected.clear()
         self._expected[request.request, upstream] = _Pending(
             best.load,
@@ -326,7 +324,7 @@
         return Choice(best.state, best.seconds, _describe(search, best))
 
     def _speed(self, version: VersionId) -> VersionSpeed:
-        """Return what is known of a version's speed."""
+        """Return the speed estimates of a version."""
         known = self._speeds.get(version)
         if known is None:
             known = VersionSpeed()
@@ -334,7 +332,7 @@
         return known
 
     def _view(self, state: UpstreamState) -> EngineView:
-        """Return what is known of an engine; another run is another one."""
+        """Return an engine's estimates; a new incarnation starts afresh."""
         upstream = state.info.upstream
         known = self._views.get(upstream)
         if known is not None and known[0] is state:
@@ -345,14 +343,14 @@
         return view
 
     def _view_by_name(self, upstream: UpstreamId) -> EngineView | None:
-        """Return what is known of an engine that was chosen."""
+        """Return the estimates of an engine that was chosen before."""
         known = self._views.get(upstream)
         return None if known is None else known[1]
 
 
 @register('selector', 'expected')
 def expected_selector(kernel: Kernel) -> ExpectedSelector:
-    """Make the selector for a host."""
+    """Create the selector of a host."""
     selector = ExpectedSelector(
         kernel.need(Directory),
         kernel.need(FleetLoad),
@@ -365,32 +363,34 @@
 
 
 def _is_full(search: _Search) -> bool:
-    """Tell whether the engines looked at have no slot to offer."""
+    """Return whether none of the evaluated engines has a free slot."""
     best = search.best
     return best is None or best.load >= slots_of(best.state)
 
 
 def _queue_length(load: float, slots: float) -> float:
-    """Return how many are likely to be ahead in an engine's queue.
+    """Return the expected number of requests ahead in an engine's queue.
 
-    The load is known late, so an engine that is nearly full may be full by
-    the time that the request is there: the excess over the slots, softened
-    by about the spread of the load.
+    Load is known with a delay, so a nearly full engine may be full when the
+    request arrives. The result is the excess of load over slots, smoothed by
+    about the standard deviation of the load.
     """
     spread = math.sqrt(slots) / 2
     return spread * math.log1p(math.exp((load - slots + 1) / spread))
 
 
 def _describe(search: _Search, best: _Candidate) -> str:
-    """Say why this one, with the others and those that were left out."""
+    """Return the reason for a choice, with alternatives and exclusions."""
     cached = ', prefix cached' if best.cached else ''
     others = '; '.join(
-        f'{one.state.info.upstream} {one.seconds:.3f} s at {one.load:.0f}'
-        for one in search.candidates[:_NAMED]
+        f'{one.state.info.upstream} {one.seconds:.3f} s at load {one.load:.0f}'
+        for one in search.candidates[:_MAX_NAMED]
         if one is not best
     )
-    left_out = ', '.join(search.left_out[:_NAMED])
-    reason = f'first token in {best.seconds:.3f} s at {best.load:.0f}{cached}'
+    exclusions = ', '.join(search.exclusions[:_MAX_NAMED])
+    reason = (
+        f'first token in {best.seconds:.3f} s at load {best.load:.0f}{cached}'
+    )
     if others:
         reason = f'{reason}; others: {others}'
-    return f'{reason}; out: {left_out}' if left_out else reason
+    return f'{reason}; excluded: {exclusions}' if exclusions else reason
--- a/src/nutmegroad/upstreams/selection.py
+++ b/src/nutmegroad/upstreams/selection.py
@@ -1,10 +1,11 @@
-"""Which upstream a request goes to: the one that is expected to begin first.
-
-What is expected follows from the prompts that wait there, the parts of its
-own prompt that are kept there, how crowded the upstream is, and how own
-exchanges with it went. Requests about one subject share parts of prompts;
-all hosts of a failure domain rank upstreams for a subject alike, by
-rendezvous hashing, so they tend to meet without a word.
+"""Selection of the upstream whose answer is expected to start first.
+
+The estimate is based on the prompts queued at each upstream, the parts of the
+request's own prompt that are cached there, how many of its slots are taken, and
+the results of this host's exchanges with it. Requests about one subject share
+prompt parts. All hosts of a failure domain order the upstreams for a subject
+alike, by rendezvous hashing, so their requests tend to meet at one upstream
+without any messages.
 """
 
 import random
@@ -26,54 +27,59 @@
 from nutmegroad.routes.requests import CallerRequest
 from nutmegroad.upstreams.directory import Upstream
 from nutmegroad.upstreams.estimates import PaceKey, Paces
-from nutmegroad.upstreams.prefixes import NOTHING, PromptReadings, Reading
+from nutmegroad.upstreams.prefixes import NO_PREFILL, PromptReadings, Reading
 
-#: Part of the time to a request's target that an upstream in another failure
-#: domain counts as slower: bytes between domains are dear, a far answer that
-#: is no later is no better, and a late one loses most of its worth.
-FAR_PART: Final = 0.12
+#: Penalty for an upstream in a remote failure domain, as a fraction of the
+#: request's target latency. Traffic between domains is expensive, a remote
+#: answer that is no later than a local one is no better, and a late answer
+#: loses most of its value.
+REMOTE_PENALTY: Final = 0.12
 
-#: Part of that time that an upstream counts as slower which fails all that
-#: it gets, beyond what the others fail.
-FAILING_PART: Final = 2.0
+#: Penalty for an upstream that fails all its requests while the best candidate
+#: fails none, as a fraction of the target latency. Scaled by the failure rate
+#: in excess of the best candidate's.
+FAILURE_PENALTY: Final = 2.0
 
-#: The same for one in a failure domain that is likely cut off: as one that
-#: fails all. If all others are full it is tried, since it may be there.
-CUT_PART: Final = 2.0
+#: Penalty for an upstream in a failure domain that is probably cut off, as a
+#: fraction of the target latency; equal to that for failing all requests. If
+#: all other upstreams are full it is still tried, since it may be reachable.
+CUT_OFF_PENALTY: Final = 2.0
 
-#: The same for one that has all its slots taken.
-FULL_PART: Final = 0.5
+#: Penalty for an upstream whose slots are all taken, as a fraction of the
+#: target latency.
+FULL_SLOTS_PENALTY: Final = 0.5
 
-#: The same for each tenth of its memory that is asked for beyond what it
-#: has; requests are put back then and read again.
-MEMORY_PART: Final = 0.5
+#: Penalty for each tenth of an engine's memory that is requested beyond its
+#: capacity, as a fraction of the target latency. The engine then preempts
+#: requests and processes their prompts again.
+MEMORY_PENALTY: Final = 0.5
 
-#: Part of an engine's memory from which it counts as full: what neighbours
-#: sent a moment ago is not known yet.
-MEMORY_FULL: Final = 0.9
+#: Fraction of an engine's memory from which it counts as full. The rest is for
+#: requests that peers have just sent and this host does not know of yet.
+MEMORY_FULL_FRACTION: Final = 0.9
 
-#: Times its estimate an upstream has to take to count as slow.
-SLOW: Final = 2.0
+#: Ratio of measured to estimated time from which an upstream counts as slow.
+SLOW_RATIO: Final = 2.0
 
-#: Seconds within which estimates count as equal.
-TIE: Final = 0.002
+#: Estimates that differ by less than this many seconds count as equal.
+TIE_SECONDS: Final = 0.002
 
 _TENTH: Final = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Where a request goes, and why.
+    """The upstream selected for a request, and the estimates behind it.
 
     Attributes:
-        upstream: The one chosen.
-        expected: Seconds until its answer should begin.
-        reading: What it does about the request's prompt.
-        tokens: Tokens that the request adds to its memory.
-        held: Tokens that others hold there.
-        running: Requests there, as far as is known.
-        ahead: Seconds of prompts that wait there.
-        candidates: How many there were.
+        upstream: The selected upstream.
+        expected: Seconds until its answer should start.
+        reading: How the upstream obtains the state for the request's prompt.
+        tokens: Tokens that the request adds to the upstream's memory.
+        held: Tokens that other requests occupy there.
+        running: Number of requests there, as far as is known.
+        ahead: Seconds of prompt processing queued there.
+        candidates: Number of candidates.
     """
 
     upstream: Upstream
@@ -87,19 +93,20 @@
 
     @property
     def load(self) -> Load:
-        """Return what the request adds to the upstream."""
+        """Return the load that the request adds to the upstream."""
         return Load(1, self.reading.seconds, self.tokens)
 
 
 @dataclass(frozen=True, slots=True)
 class Asked:
-    """What is to be sent somewhere.
+    """A request for which an upstream is to be selected.
 
     Attributes:
-        request: The request.
-        service: The service that answers.
-        model: The model to be named; None if the caller's word stands.
-        facts: What is known of the service's engines; None if plain.
+        request: The caller's request.
+        service: The service that is to answer.
+        model: The model to request; None to pass on the model named by the
+            caller.
+        facts: Properties of the service's engines; None for a plain service.
     """
 
     request: CallerRequest
@@ -109,20 +116,20 @@
 
     @property
     def key(self) -> PaceKey:
-        """Return what it is read as."""
+        """Return the key of the latency estimates that apply."""
         return PaceKey(self.service, self.model)
 
 
 class Selector:
-    """Chooses upstreams.
+    """Selects upstreams for requests.
 
     Args:
         clock: The host's clock.
         randomness: Breaks ties.
         domain: The host's failure domain.
-        ledger: What upstreams are busy with.
-        prefixes: What they hold of prompts.
-        silence: When other failure domains were heard.
+        ledger: Current load of each upstream.
+        prefixes: Prompt prefixes cached by each upstream.
+        silence: When each failure domain was last heard from.
     """
 
     def __init__(
@@ -144,61 +151,63 @@
 
     def choose(
         self,
-        asked: Asked,
+        query: Asked,
         upstreams: Collection[Upstream],
         tried: Collection[UpstreamIncarnation],
     ) -> Choice | None:
-        """Return where a request goes next, or None if nowhere.
+        """Return the best upstream for a request, or None if there is none.
 
-        Where no upstream can be reached, one request in a while tries; the
-        rest had better be refused at once.
+        While all upstreams are unreachable, only an occasional request is
+        allowed to probe one; all others are better refused immediately.
 
         Args:
-            asked: What is to be sent.
-            upstreams: Those that may run it.
-            tried: Those that have failed with it; taken again only if
-                there are no others.
+            query: The request, its service and model.
+            upstreams: Upstreams that may execute it.
+            tried: Incarnations that have already failed with the request;
+                selected again only if there are no others.
         """
         now = self._clock.now()
         candidates = _candidates(upstreams, tried, now)
         if not candidates:
             return None
-        readings = self._readings(asked, candidates)
-        usual = min(each.health.failure_share(now) for each in candidates)
+        estimator = self._prefill_estimator(query, candidates)
+        best_rate = min(each.health.failure_share(now) for each in candidates)
         best: tuple[float, Choice] | None = None
         for upstream in candidates:
-            reading = NOTHING if readings is None else readings.at(upstream)
-            choice = self._estimate(asked, upstream, reading, len(candidates))
-            cost = self._cost(asked, choice, usual)
+            prefill = (
+                NO_PREFILL if estimator is None else estimator.at(upstream)
+            )
+            choice = self._estimate(query, upstream, prefill, len(candidates))
+            cost = self._cost(query, choice, best_rate)
             if best is None or cost < best[0]:
                 best = (cost, choice)
         return None if best is None else best[1]
 
     def is_cut_off(self, upstream: Upstream) -> bool:
-        """Tell whether another failure domain is likely cut off, with this."""
+        """Return whether an upstream's remote domain is probably cut off."""
         domain = upstream.entry.domain
         return domain != self._domain and self.silence.suspected(domain)
 
     def _estimate(
         self,
-        asked: Asked,
+        query: Asked,
         upstream: Upstream,
-        reading: Reading,
+        prefill: Reading,
         candidates: int,
     ) -> Choice:
-        """Return what is expected of one upstream."""
+        """Return the estimate for one upstream."""
         load = self.ledger.load(upstream.entry.incarnation)
-        base = self.paces.base(asked.key)
+        base = self.paces.base(query.key)
         queue = max(0, load.running + 1 - upstream.entry.slots)
         waiting = base * queue / max(1, upstream.entry.slots)
-        generation = asked.request.generation
+        generation = query.request.generation
         tokens = 0
         if generation is not None:
             tokens = generation.prompt_tokens + generation.expected_tokens
         return Choice(
             upstream,
-            load.reading + reading.seconds + base + waiting,
-            reading,
+            load.reading + prefill.seconds + base + waiting,
+            prefill,
             tokens,
             load.tokens,
             load.running,
@@ -206,41 +215,51 @@
             candidates,
         )
 
-    def _cost(self, asked: Asked, choice: Choice, usual: float) -> float:
-        """Return an estimate in seconds, made longer by trouble."""
+    def _cost(self, query: Asked, choice: Choice, best_rate: float) -> float:
+        """Return the expected seconds of a choice plus its penalties.
+
+        Args:
+            query: The request.
+            choice: The estimate for one upstream.
+            best_rate: Failure rate of the best candidate.
+        """
         upstream = choice.upstream
         health = upstream.health
-        target = asked.request.route.target_latency
-        slowness = health.pace if health.pace > SLOW else 1
-        cost = choice.expected * slowness + self._randomness.random() * TIE
+        target = query.request.route.target_latency
+        slowness = health.pace if health.pace > SLOW_RATIO else 1
+        cost = (
+            choice.expected * slowness + self._randomness.random() * TIE_SECONDS
+        )
         if upstream.entry.domain != self._domain:
-            cost += target * FAR_PART
+            cost += target * REMOTE_PENALTY
         if self.is_cut_off(upstream):
-            cost += target * CUT_PART
-        failing = health.failure_share(self._clock.now()) - usual
-        cost += target * FAILING_PART * failing
-        crowd = choice.running / max(1, upstream.entry.slots)
-        cost += target * FULL_PART * crowd * crowd
-        return cost + target * MEMORY_PART * _excess(asked.facts, choice)
-
-    def _readings(
+            cost += target * CUT_OFF_PENALTY
+        failing = health.failure_share(self._clock.now()) - best_rate
+        cost += target * FAILURE_PENALTY * failing
+        occupancy = choice.running / max(1, upstream.entry.slots)
+        cost += target * FULL_SLOTS_PENALTY * occupancy * occupancy
+        return cost + target * MEMORY_PENALTY * _excess_memory(
+            query.facts, choice
+        )
+
+    def _prefill_estimator(
         self,
-        asked: Asked,
+        query: Asked,
         candidates: list[Upstream],
     ) -> PromptReadings | None:
-        """Return what upstreams would do about a prompt; None without one."""
-        generation = asked.request.generation
+        """Return the prompt estimates; None if the request has no prompt."""
+        generation = query.request.generation
         if generation is None:
             return None
-        readings = PromptReadings(
+        estimator = PromptReadings(
             generation,
-            asked.key,
-            asked.facts,
+            query.key,
+            query.facts,
             self.paces,
             self.prefixes,
         )
-        readings.look(candidates, self._domain, self._clock.now())
-        return readings
+        estimator.look(candidates, self._domain, self._clock.now())
+        return estimator
 
 
 def _candidates(
@@ -248,16 +267,20 @@
     tried: Collection[UpstreamIncarnation],
     now: float,
 ) -> list[Upstream]:
-    """Return the upstreams to choose from: the best that there are."""
-    able = [each for each in upstreams if each.health.available(now)]
-    fresh = [each for each in able if each.entry.incarnation not in tried]
-    hoped = [each for each in upstreams if not each.health.hopeless(now)]
-    return fresh or able or hoped
+    """Return the candidates of the best non-empty category.
+
+    The categories are: available and not yet tried; available; and those that
+    are not known to be unreachable right now.
+    """
+    usable = [each for each in upstreams if each.health.available(now)]
+    untried = [each for each in usable if each.entry.incarnation not in tried]
+    possible = [each for each in upstreams if not each.health.hopeless(now)]
+    return untried or usable or possible
 
 
-def _excess(facts: EngineFacts | None, choice: Choice) -> float:
-    """Return the tenths of memory that are asked for in excess."""
+def _excess_memory(facts: EngineFacts | None, choice: Choice) -> float:
+    """Return the requested memory beyond the limit, in tenths of the total."""
     if facts is None or not facts.memory:
         return 0
-    share = (choice.held + choice.tokens) / facts.memory
-    return max(0, share - MEMORY_FULL) / _TENTH
+    fraction = (choice.held + choice.tokens) / facts.memory
+    return max(0, fraction - MEMORY_FULL_FRACTION) / _TENTH
