--- a/src/nutmegroad/escalation/__init__.py
+++ b/src/nutmegroad/escalation/__init__.py
@@ -1,1 +1,1 @@
-"""Which model answers, and when a larger one is asked instead."""
+"""Model choice: escalation of a request from a small to a larger model."""
--- a/src/nutmegroad/escalation/confidence.py
+++ b/src/nutmegroad/escalation/confidence.py
@@ -1,13 +1,14 @@
-"""A model's own confidence in its answer, as its answer's head tells it."""
+"""Reads the confidence score that a model reports in its response head."""
 
 from typing import Final
 
 from nutmegroad.foundations.types import ModelName
 from nutmegroad.routes.deployment import Route
 
-#: Confidence of a model, from 0 to 100, below which its answer is dropped.
-#: Trials on two deployments: 45 to 60 alike on calm days, less the better
-#: under load, 68 worse on both; see docs/MEASUREMENTS.md.
+#: Confidence, from 0 to 100, below which an answer is discarded and a larger
+#: model is asked. In trials on two deployments, values from 45 to 60 made no
+#: difference on calm days, lower values were better under load, and 68 was
+#: worse on both; see docs/MEASUREMENTS.md.
 CONFIDENT: Final = 50
 
 
@@ -16,12 +17,17 @@
     model: ModelName | None,
     text: str | None,
 ) -> float | None:
-    """Return the confidence of a model that is unsure, or None.
+    """Return a model's confidence if it is low enough to escalate.
 
     Args:
         route: The request's route.
-        model: The model that has answered; None if the caller named it.
-        text: Its confidence as it wrote it; None if it wrote none.
+        model: The model that has answered; None if the caller chose the model.
+        text: The confidence header as received; None if it is missing.
+
+    Returns:
+        The confidence, from 0 to 100, or None if the answer should stand: the
+        confidence suffices or can't be read, the caller chose the model, or the
+        route has no larger one.
     """
     confidence = read_confidence(text)
     if model not in route.models[:-1] or confidence is None:
@@ -30,7 +36,7 @@
 
 
 def read_confidence(text: str | None) -> float | None:
-    """Return a model's confidence, or None if it can't be read."""
+    """Return the confidence in a header value, or None if it is no number."""
     if text is None:
         return None
     try:
--- a/src/nutmegroad/escalation/decisions.py
+++ b/src/nutmegroad/escalation/decisions.py
@@ -1,8 +1,9 @@
-"""Which model answers: small ones first, a larger one if need be.
+"""Chooses the model of a request: a small one first, a larger one if needed.
 
-A model's own confidence comes with the answer's head, before any of the
-answer has gone to the caller. An unsure one is dropped and a larger model
-asked, if the request may run once more and its time allows.
+A model reports its confidence in the head of its response, before any part of
+the answer has been sent to the caller. An answer of low confidence is discarded
+and a larger model is asked, if the request may be executed once more and its
+deadline allows it.
 """
 
 from dataclasses import dataclass
@@ -15,25 +16,27 @@
 from nutmegroad.routes.deployment import Route
 from nutmegroad.routes.requests import ANY_MODEL, CallerRequest
 
-#: The same where a larger model's answer is expected after the target: it is
-#: then worth about a third, so it has to be likelier that the small one's is
-#: worth next to nothing.
+#: Threshold used instead of ``CONFIDENT`` if the larger model's answer is
+#: expected after the target latency. A late answer is worth about a third of a
+#: timely one, so the small model's answer has to be more likely to be worth
+#: next to nothing.
 CONFIDENT_LATE: Final = 25
 
-#: Times the estimate of a whole answer that has to be left for it: callers'
-#: guesses of lengths are right at the median only.
+#: Factor on the estimated time of a complete answer that has to be left until
+#: the deadline. Callers' estimates of answer lengths are correct at the median
+#: only.
 ROOM: Final = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class EscalationCase:
-    """What speaks for and against a larger model.
+    """The facts on which an escalation is decided.
 
     Attributes:
-        confidence: The present model's own confidence, from 0 to 100.
+        confidence: The present model's confidence, from 0 to 100.
         waited: Seconds since the request arrived.
-        attempts_left: Upstreams that it may still be sent to.
-        expected: What would become of the larger model's answer.
+        attempts_left: Number of further upstreams that may execute the request.
+        expected: Estimate of the larger model's answer.
         left: Seconds until the final answer is due.
     """
 
@@ -45,10 +48,14 @@
 
 
 def first_model(request: CallerRequest) -> ModelName | None:
-    """Return the model that a request is begun with.
+    """Return the model of a request's first attempt.
+
+    The largest model is used at once for a request that can't be repeated,
+    since no second model may be asked.
 
     Returns:
-        None where the caller's own word stands.
+        None if the request is no generation, names a model itself, or has a
+        route without models.
     """
     generation = request.generation
     models = request.route.models
@@ -59,7 +66,7 @@
 
 @unique
 class NotEscalated(Enum):
-    """Why the answer of an unsure model is kept."""
+    """Why an answer of low confidence is kept."""
 
     ATTEMPTS = 'no attempt is left'
     TIME = 'a larger model has no time left'
@@ -71,12 +78,12 @@
 def larger_model(
     route: Route, case: EscalationCase
 ) -> ModelName | NotEscalated:
-    """Return the model to ask in place of one that is unsure, or why not."""
+    """Return the larger model to ask, or why the present answer is kept."""
     expected = case.expected
     if case.attempts_left < 1:
         return NotEscalated.ATTEMPTS
     if expected.whole * ROOM > case.left:
-        # A poor answer that is whole is worth more than one that is cut.
+        # A complete answer of low quality is worth more than a truncated one.
         return NotEscalated.TIME
     late = case.waited + expected.begins > route.target_latency
     usual = CONFIDENT_LATE if late else CONFIDENT
@@ -88,5 +95,5 @@
 
 
 def _may_escalate(route: Route) -> bool:
-    """Tell whether a second model may run a request of a route."""
+    """Return whether a second model may execute a request of a route."""
     return route.repeatable and route.max_attempts > 1
--- a/src/nutmegroad/escalation/headroom.py
+++ b/src/nutmegroad/escalation/headroom.py
@@ -1,31 +1,34 @@
-"""Whether an upstream has headroom for a larger model's run."""
+"""Estimates whether an upstream has headroom for a larger model's execution."""
 
 from dataclasses import dataclass
 from typing import Final
 
-#: Part of the time to a route's target from which prompts that wait at the
-#: larger model's upstream forbid it: it reads ten times as long as the small
-#: one, so while others wait it would take the place of several of them.
+#: Fraction of the route's target latency at which the prompts that are queued
+#: at the larger model's upstream forbid an escalation. The larger model takes
+#: ten times as long as the small one to read a prompt, so with a queue behind
+#: it, one escalation would displace several other requests.
 WAITING_PART: Final = 1.0
 
-#: Parts of an upstream's slots that are taken: up to the first a larger model
-#: costs nobody anything, from the second on each takes another's slot.
+#: Fractions of an upstream's slots that are in use. Below the first, an
+#: escalation delays no other request; from the second on, each escalation takes
+#: the slot of another request.
 ROOMY: Final = 0.8
 FULL: Final = 1.3
 
-#: Seconds that stand for no time at all, to divide by.
+#: Minimum divisor in seconds, to avoid a division by zero.
 _INSTANT: Final = 0.001
 
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """What would become of a larger model's answer.
+    """Estimate of a larger model's answer at the upstream that would be chosen.
 
     Attributes:
-        begins: Seconds until it would begin.
-        whole: Seconds until it would be whole.
-        ahead: Seconds of prompts that wait where it would run.
-        crowd: Part of the slots there that are taken.
+        begins: Seconds until the answer would begin.
+        whole: Seconds until the answer would be complete.
+        ahead: Seconds of prompts that are queued at the upstream.
+        crowd: Running requests as a fraction of the upstream's slots; may
+            exceed 1.
     """
 
     begins: float
@@ -38,8 +41,8 @@
     """Return an upstream's headroom for a larger model, from 0 to 1.
 
     Args:
-        expected: What is known of the upstream that would run it.
-        target: Seconds in which answers should begin.
+        expected: The estimate for the upstream that would execute the request.
+        target: Seconds within which answers should begin.
     """
     waiting = expected.ahead / max(target * WAITING_PART, _INSTANT)
     crowding = (expected.crowd - ROOMY) / (FULL - ROOMY)
