--- a/tests/relay_rig.py
+++ b/tests/relay_rig.py
@@ -1,4 +1,4 @@
-"""A relay host on loopback, between stand-ins of the platform."""
+"""Relay hosts on loopback, with simulated platform services and workers."""
 
 import json
 import socket
@@ -23,12 +23,12 @@
 KEY = 'the-key'
 REQUEST_ID = 'Nutmegroad-Request-Id'
 
-#: Ports that stand-ins and hosts of this process were told to use.
+#: Ports that were returned by ``free_port`` in this process.
 _HANDED_OUT: set[int] = set()
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on, also not for datagrams."""
+    """Return a port that is free for TCP and UDP."""
     while True:
         with (
             socket.socket() as probe,
@@ -45,7 +45,7 @@
 
 
 def route(name: str, kind: str, **more: Any) -> dict[str, Any]:
-    """Return a route as the operator writes it."""
+    """Return a route in the operator's format."""
     return {
         'name': name,
         'host': HOST,
@@ -61,7 +61,7 @@
 
 
 def configuration(version: int = 1, **more: Any) -> dict[str, Any]:
-    """Return a configuration as the operator writes it."""
+    """Return a configuration in the operator's format."""
     return {
         'version': version,
         'routes': [
@@ -89,9 +89,9 @@
     """Relay hosts of one failure domain with a store and workers.
 
     Args:
-        workers: How many workers register.
-        key_trust: Seconds for which keys hold unconfirmed.
-        hosts: How many hosts there are; most tests look at the first.
+        workers: Number of workers that register.
+        key_trust: Seconds for which keys stay valid without a confirmation.
+        hosts: Number of hosts; most tests use only the first.
     """
 
     def __init__(
@@ -110,21 +110,21 @@
 
     @property
     def host(self) -> RelayHost:
-        """Return the first host."""
+        """The first host."""
         return self.hosts[0]
 
     @property
     def settings(self) -> HostSettings:
-        """Return what the first host is told at start."""
+        """Settings of the first host."""
         return self._settings[0]
 
     @property
     def crashes(self) -> int:
-        """Return how often workers have ended by a request."""
+        """Number of crashes of workers caused by a request."""
         return sum(worker.crashes for worker in self.workers)
 
     async def __aenter__(self) -> 'Rig':
-        """Start everything but the host."""
+        """Start the store and the workers, and create the hosts."""
         runner = AppRunner(
             self.store.app(),
             handler_cancellation=True,
@@ -154,7 +154,7 @@
         await self._stack.aclose()
 
     def register(self, number: int, **more: Any) -> None:
-        """Put a worker's entry into the list."""
+        """Write a worker's entry into the list of upstreams."""
         entry = {
             'service': 'desk',
             'address': f'127.0.0.1:{self.workers[number].port}',
@@ -168,19 +168,19 @@
         self.store.put('servers', name, json.dumps(entry).encode())
 
     def configure(self, version: int = 1, **more: Any) -> None:
-        """Write a configuration."""
+        """Write a configuration into the store."""
         document = configuration(version, **more)
         self.store.put('op', 'config', json.dumps(document).encode())
 
     async def start(self) -> None:
-        """Start the hosts with a configuration in force."""
+        """Start the hosts, and wait until they are ready."""
         self.configure()
         for host in self.hosts:
             await host.start()
         await self.until(lambda: all(host.ready for host in self.hosts))
 
     async def add_host(self) -> int:
-        """Start one more host, and return its number."""
+        """Start one more host, and return its index."""
         number = len(self.hosts)
         self._settings.append(self._tell(number))
         self.hosts.append(await self._make(self._settings[number]))
@@ -189,14 +189,14 @@
         return number
 
     async def rise(self, number: int) -> None:
-        """Start a worker that has ended, under another id."""
+        """Restart a terminated worker under another id."""
         self.store.remove('servers', self._names[number])
         self._names[number] = f'{self._names[number]}-again'
         await self.workers[number].start()
         self.register(number)
 
     async def _make(self, settings: HostSettings) -> RelayHost:
-        """Make a host that has not started."""
+        """Return a host that has not been started."""
         counters = RelayCounters()
         store = await self._stack.enter_async_context(
             PlatformStore(Address('127.0.0.1', self._store_port), counters),
@@ -209,7 +209,7 @@
         )
 
     def _tell(self, number: int) -> HostSettings:
-        """Return what a host is told at start."""
+        """Return the settings of a host."""
         return HostSettings(
             host=HostId(f'host-{number + 1}'),
             domain=DomainId('north'),
@@ -231,7 +231,7 @@
         )
 
     async def until(self, condition: Any) -> None:
-        """Wait for a condition, however long that takes."""
+        """Wait for a condition, without a timeout."""
         while not condition():
             await BootClock().sleep(0.01)
 
@@ -246,7 +246,7 @@
         headers: dict[str, str] | None = None,
         host: int = 0,
     ) -> tuple[int, dict[str, str], bytes]:
-        """Send a caller's request to a host, and return the whole answer."""
+        """Send a caller's request to a host, and return the complete answer."""
         sent = {
             'Host': HOST,
             REQUEST_ID: request,
--- a/tests/relay_samples.py
+++ b/tests/relay_samples.py
@@ -1,4 +1,4 @@
-"""Routes, requests and upstreams as tests of the relay want them."""
+"""Sample routes, requests, upstreams and stores for tests of the relay."""
 
 import json
 from typing import Any
@@ -53,7 +53,7 @@
 NORTH = DomainId('north')
 ENGINES = ServiceName('engines')
 
-#: A kind of request.
+#: A kind of request in a rollout's evidence.
 KIND = KindNumber(0)
 SMALL, LARGE = ModelName('small'), ModelName('large')
 KEY = PaceKey(ENGINES, SMALL)
@@ -61,7 +61,7 @@
 
 
 def a_route(**more: Any) -> Route:
-    """Return a route for streams."""
+    """Return a streaming route."""
     whole: dict[str, Any] = {
         'name': RouteName('draft'),
         'host': 'h',
@@ -123,7 +123,7 @@
 
 
 def entry_row(name: str, version: int = 1, **more: object) -> StoredRow:
-    """Return a worker's row."""
+    """Return the row of a worker in the list of upstreams."""
     entry = {
         'service': 's',
         'address': f'127.0.0.{ord(name[0])}:1',
@@ -137,7 +137,7 @@
 
 
 class AwayStore:
-    """A store that is never there."""
+    """A store that is never available."""
 
     async def snapshot(self, table: str) -> RowsRead | Refusal:
         """Refuse."""
@@ -162,18 +162,18 @@
 
 
 async def nothing_to_wait_for() -> None:
-    """Wait for nobody: not all hosts start for the first time."""
+    """Return at once, as the hosts do not start for the first time."""
 
 
 def a_book(host: str = 'me', run: int = 1) -> EvidenceBook:
-    """Return the book of one start of a host."""
+    """Return the evidence book of one incarnation of a host."""
     return EvidenceBook(HostId(host), RunNumber(run))
 
 
 def counts(order: int, run: int = 1, **answers: int) -> Evidence:
-    """Return what one start of a host has seen of one kind of request."""
+    """Return the evidence of one incarnation of a host on one kind."""
     return Evidence(order, RunNumber(run), {KIND: Answers(**answers)})
 
 
 def nobody_hears(place: int) -> None:
-    """Take in a position of the store that another host tells."""
+    """Ignore a position of the store that another host reports."""
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,13 +1,13 @@
-"""A request that ends each upstream which begins to run it, again and again.
-
-Seen: one short question ended fifteen engines in seventy seconds, also long
-after it had ended its third; what ran beside it was cut again and again. How it
-came about: it came anew, with the same caller, path and body, at host after
-host, and each gave it all its attempts. Cause: what a request had done was
-remembered by its own execution only, which ends with its answer; no host knew
-anything of what a request contains. What proved it: the same host sent the same
-content to three upstreams once more, five and ten seconds later, all of which
-ended within a tenth of a second of beginning, without an event.
+"""A harmful request, which crashes each upstream that begins to execute it.
+
+One short question terminated fifteen engines in seventy seconds, and requests
+beside it were interrupted again and again. It arrived repeatedly with the same
+caller, path and body, at one host after another, and each host made all its
+attempts. Only the request's own execution recorded the crashes, and it ended
+with its answer; no host knew the content of other requests. The cause was
+confirmed when one host sent the same content to three upstreams once more, five
+and ten seconds later: all terminated within a tenth of a second, without an
+event.
 """
 
 import asyncio
@@ -26,16 +26,16 @@
 from tests.relay_rig import Rig
 from tests.relay_samples import an_entry
 
-#: The body that ends workers.
+#: The body that crashes workers.
 HARMFUL: Final = b'harmful'
-#: Times that it comes anew after it has ended its third worker: at each host
-#: twice.
+#: Number of times that it arrives again after its third crash: twice at each
+#: host.
 TIMES: Final = 4
-#: Upstreams that may end under one request before it is refused.
+#: Number of upstreams that may crash under one request before it is refused.
 ENDS: Final = 3
-#: Times that it is tried once more, in case that it only ran beside another.
+#: Number of probe executions, in case that the request only ran beside another.
 TRIALS: Final = 1
-#: Times that it may still reach an upstream after that.
+#: Number of further upstreams that it may reach after that.
 MORE: Final = 3
 
 PROMISE: Final = 503
@@ -68,14 +68,14 @@
         return status
 
     async def revive(self) -> None:
-        """Start all workers again that have ended."""
+        """Restart all workers that have crashed."""
         for number, worker in enumerate(self.rig.workers):
             if worker.crashes:
                 worker.crashes = 0
                 await self.rig.rise(number)
 
     async def test_it_is_refused_after_its_third_upstream(self) -> None:
-        """By the same host, with a promise that it did not run."""
+        """The same host refuses it, with a guarantee of non-execution."""
         await self.come(1)
         self.assertEqual(self.rig.crashes, ENDS)
         status, headers, text = await self.rig.ask(
@@ -89,7 +89,7 @@
         self.assertIn(b'REQUEST_HARMFUL', text)
 
     async def test_every_host_refuses_it(self) -> None:
-        """Also one that has never seen it, within a moment."""
+        """A host that has never received it refuses it after a second."""
         await self.come(1)
         await asyncio.sleep(1)
         for number in range(TIMES):
@@ -98,7 +98,7 @@
         self.assertEqual(self.rig.seen('r4') + self.rig.seen('r5'), 0)
 
     async def test_ends_under_it_add_up_over_hosts(self) -> None:
-        """One that may run once ends one worker each time it comes."""
+        """A request that may be executed once crashes one worker each time."""
         for number in range(ENDS):
             await self.come(number, host=number % 2, path='/once/1')
             await asyncio.sleep(0.5)
@@ -109,7 +109,7 @@
         self.assertEqual(self.rig.crashes, ENDS)
 
     async def test_a_host_that_starts_later_refuses_it(self) -> None:
-        """What the others know outlives them in the platform's store."""
+        """The store keeps the crashes for hosts that start later."""
         await self.come(1)
         await asyncio.sleep(1.5)
         for host in self.rig.hosts:
@@ -120,7 +120,7 @@
         self.assertEqual(self.rig.crashes, ENDS + TRIALS)
 
     async def test_other_requests_are_served(self) -> None:
-        """The same path with another body, and the body on another path."""
+        """Another body on the same path, and requests on another path."""
         await self.come(1)
         for number, (path, body) in enumerate(
             (('/draft/1', b'harmless'), ('/draft/1', b'')),
@@ -131,7 +131,7 @@
         self.assertEqual(await self.come(20, path='/draft/2'), 200)
 
     async def test_it_is_served_where_it_did_nothing(self) -> None:
-        """An upstream that ends by itself three times is not its work."""
+        """A worker that crashes between requests does not make them harmful."""
         for worker in self.rig.workers:
             worker.usual = plain()
         for _ in range(ENDS + 1):
@@ -142,18 +142,18 @@
 
 
 class TrialTest(unittest.IsolatedAsyncioTestCase):
-    """A host that starts when most upstreams that it can choose are gone.
-
-    Seen: where a request had ended three upstreams that still stood in the
-    list, a host that was started then refused it four times in a row, and never
-    tried it. Cause: its one trial was used up by an attempt that reached no
-    upstream, since it chose one of the three; the next attempt, at one that
-    lives, asked for another trial. What proved it: it depends on the share of
-    ended upstreams in the list, not on how long anything takes.
+    """A host that starts when most of its upstreams have crashed.
+
+    A request had crashed three upstreams that were still listed. A host that
+    was then started refused it four times in a row without a probe execution.
+    The first attempt chose one of the three and reached no upstream, but it
+    used up the probe; the next attempt, at a live upstream, asked for another
+    one. The fault depended on the fraction of crashed upstreams in the list,
+    not on timing.
     """
 
     async def asyncSetUp(self) -> None:
-        """Start a host, and end all its workers but one."""
+        """Start a host, and crash all its workers but one."""
         self.rig = await self.enterAsyncContext(Rig(workers=ENDS + 1))
         for worker in self.rig.workers:
             worker.usual = crashing(HARMFUL, stream())
@@ -163,14 +163,14 @@
         self.before = sum(len(worker.seen) for worker in self.rig.workers)
 
     async def test_a_trial_lasts_until_it_reaches_an_upstream(self) -> None:
-        """Attempts that nobody takes don't use it up."""
+        """Attempts that no upstream accepts do not use up the probe."""
         await asyncio.sleep(FIRST_PAUSE)
         number = await self.rig.add_host()
         await self.rig.ask('/draft/1', 'r2', body=HARMFUL, host=number)
         self.assertEqual(self.rig.crashes, ENDS + TRIALS)
 
     async def test_a_trial_reaches_one_upstream(self) -> None:
-        """Whatever the request may do otherwise."""
+        """Its route would permit more attempts."""
         for number, worker in enumerate(self.rig.workers):
             if worker.crashes:
                 await self.rig.rise(number)
@@ -182,10 +182,10 @@
 
 
 class RestartTest(unittest.IsolatedAsyncioTestCase):
-    """Workers that are started again at once, under their ids."""
+    """Workers that restart at once, under their ids."""
 
     async def asyncSetUp(self) -> None:
-        """Start a host whose workers tell when they were born."""
+        """Start a host whose workers list their start times."""
         self.rig = await self.enterAsyncContext(Rig(workers=6))
         self.births = itertools.count(1)
         for number, worker in enumerate(self.rig.workers):
@@ -194,7 +194,7 @@
         await self.rig.start()
 
     def rebirth(self, number: int) -> Callable[[], Awaitable[None]]:
-        """Return what starts a worker again."""
+        """Return a function that restarts a worker."""
 
         async def again() -> None:
             await self.rig.workers[number].start()
@@ -203,7 +203,7 @@
         return again
 
     async def test_another_start_proves_the_end(self) -> None:
-        """Nobody refuses a connection, and the list shows it later."""
+        """No connection is refused, and the list shows the restart later."""
         for number in range(ENDS + MORE):
             await self.rig.ask('/once/1', f'r{number}', body=HARMFUL)
             await asyncio.sleep(0.3)
@@ -211,23 +211,22 @@
 
 
 class ProxyTest(unittest.IsolatedAsyncioTestCase):
-    """Workers behind a proxy that accepts connections also while they are gone.
+    """Workers behind a proxy that accepts connections when they have crashed.
 
-    Seen: with the platform's store away, a request ended twenty workers behind
-    such proxies. Cause: nothing refused a connection, and the list could not
-    show another start. What proved it: the same holds here, where the list
-    shows nothing at all.
+    With the platform's store unavailable, a request crashed twenty workers
+    behind such proxies: no connection was refused, and the list could not show
+    a restart. Here, too, the list shows no restart.
     """
 
     async def asyncSetUp(self) -> None:
-        """Start a host whose workers leave a proxy behind."""
+        """Start a host whose crashed workers leave a proxy behind."""
         self.rig = await self.enterAsyncContext(Rig(workers=9))
         for number, worker in enumerate(self.rig.workers):
             worker.usual = crashing(HARMFUL, stream(), self.left_behind(number))
         await self.rig.start()
 
     def left_behind(self, number: int) -> Callable[[], Awaitable[None]]:
-        """Return what accepts connections for a worker that is gone."""
+        """Return a function that accepts connections for a crashed worker."""
 
         async def accept() -> None:
             proxy = await asyncio.start_server(
@@ -240,7 +239,7 @@
         return accept
 
     async def test_a_connection_closed_at_once_proves_the_end(self) -> None:
-        """Whoever accepts it can't reach the worker."""
+        """The proxy can't reach the worker."""
         for number in range(ENDS + TIMES):
             await self.rig.ask('/once/1', f'r{number}', body=HARMFUL)
             await asyncio.sleep(0.3)
@@ -261,12 +260,12 @@
 
 @dataclass
 class HeldPool:
-    """Hands out connections in order."""
+    """Returns prepared connections in order."""
 
     connections: list[HeldConnection]
 
     async def open(self, address: Address, timeout: float) -> HeldConnection:
-        """Return the next."""
+        """Return the next connection."""
         return self.connections.pop(0)
 
     def give_back(self, upstream: str, connection: HeldConnection) -> None:
@@ -274,14 +273,14 @@
 
 
 class EndWatchTest(unittest.IsolatedAsyncioTestCase):
-    """Connections that show later what became of an upstream.
+    """Results of connection attempts that are known only later.
 
-    Found by reading: whoever asked only once a connection had been closed was
-    told that it was not, and the end of one watch ended that of the next.
+    A caller that asked after a connection had been closed was told that it was
+    open, and the end of one observation ended that of the next.
     """
 
     async def test_each_look_has_its_own_connection(self) -> None:
-        """Whatever becomes of the one before, and however soon it is closed."""
+        """Its result is independent of earlier checks and of timing."""
         first, second = HeldConnection(), HeldConnection()
         watch = EndWatch(cast(ConnectionPool, HeldPool([first, second])))
         entry = an_entry('worker')
@@ -298,10 +297,10 @@
 
 
 class BystanderTest(unittest.IsolatedAsyncioTestCase):
-    """Requests that run at the same upstreams as the one that ends them."""
+    """Requests that run at the same upstreams as a harmful one."""
 
     async def asyncSetUp(self) -> None:
-        """Start a host whose workers come one after the other."""
+        """Start a host whose workers are registered one at a time."""
         self.rig = await self.enterAsyncContext(Rig(workers=4))
         for worker in self.rig.workers:
             worker.usual = crashing(HARMFUL, stream(gap=0.5))
@@ -311,7 +310,7 @@
         await self.know_upstreams(0)
 
     async def know_upstreams(self, count: int) -> None:
-        """Wait until the host knows so many upstreams."""
+        """Wait until the host knows a number of upstreams."""
         await self.rig.until(lambda: self.rig.host.beliefs.upstreams == count)
 
     async def end_beside(self, number: int, path: str) -> None:
@@ -333,7 +332,7 @@
         return await self.rig.ask('/once/2', 'again', body=b'harmless')
 
     async def test_who_ran_beside_it_three_times_is_served(self) -> None:
-        """Both share all their ends; only one of them is harmful."""
+        """Both requests share all crashes, but only one is harmful."""
         for number in range(ENDS):
             await self.end_beside(number, '/once/2')
         self.rig.register(ENDS)
--- a/tests/test_early_sockets.py
+++ b/tests/test_early_sockets.py
@@ -1,4 +1,4 @@
-"""Sockets that listen before the program is loaded."""
+"""Tests of sockets that listen before the program is loaded."""
 
 import asyncio
 import os
@@ -36,13 +36,14 @@
 
 
 class EarlySocketsTest(unittest.IsolatedAsyncioTestCase):
-    """What becomes of callers who come while a host loads."""
+    """Callers that connect while a host is loading."""
 
     async def test_caller_who_connects_early_is_served(self) -> None:
-        """Pattern: all hosts are killed; callers come while they start.
+        """Callers connect while killed hosts start again.
 
-        On one day 395 tries found no connection, half of them while hosts
-        were loading; many callers have only one more.
+        Without early sockets, 395 connection attempts failed on one day, half
+        of them while hosts were loading; many callers have only one more
+        attempt.
         """
         callers, ready = free_port(), free_port()
         sockets = open_for(
@@ -64,7 +65,7 @@
             response.close()
 
     def test_what_cannot_be_opened_is_said(self) -> None:
-        """The field and its value are named; the other socket is opened."""
+        """The problem names field and value; the other socket is opened."""
         port = free_port()
         sockets = open_for(
             f'listen.front=127.0.0.1:{port}\nlisten.ready=nowhere\n',
@@ -82,7 +83,7 @@
         self.assertIn('/nowhere', sockets.problems[0])
 
     def test_opening_loads_next_to_nothing(self) -> None:
-        """Else the sockets would open no earlier than the host."""
+        """With more imports the sockets would open no earlier than the host."""
         code = (
             'import sys, nutmegroad_platform.early_sockets;'
             'print([name for name in ("aiohttp", "asyncio", "msgspec",'
--- a/tests/test_relay_host.py
+++ b/tests/test_relay_host.py
@@ -1,4 +1,4 @@
-"""A relay host serves the platform's callers, between stand-ins."""
+"""Tests of a relay host between callers, workers and the platform's store."""
 
 import asyncio
 import unittest
@@ -27,13 +27,13 @@
 
 
 def cut_body(seen: Seen) -> Script:
-    """Answer with less than was promised."""
+    """Answer with fewer bytes than announced."""
     headers = signed(seen, **{'Content-Length': '10'})
     return Script((head('200 OK', headers) + b'half',), close=True)
 
 
 def stray(seen: Seen) -> Script:
-    """Answer somebody else first, then the request."""
+    """Answer another request first, then this one."""
     length = {'Content-Length': '4'}
     other = {**signed(seen, **length), 'Nutmegroad-Request-Id': 'other'}
     ours = head('200 OK', signed(seen, **length))
@@ -41,7 +41,7 @@
 
 
 def extra(seen: Seen) -> Script:
-    """Send a second answer after the one that was asked for."""
+    """Send a second answer after the requested one."""
     whole = head('200 OK', signed(seen, **{'Content-Length': '4'}))
     return Script((whole + b'fine' + whole + b'more',))
 
@@ -50,21 +50,21 @@
     """A host with two workers."""
 
     async def asyncSetUp(self) -> None:
-        """Start the stand-ins and the host."""
+        """Start the store, the workers and the host."""
         self.rig = await self.enterAsyncContext(Rig(workers=2))
         await self.rig.start()
 
     def all_workers(self, script: object) -> None:
-        """Let all workers answer alike."""
+        """Let all workers answer by one script."""
         for worker in self.rig.workers:
             worker.usual = script  # type: ignore[assignment]
 
 
 class ForwardingTest(RelayCase):
-    """What goes to a worker, and what comes back."""
+    """Forwarding of requests to a worker, and of answers to the caller."""
 
     async def test_request_passes_byte_for_byte(self) -> None:
-        """The raw target and the body arrive as they were sent."""
+        """The raw target and the body arrive unchanged."""
         status, _, body = await self.rig.ask('/pay/a%2Fb//c?x=%20', body=b'x y')
         self.assertEqual((status, body), (200, b'fine'))
         seen = next(w.seen[0] for w in self.rig.workers if w.seen)
@@ -72,7 +72,7 @@
         self.assertEqual(seen.body, b'x y')
 
     async def test_headers_are_the_systems_to_set(self) -> None:
-        """A caller can't set what only the system may; the key stays here."""
+        """A caller can't set reserved headers; its key is not forwarded."""
         await self.rig.ask(
             '/pay/1',
             headers={
@@ -93,14 +93,14 @@
             self.assertNotIn(name, seen)
 
     async def test_stray_answer_goes_to_nobody(self) -> None:
-        """An answer with another request's id is not handed on."""
+        """An answer with another request's id is dropped."""
         self.all_workers(stray)
         _, headers, body = await self.rig.ask('/look/1', 'mine')
         self.assertEqual(body, b'fine')
         self.assertEqual(headers['Nutmegroad-Request-Id'], 'mine')
 
     async def test_extra_answer_ends_the_connection(self) -> None:
-        """What follows an answer is not taken for the next request's."""
+        """A surplus answer is not taken for that of the next request."""
         self.all_workers(extra)
         for number in range(4):
             _, headers, body = await self.rig.ask('/pay/1', f'r{number}')
@@ -109,17 +109,17 @@
 
 
 class FailureTest(RelayCase):
-    """What runs again, and what does not."""
+    """Repeats of failed requests."""
 
     async def test_cut_answer_of_a_repeatable_call_is_asked_again(self) -> None:
-        """The caller gets a whole answer from another worker."""
+        """The caller gets a complete answer from another worker."""
         self.rig.workers[0].usual = cut_body
         for number in range(6):
             status, _, body = await self.rig.ask('/look/1', f'r{number}')
             self.assertEqual((status, body), (200, b'fine'))
 
     async def test_call_that_runs_once_is_never_sent_again(self) -> None:
-        """Its outcome is unknown, so nothing is promised about it."""
+        """Its outcome is unknown, so the status guarantees nothing."""
         self.all_workers(cut_body)
         status, headers, _ = await self.rig.ask('/pay/1', 'p1')
         self.assertEqual(status, 502)
@@ -127,21 +127,21 @@
         self.assertEqual(self.rig.seen('p1'), 1)
 
     async def test_rejected_call_goes_elsewhere(self) -> None:
-        """A worker's proof that it did not run lets even these go on."""
+        """A worker's proof of non-execution permits another attempt."""
         self.rig.workers[0].usual = rejecting()
         for number in range(6):
             status, _, _ = await self.rig.ask('/pay/1', f'p{number}')
             self.assertEqual(status, 200)
 
     async def test_all_full_is_a_refusal_with_a_time_to_come_back(self) -> None:
-        """503 says that nothing ran, and when to try again."""
+        """503 guarantees that the call was not executed, with a retry time."""
         self.all_workers(rejecting())
         status, headers, _ = await self.rig.ask('/pay/1')
         self.assertEqual(status, 503)
         self.assertGreater(float(headers['Retry-After']), 0)
 
     async def test_no_answer_by_the_routes_time_is_final(self) -> None:
-        """The caller hears at the route's time, and nothing is promised."""
+        """The caller is refused at the route's timeout, without a guarantee."""
         self.rig.configure(
             2, routes=[route('pay', 'non_idempotent', timeoutMs=200)]
         )
@@ -151,7 +151,7 @@
         self.assertEqual(status, 504)
 
     async def test_given_up_connection_is_not_used_again(self) -> None:
-        """Pattern: the next request waits behind one that nobody wants."""
+        """The next request does not wait behind an abandoned one."""
         self.rig.configure(
             2, routes=[route('pay', 'non_idempotent', timeoutMs=200)]
         )
@@ -166,7 +166,7 @@
         self.assertEqual(statuses.count(200), 6)
 
     async def test_caller_that_leaves_ends_its_run(self) -> None:
-        """The worker sees its connection close."""
+        """The worker's connection is closed if the caller disconnects."""
         self.all_workers(stream(EVENTS * 100, gap=0.01))
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(0.3):
@@ -177,16 +177,16 @@
 
 
 class StreamTest(RelayCase):
-    """Series of events."""
+    """Event streams."""
 
     async def test_stream_is_handed_on_whole(self) -> None:
-        """All events come, in order."""
+        """All events arrive, in order."""
         self.all_workers(stream())
         _, _, body = await self.rig.ask('/draft/1')
         self.assertEqual(body, b''.join(EVENTS))
 
     async def test_broken_stream_goes_on_elsewhere(self) -> None:
-        """The rest is asked for after the last whole event."""
+        """The rest is requested after the last complete event."""
         broken = stream((EVENTS[0], EVENTS[1][:9]), cut=True)
         self.rig.workers[0].usual = broken
         self.rig.workers[1].usual = stream()
@@ -201,7 +201,7 @@
         self.assertEqual(set(resumed), {'1'})
 
     async def test_stream_that_may_not_go_on_does_not_look_whole(self) -> None:
-        """The caller's own library notices the cut."""
+        """The caller's HTTP library detects the truncation."""
         self.all_workers(stream(EVENTS[:1], cut=True))
         with self.assertRaises((ClientPayloadError, ClientError)):
             await self.rig.ask('/once/1', 'o1')
@@ -209,10 +209,10 @@
 
 
 class CascadeTest(RelayCase):
-    """A larger model is asked where the small one is unsure."""
+    """Escalation to a larger model after an answer of low confidence."""
 
     async def test_unsure_answer_is_asked_of_the_largest_model(self) -> None:
-        """No byte of the dropped answer reaches the caller."""
+        """No byte of the discarded answer reaches the caller."""
 
         def by_model(seen: Seen) -> Script:
             """Answer as the named model would."""
@@ -229,7 +229,7 @@
         self.assertEqual(headers['Nutmegroad-Confidence'], '95')
 
     async def test_sure_answer_of_the_small_model_stands(self) -> None:
-        """It is sent once only."""
+        """The request is sent only once."""
         self.all_workers(stream(confidence=90))
         await self.rig.ask(
             '/sized/1',
@@ -240,10 +240,10 @@
 
 
 class RefusalTest(RelayCase):
-    """What is not let in."""
+    """Refused requests, and changes of the configuration."""
 
     async def test_bad_requests_have_their_status(self) -> None:
-        """Unknown routes and keys, and bodies that are too large."""
+        """Unknown routes, unknown keys, and bodies that are too large."""
         cases = (
             ('/nowhere/1', KEY, b'', 404),
             ('/pay/1', 'stolen', b'', 401),
@@ -256,7 +256,7 @@
                 self.assertEqual(status, expected)
 
     async def test_headers_are_bounded(self) -> None:
-        """431, and nothing reaches a worker."""
+        """431, and no worker receives the request."""
         limits = {'maxHeaderBytes': 400}
         self.rig.configure(2, limits=limits)
         await self.rig.until(lambda: self.rig.host.configuration_version == 2)
@@ -269,10 +269,11 @@
         self.assertEqual(self.rig.seen('big'), 0)
 
     async def test_trial_keeps_within_the_operators_bound(self) -> None:
-        """Its share follows the bound; ``ExposureTest`` holds the sum to it.
+        """The canary fraction follows the limit on exposure.
 
-        It was 0.8 of the bound through the whole duration, of which a trial
-        is two thirds: too few answers to show anything.
+        ``ExposureTest`` checks the total against the limit. A fraction of 0.8
+        of the limit through the whole duration, of which the canary stage is
+        two thirds, gave too few answers for a significant result.
         """
         self.assertAlmostEqual(self.rig.host.trial_share, 0.165)
         settings = replace(self.rig.settings, exposure=0.05)
@@ -280,21 +281,21 @@
         self.assertAlmostEqual(self.rig.host.trial_share, 0.055)
 
     async def test_settings_can_change(self) -> None:
-        """Keys that held for long hold for no time at all."""
+        """A reload can end the validity of keys at once."""
         settings = replace(self.rig.settings, key_trust=0)
         self.rig.host.reload(settings)
         status, _, _ = await self.rig.ask('/pay/1')
         self.assertEqual(status, 503)
 
     async def test_key_that_was_taken_away_is_refused(self) -> None:
-        """A newer configuration holds as soon as it is known."""
+        """A newer configuration is in force as soon as it is received."""
         self.rig.configure(2, tenants=[{'name': 'clerks', 'apiKeys': []}])
         await self.rig.until(lambda: self.rig.host.configuration_version == 2)
         status, _, _ = await self.rig.ask('/pay/1')
         self.assertEqual(status, 401)
 
     async def test_older_configuration_is_not_taken(self) -> None:
-        """A host never goes back."""
+        """A host never returns to an older configuration."""
         self.rig.configure(3)
         await self.rig.until(lambda: self.rig.host.configuration_version == 3)
         self.rig.configure(2, tenants=[])
@@ -304,7 +305,7 @@
         self.assertEqual(status, 200)
 
     async def test_bad_configuration_is_kept_out(self) -> None:
-        """The last good one stays in force."""
+        """The last valid configuration stays in force."""
         self.rig.store.put('op', 'config', b'{"version": "x"}')
         self.rig.configure(5)
         await self.rig.until(lambda: self.rig.host.configuration_version == 5)
@@ -313,12 +314,12 @@
 
 
 class StartTest(unittest.IsolatedAsyncioTestCase):
-    """A host that knows nothing yet."""
+    """A host that has received no configuration, or loses its store."""
 
     async def test_host_without_configuration_promises_nothing_ran(
         self,
     ) -> None:
-        """503, never 401 or 404; and it is not ready."""
+        """It answers 503, never 401 or 404, and is not ready."""
         rig = await self.enterAsyncContext(Rig())
         rig.store.fault = StoreFault.BUSY
         await rig.host.start()
@@ -328,7 +329,7 @@
         self.assertFalse(rig.host.ready)
 
     async def test_keys_lapse_without_the_store(self) -> None:
-        """Requests without a key are served all the same."""
+        """Requests that need no key are still served."""
         rig = await self.enterAsyncContext(Rig(key_trust=0.4))
         await rig.start()
         rig.store.fault = StoreFault.BUSY
@@ -347,7 +348,7 @@
     async def test_open_stream_ends_whole_and_its_connection_closes(
         self,
     ) -> None:
-        """What has begun is finished; the host is not ready any more."""
+        """Open requests are completed; the host is no longer ready."""
         events = tuple(
             f'id: {number}\ndata: x\n\n'.encode() for number in range(1, 30)
         )
@@ -361,7 +362,7 @@
         await stop
 
     async def test_kept_connections_are_closed(self) -> None:
-        """Pattern: a kept connection brings a request too late to answer."""
+        """A request on an idle connection could arrive too late."""
         self.all_workers(stream(gap=0.05))
         address = self.rig.settings.callers
         idle, _ = await asyncio.open_connection(address.ip, address.port)
@@ -380,10 +381,10 @@
 
 
 class ConfigurationShapeTest(unittest.TestCase):
-    """The rig writes what the platform would."""
+    """The rig writes documents in the platform's format."""
 
     def test_host_is_the_routes(self) -> None:
-        """All routes belong to the host that callers name."""
+        """All routes belong to the host name that callers use."""
         hosts = {each['host'] for each in configuration()['routes']}
         self.assertEqual(hosts, {HOST})
         self.assertIsInstance(OpaqueWorker(), OpaqueWorker)
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -1,4 +1,4 @@
-"""What requests say, and what they are told."""
+"""Tests of request parsing, repeat budgets, escalation and refusals."""
 
 import unittest
 
@@ -45,10 +45,10 @@
 
 
 class RoutingTableTest(unittest.TestCase):
-    """Which route a request takes."""
+    """Route lookup."""
 
     def test_longest_prefix_of_the_host_wins(self) -> None:
-        """A path must begin with the whole prefix, slash included."""
+        """A path must begin with the complete prefix, slash included."""
         routes = tuple(
             a_route(name=RouteName(prefix), prefix=prefix, host=host)
             for host, prefix in (('h', '/a/'), ('h', '/a/b/'), ('g', '/a/b/c/'))
@@ -67,10 +67,10 @@
 
 
 class RequestTest(unittest.TestCase):
-    """What headers say of a request."""
+    """Parsing of request headers."""
 
     def test_generation_is_read(self) -> None:
-        """Parts in order; what can't be read counts as nothing."""
+        """Parts keep their order; a part that can't be parsed is ignored."""
         from nutmegroad_platform.names import HEADERS
 
         found = read_generation(
@@ -87,7 +87,7 @@
         self.assertIsNone(read_generation({}, HEADERS))
 
     def test_wait_is_read(self) -> None:
-        """Nonsense stands for the longest wait."""
+        """Invalid text yields the longest wait."""
         cases = (('1500', 1.5), ('', 9), ('-3', 9), ('1e3', 9), ('0', 9))
         for text, expected in cases:
             with self.subTest(text=text):
@@ -95,10 +95,10 @@
 
 
 class EventsTest(unittest.TestCase):
-    """Whole events only."""
+    """Splitting of a stream into complete events."""
 
     def test_events_are_cut_at_any_byte(self) -> None:
-        """Whatever the chunks, the events are the same."""
+        """The events do not depend on the sizes of the chunks."""
         text = b'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda'
         for step in range(1, len(text)):
             splitter = WholeEvents()
@@ -110,10 +110,10 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """Repeats within the operator's bound."""
+    """The operator's limit on repeats."""
 
     def test_sum_over_hosts_keeps_to_the_ratio(self) -> None:
-        """Pattern: every request fails on every host of a large fleet."""
+        """The limit holds if every request fails on all hosts of a fleet."""
         clock = ManualClock()
         repeats = 0
         for _ in range(50):
@@ -125,11 +125,12 @@
         self.assertGreater(repeats, 700)
 
     def test_repeats_that_follow_on_a_peak_are_allowed(self) -> None:
-        """Pattern: a burst, then upstreams crash; answers are repeated late.
+        """Late repeats after a burst of requests fit into the budget.
 
-        The operator measures repeats by the window before as well. On a day
-        of 79 hosts 242 doubted answers were kept for want of budget in the
-        eight seconds after such a peak.
+        A burst arrives, then upstreams crash, and its answers are repeated
+        late. The operator compares repeats with the window before as well. When
+        the budget did not, 79 hosts kept 242 answers of low confidence in the
+        eight seconds after such a peak for lack of budget.
         """
         clock = ManualClock()
         budget = RepeatBudget(clock, 0.9, 10)
@@ -143,7 +144,7 @@
             repeats += 1
         self.assertGreater(repeats, 50)
         self.assertLessEqual(repeats, 0.9 * 100)
-        # What is older than two windows counts no more.
+        # Requests older than two windows no longer count.
         clock._now += 11
         budget.requested(ENGINES)
         later = 0
@@ -152,7 +153,7 @@
         self.assertLess(later, 20)
 
     def test_escalations_leave_repeats_for_failures(self) -> None:
-        """Pattern: a peak of hard prompts, then a worker breaks."""
+        """A peak of escalations leaves budget for the failure of a worker."""
         budget = RepeatBudget(ManualClock(), 0.9, 10)
         for _ in range(100):
             budget.requested(ENGINES)
@@ -162,17 +163,17 @@
 
 
 class EscalationTest(unittest.TestCase):
-    """When a larger model is asked."""
+    """Conditions for asking a larger model."""
 
     def test_table_of_opinions(self) -> None:
-        """Unsure, late, out of attempts, and too long for what is left."""
+        """Low confidence, a late answer, no attempts left, too little time."""
         soon, late = Expectation(0.2, 1), Expectation(5.0, 6)
         cases = (
             (EscalationCase(30, 0.1, 2, soon, 9), LARGE),
             (EscalationCase(30, 0.1, 2, late, 9), NotEscalated.LATE),
             (EscalationCase(10, 0.1, 2, late, 9), LARGE),
             (EscalationCase(10, 0.1, 0, soon, 9), NotEscalated.ATTEMPTS),
-            # Pattern: a route's timeout is cut to a few seconds.
+            # A route's timeout of only a few seconds.
             (
                 EscalationCase(10, 0.1, 2, Expectation(0.2, 3), 4),
                 NotEscalated.TIME,
@@ -183,7 +184,7 @@
                 self.assertEqual(larger_model(a_route(), case), expected)
 
     def test_only_a_model_that_has_a_larger_one_can_doubt(self) -> None:
-        """Sure, unsure, without a confidence, and the largest itself."""
+        """High and low confidence, no confidence, and the largest model."""
         cases = (
             (SMALL, '90', None),
             (SMALL, '30', 30),
@@ -198,10 +199,11 @@
                 self.assertEqual(found, expected)
 
     def test_a_larger_model_takes_nobodys_place(self) -> None:
-        """Pattern: a failure domain is cut off with few engines left.
+        """No escalation if the larger model's upstream is loaded.
 
-        There 114 requests stood at an engine of 48 slots, and each doubt was
-        answered by a model that reads ten times as long; most were late.
+        When a failure domain was cut off with few engines left, 114 requests
+        were running at an engine of 48 slots. Each answer of low confidence led
+        to a model that reads ten times as long, and most answers were late.
         """
         cases = (
             (0, 0.4, LARGE),
@@ -220,7 +222,7 @@
                 self.assertEqual(model, expected)
 
     def test_request_that_runs_once_begins_with_the_largest(self) -> None:
-        """It can't be asked again, so the safest model answers it."""
+        """No second model may be asked, so the best one is asked first."""
         cases = ((True, 3, SMALL), (False, 3, LARGE), (True, 1, LARGE))
         for resumable, attempts, expected in cases:
             route = a_route(resumable=resumable, max_attempts=attempts)
@@ -230,10 +232,10 @@
 
 
 class SpellTest(unittest.TestCase):
-    """What a caller is told."""
+    """HTTP status of refusals."""
 
     def test_promise_is_given_only_where_nothing_ran(self) -> None:
-        """429 and 503 say that a request never will run."""
+        """429 and 503 guarantee that a request will never be executed."""
         cases = (
             (ResultCode.OVERLOADED, Ran.NOT_RUN, 503),
             (ResultCode.SHARE_EXCEEDED, Ran.NOT_RUN, 429),
@@ -250,10 +252,10 @@
 
 
 class DirectoryTest(unittest.TestCase):
-    """Which upstreams are known."""
+    """The directory of known upstreams."""
 
     def test_address_belongs_to_the_newest(self) -> None:
-        """Pattern: a worker's address is given to one of another service."""
+        """A worker's address passes to a worker of another service."""
         directory = Directory(ManualClock())
         directory.put(an_entry('a'))
         entry = an_entry('b')
--- a/tests/test_relay_tables.py
+++ b/tests/test_relay_tables.py
@@ -1,4 +1,4 @@
-"""What the platform's store tells, and for how long it is believed."""
+"""Tests of table updates from the store, and of how long they stay valid."""
 
 import random
 import unittest
@@ -25,7 +25,7 @@
 
 
 class ScriptedStore(AwayStore):
-    """Gives prepared answers to a follower's questions."""
+    """A store that returns prepared answers to a follower."""
 
     def __init__(self, *answers: object) -> None:
         self.answers = list(answers)
@@ -51,37 +51,37 @@
 
 
 class Recorder:
-    """A sink that remembers what it was told."""
+    """A sink that records its calls."""
 
     def __init__(self) -> None:
         self.told: list[str] = []
 
     def replace(self, read: RowsRead) -> None:
-        """Remember a whole table."""
+        """Record a full snapshot."""
         self.told.append('replace')
 
     def apply(self, read: RowsRead) -> None:
-        """Remember changes."""
+        """Record a table update."""
         self.told.append('apply')
 
     def confirm(self, moment: float, read: RowsRead) -> None:
-        """Remember a confirmation."""
+        """Record a confirmation."""
         self.told.append(f'confirm {moment:g}')
 
     def lost(self) -> None:
-        """Remember a failure."""
+        """Record that the store is unavailable."""
         self.told.append('lost')
 
     def went_back(self) -> None:
-        """Remember that the store came back from a copy."""
+        """Record that the store was restored from a backup."""
         self.told.append('went back')
 
 
 class FollowerTest(unittest.IsolatedAsyncioTestCase):
-    """A table is followed through whatever happens."""
+    """A follower recovers from each kind of failure."""
 
     async def test_lost_history_is_read_anew(self) -> None:
-        """Pattern: the store drops its history while a host waits."""
+        """The store drops its history while a host waits for changes."""
         refusal = Refusal(ResultCode.TABLE_UNAVAILABLE, '.', Ran.UNKNOWN)
         store = ScriptedStore(
             RowsRead((), 5, 100),
@@ -124,13 +124,13 @@
 
 
 class SilentStoreTest(unittest.IsolatedAsyncioTestCase):
-    """How soon a host is back after its store was silent."""
+    """Recovery after the store was unresponsive."""
 
     async def test_lost_store_is_not_asked_to_wait(self) -> None:
-        """Pattern: the store is silent, then back, while a call hangs.
+        """No long-polling call is sent to an unresponsive store.
 
-        Seen as cgp hunt-2cc1-19 (CONFIG): a call that asked a silent store
-        to wait hung four seconds, three of them after it was back.
+        Such a call hung for four seconds, three of them after the store was
+        back.
         """
         refusal = Refusal(ResultCode.TABLE_UNAVAILABLE, '.', Ran.UNKNOWN)
         empty = RowsRead((), 5, 100)
@@ -151,16 +151,16 @@
 
 
 def dated(store_clock: StoreClock, asked: float, store_time: float) -> float:
-    """Return when an answer was made that has just come."""
+    """Return the time at which an answer that has just arrived was made."""
     store_clock.answered(asked, store_time)
     return store_clock.moment(store_time)
 
 
 class StoreClockTest(unittest.TestCase):
-    """When an answer of the store was made."""
+    """Estimates of when the store made an answer."""
 
     def test_answer_held_back_is_as_new_as_the_store_says(self) -> None:
-        """Pattern: a change ends a long wait; keys must not seem old."""
+        """Keys must not seem old after a change has ended a long wait."""
         clock = ManualClock(start=10)
         store_clock = StoreClock(clock)
         self.assertEqual(dated(store_clock, 10, 500), 10)
@@ -168,7 +168,7 @@
         self.assertAlmostEqual(dated(store_clock, 10, 502.9), 12.9, delta=0.01)
 
     def test_moment_is_never_later_than_the_truth(self) -> None:
-        """Pattern: answers come seconds late, the first one too."""
+        """All answers arrive seconds late, including the first."""
         clock = ManualClock(start=14)
         store_clock = StoreClock(clock)
         # Asked at 10, made at 11 (store 501), received at 14.
@@ -179,10 +179,10 @@
 
 
 class BeliefTest(unittest.TestCase):
-    """How long keys hold."""
+    """Validity of keys, and versions of the cached configuration."""
 
     def test_keys_lapse_before_the_bound(self) -> None:
-        """Pattern: a key is taken away while this host is cut off."""
+        """A key may have been revoked while this host is cut off."""
         clock = ManualClock()
         belief = ConfigurationBelief(clock, 5)
         belief.take(RoutingTable(ConfigurationVersion(1), (), {}))
@@ -195,7 +195,7 @@
         self.assertTrue(belief.trusted)
 
     def test_confirmation_never_goes_back(self) -> None:
-        """An answer that comes late tells nothing newer."""
+        """A late answer confirms nothing newer."""
         clock = ManualClock(start=9)
         belief = ConfigurationBelief(clock, 5)
         belief.confirm(8)
@@ -203,7 +203,7 @@
         self.assertEqual(belief.age, 1)
 
     def test_version_never_goes_back(self) -> None:
-        """An older configuration is not taken."""
+        """An older configuration is ignored."""
         belief = ConfigurationBelief(ManualClock(), 5)
         for version in (3, 2):
             belief.take(RoutingTable(ConfigurationVersion(version), (), {}))
@@ -212,10 +212,10 @@
 
 
 class UpstreamSinkTest(unittest.TestCase):
-    """Which entries are believed."""
+    """Updates of the list of upstreams."""
 
     def setUp(self) -> None:
-        """Make a sink that has seen two workers."""
+        """Create a sink that has received two workers."""
         self.clock = ManualClock(start=50)
         self.directory = Directory(self.clock)
         self.sink = UpstreamSink(Rows(), self.directory, self.clock, 2)
@@ -225,22 +225,22 @@
         )
 
     def known(self) -> int:
-        """Return how many workers take work."""
+        """Return how many workers accept requests."""
         return len(self.directory.of_service(ServiceName('s')))
 
     def test_removed_entry_is_gone_at_once(self) -> None:
-        """Pattern: a worker leaves that never said so."""
+        """A worker terminates without draining."""
         self.sink.apply(RowsRead((StoredRow('a', b'', 2, removed=True),), 2, 0))
         self.assertEqual(self.known(), 1)
 
     def test_leaving_worker_gets_nothing_new(self) -> None:
-        """Pattern: a worker drains."""
+        """A worker drains."""
         row = entry_row('a', 2, state='draining')
         self.sink.apply(RowsRead((row,), 2, 0))
         self.assertEqual(self.known(), 1)
 
     def test_entries_lost_in_an_outage_may_come_back(self) -> None:
-        """Pattern: leases run out while the store is down."""
+        """Leases expire while the store is down."""
         self.sink.lost()
         self.sink.replace(RowsRead((), 3, 0))
         self.assertEqual(self.known(), 2)
@@ -251,10 +251,9 @@
         self.assertEqual(self.known(), 1)
 
     def test_worker_that_leaves_after_an_outage_is_gone_in_time(self) -> None:
-        """Pattern: it leaves two seconds after the store came back.
+        """A worker leaves two seconds after the store was back.
 
-        Seen as trouble-1 --seed 212793037846: kept for 2.5 s, though it
-        serves on for 2 s only.
+        It was kept for 2.5 s, although it continues to serve for only 2 s.
         """
         self.sink.lost()
         self.sink.confirm(50, RowsRead((), 2, 0))
@@ -265,7 +264,7 @@
         self.assertEqual(self.known(), 1)
 
     def test_entry_that_cannot_be_read_changes_nothing(self) -> None:
-        """It is kept out with a log line; the others stand."""
+        """It is rejected and logged; the other entries stay."""
         bad = StoredRow('c', b'{"service": 1}', 5)
         self.sink.apply(RowsRead((bad,), 5, 0))
         self.assertEqual(self.known(), 2)
--- a/tests/test_upstream_restarts.py
+++ b/tests/test_upstream_restarts.py
@@ -1,9 +1,8 @@
-"""Upstreams that start again under their id, and entries of other writers.
+"""Tests of restarted upstreams, and of foreign entries in their list.
 
-Pattern of the first: a supervisor restarts a crashed worker, which lists
-itself under the id that it had; it holds nothing of what its predecessor
-held. Pattern of the second: something else writes into the list of upstreams,
-by mistake or by a newer format.
+A supervisor may restart a crashed worker, which lists itself under the same id
+but has lost all state of its predecessor. Another program may write into the
+list of upstreams, by mistake or in a newer format.
 """
 
 import asyncio
@@ -24,25 +23,25 @@
 from tests.relay_rig import Rig, route
 from tests.relay_samples import entry_row
 
-#: Time enough that no deadline comes into play.
+#: A deadline that no test reaches.
 LONG = {'Nutmegroad-Deadline-Ms': '60000'}
 
-#: Starts of a worker, in milliseconds since 1970.
+#: Start times of a worker, in milliseconds since 1970.
 FIRST, SECOND = 1_790_000_000_000, 1_790_000_009_000
 
 
 def entry(born: int, **more: object) -> UpstreamEntry:
-    """Return the entry of a start of one worker."""
+    """Return the entry of one incarnation of a worker."""
     found = Rows().upstream_row(entry_row('a', born=born, **more))
     assert isinstance(found, UpstreamEntry)
     return found
 
 
 class DirectoryTest(unittest.TestCase):
-    """What of an incarnation outlives it."""
+    """State of an incarnation after its end."""
 
     def setUp(self) -> None:
-        """Take a worker in, and note which incarnations end."""
+        """Add a worker, and record which incarnations end."""
         self.directory = Directory(ManualClock())
         self.ended: list[tuple[str, End]] = []
         self.directory.ended.tell_of_ends(
@@ -51,7 +50,7 @@
         self.directory.put(entry(FIRST))
 
     def test_nothing_is_believed_of_a_new_start(self) -> None:
-        """Its health is unknown, and who asks is told of the end."""
+        """Its health is unknown, and observers receive the end."""
         before = self.directory.find(UpstreamId('a'))
         assert before is not None
         before.health.failed(0)
@@ -67,7 +66,7 @@
         )
 
     def test_same_start_is_believed_on(self) -> None:
-        """A change of state, or an entry that does not tell the start."""
+        """A changed state, or an entry without a start time, is no restart."""
         before = self.directory.find(UpstreamId('a'))
         for again in (entry(FIRST, state='draining'), entry(0)):
             self.directory.put(again)
@@ -75,7 +74,7 @@
         self.assertEqual(self.ended, [])
 
     def test_late_write_of_the_start_before_changes_nothing(self) -> None:
-        """Pattern: the store performs a lost call seconds later."""
+        """The store performs a lost call seconds later."""
         self.directory.put(entry(SECOND))
         present = self.directory.find(UpstreamId('a'))
         self.directory.put(entry(FIRST))
@@ -85,7 +84,7 @@
         self.assertIs(self.directory.find(UpstreamId('a')), present)
 
     def test_clock_that_was_set_back_is_a_new_start(self) -> None:
-        """Only what lives tells an earlier time twice in a row."""
+        """Only a live worker reports an earlier start time twice in a row."""
         self.directory.put(entry(SECOND))
         present = self.directory.find(UpstreamId('a'))
         self.directory.put(entry(FIRST))
@@ -93,13 +92,13 @@
         self.assertIsNot(self.directory.find(UpstreamId('a')), present)
 
     def test_start_after_it_was_gone_is_told_too(self) -> None:
-        """Pattern: the list forgets a dark worker before it is back."""
+        """The list removes an unresponsive worker before it is back."""
         self.directory.remove(UpstreamId('a'), 'silent')
         self.directory.put(entry(SECOND))
         self.assertEqual([end for _, end in self.ended], list(End))
 
     def test_loads_at_the_start_before_do_not_count(self) -> None:
-        """Neighbours tell of it for as long as they have not heard."""
+        """Peers report the old incarnation until they receive the new one."""
         ledger = LoadLedger(ManualClock())
         before, now = entry(FIRST).incarnation, entry(SECOND).incarnation
         ledger.told(HostId('n'), {before: Load(9, 3.0, 9000)})
@@ -108,14 +107,14 @@
 
 
 class OpenExchangesTest(unittest.IsolatedAsyncioTestCase):
-    """Exchanges that were under way when a worker started again."""
+    """Exchanges that are pending when a worker restarts."""
 
     async def asyncSetUp(self) -> None:
         """Start a host with one worker."""
         self.rig = await self.enterAsyncContext(Rig(workers=2))
         self.rig.store.remove('servers', 'w-1')
         self.rig.register(0, born=FIRST)
-        # So patient that only the restart can break anything off.
+        # Timeouts so long that only the restart can abort an exchange.
         patient = {'timeoutMs': 60_000, 'targetLatencyMs': 30_000}
         stream_route = route(
             'draft',
@@ -130,13 +129,13 @@
         await self.rig.until(lambda: self.rig.host.configuration_version == 2)
 
     async def restart(self) -> None:
-        """Let the worker start again once it has a request."""
+        """Restart the worker once it has a request."""
         await self.rig.until(lambda: self.rig.workers[0].seen)
         self.rig.register(0, born=SECOND)
         self.rig.register(1, born=FIRST)
 
     async def test_open_stream_goes_on_elsewhere(self) -> None:
-        """It is whole, and nothing of that speaks against anybody."""
+        """It is complete, and no version is blamed for the restart."""
         first, second = self.rig.workers
         begun = stream(EVENTS[:1])
         never = asyncio.Event()
@@ -155,7 +154,7 @@
         self.assertLessEqual(seen, {Observed.SOUND})
 
     async def test_call_that_runs_once_is_left_to_its_connection(self) -> None:
-        """Pattern: the list is late, and the new start has the call."""
+        """The list is late, and the new incarnation already has the call."""
         release = asyncio.Event()
         answer = plain(b'paid')
         worker = self.rig.workers[0]
@@ -170,32 +169,32 @@
         self.assertEqual(self.rig.seen('r1'), 1)
 
     def _is_second(self) -> bool:
-        """Tell whether the host knows of the second start."""
+        """Return whether the host knows the second incarnation."""
         found = self.rig.host._directory.find(UpstreamId('w-0'))
         return found is not None and found.entry.born == SECOND
 
 
 class ForeignEntriesTest(unittest.TestCase):
-    """Entries that no upstream has written name nobody; all others hold."""
+    """Entries that no upstream has written are rejected; the others stay."""
 
     def setUp(self) -> None:
-        """Make a sink that has seen two workers."""
+        """Create a sink that has received two workers."""
         self.directory = Directory(ManualClock())
         self.sink = UpstreamSink(Rows(), self.directory, ManualClock(), 2)
         self.sink.know_services([ServiceName('s')])
         self.apply(entry_row('a'), entry_row('b'))
 
     def apply(self, *rows: StoredRow) -> None:
-        """Let the list tell of rows."""
+        """Apply rows of the list."""
         self.sink.apply(RowsRead(rows, 1, 0))
 
     def known(self) -> list[str]:
-        """Return the workers that take work."""
+        """Return the workers that accept requests."""
         members = self.directory.of_service(ServiceName('s'))
         return [each.entry.upstream for each in members]
 
     def test_whatever_is_wrong_names_nobody(self) -> None:
-        """Fields missing, of other types, unnamed states, other bytes."""
+        """Missing fields, wrong types, unknown states, and other bytes."""
         without = b'{"service":"s","address":"127.0.0.9:1","zone":"north"}'
         wrong = (
             StoredRow('x', without, 2),
@@ -221,12 +220,12 @@
                 self.assertEqual(self.known(), ['a', 'b'])
 
     def test_address_of_a_worker_is_not_taken_from_it(self) -> None:
-        """Pattern: an entry of a service that nobody named, at its address."""
+        """An entry of an unknown service names the address of a worker."""
         self.apply(entry_row('x', address='127.0.0.97:1', service='other'))
         self.assertEqual(self.known(), ['a', 'b'])
 
     def test_service_that_is_named_later_is_served(self) -> None:
-        """Pattern: workers list themselves before the configuration."""
+        """Workers may list themselves before the configuration names them."""
         self.apply(entry_row('x', service='other'))
         other = ServiceName('other')
         self.assertEqual(self.directory.of_service(other), ())
@@ -234,14 +233,14 @@
         self.assertEqual(len(self.directory.of_service(other)), 1)
 
     def test_entry_that_was_overwritten_names_nobody(self) -> None:
-        """And names its worker again at its next sign of life."""
+        """The worker is known again after its next heartbeat."""
         self.apply(StoredRow('a', b'?', 2))
         self.assertEqual(self.known(), ['b'])
         self.apply(entry_row('a', 3))
         self.assertEqual(sorted(self.known()), ['a', 'b'])
 
     def test_cause_is_logged_once(self) -> None:
-        """Not at each turn of the feed, and not for ever new entries."""
+        """Not again with each update, and not for ever more new entries."""
         with self.assertLogs('absl') as logged:
             for turn in range(20):
                 self.apply(StoredRow('x', b'?', turn))
