--- a/src/nutmegroad/escalation/decisions.py
+++ b/src/nutmegroad/escalation/decisions.py
@@ -20,7 +20,7 @@
 #: expected after the target latency. A late answer is worth about a third of a
 #: timely one, so the small model's answer has to be more likely to be worth
 #: next to nothing.
-CONFIDENT_LATE: Final = 25
+LATE_ESCALATION_THRESHOLD: Final = 25
 
 #: Factor on the estimated time of a complete answer that has to be left until
 #: the deadline. Callers' estimates of answer lengths are correct at the median
@@ -86,10 +86,10 @@
         # A complete answer of low quality is worth more than a truncated one.
         return NotEscalated.TIME
     late = case.waited + expected.begins > route.target_latency
-    usual = CONFIDENT_LATE if late else CONFIDENT
-    if case.confidence >= usual:
+    threshold = LATE_ESCALATION_THRESHOLD if late else CONFIDENT
+    if case.confidence >= threshold:
         return NotEscalated.LATE
-    if case.confidence >= usual * headroom(expected, route.target_latency):
+    if case.confidence >= threshold * headroom(expected, route.target_latency):
         return NotEscalated.ROOM
     return route.models[-1]
 
--- a/src/nutmegroad/escalation/headroom.py
+++ b/src/nutmegroad/escalation/headroom.py
@@ -7,16 +7,16 @@
 #: at the larger model's upstream forbid an escalation. The larger model takes
 #: ten times as long as the small one to read a prompt, so with a queue behind
 #: it, one escalation would displace several other requests.
-WAITING_PART: Final = 1.0
+MAX_QUEUE_FRACTION: Final = 1.0
 
 #: Fractions of an upstream's slots that are in use. Below the first, an
 #: escalation delays no other request; from the second on, each escalation takes
 #: the slot of another request.
-ROOMY: Final = 0.8
-FULL: Final = 1.3
+LOW_OCCUPANCY: Final = 0.8
+HIGH_OCCUPANCY: Final = 1.3
 
 #: Minimum divisor in seconds, to avoid a division by zero.
-_INSTANT: Final = 0.001
+_MIN_SECONDS: Final = 0.001
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,13 +37,15 @@
     crowd: float = 0
 
 
-def headroom(expected: Expectation, target: float) -> float:
+def headroom(estimate: Expectation, target: float) -> float:
     """Return an upstream's headroom for a larger model, from 0 to 1.
 
     Args:
-        expected: The estimate for the upstream that would execute the request.
+        estimate: The estimate for the upstream that would execute the request.
         target: Seconds within which answers should begin.
     """
-    waiting = expected.ahead / max(target * WAITING_PART, _INSTANT)
-    crowding = (expected.crowd - ROOMY) / (FULL - ROOMY)
-    return max(0, 1 - max(0, waiting, crowding))
+    queued = estimate.ahead / max(target * MAX_QUEUE_FRACTION, _MIN_SECONDS)
+    occupied = (estimate.crowd - LOW_OCCUPANCY) / (
+        HIGH_OCCUPANCY - LOW_OCCUPANCY
+    )
+    return max(0, 1 - max(0, queued, occupied))
--- a/src/nutmegroad/relay/assembly.py
+++ b/src/nutmegroad/relay/assembly.py
@@ -25,14 +25,14 @@
     Attributes:
         directory: All upstreams.
         rollouts: State of all rollouts.
-        told: State received from other hosts.
+        received_state: State received from other hosts.
         pool: Connections to upstreams.
         crash_rows: Stored rows of harmful requests.
     """
 
     directory: Directory
     rollouts: RolloutState
-    told: Told
+    received_state: Told
     pool: ConnectionPool
     crash_rows: CrashRows
 
@@ -40,7 +40,7 @@
 def assemble(
     settings: HostSettings,
     platform: Platform,
-    beneath: Beneath,
+    components: Beneath,
     clock: Clock,
     randomness: random.Random,
 ) -> RelayParts:
@@ -49,40 +49,40 @@
     Args:
         settings: The host's settings.
         platform: What the deployment's adapter provides.
-        beneath: The components to build on.
+        components: The components to build on.
         clock: The host's clock.
         randomness: Breaks ties between upstreams.
     """
-    told = beneath.told
+    received_state = components.received_state
     selector = Selector(
         clock,
         randomness,
         settings.domain,
-        told.ledger,
-        told.prefixes,
-        told.silence,
+        received_state.ledger,
+        received_state.prefixes,
+        received_state.silence,
     )
-    attempts = Attempts(beneath.pool, platform.names, selector, clock)
-    beneath.directory.ended.tell_of_ends(attempts.ended)
+    attempts = Attempts(components.pool, platform.names, selector, clock)
+    components.directory.ended.tell_of_ends(attempts.ended)
     crashes = CrashWatch(
-        beneath.pool,
-        told.crashes,
-        beneath.crash_rows,
+        components.pool,
+        received_state.crashes,
+        components.crash_rows,
         clock,
         platform.counters,
     )
-    beneath.directory.ended.tell_of_ends(crashes.upstream_ended)
+    components.directory.ended.tell_of_ends(crashes.upstream_ended)
     return RelayParts(
         attempts,
         selector,
-        beneath.directory,
+        components.directory,
         RepeatBudget(clock, settings.repeat_ratio, settings.repeat_window),
         make_gate(
-            beneath.directory,
-            beneath.rollouts,
+            components.directory,
+            components.rollouts,
             clock,
             settings.session_span,
-            told.marks,
+            received_state.marks,
         ),
         clock,
         platform.counters,
--- a/src/nutmegroad/relay/attempts.py
+++ b/src/nutmegroad/relay/attempts.py
@@ -41,7 +41,7 @@
 
 #: Fraction of an engine's memory in which it caches parts of prompts; the rest
 #: is for the requests that it executes.
-KEPT_PART: Final = 0.7
+CACHE_FRACTION: Final = 0.7
 
 
 class Attempts:
@@ -91,18 +91,18 @@
         upstream = plan.upstream
         started = self._clock.now()
         async with AsyncExitStack() as stack:
-            read = self._enter(request, plan, stack)
+            mark_read = self._register(request, plan, stack)
             upstream.health.begin()
             outcome = await self._exchange(request, plan, stack)
             if isinstance(outcome, AttemptFailure):
-                self._learn(upstream, outcome)
+                self._record_failure(upstream, outcome)
                 return outcome
-            read()
+            mark_read()
             head, connection = outcome
             self._selector.silence.heard(upstream.entry.domain)
             failure = self._heads.judge(head)
             if failure is not None:
-                self._learn(upstream, failure)
+                self._record_failure(upstream, failure)
                 return failure
             return Answering(
                 plan.choice,
@@ -114,7 +114,7 @@
                 stack.pop_all(),
             )
 
-    def _enter(
+    def _register(
         self,
         request: CallerRequest,
         plan: AttemptPlan,
@@ -129,15 +129,15 @@
         name = upstream.entry.incarnation
         ledger = self._selector.ledger
         load = plan.choice.load
-        read = ledger.begin(name, load)
+        mark_read = ledger.begin(name, load)
         if request.generation is not None:
-            self._remember(request, plan, request.generation)
+            self._record_prefixes(request, plan, request.generation)
         stack.callback(ledger.end, name, load)
-        stack.callback(read)
+        stack.callback(mark_read)
         stack.callback(upstream.health.abandon)
-        return read
+        return mark_read
 
-    def _remember(
+    def _record_prefixes(
         self,
         request: CallerRequest,
         plan: AttemptPlan,
@@ -146,7 +146,7 @@
         """Record the parts of the prompt that the upstream will cache."""
         entry = plan.upstream.entry
         facts = request.table.service_of(entry.service).engine
-        memory = 0 if facts is None else int(facts.memory * KEPT_PART)
+        memory = 0 if facts is None else int(facts.memory * CACHE_FRACTION)
         parts = marked(plan.model, generation.parts)
         self._selector.prefixes.sent(entry.incarnation, parts, memory)
 
@@ -173,7 +173,7 @@
                 request.body,
                 self._heads.belonging(request),
             )
-            if not await self._answers(answer, plan):
+            if not await self._await_answer(answer, plan):
                 connection.abort()
                 reason = f'no answer within {plan.patience:.2f} s'
                 return AttemptFailure(AttemptEnd.SILENT, Ran.UNKNOWN, reason)
@@ -182,7 +182,7 @@
             ran = Ran.UNKNOWN if problem.sent else Ran.NOT_RUN
             return AttemptFailure(AttemptEnd.BROKEN, ran, str(problem))
 
-    async def _answers(
+    async def _await_answer(
         self,
         answer: asyncio.Future[ResponseHead],
         plan: AttemptPlan,
@@ -194,13 +194,13 @@
             done, _ = await asyncio.wait((answer,), timeout=seconds)
             return True if done else None
 
-        came = await wait_patiently(
+        arrived = await wait_patiently(
             done_within,
             plan.patience,
             lambda: self._selector.is_cut_off(plan.upstream),
             self._clock,
         )
-        if came:
+        if arrived:
             return True
         plan.upstream.health.silent(self._clock.now())
         return not plan.leave()
@@ -228,7 +228,9 @@
         stack.callback(self._pool.give_back, upstream, connection)
         return connection
 
-    def _learn(self, upstream: Upstream, failure: AttemptFailure) -> None:
+    def _record_failure(
+        self, upstream: Upstream, failure: AttemptFailure
+    ) -> None:
         """Update an upstream's health by a failed attempt."""
         now = self._clock.now()
         if failure.end in (AttemptEnd.UNREACHABLE, AttemptEnd.MISDIRECTED):
--- a/src/nutmegroad/relay/budgets.py
+++ b/src/nutmegroad/relay/budgets.py
@@ -18,24 +18,24 @@
 #: Fraction of the operator's ratio that hosts use at most. The rest, with the
 #: constant part of the limit, is for requests that the operator's windows
 #: divide differently from the host's.
-USED_PART: Final = 0.95
+USED_FRACTION: Final = 0.95
 
 #: Fraction of the operator's ratio for escalations: a ninth of the budget is
 #: reserved for requests that would fail otherwise. In a large fleet each host
 #: receives few requests in a window (about 25), so by chance alone a fifth more
 #: of them escalate.
-ESCALATION_PART: Final = 0.85
+ESCALATION_FRACTION: Final = 0.85
 
 #: Weight of requests in older windows. The operator compares repeats with the
 #: requests in the same window, the one before it or the one half a window
 #: before, whichever has most, since repeats follow on a peak that is over. Each
 #: host takes the largest of its own windows, and the sum of these is larger
 #: than the largest sum of all hosts, so older requests count less here.
-OLDER_PART: Final = 0.8
+OLDER_WEIGHT: Final = 0.8
 
 #: Repeats that a host may make in a window regardless of its requests. With a
 #: hundred hosts the sum is about the constant part of the operators' limit.
-FREE: Final = 2
+FREE_REPEATS: Final = 2
 
 
 @unique
@@ -51,14 +51,14 @@
     """Arrivals of one service at this host.
 
     Attributes:
-        first: Clock seconds of requests, for two windows.
-        again: Clock seconds of repeats, for one window.
+        request_times: Clock seconds of requests, for two windows.
+        repeat_times: Clock seconds of repeats, for one window.
     """
 
-    first: deque[float]
-    again: deque[float]
+    request_times: deque[float]
+    repeat_times: deque[float]
 
-    def forget(self, now: float, span: float) -> None:
+    def remove_expired(self, now: float, span: float) -> None:
         """Remove entries that are too old to count.
 
         Args:
@@ -66,8 +66,8 @@
             span: Length of the window in seconds.
         """
         for times, oldest in (
-            (self.first, now - 2 * span),
-            (self.again, now - span),
+            (self.request_times, now - 2 * span),
+            (self.repeat_times, now - span),
         ):
             while times and times[0] < oldest:
                 times.popleft()
@@ -80,11 +80,11 @@
             self._between(now - 2 * span, now - span),
             self._between(now - span - half, now - half),
         )
-        return max(latest, older * OLDER_PART)
+        return max(latest, older * OLDER_WEIGHT)
 
     def _between(self, begin: float, end: float) -> int:
         """Return how many requests arrived between two times."""
-        return sum(begin <= moment <= end for moment in self.first)
+        return sum(begin <= time <= end for time in self.request_times)
 
 
 class RepeatBudget:
@@ -114,19 +114,22 @@
 
     def requested(self, service: ServiceName) -> None:
         """Count a caller's request for a service."""
-        self._of(service).first.append(self._clock.now())
+        self._of(service).request_times.append(self._clock.now())
 
     def spend(self, service: ServiceName, purpose: Purpose) -> bool:
         """Take one repeat from the budget; return whether one was left."""
         window = self._of(service)
-        part = USED_PART
+        fraction = USED_FRACTION
         if purpose is Purpose.ESCALATION:
-            part = ESCALATION_PART
+            fraction = ESCALATION_FRACTION
         now = self._clock.now()
         requests = window.requests(now, self._window)
-        if len(window.again) + 1 > self._ratio * part * requests + FREE:
+        if (
+            len(window.repeat_times) + 1
+            > self._ratio * fraction * requests + FREE_REPEATS
+        ):
             return False
-        window.again.append(now)
+        window.repeat_times.append(now)
         return True
 
     def _of(self, service: ServiceName) -> _Window:
@@ -135,5 +138,5 @@
             service,
             _Window(deque(), deque()),
         )
-        window.forget(self._clock.now(), self._window)
+        window.remove_expired(self._clock.now(), self._window)
         return window
--- a/src/nutmegroad/relay/connections.py
+++ b/src/nutmegroad/relay/connections.py
@@ -26,16 +26,16 @@
 
 #: Bytes of a response that are buffered for a slow caller before reading
 #: pauses.
-BUFFERED: Final = 65_536
+BUFFER_BYTES: Final = 65_536
 
 #: Seconds without data after which the kernel sends a keep-alive probe, and
 #: between its probes. A connection may become unresponsive without a reset. The
 #: shortest bound of a deployment leaves three seconds to detect that, and one
 #: of them is left for the reply.
-KEEPALIVE_IDLE: Final = 1
+KEEPALIVE_INTERVAL: Final = 1
 KEEPALIVE_PROBES: Final = 2
 #: Milliseconds for which sent bytes may stay unacknowledged.
-USER_TIMEOUT: Final = 1500
+USER_TIMEOUT_MS: Final = 1500
 
 #: Responses with a status below this one are interim responses.
 _FIRST_FINAL: Final = 200
@@ -116,10 +116,10 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self._belongs: BelongsHere | None = None
+        self._matches: BelongsHere | None = None
         self._answer: asyncio.Future[ResponseHead] | None = None
         self._body: StreamReader | None = None
-        self._keep = True
+        self._may_reuse = True
         self._lost = asyncio.Event()
         #: Clock seconds since which it has been idle; set by the pool.
         self.idle_since: float = 0
@@ -130,7 +130,7 @@
     @property
     def reusable(self) -> bool:
         """Whether another exchange may follow on this connection."""
-        if not self._keep or self.transport is None:
+        if not self._may_reuse or self.transport is None:
             return False
         if self.transport.is_closing():
             return False
@@ -154,7 +154,7 @@
             self.fail(f'invalid HTTP response: {problem.message}')
             return
         for message, payload in messages:
-            self._take(message, payload)
+            self._deliver(message, payload)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Fail the pending exchange, unless an orderly close completes it."""
@@ -182,7 +182,7 @@
 
     def abort(self) -> None:
         """Close at once, so that the upstream sees the request cancelled."""
-        self._keep = False
+        self._may_reuse = False
         if self._answer is not None:
             self._answer.cancel()
         if self.transport is not None:
@@ -192,7 +192,7 @@
         self,
         head: RequestHead,
         body: bytes,
-        belongs: BelongsHere,
+        matches: BelongsHere,
     ) -> asyncio.Future[ResponseHead]:
         """Send a request; return a future of the response head.
 
@@ -202,27 +202,29 @@
         transport = self.transport
         if transport is None or transport.is_closing():
             raise ConnectionFailedError('connection closed', sent=False)
-        answer = self._begin(belongs)
+        answer = self._expect_response(matches)
         transport.writelines((head.encode(), body))
         return answer
 
-    def _begin(self, belongs: BelongsHere) -> asyncio.Future[ResponseHead]:
+    def _expect_response(
+        self, matches: BelongsHere
+    ) -> asyncio.Future[ResponseHead]:
         """Prepare the parser and the future for a response."""
-        self._belongs = belongs
+        self._matches = matches
         self._body = None
         answer: asyncio.Future[ResponseHead] = self._loop.create_future()
         self._answer = answer
         self._parser = HttpResponseParser(
             self,
             self._loop,
-            BUFFERED,
+            BUFFER_BYTES,
             payload_exception=ConnectionResetError,
             read_until_eof=True,
             auto_decompress=False,
         )
         return answer
 
-    def _take(
+    def _deliver(
         self,
         message: RawResponseMessage,
         payload: StreamReader,
@@ -231,12 +233,16 @@
         if message.code < _FIRST_FINAL:
             return
         answer = self._answer
-        if answer is None or answer.done() or not self._is_ours(message):
+        if (
+            answer is None
+            or answer.done()
+            or not self._matches_request(message)
+        ):
             _LOG.decision('stray answer dropped', status=message.code)
-            self._keep = False
+            self._may_reuse = False
             return
         self._body = payload
-        self._keep = self._keep and not message.should_close
+        self._may_reuse = self._may_reuse and not message.should_close
         self.keeps_idle = _idle_limit(message)
         answer.set_result(
             ResponseHead(
@@ -248,9 +254,9 @@
             ),
         )
 
-    def _is_ours(self, message: RawResponseMessage) -> bool:
+    def _matches_request(self, message: RawResponseMessage) -> bool:
         """Return whether a response matches the pending request."""
-        return self._belongs is not None and self._belongs(message)
+        return self._matches is not None and self._matches(message)
 
     def _end_of_input(self) -> None:
         """Pass the end of input to the parser."""
@@ -262,7 +268,7 @@
 
     def fail(self, reason: str) -> None:
         """Fail the pending exchange, and close the connection."""
-        self._keep = False
+        self._may_reuse = False
         error = ConnectionFailedError(reason, sent=True)
         if self._answer is not None and not self._answer.done():
             self._answer.set_exception(error)
@@ -290,18 +296,18 @@
     return 0
 
 
-def prepare_socket(made: socket.socket) -> None:
+def prepare_socket(sock: socket.socket) -> None:
     """Set socket options by which the kernel detects a lost peer."""
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     options = (
-        (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE),
-        (socket.TCP_KEEPINTVL, KEEPALIVE_IDLE),
+        (socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL),
+        (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL),
         (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-        (socket.TCP_USER_TIMEOUT, USER_TIMEOUT),
+        (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     )
     for option, number in options:
-        made.setsockopt(socket.IPPROTO_TCP, option, number)
+        sock.setsockopt(socket.IPPROTO_TCP, option, number)
 
 
 async def connect(address: Address, timeout: float) -> UpstreamConnection:
@@ -315,28 +321,28 @@
         ConnectionFailedError: If it can't be opened in time; nothing was sent.
     """
     loop = asyncio.get_running_loop()
-    made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    made.setblocking(False)
-    prepare_socket(made)
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock.setblocking(False)
+    prepare_socket(sock)
     try:
         async with asyncio.timeout(timeout):
-            await loop.sock_connect(made, (address.ip, address.port))
+            await loop.sock_connect(sock, (address.ip, address.port))
             _, connection = await loop.create_connection(
                 lambda: UpstreamConnection(loop),
-                sock=made,
+                sock=sock,
             )
-    except TimeoutError as silence:
-        made.close()
+    except TimeoutError as expired:
+        sock.close()
         reason = f'no connection within {timeout:.2f} s'
-        raise ConnectionFailedError(reason, sent=False) from silence
+        raise ConnectionFailedError(reason, sent=False) from expired
     except OSError as problem:
-        made.close()
+        sock.close()
         raise ConnectionFailedError(
             str(problem),
             sent=False,
             refused=isinstance(problem, ConnectionRefusedError),
         ) from problem
     except asyncio.CancelledError:
-        made.close()
+        sock.close()
         raise
     return connection
--- a/src/nutmegroad/relay/crashes.py
+++ b/src/nutmegroad/relay/crashes.py
@@ -32,30 +32,30 @@
 #: Seconds for which a request waits for the check of its upstream's process:
 #: several round trips. A machine without power does not refuse connections; the
 #: request then proceeds, and the crash counts once it is confirmed.
-LOOK_WAIT: Final = 0.05
+CHECK_TIMEOUT: Final = 0.05
 
 #: Seconds within which the list of upstreams shows a restart at the time of a
 #: broken exchange: the pause of the supervisor, and one heartbeat.
-RESTART_SPAN: Final = 10.0
+RESTART_WINDOW: Final = 10.0
 
 #: Maximum number of unconfirmed broken exchanges that are recorded per upstream
 #: in that time.
-MOST_UNPROVED: Final = 200
+MAX_UNCONFIRMED: Final = 200
 
 
 @dataclass(frozen=True, slots=True)
-class _Break:
+class _BrokenExchange:
     """A broken exchange whose cause is not known yet.
 
     Attributes:
         request: The request.
         entry: The upstream.
-        under: The crash to record if the upstream's process has terminated.
+        crash: The crash to record if the upstream's process has terminated.
     """
 
     request: CallerRequest
     entry: UpstreamEntry
-    under: EndUnder
+    crash: EndUnder
 
 
 class CrashWatch:
@@ -77,13 +77,15 @@
         clock: Clock,
         counters: RelayCounters,
     ) -> None:
-        self._ends = EndWatch(pool)
+        self._processes = EndWatch(pool)
         self._book = book
         self._rows = rows
         self._clock = clock
         self._counters = counters
-        self._looks: set[asyncio.Task[None]] = set()
-        self._unproved: dict[UpstreamIncarnation, deque[_Break]] = {}
+        self._checks: set[asyncio.Task[None]] = set()
+        self._unconfirmed: dict[
+            UpstreamIncarnation, deque[_BrokenExchange]
+        ] = {}
 
     def guard(self, request: CallerRequest) -> 'CrashGuard':
         """Return the crash guard of one request."""
@@ -124,15 +126,17 @@
             began: Clock seconds at which it was sent there.
         """
         mark = mark_upstream(upstream.entry.incarnation)
-        under = EndUnder(mark, began, self._clock.now())
-        broken = _Break(request, upstream.entry, under)
-        looked = asyncio.Event()
-        task = asyncio.create_task(self._look(upstream, broken, looked))
-        self._looks.add(task)
-        task.add_done_callback(self._looks.discard)
+        crash = EndUnder(mark, began, self._clock.now())
+        broken = _BrokenExchange(request, upstream.entry, crash)
+        checked = asyncio.Event()
+        task = asyncio.create_task(
+            self._check_process(upstream, broken, checked)
+        )
+        self._checks.add(task)
+        task.add_done_callback(self._checks.discard)
         with suppress(TimeoutError):
-            async with asyncio.timeout(LOOK_WAIT):
-                await looked.wait()
+            async with asyncio.timeout(CHECK_TIMEOUT):
+                await checked.wait()
 
     def upstream_ended(self, upstream: UpstreamIncarnation, end: End) -> None:
         """Count recent broken exchanges of an upstream that has restarted.
@@ -143,10 +147,10 @@
         """
         if end is not End.RESTARTED:
             return
-        oldest = self._clock.now() - RESTART_SPAN
-        for broken in self._unproved.pop(upstream, ()):
-            if broken.under.ended >= oldest:
-                self._take(broken)
+        oldest = self._clock.now() - RESTART_WINDOW
+        for broken in self._unconfirmed.pop(upstream, ()):
+            if broken.crash.ended >= oldest:
+                self._record_crash(broken)
 
     def answered(self, request: CallerRequest) -> None:
         """Clear a suspected request after a complete answer."""
@@ -165,52 +169,52 @@
 
     def _cancel(self) -> None:
         """Cancel running checks."""
-        for task in self._looks:
+        for task in self._checks:
             task.cancel()
 
-    async def _look(
+    async def _check_process(
         self,
         upstream: Upstream,
-        broken: _Break,
-        looked: asyncio.Event,
+        broken: _BrokenExchange,
+        checked: asyncio.Event,
     ) -> None:
         """Check whether an upstream's process has terminated, and record that.
 
         Args:
             upstream: The upstream.
             broken: The broken exchange.
-            looked: Set once the request need not wait any longer.
+            checked: Set once the request need not wait any longer.
         """
-        found = await self._ends.look(upstream.entry)
+        found = await self._processes.look(upstream.entry)
         life = found.life
         if upstream.restarted:
             # The connection attempt reached a new incarnation.
             life = Life.ENDED
         self._counters.broke(life.value)
         if life is Life.ENDED:
-            await self._prove(broken)
-            looked.set()
+            await self._confirm(broken)
+            checked.set()
             return
-        self._remember(broken)
-        looked.set()
+        self._record_unconfirmed(broken)
+        checked.set()
         if await found.passed_on_in_vain():
             self._counters.broke(Life.PASSED_ON_IN_VAIN.value)
-            known = self._unproved.get(upstream.entry.incarnation)
+            known = self._unconfirmed.get(upstream.entry.incarnation)
             if known and broken in known:
                 # No restart has confirmed it in the meantime.
                 known.remove(broken)
-                await self._prove(broken)
+                await self._confirm(broken)
 
-    async def _prove(self, broken: _Break) -> None:
+    async def _confirm(self, broken: _BrokenExchange) -> None:
         """Record a confirmed crash; publish it if the request is harmful."""
-        self._take(broken)
+        self._record_crash(broken)
         if self._book.harmful(broken.request.content) is not None:
             await self._rows.write()
 
-    def _take(self, broken: _Break) -> None:
+    def _record_crash(self, broken: _BrokenExchange) -> None:
         """Record that an upstream has terminated under a request."""
         request = broken.request
-        self._book.ended(request.content, broken.under)
+        self._book.ended(request.content, broken.crash)
         harmful = self._book.harmful(request.content)
         _LOG.decision(
             'upstream ended under it',
@@ -218,18 +222,20 @@
             content=spell_mark(request.content),
             upstream=broken.entry.upstream,
             version=broken.entry.version,
-            ran=round(broken.under.ended - broken.under.began, 3),
+            ran=round(broken.crash.ended - broken.crash.began, 3),
             ends=0 if harmful is None else harmful.ends,
         )
 
-    def _remember(self, broken: _Break) -> None:
+    def _record_unconfirmed(self, broken: _BrokenExchange) -> None:
         """Record a broken exchange that a later restart may confirm."""
-        oldest = self._clock.now() - RESTART_SPAN
-        for other, breaks in tuple(self._unproved.items()):
-            if not breaks or breaks[-1].under.ended < oldest:
-                self._unproved.pop(other)
+        oldest = self._clock.now() - RESTART_WINDOW
+        for other, breaks in tuple(self._unconfirmed.items()):
+            if not breaks or breaks[-1].crash.ended < oldest:
+                self._unconfirmed.pop(other)
         name = broken.entry.incarnation
-        known = self._unproved.setdefault(name, deque(maxlen=MOST_UNPROVED))
+        known = self._unconfirmed.setdefault(
+            name, deque(maxlen=MAX_UNCONFIRMED)
+        )
         known.append(broken)
 
 
@@ -244,12 +250,12 @@
     @property
     def on_trial(self) -> bool:
         """Whether a probe execution is due that has reached no upstream yet."""
-        return self._on_trial
+        return self._probing
 
     def __init__(self, watch: CrashWatch, request: CallerRequest) -> None:
         self._watch = watch
         self._request = request
-        self._on_trial = False
+        self._probing = False
 
     async def keeps_out(self) -> Harmful | None:
         """Return why the request may not be sent to an upstream now, or None.
@@ -257,17 +263,17 @@
         A probe execution stays due until it has reached an upstream: attempts
         that no upstream accepts reveal nothing about the request.
         """
-        if self._on_trial:
+        if self._probing:
             return None
         harmful = self._watch.harmful(self._request)
         if harmful is None:
             return None
-        self._on_trial = await self._watch.claim(self._request, harmful)
-        return None if self._on_trial else harmful
+        self._probing = await self._watch.claim(self._request, harmful)
+        return None if self._probing else harmful
 
     def reached(self) -> None:
         """Record that an upstream may execute the request; ends the probe."""
-        self._on_trial = False
+        self._probing = False
 
     async def broke(self, upstream: Upstream, began: float) -> None:
         """Handle a broken exchange of a request that may have been executed.
--- a/src/nutmegroad/relay/ends.py
+++ b/src/nutmegroad/relay/ends.py
@@ -22,12 +22,12 @@
 from nutmegroad.upstreams.directory import UpstreamEntry
 
 #: Connection attempts until one is answered: packets of one may be lost.
-TRIES: Final = 2
+MAX_CONNECTION_ATTEMPTS: Final = 2
 
 #: Seconds within which a proxy closes a connection that it can't forward. Its
 #: own connection is refused within a round trip; the rest is for a loaded
 #: machine. Live servers keep a connection without a request open for seconds.
-CLOSED_AT_ONCE: Final = 0.2
+PROXY_CLOSE_TIMEOUT: Final = 0.2
 
 
 @unique
@@ -43,23 +43,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class CheckResult:
     """Result of a connection attempt.
 
     Attributes:
         life: State of the upstream's process.
-        holding: Returns whether the connection was closed at once; None if no
+        closing: Returns whether the connection was closed at once; None if no
             connection was accepted.
     """
 
     life: Life
-    holding: asyncio.Task[bool] | None = None
+    closing: asyncio.Task[bool] | None = None
 
     async def passed_on_in_vain(self) -> bool:
         """Return whether the accepted connection was closed at once."""
-        if self.holding is None:
+        if self.closing is None:
             return False
-        return await asyncio.shield(self.holding)
+        return await asyncio.shield(self.closing)
 
 
 class EndWatch:
@@ -72,52 +72,56 @@
 
     def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
-        self._tries: dict[UpstreamIncarnation, asyncio.Task[Found]] = {}
+        self._running_checks: dict[
+            UpstreamIncarnation, asyncio.Task[CheckResult]
+        ] = {}
         # References that keep the tasks from being garbage-collected.
-        self._holdings: set[asyncio.Task[bool]] = set()
+        self._watch_tasks: set[asyncio.Task[bool]] = set()
 
-    async def look(self, entry: UpstreamEntry) -> Found:
+    async def look(self, entry: UpstreamEntry) -> CheckResult:
         """Return the state of an upstream after a broken exchange.
 
         Exchanges that break at the same time share the connection attempts.
         """
         name = entry.incarnation
-        running = self._tries.get(name)
+        running = self._running_checks.get(name)
         if running is None:
-            running = asyncio.create_task(self._find_out(entry))
-            self._tries[name] = running
-            running.add_done_callback(lambda _: self._tries.pop(name, None))
+            running = asyncio.create_task(self._check(entry))
+            self._running_checks[name] = running
+            running.add_done_callback(
+                lambda _: self._running_checks.pop(name, None)
+            )
         return await asyncio.shield(running)
 
-    async def _find_out(self, entry: UpstreamEntry) -> Found:
+    async def _check(self, entry: UpstreamEntry) -> CheckResult:
         """Attempt to connect until an attempt is answered."""
-        for _ in range(TRIES):
-            found = await self._try(entry)
+        for _ in range(MAX_CONNECTION_ATTEMPTS):
+            found = await self._attempt_connection(entry)
             if found.life is not Life.UNKNOWN:
                 return found
-        return Found(Life.UNKNOWN)
+        return CheckResult(Life.UNKNOWN)
 
-    async def _try(self, entry: UpstreamEntry) -> Found:
+    async def _attempt_connection(self, entry: UpstreamEntry) -> CheckResult:
         """Make one connection attempt."""
         try:
             connection = await self._pool.open(entry.address, CONNECT_TIMEOUT)
         except ConnectionFailedError as problem:
-            return Found(Life.ENDED if problem.refused else Life.UNKNOWN)
-        holding = asyncio.create_task(
-            self._hold(entry.incarnation, connection),
+            return CheckResult(Life.ENDED if problem.refused else Life.UNKNOWN)
+        closing = asyncio.create_task(
+            self._watch(entry.incarnation, connection),
         )
-        self._holdings.add(holding)
-        holding.add_done_callback(self._holdings.discard)
-        return Found(Life.ALIVE, holding)
+        self._watch_tasks.add(closing)
+        closing.add_done_callback(self._watch_tasks.discard)
+        return CheckResult(Life.ALIVE, closing)
 
-    async def _hold(
+    async def _watch(
         self,
         upstream: UpstreamIncarnation,
         connection: UpstreamConnection,
     ) -> bool:
         """Observe a new connection; pool it unless it is closed at once."""
         try:
-            return await connection.closes_within(CLOSED_AT_ONCE)
+            return await connection.closes_within(PROXY_CLOSE_TIMEOUT)
         finally:
             # Closes the connection if it can't be reused.
             self._pool.give_back(upstream, connection)
--- a/src/nutmegroad/relay/execution.py
+++ b/src/nutmegroad/relay/execution.py
@@ -38,11 +38,11 @@
 
 #: Maximum number of attempts of one request, including those that the upstream
 #: rejected. After that many the service as a whole is full.
-MOST_OFFERS: Final = 5
+MAX_ATTEMPTS: Final = 5
 
 #: Seconds after which a caller should retry if no upstream was free and none
 #: named a time: about the time in which a queue of plain calls turns over.
-COME_BACK: Final = 0.25
+DEFAULT_RETRY_AFTER: Final = 0.25
 
 
 #: Outcome of an attempt whose request ended before a response head arrived.
@@ -73,32 +73,32 @@
     """The attempts of one request.
 
     Args:
-        parts: Objects that executions share.
+        context: Objects that executions share.
         request: The request.
         service: The service that it is sent to.
     """
 
     def __init__(
         self,
-        parts: RelayParts,
+        context: RelayParts,
         request: CallerRequest,
         service: ServiceName,
     ) -> None:
         self.request = request
         self.service = service
-        self.outlook = Outlook(parts, request, service)
-        self.guard = parts.crashes.guard(request)
-        self._parts = parts
+        self.outlook = Outlook(context, request, service)
+        self.guard = context.crashes.guard(request)
+        self._parts = context
         self.tried: set[UpstreamIncarnation] = set()
-        self._offers = 0
-        self._runs = 0
-        self._ran = Ran.NOT_RUN
-        parts.budget.requested(service)
+        self._attempt_count = 0
+        self._execution_count = 0
+        self._executed = Ran.NOT_RUN
+        context.budget.requested(service)
 
     @property
     def attempts_left(self) -> int:
         """Number of further upstreams that may execute the request."""
-        return self.request.route.max_attempts - self._runs
+        return self.request.route.max_attempts - self._execution_count
 
     @property
     def waited(self) -> float:
@@ -135,7 +135,7 @@
             if isinstance(outcome, Answering):
                 return outcome
             if not self._may_follow(outcome):
-                return _final(outcome, self._offers, self._ran)
+                return _final(outcome, self._attempt_count, self._executed)
 
     def may_repeat(self, purpose: Purpose = Purpose.FAILURE) -> bool:
         """Return whether the request may be executed once more.
@@ -145,7 +145,7 @@
         route = self.request.route
         if not route.repeatable or self.attempts_left < 1:
             return False
-        if self._offers >= MOST_OFFERS or self.left <= 0:
+        if self._attempt_count >= MAX_ATTEMPTS or self.left <= 0:
             return False
         if not self._parts.budget.spend(self.service, purpose):
             return False
@@ -182,7 +182,7 @@
         return Refusal(
             ResultCode.DEADLINE_PASSED,
             'The deadline of the request has passed.',
-            self._ran,
+            self._executed,
         )
 
     async def _attempt(
@@ -193,19 +193,19 @@
     ) -> Answering | AttemptFailure:
         """Make one attempt, and log its outcome."""
         upstream = choice.upstream
-        self._offers += 1
+        self._attempt_count += 1
         self.tried.add(upstream.entry.incarnation)
         plan = AttemptPlan(
             choice,
             model,
             last_event,
             patience_for(self.request, choice.expected, self.left),
-            self._may_leave,
+            self._may_abandon,
         )
         # If the task is cancelled during the attempt, it stays unknown
         # whether the request was executed.
-        known = self._ran
-        self._ran = Ran.UNKNOWN
+        known = self._executed
+        self._executed = Ran.UNKNOWN
         began = self._parts.clock.now()
         self._parts.versions.sent(
             self.request,
@@ -217,16 +217,16 @@
             outcome = await self._parts.attempts.begin(self.request, plan)
         finally:
             if outcome is _ABANDONED:
-                self._note(choice, model, outcome)
+                self._log_attempt(choice, model, outcome)
         if isinstance(outcome, AttemptFailure) and outcome.ran is Ran.NOT_RUN:
-            self._ran = known
+            self._executed = known
         else:
-            self._reached()
-            await self._follow_up(outcome, choice, began)
-        self._note(choice, model, outcome)
+            self._record_execution()
+            await self._handle_execution(outcome, choice, began)
+        self._log_attempt(choice, model, outcome)
         return outcome
 
-    async def _follow_up(
+    async def _handle_execution(
         self,
         outcome: Answering | AttemptFailure,
         choice: Choice,
@@ -257,12 +257,12 @@
         if outcome.end is AttemptEnd.BROKEN:
             await self.guard.broke(upstream, began)
 
-    def _reached(self) -> None:
+    def _record_execution(self) -> None:
         """Record that an upstream may have begun to execute the request."""
-        self._runs += 1
+        self._execution_count += 1
         self.guard.reached()
 
-    def _note(
+    def _log_attempt(
         self,
         choice: Choice,
         model: ModelName | None,
@@ -275,7 +275,7 @@
         if isinstance(outcome, AttemptFailure):
             ended = outcome.end.value
             detail = outcome.reason
-            if _speaks_of_version(choice, outcome):
+            if _is_version_evidence(choice, outcome):
                 self._parts.versions.observe(
                     self.request,
                     choice.upstream,
@@ -285,7 +285,7 @@
         _LOG.decision(
             'attempt',
             request=self.request.request,
-            number=self._offers,
+            number=self._attempt_count,
             upstream=entry.upstream,
             version=entry.version,
             model=model,
@@ -303,7 +303,7 @@
             detail=detail,
         )
 
-    def _may_leave(self) -> bool:
+    def _may_abandon(self) -> bool:
         """Return whether an unanswered attempt may be abandoned for another."""
         if self.guard.on_trial:
             # No other attempt may follow a probe execution.
@@ -312,7 +312,7 @@
 
     def _may_follow(self, failure: AttemptFailure) -> bool:
         """Return whether another attempt may follow a failed one."""
-        if self._offers >= MOST_OFFERS or self.left <= 0:
+        if self._attempt_count >= MAX_ATTEMPTS or self.left <= 0:
             return False
         if failure.end is AttemptEnd.UNREACHABLE:
             return True
@@ -325,21 +325,21 @@
 
     def _refuse(self, why: Refusal) -> Refusal:
         """Return a refusal with what is known about the request's execution."""
-        return replace(why, ran=self._ran)
+        return replace(why, ran=self._executed)
 
 
-def _speaks_of_version(choice: Choice, failure: AttemptFailure) -> bool:
+def _is_version_evidence(choice: Choice, failure: AttemptFailure) -> bool:
     """Return whether a failed attempt may be evidence on a version."""
     if failure is _ABANDONED or failure.ran is Ran.NOT_RUN:
         return False
     return not choice.upstream.restarted
 
 
-def _final(failure: AttemptFailure, offers: int, ran: Ran) -> Refusal:
+def _final(failure: AttemptFailure, attempts: int, ran: Ran) -> Refusal:
     """Return the refusal that ends a request after its last attempt."""
     return Refusal(
         _CODES.get(failure.end, ResultCode.UPSTREAM_ERROR),
-        f'After {offers} attempts: {failure.reason}.',
+        f'After {attempts} attempts: {failure.reason}.',
         ran,
-        failure.retry_after or COME_BACK,
+        failure.retry_after or DEFAULT_RETRY_AFTER,
     )
--- a/src/nutmegroad/relay/heads.py
+++ b/src/nutmegroad/relay/heads.py
@@ -13,7 +13,7 @@
 
 #: HTTP status codes that decide the outcome of an attempt.
 MISDIRECTED: Final = 421
-FAILURES: Final = 400
+FIRST_ERROR: Final = 400
 SERVER_FAILURES: Final = 500
 
 
@@ -31,18 +31,18 @@
         self,
         request: CallerRequest,
         plan: AttemptPlan,
-        left: float,
+        time_left: float,
     ) -> RequestHead:
         """Return the request head for an upstream.
 
         Args:
             request: The request.
             plan: The attempt.
-            left: Seconds until the caller stops waiting.
+            time_left: Seconds until the caller stops waiting.
         """
         names = self._names
         ours = {
-            names.deadline: str(max(1, int(left * MILLISECONDS))),
+            names.deadline: str(max(1, int(time_left * MILLISECONDS))),
             names.expected_upstream: plan.upstream.entry.upstream,
         }
         if request.workspace is not None:
@@ -80,14 +80,14 @@
         """Return a function that matches responses with a request."""
         name = self._names.request_id
 
-        def belongs(message: RawResponseMessage) -> bool:
+        def matches(message: RawResponseMessage) -> bool:
             """Compare the request id that the response echoes."""
             echoed = message.headers.get(name)
             if echoed is None:
-                return message.code >= FAILURES
+                return message.code >= FIRST_ERROR
             return echoed == request.request
 
-        return belongs
+        return matches
 
     def judge(self, head: ResponseHead) -> AttemptFailure | None:
         """Return why a response head ends the attempt as failed, or None."""
@@ -106,7 +106,7 @@
             )
         proved = self._names.signature in head.headers
         plain = 'Content-Encoding' not in head.headers
-        if head.status < FAILURES and not (proved and plain):
+        if head.status < FIRST_ERROR and not (proved and plain):
             return AttemptFailure(
                 AttemptEnd.UNPROVED,
                 Ran.UNKNOWN,
--- a/src/nutmegroad/relay/host.py
+++ b/src/nutmegroad/relay/host.py
@@ -32,24 +32,24 @@
 _LOG: Final = part_logger('host')
 
 #: Seconds between removals of idle connections and missing upstreams.
-SWEEP: Final = 0.5
+SWEEP_INTERVAL: Final = 0.5
 
 #: Seconds for which a starting host delays callers until the first responses of
 #: the store: half of what callers allow for reading their request.
-FIRST_PATIENCE: Final = 0.5
+STARTUP_WAIT: Final = 0.5
 
 #: Seconds between checks for these responses.
-FIRST_LOOK: Final = 0.005
+STARTUP_POLL_INTERVAL: Final = 0.005
 
 #: Seconds for which a stopping host accepts new connections. The balancer needs
 #: two checks, a second apart, to see that the host is not ready.
 LAME_DUCK: Final = 2.6
 
 #: Seconds between checks whether all requests have ended.
-LAST_LOOK: Final = 0.05
+STOP_POLL_INTERVAL: Final = 0.05
 
 #: Seconds of the stop's grace period that are reserved for closing.
-CLOSING: Final = 0.7
+CLOSE_RESERVE: Final = 0.7
 
 
 class RelayHost:
@@ -83,7 +83,7 @@
         """The present state of this host, for its gauges."""
         return Beliefs(
             configuration=self.configuration_version,
-            age=self._belief.age,
+            age=self._configuration.age,
             upstreams=len(self._directory),
             rollouts=len(self._rollouts.orders.active),
             open_requests=len(self._serving.busy),
@@ -98,13 +98,13 @@
     @property
     def configuration_version(self) -> int:
         """Version of the configuration in force."""
-        table = self._belief.table
+        table = self._configuration.table
         return NO_VERSION if table is None else table.version
 
     @property
     def trusted(self) -> bool:
         """Whether requests that need a key may be accepted."""
-        return self._belief.trusted
+        return self._configuration.trusted
 
     @property
     def trial_share(self) -> float:
@@ -116,12 +116,12 @@
         """Whether this host wants new connections."""
         if self._stopping:
             return False
-        return self._belief.fresh and self._upstream_sink.listed
+        return self._configuration.fresh and self._upstream_sink.listed
 
     async def start(self) -> None:
         """Follow the platform's tables, and listen."""
         await self._fleet.open(self._stack)
-        for work in self._work():
+        for work in self._background_tasks():
             self._spawn(work)
         pages = StatusPages(
             self._settings.ready_path,
@@ -134,7 +134,7 @@
             self._settings.metrics,
             pages.answer_metrics,
         )
-        await self._learn()
+        await self._wait_until_ready()
         self._callers = await listeners.open(
             self._settings.callers,
             self._serving.answer,
@@ -155,16 +155,16 @@
         # Callers keep connections open; a request could still arrive on an
         # idle one too late to be answered within the grace period.
         await self._callers.close(self._serving.busy, self._clock)
-        latest = began + self._settings.grace - CLOSING
+        latest = began + self._settings.grace - CLOSE_RESERVE
         while self._serving.busy and self._clock.now() < latest:
-            await self._clock.sleep(LAST_LOOK)
+            await self._clock.sleep(STOP_POLL_INTERVAL)
         _LOG.decision('stopped', open=len(self._serving.busy))
         await self.close()
 
     def reload(self, settings: HostSettings) -> None:
         """Apply changed settings; addresses stay until the next start."""
         self._settings = settings
-        self._belief.trust_for(settings.key_trust)
+        self._configuration.trust_for(settings.key_trust)
         self._parts.budget.allow(settings.repeat_ratio, settings.repeat_window)
         self._rollouts.trial = trial_share(settings.exposure)
         self._rollouts.besides = settings.exposure_besides
@@ -186,7 +186,7 @@
         settings, clock = self._settings, self._clock
         names = self._platform.names
         self._directory = Directory(clock)
-        self._belief = ConfigurationBelief(clock, settings.key_trust)
+        self._configuration = ConfigurationBelief(clock, settings.key_trust)
         self._pool = ConnectionPool(clock)
         self._fleet = FleetHosts(
             settings.host,
@@ -228,7 +228,7 @@
         show_beliefs(self._platform.counters, self)
         self._serving = Serving(
             self._parts,
-            Intake(names, self._belief, clock),
+            Intake(names, self._configuration, clock),
             names,
             self._randomness,
             lambda: self._stopping,
@@ -247,7 +247,7 @@
             self._fleet.turn,
         )
 
-    def _work(self) -> tuple[Coroutine[Any, Any, None], ...]:
+    def _background_tasks(self) -> tuple[Coroutine[Any, Any, None], ...]:
         """Return the tasks that run for as long as the host."""
         return (
             *(follower.run() for follower in self._followers()),
@@ -262,7 +262,7 @@
         source = self._fleet.tables
         operator = OperatorSink(
             platform.reader,
-            self._belief,
+            self._configuration,
             self._rollouts.orders,
             self._upstream_sink.know_services,
             self._fleet.told.versions,
@@ -286,16 +286,16 @@
             ),
         )
 
-    async def _learn(self) -> None:
+    async def _wait_until_ready(self) -> None:
         """Wait until callers can be served, up to a short limit."""
-        latest = self._clock.now() + FIRST_PATIENCE
+        latest = self._clock.now() + STARTUP_WAIT
         while not self.ready and self._clock.now() < latest:
-            await self._clock.sleep(FIRST_LOOK)
+            await self._clock.sleep(STARTUP_POLL_INTERVAL)
 
     async def _sweep(self) -> None:
         """Remove idle connections and missing upstreams periodically."""
         while True:
-            await self._clock.sleep(SWEEP)
+            await self._clock.sleep(SWEEP_INTERVAL)
             self._pool.sweep()
             self._directory.remove_missing()
 
--- a/src/nutmegroad/relay/intake.py
+++ b/src/nutmegroad/relay/intake.py
@@ -25,7 +25,7 @@
 #: Seconds after which a caller should retry if this host has just started, or
 #: can't confirm that its keys are still valid. Other hosts may have a newer
 #: confirmation, and this one asks the store every second.
-UNKNOWING: Final = 0.5
+UNCONFIRMED_RETRY_AFTER: Final = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,29 +48,29 @@
 
     Args:
         names: The deployment's header names.
-        belief: The cached configuration.
+        configuration: The cached configuration.
         clock: The host's clock.
     """
 
     @property
     def age(self) -> float:
         """Seconds since the configuration was last confirmed."""
-        return self._belief.age
+        return self._configuration.age
 
     def __init__(
         self,
         names: HeaderNames,
-        belief: ConfigurationBelief,
+        configuration: ConfigurationBelief,
         clock: Clock,
     ) -> None:
         self._names = names
-        self._belief = belief
+        self._configuration = configuration
         self._clock = clock
 
     async def read(self, http: web.BaseRequest) -> CallerRequest | Refusal:
         """Return a request after reading its body, or why it is refused."""
         arrived = self._clock.now()
-        refusal = self._measure(http)
+        refusal = self._check_headers(http)
         if refusal is not None:
             return refusal
         matched = self._match(http)
@@ -79,14 +79,14 @@
         body = await _read_body(http, matched.table.limits.body_bytes)
         if isinstance(body, Refusal):
             return body
-        refusal = self._trust(matched)
+        refusal = self._check_key_validity(matched)
         if refusal is not None:
             return refusal
         return self._compose(http, matched, body, arrived)
 
-    def _measure(self, http: web.BaseRequest) -> Refusal | None:
+    def _check_headers(self, http: web.BaseRequest) -> Refusal | None:
         """Return the refusal of headers that are too large, or None."""
-        table = self._belief.table
+        table = self._configuration.table
         size = sum(len(name) + len(text) for name, text in raw_headers(http))
         if table is None or size <= table.limits.header_bytes:
             return None
@@ -97,12 +97,12 @@
 
     def _match(self, http: web.BaseRequest) -> _Matched | Refusal:
         """Find a request's route, and check its key."""
-        table = self._belief.table
+        table = self._configuration.table
         if table is None:
             return Refusal(
                 ResultCode.CONFIGURATION_MISSING,
                 'This host has no configuration yet.',
-                retry_after=UNKNOWING,
+                retry_after=UNCONFIRMED_RETRY_AFTER,
             )
         host = http.headers.get('Host', '').rpartition(':')
         name = (host[0] or host[2]).lower()
@@ -118,20 +118,20 @@
             return self._unknown_key()
         return _Matched(table, route, workspace)
 
-    def _trust(self, matched: _Matched) -> Refusal | None:
+    def _check_key_validity(self, matched: _Matched) -> Refusal | None:
         """Return the refusal of a key that may have been revoked, or None."""
-        if matched.workspace is None or self._belief.trusted:
+        if matched.workspace is None or self._configuration.trusted:
             return None
         return Refusal(
             ResultCode.CONFIGURATION_UNCONFIRMED,
             'This host can not confirm now that the key is still valid.',
-            retry_after=UNKNOWING,
+            retry_after=UNCONFIRMED_RETRY_AFTER,
         )
 
     def _unmatched(self, host: str, path: str) -> Refusal:
         """Return the refusal of a request without a route."""
-        if not self._belief.trusted:
-            return self._unsure()
+        if not self._configuration.trusted:
+            return self._unconfirmed()
         return Refusal(
             ResultCode.ROUTE_UNKNOWN,
             f'There is no route for the host {host!r} and the path {path!r}.',
@@ -139,19 +139,19 @@
 
     def _unknown_key(self) -> Refusal:
         """Return the refusal of a request with an unknown key."""
-        if not self._belief.trusted:
-            return self._unsure()
+        if not self._configuration.trusted:
+            return self._unconfirmed()
         return Refusal(
             ResultCode.UNAUTHENTICATED,
             'The key is not part of the configuration.',
         )
 
-    def _unsure(self) -> Refusal:
+    def _unconfirmed(self) -> Refusal:
         """Return the refusal of what an outdated configuration may lack."""
         return Refusal(
             ResultCode.CONFIGURATION_UNCONFIRMED,
             'This host can not confirm now that its configuration is current.',
-            retry_after=UNKNOWING,
+            retry_after=UNCONFIRMED_RETRY_AFTER,
         )
 
     def _compose(
@@ -180,14 +180,14 @@
             arrived=arrived,
             deadline=arrived + min(wait, route.timeout),
             leaves=arrived + wait,
-            content=_mark(http, matched, body),
+            content=_fingerprint_content(http, matched, body),
             generation=read_generation(headers, names),
             session=SessionName(session) if session else None,
             last_event=headers.get(names.last_event, ''),
         )
 
 
-def _mark(
+def _fingerprint_content(
     http: web.BaseRequest,
     matched: _Matched,
     body: bytes,
@@ -216,24 +216,24 @@
     return ''
 
 
-async def _read_body(http: web.BaseRequest, most: int) -> bytes | Refusal:
+async def _read_body(http: web.BaseRequest, max_bytes: int) -> bytes | Refusal:
     """Return the complete body, or the refusal of one that is too large."""
-    said = http.content_length
-    if said is not None and said > most:
-        return _too_large(most)
+    announced = http.content_length
+    if announced is not None and announced > max_bytes:
+        return _too_large(max_bytes)
     parts = []
     size = 0
     async for part in http.content.iter_any():
         size += len(part)
-        if size > most:
-            return _too_large(most)
+        if size > max_bytes:
+            return _too_large(max_bytes)
         parts.append(part)
     return b''.join(parts)
 
 
-def _too_large(most: int) -> Refusal:
+def _too_large(max_bytes: int) -> Refusal:
     """Return the refusal of a body that is too large."""
     return Refusal(
         ResultCode.BODY_TOO_LARGE,
-        f'The body has more than {most} bytes.',
+        f'The body has more than {max_bytes} bytes.',
     )
--- a/src/nutmegroad/relay/listener.py
+++ b/src/nutmegroad/relay/listener.py
@@ -18,11 +18,11 @@
 
 #: Seconds for which an idle connection is kept at least. Callers may use one
 #: that was idle for most of the operator's limit, which can change.
-KEPT_IDLE: Final = 120
+IDLE_TIMEOUT: Final = 120
 
 #: Seconds for requests that have been read to reach their handlers: several
 #: iterations of a loaded event loop.
-SETTLE: Final = 0.05
+READ_SETTLE_SECONDS: Final = 0.05
 
 #: Maximum bytes of a line or of one header, applied before the route and its
 #: configured limit are known. It is twice what operators allow for all headers
@@ -34,7 +34,7 @@
 BACKLOG: Final = 1024
 
 #: Seconds that handlers may take to end when the host closes.
-SHUTDOWN: Final = 0.1
+SHUTDOWN_TIMEOUT: Final = 0.1
 
 _LOG: Final = part_logger('listener')
 
@@ -99,7 +99,7 @@
             headers=_decode(headers),
         )
         stream.enable_chunked_encoding()
-        self._mark(stream)
+        self._record(stream)
         await stream.prepare(self._request)
         self._stream = stream
 
@@ -129,11 +129,11 @@
 
     async def _send(self, response: web.Response) -> None:
         """Send a complete response."""
-        self._mark(response)
+        self._record(response)
         await response.prepare(self._request)
         await response.write_eof()
 
-    def _mark(self, response: web.StreamResponse) -> None:
+    def _record(self, response: web.StreamResponse) -> None:
         """Record the response that is being sent."""
         self.status = response.status
         self.response = response
@@ -161,8 +161,8 @@
         """Stop accepting connections, and close the idle ones.
 
         Requests that have been read are answered. Reading from idle connections
-        stops first; after ``SETTLE`` seconds a connection with a request has
-        become busy.
+        stops first; after ``READ_SETTLE_SECONDS`` a connection with a request
+        is busy.
 
         Args:
             busy: Connections on which a request is being answered; updated
@@ -170,12 +170,12 @@
             clock: The host's clock.
         """
         self.listener.close()
-        quiet = [each for each in self.server.connections if each not in busy]
-        for connection in quiet:
+        idle = [each for each in self.server.connections if each not in busy]
+        for connection in idle:
             if connection.transport is not None:
                 connection.transport.pause_reading()
-        await clock.sleep(SETTLE)
-        for connection in quiet:
+        await clock.sleep(READ_SETTLE_SECONDS)
+        for connection in idle:
             if connection not in busy:
                 connection.force_close()
             elif connection.transport is not None:
@@ -188,7 +188,7 @@
         answer,
         handler_cancellation=True,
         access_log=None,
-        keepalive_timeout=KEPT_IDLE,
+        keepalive_timeout=IDLE_TIMEOUT,
         auto_decompress=False,
         max_line_size=HEADER_BYTES,
         max_field_size=HEADER_BYTES,
@@ -243,7 +243,7 @@
                 sock=bound,
                 backlog=BACKLOG,
             )
-        self._stack.push_async_callback(server.shutdown, SHUTDOWN)
+        self._stack.push_async_callback(server.shutdown, SHUTDOWN_TIMEOUT)
         self._stack.callback(listening.close)
         return Listening(listening, server)
 
--- a/src/nutmegroad/relay/outlook.py
+++ b/src/nutmegroad/relay/outlook.py
@@ -20,14 +20,14 @@
 
 #: Ratio of an answer's latency to the usual one from which the answer is
 #: evidence against its version.
-FAR_TOO_SLOW: Final = 4.0
+SLOW_ANSWER_RATIO: Final = 4.0
 
 
 class Outlook:
     """Estimates for one request, corrected by its answers.
 
     Args:
-        parts: Objects that executions share.
+        context: Objects that executions share.
         request: The request.
         service: The service that it is sent to.
     """
@@ -45,11 +45,11 @@
 
     def __init__(
         self,
-        parts: RelayParts,
+        context: RelayParts,
         request: CallerRequest,
         service: ServiceName,
     ) -> None:
-        self._parts = parts
+        self._parts = context
         self._request = request
         self._service = service
 
@@ -64,35 +64,35 @@
     def choose(
         self,
         model: ModelName | None,
-        tried: Collection[UpstreamIncarnation],
+        attempted: Collection[UpstreamIncarnation],
     ) -> Choice | None:
         """Return the upstream for an attempt, or None if there is none.
 
         Args:
             model: The model to request; None to keep the caller's.
-            tried: Incarnations that were attempted before.
+            attempted: Incarnations that were attempted before.
         """
         table = self._request.table
         facts = table.service_of(self._service).engine
         return self._parts.selector.choose(
             Asked(self._request, self._service, model, facts),
             self._parts.versions.permitted(self._request, self._service),
-            tried,
+            attempted,
         )
 
     def expectation(
         self,
         model: ModelName,
-        tried: Collection[UpstreamIncarnation],
+        attempted: Collection[UpstreamIncarnation],
     ) -> Expectation | None:
         """Return an estimate of a model's answer; None if there is none.
 
         Args:
             model: The model.
-            tried: Incarnations that were attempted before.
+            attempted: Incarnations that were attempted before.
         """
         generation = self._request.generation
-        choice = self.choose(model, tried)
+        choice = self.choose(model, attempted)
         if choice is None or generation is None:
             return None
         writing = self._parts.selector.paces.generation(
@@ -146,7 +146,7 @@
                 answering.choice.expected,
             )
             upstream.health.answered(now, pace)
-            if pace >= FAR_TOO_SLOW:
+            if pace >= SLOW_ANSWER_RATIO:
                 observed = Observed.POOR
         else:
             upstream.health.failed(now)
--- a/src/nutmegroad/relay/pools.py
+++ b/src/nutmegroad/relay/pools.py
@@ -9,15 +9,15 @@
 
 #: Assumed idle timeout in seconds of an upstream that does not announce one:
 #: servers commonly use five or more, less one for the network.
-UNSAID_IDLE: Final = 4.0
+DEFAULT_IDLE_TIMEOUT: Final = 4.0
 
 #: Fraction of an upstream's idle timeout within which a connection is reused;
 #: the rest is for timers that fire late on either side.
-USED_PART: Final = 0.6
+REUSE_FRACTION: Final = 0.6
 
 #: Fraction for requests that may be executed only once: if the connection
 #: closes while they are sent, their outcome is unknown.
-CAREFUL_PART: Final = 0.3
+SINGLE_EXECUTION_FRACTION: Final = 0.3
 
 
 class ConnectionPool:
@@ -34,7 +34,7 @@
                 list,
             )
         )
-        self._broken_off_at_restart: dict[
+        self._repeatable: dict[
             UpstreamIncarnation,
             set[UpstreamConnection],
         ] = defaultdict(set)
@@ -51,18 +51,18 @@
             upstream: The upstream.
             careful: Whether the request may be executed only once.
         """
-        kept = self._idle.get(upstream, [])
-        part = CAREFUL_PART if careful else USED_PART
-        while kept:
-            connection = kept[-1]
+        idle = self._idle.get(upstream, [])
+        fraction = SINGLE_EXECUTION_FRACTION if careful else REUSE_FRACTION
+        while idle:
+            connection = idle[-1]
             if not connection.reusable:
-                kept.pop()
+                idle.pop()
                 connection.abort()
                 continue
-            limit = (connection.keeps_idle or UNSAID_IDLE) * part
+            limit = (connection.keeps_idle or DEFAULT_IDLE_TIMEOUT) * fraction
             if self._clock.now() - connection.idle_since > limit:
                 return None
-            return kept.pop()
+            return idle.pop()
         return None
 
     async def open(
@@ -92,7 +92,7 @@
         may be executed only once is left to its connection, which closes with
         the process.
         """
-        self._broken_off_at_restart[upstream].add(connection)
+        self._repeatable[upstream].add(connection)
 
     def restarted(self, upstream: UpstreamIncarnation) -> int:
         """Abort the registered exchanges of a terminated incarnation.
@@ -100,7 +100,7 @@
         Returns:
             The number of aborted exchanges.
         """
-        lent = self._broken_off_at_restart.pop(upstream, set())
+        lent = self._repeatable.pop(upstream, set())
         for connection in lent:
             connection.fail('upstream restarted')
         return len(lent)
@@ -111,7 +111,7 @@
         connection: UpstreamConnection,
     ) -> None:
         """Keep a connection, or close it if it can't be reused."""
-        lent = self._broken_off_at_restart.get(upstream)
+        lent = self._repeatable.get(upstream)
         if lent is not None:
             lent.discard(connection)
         if connection.reusable:
@@ -124,21 +124,21 @@
         """Close the idle connections to an upstream that has terminated."""
         for connection in self._idle.pop(upstream, ()):
             connection.abort()
-        if not self._broken_off_at_restart.get(upstream):
-            self._broken_off_at_restart.pop(upstream, None)
+        if not self._repeatable.get(upstream):
+            self._repeatable.pop(upstream, None)
 
     def sweep(self) -> None:
         """Close connections that have been idle for too long to be reused."""
         now = self._clock.now()
-        for upstream, kept in self._idle.items():
-            fresh = []
-            for connection in kept:
-                limit = connection.keeps_idle or UNSAID_IDLE
+        for upstream, idle in self._idle.items():
+            retained = []
+            for connection in idle:
+                limit = connection.keeps_idle or DEFAULT_IDLE_TIMEOUT
                 if connection.reusable and now - connection.idle_since < limit:
-                    fresh.append(connection)
+                    retained.append(connection)
                 else:
                     connection.abort()
-            self._idle[upstream] = fresh
+            self._idle[upstream] = retained
 
     def close(self) -> None:
         """Close all idle connections."""
--- a/src/nutmegroad/relay/refusals.py
+++ b/src/nutmegroad/relay/refusals.py
@@ -23,18 +23,18 @@
         ResultCode.SHARE_EXCEEDED: 429,
     }
 )
-_NOT_NOW: Final = 503
-_NO_PROMISE: Final = 502
-_TOO_LATE: Final = 504
+_UNAVAILABLE: Final = 503
+_BAD_GATEWAY: Final = 502
+_GATEWAY_TIMEOUT: Final = 504
 
 
 #: Seconds after which a caller should retry if its service has no known
 #: upstream: one registers within seconds.
-NONE_KNOWN: Final = 1.0
+NO_UPSTREAM_RETRY_AFTER: Final = 1.0
 
 #: Minimum seconds after which a caller should retry if its request may get a
 #: probe execution: until then another request's may be under way.
-TRIED_NEXT: Final = 1.5
+MIN_PROBE_RETRY_AFTER: Final = 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,13 +65,13 @@
         refusal: The refusal.
         close: Whether to close the connection.
     """
-    status = _STATUSES.get(refusal.code, _NOT_NOW)
+    status = _STATUSES.get(refusal.code, _UNAVAILABLE)
     if refusal.ran is not Ran.NOT_RUN:
         late = refusal.code in (
             ResultCode.DEADLINE_PASSED,
             ResultCode.UPSTREAM_TIMEOUT,
         )
-        status = _TOO_LATE if late else _NO_PROMISE
+        status = _GATEWAY_TIMEOUT if late else _BAD_GATEWAY
     text = f'{refusal.code.value} {refusal.code.name}: {refusal.reason}\n'
     return CallerRefusal(status, refusal.retry_after, text, close)
 
@@ -92,7 +92,7 @@
     return Refusal(
         ResultCode.NO_UPSTREAM,
         f'No upstream of {service!r} is known.',
-        retry_after=NONE_KNOWN,
+        retry_after=NO_UPSTREAM_RETRY_AFTER,
     )
 
 
@@ -101,5 +101,5 @@
     return Refusal(
         ResultCode.REQUEST_HARMFUL,
         f'{harmful.ends} upstreams of {service!r} crashed while running it.',
-        retry_after=max(harmful.pause, TRIED_NEXT),
+        retry_after=max(harmful.pause, MIN_PROBE_RETRY_AFTER),
     )
--- a/src/nutmegroad/relay/serving.py
+++ b/src/nutmegroad/relay/serving.py
@@ -38,7 +38,7 @@
     """Handles callers' requests.
 
     Args:
-        parts: Objects that executions share.
+        context: Objects that executions share.
         intake: Parses and checks requests.
         names: The deployment's header names.
         randomness: Splits traffic between services.
@@ -47,14 +47,14 @@
 
     def __init__(
         self,
-        parts: RelayParts,
+        context: RelayParts,
         intake: Intake,
         names: HeaderNames,
         randomness: random.Random,
         stopping: Callable[[], bool],
     ) -> None:
-        self._parts = parts
-        self._clock: Clock = parts.clock
+        self._parts = context
+        self._clock: Clock = context.clock
         self._intake = intake
         self._names = names
         self._randomness = randomness
--- a/src/nutmegroad/relay/status_pages.py
+++ b/src/nutmegroad/relay/status_pages.py
@@ -129,12 +129,12 @@
         return web.Response(body=self._counters.render())
 
 
-def show_beliefs(counters: RelayCounters, believer: Believer) -> None:
+def show_beliefs(counters: RelayCounters, source: Believer) -> None:
     """Register the gauges of a host's state."""
     for name, meaning, read in _GAUGES:
-        counters.gauge(name, meaning, partial(_read, believer, read))
+        counters.gauge(name, meaning, partial(_read, source, read))
 
 
-def _read(believer: Believer, read: _Reader) -> float:
+def _read(source: Believer, read: _Reader) -> float:
     """Return the present value of a gauge."""
-    return read(believer.beliefs)
+    return read(source.beliefs)
--- a/src/nutmegroad/relay/streams.py
+++ b/src/nutmegroad/relay/streams.py
@@ -41,34 +41,34 @@
 #: Multiple of a route's maximum event gap after which a stalled stream counts
 #: as broken. It is late by then, and a resumption may still be of use to its
 #: caller.
-STALLED_TIMES: Final = 2.0
+STALL_FACTOR: Final = 2.0
 
 
 @unique
-class RunEnd(Enum):
+class StreamEnd(Enum):
     """How one upstream's part of a stream ended."""
 
-    WHOLE = 'whole'
-    CUT = 'cut'
+    COMPLETE = 'whole'
+    TRUNCATED = 'cut'
     FAILED = 'failed'
     STALLED = 'stalled'
-    UNSURE = 'unsure'
+    LOW_CONFIDENCE = 'unsure'
 
 
 #: Evidence of an end on the upstream's version. A model's low confidence is no
 #: fault of the version, and a broken exchange may have another cause.
 _OBSERVED: Final = MappingProxyType(
     {
-        RunEnd.WHOLE: Observed.SOUND,
-        RunEnd.FAILED: Observed.POOR,
-        RunEnd.CUT: Observed.BROKEN,
-        RunEnd.STALLED: Observed.BROKEN,
+        StreamEnd.COMPLETE: Observed.SOUND,
+        StreamEnd.FAILED: Observed.POOR,
+        StreamEnd.TRUNCATED: Observed.BROKEN,
+        StreamEnd.STALLED: Observed.BROKEN,
     },
 )
 
 
 #: Ends at which an upstream has answered completely, if with an error.
-_ANSWERED: Final = frozenset((RunEnd.WHOLE, RunEnd.FAILED))
+_ANSWERED: Final = frozenset((StreamEnd.COMPLETE, StreamEnd.FAILED))
 
 
 @dataclass(slots=True)
@@ -120,24 +120,24 @@
             if isinstance(outcome, Refusal):
                 await self._give_up(outcome)
                 return
-            end = await self._follow(outcome)
-            self._note(outcome, end)
-            if end is RunEnd.WHOLE:
+            end = await self._forward_attempt(outcome)
+            self._log_end(outcome, end)
+            if end is StreamEnd.COMPLETE:
                 await self._reply.finish()
                 return
-            if end in (RunEnd.UNSURE, RunEnd.STALLED):
+            if end in (StreamEnd.LOW_CONFIDENCE, StreamEnd.STALLED):
                 continue
             if not self._execution.may_repeat():
                 await self._give_up(self._execution.refuse_cut())
                 return
 
-    async def _follow(self, answering: Answering) -> RunEnd:
+    async def _forward_attempt(self, answering: Answering) -> StreamEnd:
         """Forward one upstream's events, and end the attempt."""
         try:
-            end = await self._hand_on(answering)
+            end = await self._forward(answering)
         finally:
             await answering.close()
-        if end is RunEnd.CUT:
+        if end is StreamEnd.TRUNCATED:
             await self._execution.guard.broke(
                 answering.upstream, answering.started
             )
@@ -146,52 +146,54 @@
         observed = _OBSERVED.get(end)
         if observed is not None:
             self._execution.outlook.observe(answering, observed)
-        if end is RunEnd.WHOLE:
+        if end is StreamEnd.COMPLETE:
             self._execution.outlook.generated(answering, self._progress.events)
         return end
 
-    async def _hand_on(self, answering: Answering) -> RunEnd:
+    async def _forward(self, answering: Answering) -> StreamEnd:
         """Forward an answer as it arrives."""
         if answering.head.status >= SERVER_FAILURES:
             self._progress.failure = await read_whole(answering)
             whole = self._progress.failure is not None
-            return RunEnd.FAILED if whole else RunEnd.CUT
+            return StreamEnd.FAILED if whole else StreamEnd.TRUNCATED
         if self._escalates(answering):
-            return RunEnd.UNSURE
+            return StreamEnd.LOW_CONFIDENCE
         try:
-            return await self._copy(answering)
+            return await self._forward_events(answering)
         except (ConnectionFailedError, ConnectionError):
-            return RunEnd.CUT
+            return StreamEnd.TRUNCATED
 
-    async def _copy(self, answering: Answering) -> RunEnd:
+    async def _forward_events(self, answering: Answering) -> StreamEnd:
         """Forward complete events to the caller until the stream ends."""
         splitter = WholeEvents()
-        pause = self._execution.request.route.longest_pause * STALLED_TIMES
-        patience = patience_for(
+        stall_timeout = (
+            self._execution.request.route.longest_pause * STALL_FACTOR
+        )
+        timeout = patience_for(
             self._execution.request,
             answering.choice.expected,
             self._execution.left,
         )
         while True:
-            chunk = await self._next(answering, patience)
+            chunk = await self._next(answering, timeout)
             if chunk is None:
-                return RunEnd.STALLED
+                return StreamEnd.STALLED
             if not chunk:
                 break
             events = splitter.feed(chunk)
             if events:
                 await self._write(answering, events)
-                patience = pause or patience
+                timeout = stall_timeout or timeout
         if splitter.rest:
             await self._begin(answering)
             await self._reply.write(splitter.rest)
         await self._begin(answering)
-        return RunEnd.WHOLE
+        return StreamEnd.COMPLETE
 
     async def _next(
         self,
         answering: Answering,
-        patience: float,
+        timeout: float,
     ) -> bytes | None:
         """Return the next bytes; None if the stream is abandoned as stalled.
 
@@ -200,7 +202,7 @@
         outlook = self._execution.outlook
         chunk = await wait_patiently(
             partial(_read_within, answering),
-            patience,
+            timeout,
             lambda: outlook.is_cut_off(answering.upstream),
             outlook.clock,
         )
@@ -243,12 +245,12 @@
         ):
             larger = NotEscalated.BUDGET
         if isinstance(larger, NotEscalated):
-            self._note_kept(case, larger)
+            self._log_kept(case, larger)
             return False
         self._progress.model = larger
         return True
 
-    def _note_kept(self, case: EscalationCase, why: NotEscalated) -> None:
+    def _log_kept(self, case: EscalationCase, why: NotEscalated) -> None:
         """Log that an answer of low confidence is kept."""
         _LOG.decision(
             'not escalated',
@@ -296,7 +298,7 @@
         else:
             await deliver(self._reply, failure)
 
-    def _note(self, answering: Answering, end: RunEnd) -> None:
+    def _log_end(self, answering: Answering, end: StreamEnd) -> None:
         """Log how one upstream's part ended."""
         _LOG.decision(
             'stream',
--- a/src/nutmegroad/relay/tables.py
+++ b/src/nutmegroad/relay/tables.py
@@ -30,7 +30,7 @@
 #: Fraction of the drain period for which an upstream is kept whose entry is
 #: removed soon after the store was unavailable. The upstream may be draining in
 #: fact; the rest of the period is for requests that are on their way to it.
-NOTICE_PART: Final = 0.6
+DRAIN_FRACTION: Final = 0.6
 
 
 #: Maximum number of rejected entries that are logged for one reason, each once:
@@ -70,25 +70,25 @@
 
     Args:
         reader: Decodes rows.
-        belief: The cached configuration.
+        configuration: The cached configuration.
         orders: The orders of rollouts.
-        tell_services: Receives the services of each configuration in force.
+        set_services: Receives the services of each configuration in force.
         versions: Which configurations hosts have in force.
     """
 
     def __init__(
         self,
         reader: RowReader,
-        belief: ConfigurationBelief,
+        configuration: ConfigurationBelief,
         orders: OrderBook,
-        tell_services: Callable[[Collection[ServiceName]], None],
+        set_services: Callable[[Collection[ServiceName]], None],
         versions: HeardVersions,
     ) -> None:
         self._versions = versions
         self._reader = reader
-        self._belief = belief
+        self._configuration = configuration
         self._orders = orders
-        self._tell_services = tell_services
+        self._set_services = set_services
         # Whether the table has been read since the host started.
         self._has_read = False
 
@@ -101,18 +101,18 @@
         """Apply a table update."""
         for row in read.rows:
             if not row.removed:
-                self._take(row)
+                self._apply(row)
 
     def confirm(self, moment: float, read: RowsRead) -> None:
         """Record that no newer configuration existed at a time."""
         # If the store's configuration is older than one that a host has in
         # force, the store has lost the writes since.
         if (
-            self._belief.table is None
+            self._configuration.table is None
             or self._versions.shown < self._versions.newest
         ):
             return
-        self._belief.confirm(moment)
+        self._configuration.confirm(moment)
 
     def lost(self) -> None:
         """Do nothing: the confirmation expires without an update."""
@@ -120,17 +120,17 @@
     def went_back(self) -> None:
         """Record that the operator's latest writes may be missing."""
         self._versions.shown = NO_VERSION
-        self._belief.doubt()
+        self._configuration.doubt()
 
-    def _take(self, row: StoredRow) -> None:
+    def _apply(self, row: StoredRow) -> None:
         """Apply one row."""
         content = self._reader.operator_row(row)
         if isinstance(content, RoutingTable):
             self._versions.shown = content.version
-            self._belief.take(content)
+            self._configuration.take(content)
             self._versions.own = max(self._versions.own, content.version)
-            if self._belief.table is content:
-                self._tell_services(content.services)
+            if self._configuration.table is content:
+                self._set_services(content.services)
         elif isinstance(content, RolloutOrder):
             self._orders.take(content, at_start=not self._has_read)
         elif isinstance(content, Unreadable):
@@ -150,16 +150,16 @@
     """
 
     def __init__(self) -> None:
-        self._said: dict[UpstreamId, str] = {}
+        self._logged: dict[UpstreamId, str] = {}
 
     def say(self, upstream: UpstreamId, reason: str) -> None:
         """Log a rejected entry, unless it or enough others were logged."""
-        if self._said.get(upstream) == reason:
+        if self._logged.get(upstream) == reason:
             return
-        alike = sum(said == reason for said in self._said.values())
+        alike = sum(logged == reason for logged in self._logged.values())
         if alike >= MOST_ALIKE:
             return
-        self._said[upstream] = reason
+        self._logged[upstream] = reason
         _LOG.decision(
             'upstream entry rejected',
             key=upstream,
@@ -169,7 +169,7 @@
 
     def settle(self, upstream: UpstreamId) -> None:
         """Clear the reason of an entry that is valid again, or removed."""
-        self._said.pop(upstream, None)
+        self._logged.pop(upstream, None)
 
 
 class UpstreamSink:
@@ -197,50 +197,50 @@
         self._reader = reader
         self._directory = directory
         self._clock = clock
-        self._patience = min(RETURN_TIME, notice * NOTICE_PART)
-        self._away = False
-        self._returned = float('-inf')
+        self._removal_delay = min(RETURN_TIME, notice * DRAIN_FRACTION)
+        self._unavailable = False
+        self._available_since = float('-inf')
         # None before the first configuration.
         self._services: Container[ServiceName] | None = None
         # Entries of services that the configuration does not name yet.
-        self._unnamed: dict[UpstreamId, UpstreamEntry] = {}
-        self._complaints = Complaints()
+        self._unknown_services: dict[UpstreamId, UpstreamEntry] = {}
+        self._rejections = Complaints()
         # Entries of a restored list that this host knew to be outdated, with
         # their versions in that list.
-        self._doubted: dict[UpstreamId, tuple[UpstreamEntry, int]] = {}
-        self._doubted_until = float('-inf')
+        self._unconfirmed: dict[UpstreamId, tuple[UpstreamEntry, int]] = {}
+        self._unconfirmed_until = float('-inf')
         self.listed = False
 
     def know_services(self, services: Collection[ServiceName]) -> None:
         """Set the services that the configuration in force names."""
         self._services = frozenset(services)
-        for entry in tuple(self._unnamed.values()):
+        for entry in tuple(self._unknown_services.values()):
             self._put(entry)
 
     def replace(self, read: RowsRead) -> None:
         """Apply a full snapshot."""
-        first = self._back()
+        after_outage = self._mark_available()
         listed = [self._reader.upstream_key(row) for row in read.rows]
         for upstream in self._directory.others(listed):
-            self._gone(upstream, first=first)
-        for unnamed in self._unnamed.keys() - set(listed):
-            self._unnamed.pop(unnamed)
-        self._take(read, first=first)
+            self._remove_or_keep(upstream, after_outage=after_outage)
+        for unknown in self._unknown_services.keys() - set(listed):
+            self._unknown_services.pop(unknown)
+        self._apply(read, after_outage=after_outage)
         self.listed = True
 
     def apply(self, read: RowsRead) -> None:
         """Apply a table update."""
-        self._take(read, first=self._back())
+        self._apply(read, after_outage=self._mark_available())
 
     def confirm(self, moment: float, read: RowsRead) -> None:
         """Record that the store responds."""
-        self._back()
-        if self._doubted and self._clock.now() >= self._doubted_until:
-            self._believe()
+        self._mark_available()
+        if self._unconfirmed and self._clock.now() >= self._unconfirmed_until:
+            self._accept_unconfirmed()
 
     def lost(self) -> None:
         """Record that the store is unavailable."""
-        self._away = True
+        self._unavailable = True
 
     def went_back(self) -> None:
         """Record that the list was restored from a backup, some seconds old.
@@ -248,86 +248,88 @@
         Entries of the last seconds are missing, and reappear as after an
         outage. Entries of upstreams that had left are listed again.
         """
-        self._away = True
-        self._doubted_until = self._clock.now() + DOUBTED
+        self._unavailable = True
+        self._unconfirmed_until = self._clock.now() + DOUBTED
 
-    def _take(self, read: RowsRead, *, first: bool) -> None:
+    def _apply(self, read: RowsRead, *, after_outage: bool) -> None:
         """Apply rows."""
         for row in read.rows:
             upstream = self._reader.upstream_key(row)
             if row.removed:
-                self._doubted.pop(upstream, None)
-                self._unnamed.pop(upstream, None)
-                self._complaints.settle(upstream)
-                self._gone(upstream, first=first)
+                self._unconfirmed.pop(upstream, None)
+                self._unknown_services.pop(upstream, None)
+                self._rejections.settle(upstream)
+                self._remove_or_keep(upstream, after_outage=after_outage)
                 continue
             entry = self._reader.upstream_row(row)
             if isinstance(entry, Unreadable):
-                self._keep_out(upstream, entry.reason)
-            elif not self._is_over(entry, row.version):
+                self._reject(upstream, entry.reason)
+            elif not self._is_outdated(entry, row.version):
                 self._put(entry)
 
     def _put(self, entry: UpstreamEntry) -> None:
         """Apply an entry if the configuration names its service."""
         upstream = entry.upstream
         if self._services is None:
-            self._unnamed[upstream] = entry
+            self._unknown_services[upstream] = entry
         elif entry.service in self._services:
-            self._unnamed.pop(upstream, None)
-            self._complaints.settle(upstream)
+            self._unknown_services.pop(upstream, None)
+            self._rejections.settle(upstream)
             self._directory.put(entry)
         else:
-            self._keep_out(upstream, 'service is not in the configuration')
-            self._unnamed[upstream] = entry
+            self._reject(upstream, 'service is not in the configuration')
+            self._unknown_services[upstream] = entry
 
-    def _is_over(self, entry: UpstreamEntry, version: int) -> bool:
+    def _is_outdated(self, entry: UpstreamEntry, version: int) -> bool:
         """Return whether an entry is outdated, as far as this host knew.
 
         A live upstream writes its entry again. One that has left does not, and
         the store removes its entry after some seconds.
         """
-        if self._clock.now() >= self._doubted_until:
+        if self._clock.now() >= self._unconfirmed_until:
             return False
         upstream = entry.upstream
-        known = self._doubted.get(upstream)
+        known = self._unconfirmed.get(upstream)
         if known is not None and version > known[1]:
-            self._doubted.pop(upstream)
+            self._unconfirmed.pop(upstream)
             return False
         if known is not None or not has_left(self._directory, entry):
             return known is not None
-        self._doubted[upstream] = entry, version
+        self._unconfirmed[upstream] = entry, version
         _LOG.decision('entry of a restored list ignored', upstream=upstream)
         return True
 
-    def _believe(self) -> None:
+    def _accept_unconfirmed(self) -> None:
         """Apply ignored entries that the store has kept: they are valid."""
-        for entry, _ in self._doubted.values():
+        for entry, _ in self._unconfirmed.values():
             self._put(entry)
-        self._doubted.clear()
+        self._unconfirmed.clear()
 
-    def _keep_out(self, upstream: UpstreamId, reason: str) -> None:
+    def _reject(self, upstream: UpstreamId, reason: str) -> None:
         """Remove a rejected entry from the directory, and log it once."""
-        self._unnamed.pop(upstream, None)
+        self._unknown_services.pop(upstream, None)
         self._directory.remove(upstream, reason)
-        self._complaints.say(upstream, reason)
+        self._rejections.say(upstream, reason)
 
-    def _back(self) -> bool:
+    def _mark_available(self) -> bool:
         """Record that the store responds.
 
         Returns:
             Whether this is its first response after it was unavailable.
         """
-        first = self._away
-        if first:
-            self._away = False
-            self._returned = self._clock.now()
-        return first
-
-    def _gone(self, upstream: UpstreamId, *, first: bool) -> None:
+        after_outage = self._unavailable
+        if after_outage:
+            self._unavailable = False
+            self._available_since = self._clock.now()
+        return after_outage
+
+    def _remove_or_keep(
+        self, upstream: UpstreamId, *, after_outage: bool
+    ) -> None:
         """Remove an upstream, or keep it for a time after an outage."""
-        if first:
+        if after_outage:
             self._directory.missing(upstream, RETURN_TIME)
-        elif self._clock.now() - self._returned < RETURN_TIME:
-            self._directory.missing(upstream, self._patience)
+        elif self._clock.now() - self._available_since < RETURN_TIME:
+            self._directory.missing(upstream, self._removal_delay)
         else:
             self._directory.remove(upstream, 'no longer listed')
--- a/src/nutmegroad/routes/belief.py
+++ b/src/nutmegroad/routes/belief.py
@@ -35,18 +35,18 @@
 
     Args:
         clock: The host's clock; it must count suspended time.
-        trust: Seconds for which keys stay valid after a confirmation; None if
-            they never expire.
+        key_validity: Seconds for which keys stay valid after a confirmation;
+            None if they never expire.
     """
 
-    def __init__(self, clock: Clock, trust: float | None) -> None:
+    def __init__(self, clock: Clock, key_validity: float | None) -> None:
         self._clock = clock
-        self._trust = trust
+        self._key_validity = key_validity
         self._table: RoutingTable | None = None
-        self._confirmed = float('-inf')
-        self._lapsed = False
+        self._confirmed_at = float('-inf')
+        self._expired = False
         # Clock seconds before which responses of the store confirm nothing.
-        self._settled = float('-inf')
+        self._settled_at = float('-inf')
 
     @property
     def table(self) -> RoutingTable | None:
@@ -56,20 +56,20 @@
     @property
     def age(self) -> float:
         """Return the seconds since it was last confirmed as the newest."""
-        return self._clock.now() - self._confirmed
+        return self._clock.now() - self._confirmed_at
 
     @property
     def trusted(self) -> bool:
         """Whether requests that need a key may still be accepted."""
-        if self._trust is None:
+        if self._key_validity is None:
             return True
-        trusted = self.age <= self._trust * (1 - MARGIN)
-        if trusted == self._lapsed:
-            self._lapsed = not trusted
+        trusted = self.age <= self._key_validity * (1 - MARGIN)
+        if trusted == self._expired:
+            self._expired = not trusted
             _LOG.decision(
                 'keys accepted' if trusted else 'keys not accepted',
                 age=round(self.age, 3),
-                bound=self._trust,
+                bound=self._key_validity,
             )
         return trusted
 
@@ -78,11 +78,14 @@
         """Whether this host may ask the balancer for new connections."""
         if self._table is None:
             return False
-        return self._trust is None or self.age <= self._trust * READY_PART
+        return (
+            self._key_validity is None
+            or self.age <= self._key_validity * READY_PART
+        )
 
-    def trust_for(self, trust: float | None) -> None:
+    def trust_for(self, key_validity: float | None) -> None:
         """Change the seconds for which keys stay valid after a confirmation."""
-        self._trust = trust
+        self._key_validity = key_validity
 
     def take(self, table: RoutingTable) -> None:
         """Put a configuration in force, unless it is not newer."""
@@ -98,15 +101,15 @@
             keys=len(table.keys),
         )
 
-    def confirm(self, moment: float) -> None:
+    def confirm(self, confirmed_at: float) -> None:
         """Record that no newer configuration existed at a time.
 
         Args:
-            moment: Clock seconds. Times before the store has settled are
+            confirmed_at: Clock seconds. Times before the store has settled are
                 ignored.
         """
-        if moment >= self._settled:
-            self._confirmed = max(self._confirmed, moment)
+        if confirmed_at >= self._settled_at:
+            self._confirmed_at = max(self._confirmed_at, confirmed_at)
 
     def doubt(self) -> None:
         """Record that the store may lack the operator's latest writes.
@@ -115,7 +118,7 @@
         valid. Until the operator has had time to write again, no response of
         the store confirms the configuration.
         """
-        self._settled = self._clock.now() + SETTLING
+        self._settled_at = self._clock.now() + SETTLING
         _LOG.decision(
             'confirmations ignored after a store restore',
             version=NO_VERSION if self._table is None else self._table.version,
