--- a/src/nutmegroad/relay/crashes.py
+++ b/src/nutmegroad/relay/crashes.py
@@ -243,7 +243,7 @@
     """Keeps one request from upstreams that it may crash.
 
     Args:
-        watch: Records which requests were pending when upstreams terminated.
+        tracker: Records which requests were pending when upstreams terminated.
         request: The request.
     """
 
@@ -252,8 +252,8 @@
         """Whether a probe execution is due that has reached no upstream yet."""
         return self._probing
 
-    def __init__(self, watch: CrashWatch, request: CallerRequest) -> None:
-        self._watch = watch
+    def __init__(self, tracker: CrashWatch, request: CallerRequest) -> None:
+        self._tracker = tracker
         self._request = request
         self._probing = False
 
@@ -265,10 +265,10 @@
         """
         if self._probing:
             return None
-        harmful = self._watch.harmful(self._request)
+        harmful = self._tracker.harmful(self._request)
         if harmful is None:
             return None
-        self._probing = await self._watch.claim(self._request, harmful)
+        self._probing = await self._tracker.claim(self._request, harmful)
         return None if self._probing else harmful
 
     def reached(self) -> None:
@@ -282,8 +282,8 @@
             upstream: The upstream.
             began: Clock seconds at which the request was sent there.
         """
-        await self._watch.broke(self._request, upstream, began)
+        await self._tracker.broke(self._request, upstream, began)
 
     def answered(self) -> None:
         """Record a complete answer of an upstream, even an error response."""
-        self._watch.answered(self._request)
+        self._tracker.answered(self._request)
