--- a/src/nutmegroad/escalation/decisions.py
+++ b/src/nutmegroad/escalation/decisions.py
@@ -16,10 +16,10 @@
 from nutmegroad.routes.deployment import Route
 from nutmegroad.routes.requests import ANY_MODEL, CallerRequest
 
-#: Threshold used instead of ``CONFIDENT`` if the larger model's answer is
-#: expected after the target latency. A late answer is worth about a third of a
-#: timely one, so the small model's answer has to be more likely to be worth
-#: next to nothing.
+#: Threshold in place of ``CONFIDENT`` if the larger model's
+#: answer is expected after the target latency. A late answer is worth about a
+#: third of a timely one, so the small model's answer has to be more likely to
+#: be worth next to nothing.
 LATE_ESCALATION_THRESHOLD: Final = 25
 
 #: Factor on the estimated time of a complete answer that has to be left until
--- a/src/nutmegroad/relay/boundary.py
+++ b/src/nutmegroad/relay/boundary.py
@@ -49,8 +49,7 @@
             serve.
         grace: Seconds from the signal to stop until the process is killed.
         metrics: Address of the metrics page; None for no page.
-        link: Bandwidth of the host's network link in Mbit/s; 0 if that is not
-            known.
+        link: Bandwidth of the network link in Mbit/s; 0 if not known.
         first: Whether all hosts of the fleet start for the first time.
         seed: Seed for randomness; None takes one from the system.
     """
--- a/src/nutmegroad/relay/outcomes.py
+++ b/src/nutmegroad/relay/outcomes.py
@@ -56,10 +56,10 @@
         choice: The chosen upstream and the estimates for it.
         model: The model to request; None to keep the caller's.
         last_event: Id of the last event that the caller has received, or empty.
-        patience: Seconds without a response after which the upstream counts as
-            unresponsive and other requests should avoid it.
-        leave: Called once after that time; returns whether the attempt may be
-            abandoned. If not, it goes on until the deadline.
+        patience: Seconds without a response after which the
+            upstream counts as unresponsive and other requests should avoid it.
+        leave: Called once after that time; returns whether the
+            attempt may be abandoned. If not, it goes on until the deadline.
     """
 
     choice: Choice
--- a/src/nutmegroad/relay/tables.py
+++ b/src/nutmegroad/relay/tables.py
@@ -72,7 +72,7 @@
         reader: Decodes rows.
         configuration: The cached configuration.
         orders: The orders of rollouts.
-        set_services: Receives the services of each configuration in force.
+        update_services: Receives the services of each configuration in force.
         versions: Which configurations hosts have in force.
     """
 
@@ -81,14 +81,14 @@
         reader: RowReader,
         configuration: ConfigurationBelief,
         orders: OrderBook,
-        set_services: Callable[[Collection[ServiceName]], None],
+        update_services: Callable[[Collection[ServiceName]], None],
         versions: HeardVersions,
     ) -> None:
         self._versions = versions
         self._reader = reader
         self._configuration = configuration
         self._orders = orders
-        self._set_services = set_services
+        self._update_services = update_services
         # Whether the table has been read since the host started.
         self._has_read = False
 
@@ -130,7 +130,7 @@
             self._configuration.take(content)
             self._versions.own = max(self._versions.own, content.version)
             if self._configuration.table is content:
-                self._set_services(content.services)
+                self._update_services(content.services)
         elif isinstance(content, RolloutOrder):
             self._orders.take(content, at_start=not self._has_read)
         elif isinstance(content, Unreadable):
@@ -203,7 +203,7 @@
         # None before the first configuration.
         self._services: Container[ServiceName] | None = None
         # Entries of services that the configuration does not name yet.
-        self._unknown_services: dict[UpstreamId, UpstreamEntry] = {}
+        self._pending_entries: dict[UpstreamId, UpstreamEntry] = {}
         self._rejections = Complaints()
         # Entries of a restored list that this host knew to be outdated, with
         # their versions in that list.
@@ -214,7 +214,7 @@
     def know_services(self, services: Collection[ServiceName]) -> None:
         """Set the services that the configuration in force names."""
         self._services = frozenset(services)
-        for entry in tuple(self._unknown_services.values()):
+        for entry in tuple(self._pending_entries.values()):
             self._put(entry)
 
     def replace(self, read: RowsRead) -> None:
@@ -223,8 +223,8 @@
         listed = [self._reader.upstream_key(row) for row in read.rows]
         for upstream in self._directory.others(listed):
             self._remove_or_keep(upstream, after_outage=after_outage)
-        for unknown in self._unknown_services.keys() - set(listed):
-            self._unknown_services.pop(unknown)
+        for pending in self._pending_entries.keys() - set(listed):
+            self._pending_entries.pop(pending)
         self._apply(read, after_outage=after_outage)
         self.listed = True
 
@@ -257,7 +257,7 @@
             upstream = self._reader.upstream_key(row)
             if row.removed:
                 self._unconfirmed.pop(upstream, None)
-                self._unknown_services.pop(upstream, None)
+                self._pending_entries.pop(upstream, None)
                 self._rejections.settle(upstream)
                 self._remove_or_keep(upstream, after_outage=after_outage)
                 continue
@@ -271,14 +271,14 @@
         """Apply an entry if the configuration names its service."""
         upstream = entry.upstream
         if self._services is None:
-            self._unknown_services[upstream] = entry
+            self._pending_entries[upstream] = entry
         elif entry.service in self._services:
-            self._unknown_services.pop(upstream, None)
+            self._pending_entries.pop(upstream, None)
             self._rejections.settle(upstream)
             self._directory.put(entry)
         else:
             self._reject(upstream, 'service is not in the configuration')
-            self._unknown_services[upstream] = entry
+            self._pending_entries[upstream] = entry
 
     def _is_outdated(self, entry: UpstreamEntry, version: int) -> bool:
         """Return whether an entry is outdated, as far as this host knew.
@@ -307,7 +307,7 @@
 
     def _reject(self, upstream: UpstreamId, reason: str) -> None:
         """Remove a rejected entry from the directory, and log it once."""
-        self._unknown_services.pop(upstream, None)
+        self._pending_entries.pop(upstream, None)
         self._directory.remove(upstream, reason)
         self._rejections.say(upstream, reason)
 
--- a/src/nutmegroad/routes/deployment.py
+++ b/src/nutmegroad/routes/deployment.py
@@ -100,8 +100,8 @@
     Attributes:
         memory: Number of tokens that an engine's cache holds.
         event_tokens: Number of tokens in one event of a stream.
-        fetch_time: Seconds to fetch one token from another engine's cache; None
-            if that is not known.
+        fetch_time: Seconds to fetch one token from another engine's
+            cache; None if that is not known.
     """
 
     memory: int
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -282,18 +282,18 @@
     async def test_each_look_has_its_own_connection(self) -> None:
         """Its result is independent of earlier checks and of timing."""
         first, second = HeldConnection(), HeldConnection()
-        watch = EndWatch(cast(ConnectionPool, HeldPool([first, second])))
+        checker = EndWatch(cast(ConnectionPool, HeldPool([first, second])))
         entry = an_entry('worker')
-        looks = [await watch.look(entry)]
+        results = [await checker.look(entry)]
         first.closed.set()
-        looks.append(await watch.look(entry))
-        self.assertTrue(await looks[0].passed_on_in_vain())
+        results.append(await checker.look(entry))
+        self.assertTrue(await results[0].passed_on_in_vain())
         second.closed.set()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        for look in looks:
-            self.assertIs(look.life, Life.ALIVE)
-            self.assertTrue(await look.passed_on_in_vain())
+        for result in results:
+            self.assertIs(result.life, Life.ALIVE)
+            self.assertTrue(await result.passed_on_in_vain())
 
 
 class BystanderTest(unittest.IsolatedAsyncioTestCase):
