--- a/src/nutmegroad/relay/pools.py
+++ b/src/nutmegroad/relay/pools.py
@@ -100,10 +100,10 @@
         Returns:
             The number of aborted exchanges.
         """
-        lent = self._repeatable.pop(upstream, set())
-        for connection in lent:
+        exchanges = self._repeatable.pop(upstream, set())
+        for connection in exchanges:
             connection.fail('upstream restarted')
-        return len(lent)
+        return len(exchanges)
 
     def give_back(
         self,
@@ -111,9 +111,9 @@
         connection: UpstreamConnection,
     ) -> None:
         """Keep a connection, or close it if it can't be reused."""
-        lent = self._repeatable.get(upstream)
-        if lent is not None:
-            lent.discard(connection)
+        exchanges = self._repeatable.get(upstream)
+        if exchanges is not None:
+            exchanges.discard(connection)
         if connection.reusable:
             connection.idle_since = self._clock.now()
             self._idle[upstream].append(connection)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -284,14 +284,14 @@
         first, second = HeldConnection(), HeldConnection()
         checker = EndWatch(cast(ConnectionPool, HeldPool([first, second])))
         entry = an_entry('worker')
-        results = [await checker.look(entry)]
+        checks = [await checker.look(entry)]
         first.closed.set()
-        results.append(await checker.look(entry))
-        self.assertTrue(await results[0].passed_on_in_vain())
+        checks.append(await checker.look(entry))
+        self.assertTrue(await checks[0].passed_on_in_vain())
         second.closed.set()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        for result in results:
+        for result in checks:
             self.assertIs(result.life, Life.ALIVE)
             self.assertTrue(await result.passed_on_in_vain())
 
