--- a/src/nutmegroad/relay/assembly.py
+++ b/src/nutmegroad/relay/assembly.py
@@ -1,4 +1,4 @@
-"""What the executions of a host share, put together."""
+"""Builds the objects that all executions of a host share."""
 
 import random
 from dataclasses import dataclass
@@ -20,19 +20,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Beneath:
-    """What of a host lies beneath its executions.
+    """Components of a host that its executions are built on.
 
     Attributes:
         directory: All upstreams.
-        rollouts: All roll-outs.
-        told: What hosts tell each other.
+        rollouts: State of all rollouts.
+        received_state: State received from other hosts.
         pool: Connections to upstreams.
-        crash_rows: What is written of requests that end upstreams.
+        crash_rows: Stored rows of harmful requests.
     """
 
     directory: Directory
     rollouts: RolloutState
-    told: Told
+    received_state: Told
     pool: ConnectionPool
     crash_rows: CrashRows
 
@@ -40,49 +40,49 @@
 def assemble(
     settings: HostSettings,
     platform: Platform,
-    beneath: Beneath,
+    components: Beneath,
     clock: Clock,
     randomness: random.Random,
 ) -> RelayParts:
-    """Return what executions share.
+    """Return the objects that executions share.
 
     Args:
-        settings: What the host is told at start.
-        platform: What the adapter brings.
-        beneath: What the parts work on.
+        settings: The host's settings.
+        platform: What the deployment's adapter provides.
+        components: The components to build on.
         clock: The host's clock.
         randomness: Breaks ties between upstreams.
     """
-    told = beneath.told
+    received_state = components.received_state
     selector = Selector(
         clock,
         randomness,
         settings.domain,
-        told.ledger,
-        told.prefixes,
-        told.silence,
+        received_state.ledger,
+        received_state.prefixes,
+        received_state.silence,
     )
-    attempts = Attempts(beneath.pool, platform.names, selector, clock)
-    beneath.directory.ended.tell_of_ends(attempts.ended)
+    attempts = Attempts(components.pool, platform.names, selector, clock)
+    components.directory.ended.tell_of_ends(attempts.ended)
     crashes = CrashWatch(
-        beneath.pool,
-        told.crashes,
-        beneath.crash_rows,
+        components.pool,
+        received_state.crashes,
+        components.crash_rows,
         clock,
         platform.counters,
     )
-    beneath.directory.ended.tell_of_ends(crashes.upstream_ended)
+    components.directory.ended.tell_of_ends(crashes.upstream_ended)
     return RelayParts(
         attempts,
         selector,
-        beneath.directory,
+        components.directory,
         RepeatBudget(clock, settings.repeat_ratio, settings.repeat_window),
         make_gate(
-            beneath.directory,
-            beneath.rollouts,
+            components.directory,
+            components.rollouts,
             clock,
             settings.session_span,
-            told.marks,
+            received_state.marks,
         ),
         clock,
         platform.counters,
--- a/src/nutmegroad/relay/attempts.py
+++ b/src/nutmegroad/relay/attempts.py
@@ -1,7 +1,7 @@
-"""One attempt: a request at one upstream, up to the head of its answer.
+"""One attempt: sends a request to an upstream and awaits the response head.
 
-What comes back is either a head that is proved to be the upstream's own, or
-a failure that says what is known about whether the request ran.
+The result is either a head that is verified as the upstream's own, or a failure
+that says what is known about whether the request was executed.
 """
 
 import asyncio
@@ -34,13 +34,14 @@
 
 _LOG: Final = part_logger('relay')
 
-#: Seconds for a new connection: fifty times the slowest way within a region
-#: of today, and a lost first packet is better tried elsewhere.
+#: Seconds for a new connection: fifty times the slowest network path within a
+#: region at present. If the first packet is lost, another upstream is the
+#: better choice.
 CONNECT_TIMEOUT: Final = 0.3
 
-#: Part of an engine's memory in which it keeps parts that were read; the rest
-#: is for the requests that it runs.
-KEPT_PART: Final = 0.7
+#: Fraction of an engine's memory in which it caches parts of prompts; the rest
+#: is for the requests that it executes.
+CACHE_FRACTION: Final = 0.7
 
 
 class Attempts:
@@ -48,8 +49,8 @@
 
     Args:
         pool: Connections to upstreams.
-        names: What headers are called.
-        selector: Told what goes where.
+        names: The deployment's header names.
+        selector: Receives what is sent to each upstream.
         clock: The host's clock.
     """
 
@@ -66,12 +67,17 @@
         self._clock = clock
 
     def ended(self, upstream: UpstreamIncarnation, end: End) -> None:
-        """Forget what an incarnation held; break off what it can't finish."""
+        """Handle the end of an incarnation.
+
+        Its cached prefixes are forgotten and its idle connections closed. If it
+        has been restarted, its pending exchanges that may be repeated are
+        aborted.
+        """
         self._selector.prefixes.forget(upstream)
         self._pool.forget(upstream)
         if end is End.RESTARTED:
             _LOG.decision(
-                'broken off at a restart',
+                'exchanges aborted after upstream restart',
                 upstream=upstream,
                 exchanges=self._pool.restarted(upstream),
             )
@@ -81,22 +87,22 @@
         request: CallerRequest,
         plan: AttemptPlan,
     ) -> Answering | AttemptFailure:
-        """Send a request to an upstream and wait for the answer's head."""
+        """Send a request to an upstream and wait for the response head."""
         upstream = plan.upstream
         started = self._clock.now()
         async with AsyncExitStack() as stack:
-            read = self._enter(request, plan, stack)
+            mark_read = self._register(request, plan, stack)
             upstream.health.begin()
             outcome = await self._exchange(request, plan, stack)
             if isinstance(outcome, AttemptFailure):
-                self._learn(upstream, outcome)
+                self._record_failure(upstream, outcome)
                 return outcome
-            read()
+            mark_read()
             head, connection = outcome
             self._selector.silence.heard(upstream.entry.domain)
             failure = self._heads.judge(head)
             if failure is not None:
-                self._learn(upstream, failure)
+                self._record_failure(upstream, failure)
                 return failure
             return Answering(
                 plan.choice,
@@ -108,7 +114,7 @@
                 stack.pop_all(),
             )
 
-    def _enter(
+    def _register(
         self,
         request: CallerRequest,
         plan: AttemptPlan,
@@ -117,30 +123,30 @@
         """Count a request at its upstream until the attempt ends.
 
         Returns:
-            What is called when its prompt has been read.
+            A function to call when the upstream has read the prompt.
         """
         upstream = plan.upstream
         name = upstream.entry.incarnation
         ledger = self._selector.ledger
         load = plan.choice.load
-        read = ledger.begin(name, load)
+        mark_read = ledger.begin(name, load)
         if request.generation is not None:
-            self._remember(request, plan, request.generation)
+            self._record_prefixes(request, plan, request.generation)
         stack.callback(ledger.end, name, load)
-        stack.callback(read)
+        stack.callback(mark_read)
         stack.callback(upstream.health.abandon)
-        return read
+        return mark_read
 
-    def _remember(
+    def _record_prefixes(
         self,
         request: CallerRequest,
         plan: AttemptPlan,
         generation: Generation,
     ) -> None:
-        """Note which parts of a prompt an upstream is about to hold."""
+        """Record the parts of the prompt that the upstream will cache."""
         entry = plan.upstream.entry
         facts = request.table.service_of(entry.service).engine
-        memory = 0 if facts is None else int(facts.memory * KEPT_PART)
+        memory = 0 if facts is None else int(facts.memory * CACHE_FRACTION)
         parts = marked(plan.model, generation.parts)
         self._selector.prefixes.sent(entry.incarnation, parts, memory)
 
@@ -150,7 +156,7 @@
         plan: AttemptPlan,
         stack: AsyncExitStack,
     ) -> tuple[ResponseHead, UpstreamConnection] | AttemptFailure:
-        """Send the request on a kept or a new connection."""
+        """Send the request on an idle or a new connection."""
         try:
             connection = await self._connection(request, plan, stack)
         except ConnectionFailedError as problem:
@@ -167,7 +173,7 @@
                 request.body,
                 self._heads.belonging(request),
             )
-            if not await self._answers(answer, plan):
+            if not await self._await_answer(answer, plan):
                 connection.abort()
                 reason = f'no answer within {plan.patience:.2f} s'
                 return AttemptFailure(AttemptEnd.SILENT, Ran.UNKNOWN, reason)
@@ -176,25 +182,25 @@
             ran = Ran.UNKNOWN if problem.sent else Ran.NOT_RUN
             return AttemptFailure(AttemptEnd.BROKEN, ran, str(problem))
 
-    async def _answers(
+    async def _await_answer(
         self,
         answer: asyncio.Future[ResponseHead],
         plan: AttemptPlan,
     ) -> bool:
-        """Wait for an answer; tell whether to go on waiting for it."""
+        """Wait for an answer; return whether to keep waiting for it."""
 
         async def done_within(seconds: float) -> bool | None:
-            """Wait for the answer; return None if it does not come."""
+            """Return True if the answer arrives in time, else None."""
             done, _ = await asyncio.wait((answer,), timeout=seconds)
             return True if done else None
 
-        came = await wait_patiently(
+        arrived = await wait_patiently(
             done_within,
             plan.patience,
             lambda: self._selector.is_cut_off(plan.upstream),
             self._clock,
         )
-        if came:
+        if arrived:
             return True
         plan.upstream.health.silent(self._clock.now())
         return not plan.leave()
@@ -205,7 +211,7 @@
         plan: AttemptPlan,
         stack: AsyncExitStack,
     ) -> UpstreamConnection:
-        """Return a connection that goes back when the attempt ends."""
+        """Return a connection that is released when the attempt ends."""
         upstream = plan.upstream.entry.incarnation
         connection = self._pool.take(
             upstream,
@@ -222,13 +228,15 @@
         stack.callback(self._pool.give_back, upstream, connection)
         return connection
 
-    def _learn(self, upstream: Upstream, failure: AttemptFailure) -> None:
-        """Remember what a failure tells of an upstream."""
+    def _record_failure(
+        self, upstream: Upstream, failure: AttemptFailure
+    ) -> None:
+        """Update an upstream's health by a failed attempt."""
         now = self._clock.now()
         if failure.end in (AttemptEnd.UNREACHABLE, AttemptEnd.MISDIRECTED):
             upstream.health.unreachable(now)
         elif failure.end in (AttemptEnd.REJECTED, AttemptEnd.SILENT):
-            # A silence was noted while it lasted.
+            # The missing answer was recorded when the timeout expired.
             upstream.health.abandon()
         else:
             upstream.health.failed(now)
--- a/src/nutmegroad/relay/crashes.py
+++ b/src/nutmegroad/relay/crashes.py
@@ -1,4 +1,8 @@
-"""Requests that end the upstreams that run them, kept from doing it again."""
+"""Detection of harmful requests: requests that crash their upstreams.
+
+A request under which several upstream processes have terminated is refused,
+apart from one probe execution.
+"""
 
 import asyncio
 from collections import deque
@@ -25,43 +29,44 @@
 
 _LOG: Final = part_logger('crashes')
 
-#: Seconds for which a request waits until it is known whether its upstream has
-#: ended: some round trips. A machine without power does not say so; then the
-#: request goes on, and the end counts when it is known.
-LOOK_WAIT: Final = 0.05
+#: Seconds for which a request waits for the check of its upstream's process:
+#: several round trips. A machine without power does not refuse connections; the
+#: request then proceeds, and the crash counts once it is confirmed.
+CHECK_TIMEOUT: Final = 0.05
 
-#: Seconds within which the list of upstreams shows that one had started again
-#: as its exchanges broke: its supervisor's pause, and a sign of life.
-RESTART_SPAN: Final = 10.0
+#: Seconds within which the list of upstreams shows a restart at the time of a
+#: broken exchange: the pause of the supervisor, and one heartbeat.
+RESTART_WINDOW: Final = 10.0
 
-#: Breaks that are remembered for one upstream at most until then.
-MOST_UNPROVED: Final = 200
+#: Maximum number of unconfirmed broken exchanges that are recorded per upstream
+#: in that time.
+MAX_UNCONFIRMED: Final = 200
 
 
 @dataclass(frozen=True, slots=True)
-class _Break:
-    """An exchange that broke, of which it is not known yet why.
+class _BrokenExchange:
+    """A broken exchange whose cause is not known yet.
 
     Attributes:
-        request: What was under way.
+        request: The request.
         entry: The upstream.
-        under: Its end, if it was one.
+        crash: The crash to record if the upstream's process has terminated.
     """
 
     request: CallerRequest
     entry: UpstreamEntry
-    under: EndUnder
+    crash: EndUnder
 
 
 class CrashWatch:
-    """Notes which requests were under way as upstreams ended.
+    """Records which requests were pending when upstreams terminated.
 
     Args:
         pool: Connections to upstreams.
-        book: What hosts know of such requests.
-        rows: Says which host may try one.
+        book: What all hosts know of such requests.
+        rows: Decides which host may make a probe execution.
         clock: The host's clock.
-        counters: What is counted.
+        counters: The host's metrics.
     """
 
     def __init__(
@@ -72,27 +77,30 @@
         clock: Clock,
         counters: RelayCounters,
     ) -> None:
-        self._ends = EndWatch(pool)
+        self._processes = EndWatch(pool)
         self._book = book
         self._rows = rows
         self._clock = clock
         self._counters = counters
-        self._looks: set[asyncio.Task[None]] = set()
-        self._unproved: dict[UpstreamIncarnation, deque[_Break]] = {}
+        self._checks: set[asyncio.Task[None]] = set()
+        self._unconfirmed: dict[
+            UpstreamIncarnation, deque[_BrokenExchange]
+        ] = {}
 
     def guard(self, request: CallerRequest) -> 'CrashGuard':
-        """Return what keeps one request from upstreams that it may end."""
+        """Return the crash guard of one request."""
         return CrashGuard(self, request)
 
     def harmful(self, request: CallerRequest) -> Harmful | None:
-        """Return why a request is kept from upstreams, or None."""
+        """Return why a request is refused as harmful, or None."""
         return self._book.harmful(request.content)
 
     async def claim(self, request: CallerRequest, harmful: Harmful) -> bool:
-        """Tell whether this host may try a request that is kept out.
+        """Return whether this host may make a probe execution of a request.
 
-        Before it is kept out for long, one host tries it, alone of all that
-        are suspected: it may only have run beside another one each time.
+        Before a request is refused for long, one host executes it without other
+        suspected requests beside it: until then it may only have run beside the
+        harmful one each time.
         """
         if harmful.pause or not await self._rows.claim(request.content):
             return False
@@ -110,100 +118,103 @@
         upstream: Upstream,
         began: float,
     ) -> None:
-        """Look into an exchange that has broken.
+        """Check whether a broken exchange was caused by a crash.
 
         Args:
-            request: What was under way.
-            upstream: Where it was.
+            request: The request.
+            upstream: The upstream.
             began: Clock seconds at which it was sent there.
         """
         mark = mark_upstream(upstream.entry.incarnation)
-        under = EndUnder(mark, began, self._clock.now())
-        broken = _Break(request, upstream.entry, under)
-        looked = asyncio.Event()
-        task = asyncio.create_task(self._look(upstream, broken, looked))
-        self._looks.add(task)
-        task.add_done_callback(self._looks.discard)
+        crash = EndUnder(mark, began, self._clock.now())
+        broken = _BrokenExchange(request, upstream.entry, crash)
+        checked = asyncio.Event()
+        task = asyncio.create_task(
+            self._check_process(upstream, broken, checked)
+        )
+        self._checks.add(task)
+        task.add_done_callback(self._checks.discard)
         with suppress(TimeoutError):
-            async with asyncio.timeout(LOOK_WAIT):
-                await looked.wait()
+            async with asyncio.timeout(CHECK_TIMEOUT):
+                await checked.wait()
 
     def upstream_ended(self, upstream: UpstreamIncarnation, end: End) -> None:
-        """Take in that an upstream has another start.
+        """Count recent broken exchanges of an upstream that has restarted.
 
-        A supervisor may be quicker than the try to connect, and a machine
-        without power refuses nothing.
+        The connection attempt can't show this crash if the supervisor restarts
+        the process before it, or if the upstream's machine has no power and
+        refuses nothing.
         """
         if end is not End.RESTARTED:
             return
-        oldest = self._clock.now() - RESTART_SPAN
-        for broken in self._unproved.pop(upstream, ()):
-            if broken.under.ended >= oldest:
-                self._take(broken)
+        oldest = self._clock.now() - RESTART_WINDOW
+        for broken in self._unconfirmed.pop(upstream, ()):
+            if broken.crash.ended >= oldest:
+                self._record_crash(broken)
 
     def answered(self, request: CallerRequest) -> None:
-        """Take in that an upstream has answered a request whole."""
+        """Clear a suspected request after a complete answer."""
         if request.content not in self._book:
             return
         if self._book.answered(request.content, self._clock.now()):
             _LOG.decision(
-                'cleared by an answer',
+                'harmful request cleared by a complete answer',
                 request=request.request,
                 content=spell_mark(request.content),
             )
 
     def close_with(self, stack: AsyncExitStack) -> None:
-        """End what is being looked into when a stack closes."""
+        """Cancel running checks when a stack closes."""
         stack.callback(self._cancel)
 
     def _cancel(self) -> None:
-        """End what is being looked into."""
-        for task in self._looks:
+        """Cancel running checks."""
+        for task in self._checks:
             task.cancel()
 
-    async def _look(
+    async def _check_process(
         self,
         upstream: Upstream,
-        broken: _Break,
-        looked: asyncio.Event,
+        broken: _BrokenExchange,
+        checked: asyncio.Event,
     ) -> None:
-        """Find out whether the upstream has ended, and take that in.
+        """Check whether an upstream's process has terminated, and record that.
 
         Args:
             upstream: The upstream.
-            broken: The exchange that broke.
-            looked: Set once the request need not wait any longer.
+            broken: The broken exchange.
+            checked: Set once the request need not wait any longer.
         """
-        found = await self._ends.look(upstream.entry)
+        found = await self._processes.look(upstream.entry)
         life = found.life
         if upstream.restarted:
-            # Whoever has answered the try is another start of it.
+            # The connection attempt reached a new incarnation.
             life = Life.ENDED
         self._counters.broke(life.value)
         if life is Life.ENDED:
-            await self._prove(broken)
-            looked.set()
+            await self._confirm(broken)
+            checked.set()
             return
-        self._remember(broken)
-        looked.set()
+        self._record_unconfirmed(broken)
+        checked.set()
         if await found.passed_on_in_vain():
             self._counters.broke(Life.PASSED_ON_IN_VAIN.value)
-            known = self._unproved.get(upstream.entry.incarnation)
+            known = self._unconfirmed.get(upstream.entry.incarnation)
             if known and broken in known:
-                # Not explained by another start meanwhile.
+                # No restart has confirmed it in the meantime.
                 known.remove(broken)
-                await self._prove(broken)
+                await self._confirm(broken)
 
-    async def _prove(self, broken: _Break) -> None:
-        """Take in an end, and make it known if the request is harmful."""
-        self._take(broken)
+    async def _confirm(self, broken: _BrokenExchange) -> None:
+        """Record a confirmed crash; publish it if the request is harmful."""
+        self._record_crash(broken)
         if self._book.harmful(broken.request.content) is not None:
             await self._rows.write()
 
-    def _take(self, broken: _Break) -> None:
-        """Take in that an upstream has ended under a request."""
+    def _record_crash(self, broken: _BrokenExchange) -> None:
+        """Record that an upstream has terminated under a request."""
         request = broken.request
-        self._book.ended(request.content, broken.under)
+        self._book.ended(request.content, broken.crash)
         harmful = self._book.harmful(request.content)
         _LOG.decision(
             'upstream ended under it',
@@ -211,66 +222,68 @@
             content=spell_mark(request.content),
             upstream=broken.entry.upstream,
             version=broken.entry.version,
-            ran=round(broken.under.ended - broken.under.began, 3),
+            ran=round(broken.crash.ended - broken.crash.began, 3),
             ends=0 if harmful is None else harmful.ends,
         )
 
-    def _remember(self, broken: _Break) -> None:
-        """Remember a break that another start may yet explain."""
-        oldest = self._clock.now() - RESTART_SPAN
-        for other, breaks in tuple(self._unproved.items()):
-            if not breaks or breaks[-1].under.ended < oldest:
-                self._unproved.pop(other)
+    def _record_unconfirmed(self, broken: _BrokenExchange) -> None:
+        """Record a broken exchange that a later restart may confirm."""
+        oldest = self._clock.now() - RESTART_WINDOW
+        for other, breaks in tuple(self._unconfirmed.items()):
+            if not breaks or breaks[-1].crash.ended < oldest:
+                self._unconfirmed.pop(other)
         name = broken.entry.incarnation
-        known = self._unproved.setdefault(name, deque(maxlen=MOST_UNPROVED))
+        known = self._unconfirmed.setdefault(
+            name, deque(maxlen=MAX_UNCONFIRMED)
+        )
         known.append(broken)
 
 
 class CrashGuard:
-    """Keeps one request from the upstreams that it may end.
+    """Keeps one request from upstreams that it may crash.
 
     Args:
-        watch: Notes which requests upstreams have ended under.
+        tracker: Records which requests were pending when upstreams terminated.
         request: The request.
     """
 
     @property
     def on_trial(self) -> bool:
-        """Tell whether the request is being tried, and at no upstream yet."""
-        return self._on_trial
+        """Whether a probe execution is due that has reached no upstream yet."""
+        return self._probing
 
-    def __init__(self, watch: CrashWatch, request: CallerRequest) -> None:
-        self._watch = watch
+    def __init__(self, tracker: CrashWatch, request: CallerRequest) -> None:
+        self._tracker = tracker
         self._request = request
-        self._on_trial = False
+        self._probing = False
 
     async def keeps_out(self) -> Harmful | None:
-        """Return why the request may not go to an upstream now, or None.
+        """Return why the request may not be sent to an upstream now, or None.
 
-        A trial lasts until it has reached an upstream: attempts that nobody
-        takes show nothing of the request.
+        A probe execution stays due until it has reached an upstream: attempts
+        that no upstream accepts reveal nothing about the request.
         """
-        if self._on_trial:
+        if self._probing:
             return None
-        harmful = self._watch.harmful(self._request)
+        harmful = self._tracker.harmful(self._request)
         if harmful is None:
             return None
-        self._on_trial = await self._watch.claim(self._request, harmful)
-        return None if self._on_trial else harmful
+        self._probing = await self._tracker.claim(self._request, harmful)
+        return None if self._probing else harmful
 
     def reached(self) -> None:
-        """Take in that an upstream may run the request: a trial has one."""
-        self._on_trial = False
+        """Record that an upstream may execute the request; ends the probe."""
+        self._probing = False
 
     async def broke(self, upstream: Upstream, began: float) -> None:
-        """Take in that an exchange broke while the request may have run.
+        """Handle a broken exchange of a request that may have been executed.
 
         Args:
-            upstream: Where it was.
-            began: Clock seconds at which it was sent there.
+            upstream: The upstream.
+            began: Clock seconds at which the request was sent there.
         """
-        await self._watch.broke(self._request, upstream, began)
+        await self._tracker.broke(self._request, upstream, began)
 
     def answered(self) -> None:
-        """Take in that an upstream has answered whole, if with a failure."""
-        self._watch.answered(self._request)
+        """Record a complete answer of an upstream, even an error response."""
+        self._tracker.answered(self._request)
--- a/src/nutmegroad/relay/execution.py
+++ b/src/nutmegroad/relay/execution.py
@@ -1,7 +1,8 @@
-"""One request on its way: attempt after attempt, until one answers.
+"""One request's attempts, until an upstream answers or the request is refused.
 
-Plain calls and streams share what is here: which upstreams were tried, what
-is known about whether the request ran, and whether it may be sent again.
+Plain calls and streams share this module. It tracks the upstreams that have
+been attempted and whether the request may have been executed, and decides
+whether another attempt may follow.
 """
 
 from dataclasses import replace
@@ -35,17 +36,16 @@
 
 _LOG: Final = part_logger('relay')
 
-#: Upstreams that one request is offered to at most, those that rejected it
-#: included: by then the service as a whole is full.
-MOST_OFFERS: Final = 5
+#: Maximum number of attempts of one request, including those that the upstream
+#: rejected. After that many the service as a whole is full.
+MAX_ATTEMPTS: Final = 5
 
-#: Seconds after which a caller whose request found no free upstream comes
-#: back, if no upstream said: about the time in which a queue of plain calls
-#: turns over.
-COME_BACK: Final = 0.25
+#: Seconds after which a caller should retry if no upstream was free and none
+#: named a time: about the time in which a queue of plain calls turns over.
+DEFAULT_RETRY_AFTER: Final = 0.25
 
 
-#: What became of an attempt whose request ended before it was answered.
+#: Outcome of an attempt whose request ended before a response head arrived.
 _ABANDONED: Final = AttemptFailure(
     AttemptEnd.ABANDONED,
     Ran.UNKNOWN,
@@ -53,12 +53,12 @@
 )
 
 
-#: What a failed attempt says of its upstream's version; others broke off, which
-#: may have another cause.
+#: Evidence of failed attempts on the upstream's version. Failures that are not
+#: listed count as broken, since they may have another cause.
 _OBSERVED: Final = MappingProxyType({AttemptEnd.UNPROVED: Observed.POOR})
 
 
-#: The code of a request whose last attempt failed so.
+#: Result code of a request by the end of its last attempt.
 _CODES: Final = MappingProxyType(
     {
         AttemptEnd.UNREACHABLE: ResultCode.UPSTREAM_UNREACHABLE,
@@ -73,41 +73,41 @@
     """The attempts of one request.
 
     Args:
-        parts: What executions share.
+        context: Objects that executions share.
         request: The request.
-        service: Where it goes.
+        service: The service that it is sent to.
     """
 
     def __init__(
         self,
-        parts: RelayParts,
+        context: RelayParts,
         request: CallerRequest,
         service: ServiceName,
     ) -> None:
         self.request = request
         self.service = service
-        self.outlook = Outlook(parts, request, service)
-        self.guard = parts.crashes.guard(request)
-        self._parts = parts
+        self.outlook = Outlook(context, request, service)
+        self.guard = context.crashes.guard(request)
+        self._parts = context
         self.tried: set[UpstreamIncarnation] = set()
-        self._offers = 0
-        self._runs = 0
-        self._ran = Ran.NOT_RUN
-        parts.budget.requested(service)
+        self._attempt_count = 0
+        self._execution_count = 0
+        self._executed = Ran.NOT_RUN
+        context.budget.requested(service)
 
     @property
     def attempts_left(self) -> int:
-        """Return how many more upstreams may run the request."""
-        return self.request.route.max_attempts - self._runs
+        """Number of further upstreams that may execute the request."""
+        return self.request.route.max_attempts - self._execution_count
 
     @property
     def waited(self) -> float:
-        """Return the seconds since the request arrived."""
+        """Seconds since the request arrived."""
         return self._parts.clock.now() - self.request.arrived
 
     @property
     def left(self) -> float:
-        """Return the seconds until the final answer is due."""
+        """Seconds until the final answer is due."""
         return self.request.deadline - self._parts.clock.now()
 
     async def begin(
@@ -118,8 +118,8 @@
         """Make attempts until one is answered or none may follow.
 
         Args:
-            model: The model to name; None to leave the caller's.
-            last_event: Id of the last event that the caller has.
+            model: The model to request; None to keep the caller's.
+            last_event: Id of the last event that the caller has received.
         """
         while True:
             if self.left <= 0:
@@ -135,14 +135,17 @@
             if isinstance(outcome, Answering):
                 return outcome
             if not self._may_follow(outcome):
-                return _final(outcome, self._offers, self._ran)
+                return _final(outcome, self._attempt_count, self._executed)
 
     def may_repeat(self, purpose: Purpose = Purpose.FAILURE) -> bool:
-        """Tell whether a request that ran may run once more."""
+        """Return whether the request may be executed once more.
+
+        If it may, this takes one repeat from the budget.
+        """
         route = self.request.route
         if not route.repeatable or self.attempts_left < 1:
             return False
-        if self._offers >= MOST_OFFERS or self.left <= 0:
+        if self._attempt_count >= MAX_ATTEMPTS or self.left <= 0:
             return False
         if not self._parts.budget.spend(self.service, purpose):
             return False
@@ -150,7 +153,7 @@
         return True
 
     def refused(self, refusal: Refusal, **fields: object) -> None:
-        """Write down the refusal that ends the request, and count it."""
+        """Log and count the refusal that ends the request."""
         request = self.request
         self._parts.counters.refused(refusal.code)
         _LOG.decision(
@@ -167,19 +170,19 @@
         )
 
     def refuse_cut(self) -> Refusal:
-        """Return the refusal of a request whose answer broke off."""
+        """Return the refusal of a request whose answer was truncated."""
         return Refusal(
             ResultCode.ANSWER_CUT,
-            'The answer broke off, and the request may not run again.',
+            'The answer was truncated, and the request may not be repeated.',
             Ran.RAN,
         )
 
     def refuse_late(self) -> Refusal:
-        """Return the refusal of a request whose time is over."""
+        """Return the refusal of a request whose deadline has passed."""
         return Refusal(
             ResultCode.DEADLINE_PASSED,
-            'The time of the request is over.',
-            self._ran,
+            'The deadline of the request has passed.',
+            self._executed,
         )
 
     async def _attempt(
@@ -188,21 +191,21 @@
         model: ModelName | None,
         last_event: str,
     ) -> Answering | AttemptFailure:
-        """Make one attempt and write down how it began."""
+        """Make one attempt, and log its outcome."""
         upstream = choice.upstream
-        self._offers += 1
+        self._attempt_count += 1
         self.tried.add(upstream.entry.incarnation)
         plan = AttemptPlan(
             choice,
             model,
             last_event,
             patience_for(self.request, choice.expected, self.left),
-            self._may_leave,
+            self._may_abandon,
         )
-        # Until it is known better: a task that is cancelled here leaves a
-        # request behind of which nobody can say whether it ran.
-        known = self._ran
-        self._ran = Ran.UNKNOWN
+        # If the task is cancelled during the attempt, it stays unknown
+        # whether the request was executed.
+        known = self._executed
+        self._executed = Ran.UNKNOWN
         began = self._parts.clock.now()
         self._parts.versions.sent(
             self.request,
@@ -214,27 +217,27 @@
             outcome = await self._parts.attempts.begin(self.request, plan)
         finally:
             if outcome is _ABANDONED:
-                self._note(choice, model, outcome)
+                self._log_attempt(choice, model, outcome)
         if isinstance(outcome, AttemptFailure) and outcome.ran is Ran.NOT_RUN:
-            self._ran = known
+            self._executed = known
         else:
-            self._reached()
-            await self._follow_up(outcome, choice, began)
-        self._note(choice, model, outcome)
+            self._record_execution()
+            await self._handle_execution(outcome, choice, began)
+        self._log_attempt(choice, model, outcome)
         return outcome
 
-    async def _follow_up(
+    async def _handle_execution(
         self,
         outcome: Answering | AttemptFailure,
         choice: Choice,
         began: float,
     ) -> None:
-        """Take in an attempt by which the request may have run.
+        """Handle an attempt by which the request may have been executed.
 
         Args:
-            outcome: What came of it.
-            choice: Where it went.
-            began: Clock seconds at which it began.
+            outcome: The outcome of the attempt.
+            choice: The upstream that was chosen.
+            began: Clock seconds at which the attempt began.
         """
         upstream = choice.upstream
         end_session = partial(
@@ -254,25 +257,25 @@
         if outcome.end is AttemptEnd.BROKEN:
             await self.guard.broke(upstream, began)
 
-    def _reached(self) -> None:
-        """Take in that an upstream may have begun to run the request."""
-        self._runs += 1
+    def _record_execution(self) -> None:
+        """Record that an upstream may have begun to execute the request."""
+        self._execution_count += 1
         self.guard.reached()
 
-    def _note(
+    def _log_attempt(
         self,
         choice: Choice,
         model: ModelName | None,
         outcome: Answering | AttemptFailure,
     ) -> None:
-        """Log an attempt with what decided it."""
+        """Log an attempt with the figures that decided it."""
         entry = choice.upstream.entry
         ended = 'answering'
         detail = ''
         if isinstance(outcome, AttemptFailure):
             ended = outcome.end.value
             detail = outcome.reason
-            if _speaks_of_version(choice, outcome):
+            if _is_version_evidence(choice, outcome):
                 self._parts.versions.observe(
                     self.request,
                     choice.upstream,
@@ -282,7 +285,7 @@
         _LOG.decision(
             'attempt',
             request=self.request.request,
-            number=self._offers,
+            number=self._attempt_count,
             upstream=entry.upstream,
             version=entry.version,
             model=model,
@@ -300,43 +303,43 @@
             detail=detail,
         )
 
-    def _may_leave(self) -> bool:
-        """Tell whether a silent attempt may be left for another one."""
+    def _may_abandon(self) -> bool:
+        """Return whether an unanswered attempt may be abandoned for another."""
         if self.guard.on_trial:
-            # No other attempt may follow it.
+            # No other attempt may follow a probe execution.
             return False
         return self.attempts_left > 1 and self.may_repeat()
 
     def _may_follow(self, failure: AttemptFailure) -> bool:
-        """Tell whether another attempt may follow a failed one."""
-        if self._offers >= MOST_OFFERS or self.left <= 0:
+        """Return whether another attempt may follow a failed one."""
+        if self._attempt_count >= MAX_ATTEMPTS or self.left <= 0:
             return False
         if failure.end is AttemptEnd.UNREACHABLE:
             return True
         if failure.end is AttemptEnd.SILENT:
-            # It was left only because another attempt may follow.
+            # The attempt was abandoned only because another one may follow.
             return True
         if failure.ran is Ran.NOT_RUN:
             return self._parts.budget.spend(self.service, Purpose.FAILURE)
         return self.may_repeat()
 
     def _refuse(self, why: Refusal) -> Refusal:
-        """Return a refusal that says whether the request ran."""
-        return replace(why, ran=self._ran)
+        """Return a refusal with what is known about the request's execution."""
+        return replace(why, ran=self._executed)
 
 
-def _speaks_of_version(choice: Choice, failure: AttemptFailure) -> bool:
-    """Tell whether a failed attempt may be evidence on a version."""
+def _is_version_evidence(choice: Choice, failure: AttemptFailure) -> bool:
+    """Return whether a failed attempt may be evidence on a version."""
     if failure is _ABANDONED or failure.ran is Ran.NOT_RUN:
         return False
     return not choice.upstream.restarted
 
 
-def _final(failure: AttemptFailure, offers: int, ran: Ran) -> Refusal:
-    """Return the refusal that ends a request after a failure."""
+def _final(failure: AttemptFailure, attempts: int, ran: Ran) -> Refusal:
+    """Return the refusal that ends a request after its last attempt."""
     return Refusal(
         _CODES.get(failure.end, ResultCode.UPSTREAM_ERROR),
-        f'After {offers} attempts: {failure.reason}.',
+        f'After {attempts} attempts: {failure.reason}.',
         ran,
-        failure.retry_after or COME_BACK,
+        failure.retry_after or DEFAULT_RETRY_AFTER,
     )
--- a/src/nutmegroad/relay/heads.py
+++ b/src/nutmegroad/relay/heads.py
@@ -1,4 +1,4 @@
-"""Heads of messages: what goes to an upstream, and what its answer proves."""
+"""Request heads for upstreams, and validation of their response heads."""
 
 from typing import Final
 
@@ -11,17 +11,17 @@
 from nutmegroad.routes.requests import MILLISECONDS, CallerRequest
 from nutmegroad.upstreams.ranks import engine_rank
 
-#: HTTP statuses that decide how an attempt ended.
+#: HTTP status codes that decide the outcome of an attempt.
 MISDIRECTED: Final = 421
-FAILURES: Final = 400
+FIRST_ERROR: Final = 400
 SERVER_FAILURES: Final = 500
 
 
 class Heads:
-    """Writes heads for upstreams, and judges those that come back.
+    """Builds request heads, and validates response heads.
 
     Args:
-        names: What headers are called.
+        names: The deployment's header names.
     """
 
     def __init__(self, names: HeaderNames) -> None:
@@ -31,12 +31,18 @@
         self,
         request: CallerRequest,
         plan: AttemptPlan,
-        left: float,
+        time_left: float,
     ) -> RequestHead:
-        """Return the head that goes to the upstream."""
+        """Return the request head for an upstream.
+
+        Args:
+            request: The request.
+            plan: The attempt.
+            time_left: Seconds until the caller stops waiting.
+        """
         names = self._names
         ours = {
-            names.deadline: str(max(1, int(left * MILLISECONDS))),
+            names.deadline: str(max(1, int(time_left * MILLISECONDS))),
             names.expected_upstream: plan.upstream.entry.upstream,
         }
         if request.workspace is not None:
@@ -71,25 +77,25 @@
         return RequestHead(request.method, request.target, kept + added)
 
     def belonging(self, request: CallerRequest) -> BelongsHere:
-        """Return what tells answers to a request from strays."""
+        """Return a function that matches responses with a request."""
         name = self._names.request_id
 
-        def belongs(message: RawResponseMessage) -> bool:
-            """Compare the id that the answer echoes."""
+        def matches(message: RawResponseMessage) -> bool:
+            """Compare the request id that the response echoes."""
             echoed = message.headers.get(name)
             if echoed is None:
-                return message.code >= FAILURES
+                return message.code >= FIRST_ERROR
             return echoed == request.request
 
-        return belongs
+        return matches
 
     def judge(self, head: ResponseHead) -> AttemptFailure | None:
-        """Return why a head is no answer, or None."""
+        """Return why a response head ends the attempt as failed, or None."""
         if head.status == MISDIRECTED:
             return AttemptFailure(
                 AttemptEnd.MISDIRECTED,
                 Ran.NOT_RUN,
-                'another upstream has the address, or other weights',
+                'address belongs to another upstream, or its weights differ',
             )
         if self._names.not_run in head.headers:
             return AttemptFailure(
@@ -100,17 +106,17 @@
             )
         proved = self._names.signature in head.headers
         plain = 'Content-Encoding' not in head.headers
-        if head.status < FAILURES and not (proved and plain):
+        if head.status < FIRST_ERROR and not (proved and plain):
             return AttemptFailure(
                 AttemptEnd.UNPROVED,
                 Ran.UNKNOWN,
-                f'status {head.status} without proof that it is its own',
+                f'status {head.status} without proof of origin',
             )
         return None
 
 
 def _seconds(text: str) -> float:
-    """Return the seconds of a Retry-After header; 0 for a date or none."""
+    """Return the seconds of a Retry-After header; 0 for a date or no text."""
     try:
         return max(0, float(text))
     except ValueError:
--- a/src/nutmegroad/relay/patience.py
+++ b/src/nutmegroad/relay/patience.py
@@ -1,4 +1,4 @@
-"""Waiting for an upstream, as long as there is hope."""
+"""Timeouts for an upstream's response."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final, TypeVar
@@ -6,25 +6,26 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.routes.requests import CallerRequest
 
-_Found = TypeVar('_Found')
+_Result = TypeVar('_Result')
 
-#: Seconds between looks whether the failure domain of an upstream that has not
-#: answered yet has fallen silent: a third of the least time in which it can.
-SILENCE_LOOK: Final = 0.25
+#: Seconds between checks whether the failure domain of an upstream that has not
+#: answered yet has become unresponsive: a third of the shortest time in which
+#: that can be detected.
+REACHABILITY_CHECK_INTERVAL: Final = 0.25
 
-#: Part of what is left of a request's time that an engine may stay silent: it
-#: may have long prompts to read that nobody told us of, and one that is left
-#: costs an attempt which a larger model may need.
-SILENT_PART: Final = 0.4
+#: Fraction of a request's remaining time for which an engine may send nothing.
+#: It may have long prompts to read that this host does not know of, and an
+#: abandoned attempt costs one that a larger model may need.
+REMAINING_TIME_FRACTION: Final = 0.4
 
-#: Times the usual wait that an attempt may stay silent.
-SILENT_TIMES: Final = 4.0
+#: Multiple of the expected time for which an upstream may send nothing.
+EXPECTED_TIME_FACTOR: Final = 4.0
 
-#: Least seconds of silence before another attempt.
-LEAST_SILENCE: Final = 0.3
+#: Minimum seconds without a response before another attempt.
+MIN_TIMEOUT: Final = 0.3
 
-#: The same for an engine: a long prompt alone may take as long.
-LEAST_ENGINE_SILENCE: Final = 1.5
+#: Minimum for an engine, which may take that long for one long prompt.
+MIN_ENGINE_TIMEOUT: Final = 1.5
 
 
 def patience_for(
@@ -32,38 +33,41 @@
     expected: float,
     left: float,
 ) -> float:
-    """Return the seconds from which silence speaks against an upstream.
+    """Return the seconds after which an upstream counts as unresponsive.
 
     Args:
-        request: What was sent there.
-        expected: Seconds until an answer should begin.
+        request: The request that was sent there.
+        expected: Estimated seconds until the answer begins.
         left: Seconds until the final answer is due.
     """
-    usual = expected * SILENT_TIMES
+    scaled = expected * EXPECTED_TIME_FACTOR
     if request.generation is None:
-        return max(LEAST_SILENCE, usual)
-    return max(LEAST_ENGINE_SILENCE, usual, left * SILENT_PART)
+        return max(MIN_TIMEOUT, scaled)
+    return max(MIN_ENGINE_TIMEOUT, scaled, left * REMAINING_TIME_FRACTION)
 
 
 async def wait_patiently(
-    wait: Callable[[float], Awaitable[_Found | None]],
-    patience: float,
-    is_hopeless: Callable[[], bool],
+    wait: Callable[[float], Awaitable[_Result | None]],
+    timeout: float,
+    is_unreachable: Callable[[], bool],
     clock: Clock,
-) -> _Found | None:
-    """Return what comes within some time, or None.
+) -> _Result | None:
+    """Wait for a result, checking regularly whether it can still arrive.
 
     Args:
-        wait: Waits for so many seconds, and returns what has come or None.
-        patience: Seconds to wait in all.
-        is_hopeless: Tells whether to wait no longer.
+        wait: Waits up to a number of seconds; returns the result, or None.
+        timeout: Maximum seconds to wait in all.
+        is_unreachable: Returns whether to stop waiting early.
         clock: The host's clock.
+
+    Returns:
+        The result, or None if there was none in time.
     """
-    latest = clock.now() + patience
+    deadline = clock.now() + timeout
     while True:
-        left = max(0, latest - clock.now())
-        found = await wait(min(left, SILENCE_LOOK))
-        if found is not None:
-            return found
-        if left <= SILENCE_LOOK or is_hopeless():
+        left = max(0, deadline - clock.now())
+        result = await wait(min(left, REACHABILITY_CHECK_INTERVAL))
+        if result is not None:
+            return result
+        if left <= REACHABILITY_CHECK_INTERVAL or is_unreachable():
             return None
--- a/src/nutmegroad/relay/streams.py
+++ b/src/nutmegroad/relay/streams.py
@@ -1,8 +1,8 @@
-"""Answers that are series of events, handed on as they come.
+"""Answers to streaming requests: events are forwarded as they arrive.
 
-Nothing goes to the caller before the first whole event, so until then
-another upstream or a larger model may still be asked. Later a stream that
-broke is resumed after the last event that the caller has.
+Nothing is sent to the caller before the first complete event, so until then
+another upstream or a larger model may still be asked. A stream that breaks
+later is resumed after the last event that the caller has received.
 """
 
 import asyncio
@@ -38,47 +38,48 @@
 _LOG: Final = part_logger('relay')
 
 
-#: Times a route's longest pause after which a silent stream counts as
-#: broken: by then it is late, and a resumption may still please its caller.
-STALLED_TIMES: Final = 2.0
+#: Multiple of a route's maximum event gap after which a stalled stream counts
+#: as broken. It is late by then, and a resumption may still be of use to its
+#: caller.
+STALL_FACTOR: Final = 2.0
 
 
 @unique
-class RunEnd(Enum):
+class StreamEnd(Enum):
     """How one upstream's part of a stream ended."""
 
-    WHOLE = 'whole'
-    CUT = 'cut'
+    COMPLETE = 'whole'
+    TRUNCATED = 'cut'
     FAILED = 'failed'
     STALLED = 'stalled'
-    UNSURE = 'unsure'
+    LOW_CONFIDENCE = 'unsure'
 
 
-#: What an end says of the upstream's version. An unsure model is no fault of
-#: it, and what broke off may have broken for another cause.
+#: Evidence of an end on the upstream's version. A model's low confidence is no
+#: fault of the version, and a broken exchange may have another cause.
 _OBSERVED: Final = MappingProxyType(
     {
-        RunEnd.WHOLE: Observed.SOUND,
-        RunEnd.FAILED: Observed.POOR,
-        RunEnd.CUT: Observed.BROKEN,
-        RunEnd.STALLED: Observed.BROKEN,
+        StreamEnd.COMPLETE: Observed.SOUND,
+        StreamEnd.FAILED: Observed.POOR,
+        StreamEnd.TRUNCATED: Observed.BROKEN,
+        StreamEnd.STALLED: Observed.BROKEN,
     },
 )
 
 
-#: Ends at which an upstream has answered whole, if with a failure of its own.
-_ANSWERED: Final = frozenset((RunEnd.WHOLE, RunEnd.FAILED))
+#: Ends at which an upstream has answered completely, if with an error.
+_ANSWERED: Final = frozenset((StreamEnd.COMPLETE, StreamEnd.FAILED))
 
 
 @dataclass(slots=True)
 class _Progress:
-    """How far a stream has come.
+    """Progress of a stream.
 
     Attributes:
-        model: The model that is asked; None where the caller names it.
-        last_event: Id of the last event that the caller has, or empty.
-        events: Events handed on.
-        failure: The last failure that an upstream reported whole.
+        model: The model to request; None if the caller names it.
+        last_event: Id of the last event that the caller has received, or empty.
+        events: Number of events sent to the caller.
+        failure: The last complete error response of an upstream.
     """
 
     model: ModelName | None
@@ -88,11 +89,11 @@
 
 
 class StreamAnswer:
-    """Answers one request for a stream.
+    """Answers one streaming request.
 
     Args:
         execution: The request's attempts.
-        reply: Its caller.
+        reply: Sends the answer to the caller.
         confidence: Name of the header with a model's confidence.
     """
 
@@ -109,7 +110,7 @@
         self._progress = _Progress(first_model(request), request.last_event)
 
     async def run(self) -> None:
-        """Make attempts until the stream is whole or can't go on."""
+        """Make attempts until the stream is complete or can't be resumed."""
         progress = self._progress
         while True:
             outcome = await self._execution.begin(
@@ -119,24 +120,24 @@
             if isinstance(outcome, Refusal):
                 await self._give_up(outcome)
                 return
-            end = await self._follow(outcome)
-            self._note(outcome, end)
-            if end is RunEnd.WHOLE:
+            end = await self._forward_attempt(outcome)
+            self._log_end(outcome, end)
+            if end is StreamEnd.COMPLETE:
                 await self._reply.finish()
                 return
-            if end in (RunEnd.UNSURE, RunEnd.STALLED):
+            if end in (StreamEnd.LOW_CONFIDENCE, StreamEnd.STALLED):
                 continue
             if not self._execution.may_repeat():
                 await self._give_up(self._execution.refuse_cut())
                 return
 
-    async def _follow(self, answering: Answering) -> RunEnd:
-        """Hand one upstream's events on, and end the attempt."""
+    async def _forward_attempt(self, answering: Answering) -> StreamEnd:
+        """Forward one upstream's events, and end the attempt."""
         try:
-            end = await self._hand_on(answering)
+            end = await self._forward(answering)
         finally:
             await answering.close()
-        if end is RunEnd.CUT:
+        if end is StreamEnd.TRUNCATED:
             await self._execution.guard.broke(
                 answering.upstream, answering.started
             )
@@ -145,61 +146,63 @@
         observed = _OBSERVED.get(end)
         if observed is not None:
             self._execution.outlook.observe(answering, observed)
-        if end is RunEnd.WHOLE:
+        if end is StreamEnd.COMPLETE:
             self._execution.outlook.generated(answering, self._progress.events)
         return end
 
-    async def _hand_on(self, answering: Answering) -> RunEnd:
-        """Hand an answer on as it comes."""
+    async def _forward(self, answering: Answering) -> StreamEnd:
+        """Forward an answer as it arrives."""
         if answering.head.status >= SERVER_FAILURES:
             self._progress.failure = await read_whole(answering)
             whole = self._progress.failure is not None
-            return RunEnd.FAILED if whole else RunEnd.CUT
+            return StreamEnd.FAILED if whole else StreamEnd.TRUNCATED
         if self._escalates(answering):
-            return RunEnd.UNSURE
+            return StreamEnd.LOW_CONFIDENCE
         try:
-            return await self._copy(answering)
+            return await self._forward_events(answering)
         except (ConnectionFailedError, ConnectionError):
-            return RunEnd.CUT
+            return StreamEnd.TRUNCATED
 
-    async def _copy(self, answering: Answering) -> RunEnd:
-        """Copy whole events to the caller until the stream ends."""
+    async def _forward_events(self, answering: Answering) -> StreamEnd:
+        """Forward complete events to the caller until the stream ends."""
         splitter = WholeEvents()
-        pause = self._execution.request.route.longest_pause * STALLED_TIMES
-        patience = patience_for(
+        stall_timeout = (
+            self._execution.request.route.longest_pause * STALL_FACTOR
+        )
+        timeout = patience_for(
             self._execution.request,
             answering.choice.expected,
             self._execution.left,
         )
         while True:
-            chunk = await self._next(answering, patience)
+            chunk = await self._next(answering, timeout)
             if chunk is None:
-                return RunEnd.STALLED
+                return StreamEnd.STALLED
             if not chunk:
                 break
             events = splitter.feed(chunk)
             if events:
                 await self._write(answering, events)
-                patience = pause or patience
+                timeout = stall_timeout or timeout
         if splitter.rest:
             await self._begin(answering)
             await self._reply.write(splitter.rest)
         await self._begin(answering)
-        return RunEnd.WHOLE
+        return StreamEnd.COMPLETE
 
     async def _next(
         self,
         answering: Answering,
-        patience: float,
+        timeout: float,
     ) -> bytes | None:
-        """Return the next bytes; None if the stream is left as too slow.
+        """Return the next bytes; None if the stream is abandoned as stalled.
 
-        It is left only if it may go on at another upstream.
+        It is abandoned only if it may be resumed at another upstream.
         """
         outlook = self._execution.outlook
         chunk = await wait_patiently(
             partial(_read_within, answering),
-            patience,
+            timeout,
             lambda: outlook.is_cut_off(answering.upstream),
             outlook.clock,
         )
@@ -212,7 +215,7 @@
         return None
 
     async def _write(self, answering: Answering, events: list[Event]) -> None:
-        """Write events, the head of the answer before the first."""
+        """Send events, after the response head if it was not sent yet."""
         await self._begin(answering)
         text = b''.join(event.text for event in events)
         await self._reply.write(text)
@@ -221,7 +224,7 @@
         progress.last_event = events[-1].number or progress.last_event
 
     async def _begin(self, answering: Answering) -> None:
-        """Send the head of the answer unless one was sent."""
+        """Send the response head unless it was sent before."""
         if not self._reply.begun:
             head = answering.head
             await self._reply.begin(
@@ -231,7 +234,7 @@
             )
 
     def _escalates(self, answering: Answering) -> bool:
-        """Drop an answer whose model is unsure, if a larger may be asked."""
+        """Return whether to discard an answer and ask a larger model."""
         execution = self._execution
         case = self._escalation_case(answering)
         if self._reply.begun or case is None:
@@ -242,13 +245,13 @@
         ):
             larger = NotEscalated.BUDGET
         if isinstance(larger, NotEscalated):
-            self._note_kept(case, larger)
+            self._log_kept(case, larger)
             return False
         self._progress.model = larger
         return True
 
-    def _note_kept(self, case: EscalationCase, why: NotEscalated) -> None:
-        """Log that the answer of an unsure model is kept."""
+    def _log_kept(self, case: EscalationCase, why: NotEscalated) -> None:
+        """Log that an answer of low confidence is kept."""
         _LOG.decision(
             'not escalated',
             request=self._execution.request.request,
@@ -263,7 +266,7 @@
         )
 
     def _escalation_case(self, answering: Answering) -> EscalationCase | None:
-        """Return what speaks for a larger model; None if nothing does."""
+        """Return the facts for an escalation; None if there is no reason."""
         execution = self._execution
         route = execution.request.route
         text = answering.head.headers.get(self._confidence)
@@ -285,7 +288,7 @@
         )
 
     async def _give_up(self, refusal: Refusal) -> None:
-        """End a stream that can't go on."""
+        """End a stream that can't be resumed."""
         self._execution.refused(refusal, events=self._progress.events)
         failure = self._progress.failure
         if self._reply.begun:
@@ -295,7 +298,7 @@
         else:
             await deliver(self._reply, failure)
 
-    def _note(self, answering: Answering, end: RunEnd) -> None:
+    def _log_end(self, answering: Answering, end: StreamEnd) -> None:
         """Log how one upstream's part ended."""
         _LOG.decision(
             'stream',
@@ -311,7 +314,7 @@
 
 
 async def _read_within(answering: Answering, seconds: float) -> bytes | None:
-    """Return the next bytes, or None if none come in time."""
+    """Return the next bytes, or None if none arrive in time."""
     try:
         async with asyncio.timeout(seconds):
             return await answering.head.body.readany()
