--- a/src/nutmegroad/canary/__init__.py
+++ b/src/nutmegroad/canary/__init__.py
@@ -1,1 +1,1 @@
-"""Canary releases: which version of a service gets which requests."""
+"""Canary releases: which version of a service runs which requests."""
--- a/src/nutmegroad/canary/gate.py
+++ b/src/nutmegroad/canary/gate.py
@@ -1,8 +1,8 @@
-"""Which versions of a service's software may run a request now.
+"""Rollout gate: selects the upstreams that may run a request, by version.
 
-Outside a roll-out a service has one steady version, and an upstream of
-another one gets nothing: it is likely the first of a roll-out of which this
-host has yet to hear.
+Outside a rollout a service has one steady version. An upstream with any other
+version gets no requests: it is probably the first upstream of a rollout whose
+order this host has not received yet.
 """
 
 from collections.abc import Iterable
@@ -34,21 +34,22 @@
 
 _LOG: Final = part_logger('rollouts')
 
-#: Bits of the hash function's values, and how many values there are.
+#: Bits of a hash value, and number of distinct hash values.
 _HASH_BITS: Final = 64
-_HASHES: Final = 1 << _HASH_BITS
+_HASH_VALUES: Final = 1 << _HASH_BITS
 
-#: Part of a roll-out in which no session may be moved to the new version.
-SESSIONS_STAY: Final = 0.5
+#: Fraction of a rollout's duration during which no session may be moved to the
+#: new version.
+SESSION_PIN_FRACTION: Final = 0.5
 
-#: Numbers for kinds of request. A service has a few; where a configuration has
-#: more routes, some share a number, and are judged together.
-KINDS: Final = 8
+#: Number of kinds of request. A service has few routes. Where a configuration
+#: has more, some routes share a number and are judged together.
+KIND_COUNT: Final = 8
 
 
 @unique
 class Observed(Enum):
-    """How an attempt went, as far as it speaks of a version."""
+    """Outcome of an attempt, as evidence on the version that ran it."""
 
     SOUND = 'sound'
     POOR = 'poor'
@@ -56,14 +57,15 @@
 
 
 class RolloutGate:
-    """Says which upstreams may run a request.
+    """Selects the upstreams that may run a request.
 
     Args:
         directory: All upstreams.
-        state: All roll-outs.
-        sessions: On which version sessions are.
-        marks: Sessions that other hosts have seen on the old version.
-        suspicions: Attempts that broke off for a cause not known yet.
+        state: Rollouts and the evidence on them.
+        sessions: Version on which each session last ran at this host.
+        fingerprints: Fingerprints of sessions that other hosts have seen on the
+            old version.
+        suspicions: Interrupted attempts whose cause is not known yet.
     """
 
     def __init__(
@@ -71,16 +73,16 @@
         directory: Directory,
         state: RolloutState,
         sessions: SessionVersions,
-        marks: SessionMarks,
+        fingerprints: SessionMarks,
         suspicions: Suspicions,
     ) -> None:
         self._directory = directory
         self._state = state
         self._sessions = sessions
-        self._marks = marks
+        self._fingerprints = fingerprints
         self._suspicions = suspicions
         self._steady: dict[ServiceName, frozenset[SoftwareVersion]] = {}
-        state.orders.tell_of_orders(self._mark_living)
+        state.orders.tell_of_orders(self._fingerprint_active)
 
     def permitted(
         self,
@@ -91,7 +93,7 @@
         upstreams = self._directory.of_service(service)
         rollout = self._state.orders.rollout(service)
         if rollout is None:
-            return self._of_steady(service, upstreams)
+            return self._steady_upstreams(service, upstreams)
         to = rollout.order.to
         new = tuple(each for each in upstreams if each.entry.version == to)
         old = tuple(each for each in upstreams if each.entry.version != to)
@@ -101,7 +103,7 @@
             return new or old
         if rollout.stage is None:
             return old
-        if self._goes_to_new(request, rollout):
+        if self._is_in_share(request, rollout):
             return new or old
         return old or new
 
@@ -111,16 +113,17 @@
         service: ServiceName,
         version: SoftwareVersion,
     ) -> None:
-        """Remember to which version a request is sent.
+        """Record the version to which a request is sent.
 
-        The next one of its session may come before this one is answered.
+        It is recorded before the answer, because the next request of the
+        session may arrive first.
         """
         session = request.session
         if session is None:
             return
-        if self._trial_of(service, session) is not None:
-            self._note_known(request, service, version)
-        self._remember(service, session, version)
+        if self._covering_rollout(service, session) is not None:
+            self._log_session(request, service, version)
+        self._record_version(service, session, version)
 
     def ended(
         self,
@@ -128,16 +131,17 @@
         service: ServiceName,
         version: SoftwareVersion,
     ) -> None:
-        """Remember that a request that may have run is over.
+        """Record that a request that may have been executed has ended.
 
-        Its session lives on from now; where another request of it has gone to
-        another version meanwhile, that one holds.
+        The lifetime of its session restarts now. If another request of the
+        session has been sent to a different version meanwhile, the session
+        stays on that version.
         """
         session = request.session
         if session is None:
             return
         if self._sessions.version(service, session) in {version, None}:
-            self._remember(service, session, version)
+            self._record_version(service, session, version)
 
     def observe(
         self,
@@ -145,7 +149,11 @@
         upstream: Upstream,
         observed: Observed,
     ) -> None:
-        """Take in how an upstream's version answered a request."""
+        """Count the outcome of an attempt as evidence on its version.
+
+        An interrupted attempt counts only once its upstream has answered
+        something else.
+        """
         entry = upstream.entry
         kind = kind_number(request.route.name)
         if observed is Observed.BROKEN:
@@ -165,12 +173,16 @@
             poor=observed is Observed.POOR,
         )
 
-    def _of_steady(
+    def _steady_upstreams(
         self,
         service: ServiceName,
         upstreams: tuple[Upstream, ...],
     ) -> tuple[Upstream, ...]:
-        """Return the upstreams of the versions that a service has had."""
+        """Return the upstreams of a service's steady versions.
+
+        If no upstream of a steady version is left, the versions of the present
+        upstreams become the steady ones.
+        """
         steady = self._steady.get(service)
         found = tuple(
             each
@@ -184,119 +196,137 @@
             self._steady[service] = _versions(found)
         return found
 
-    def _goes_to_new(self, request: CallerRequest, rollout: Rollout) -> bool:
-        """Tell whether a request belongs to the new version's share."""
+    def _is_in_share(self, request: CallerRequest, rollout: Rollout) -> bool:
+        """Return whether a request is in the new version's traffic share."""
         now = self._state.store_time()
         share = rollout.share(now, self._state.trial)
         session = request.session
         if session is None:
-            return _place(request.request) < share
+            return _hash_fraction(request.request) < share
         to = rollout.order.to
-        present = self._sessions.version(rollout.order.service, session)
-        if present == to:
+        current = self._sessions.version(rollout.order.service, session)
+        if current == to:
             return True
-        if self._stays(rollout):
-            told = self._marks.alive(mark(rollout.order.service, session))
-            if told or present is not None:
+        if self._must_stay(rollout):
+            on_old_version = self._fingerprints.alive(
+                mark(rollout.order.service, session)
+            )
+            if on_old_version or current is not None:
                 return False
-        return _place(session) < share
+        return _hash_fraction(session) < share
 
-    def _remember(
+    def _record_version(
         self,
         service: ServiceName,
         session: SessionName,
         version: SoftwareVersion,
     ) -> None:
-        """Remember that a session is on a version now."""
+        """Record the version on which a session is now."""
         self._sessions.ran(service, session, version)
-        trial = self._trial_of(service, session)
-        if trial is not None and version != trial.order.to:
-            self._marks.saw(mark(service, session))
+        rollout = self._covering_rollout(service, session)
+        if rollout is not None and version != rollout.order.to:
+            self._fingerprints.saw(mark(service, session))
 
-    def _trial_of(
+    def _covering_rollout(
         self,
         service: ServiceName,
         session: SessionName,
     ) -> Rollout | None:
-        """Return the roll-out that might take a session but must not."""
+        """Return the rollout whose canary share covers a session, or None.
+
+        None also if sessions may already be moved.
+        """
         rollout = self._state.orders.rollout(service)
-        if rollout is None or not self._stays(rollout):
+        if rollout is None or not self._must_stay(rollout):
             return None
-        return rollout if self._may_be_moved(session) else None
+        return rollout if self._can_cover(session) else None
 
-    def _note_known(
+    def _log_session(
         self,
         request: CallerRequest,
         service: ServiceName,
         version: SoftwareVersion,
     ) -> None:
-        """Log what was known of a session that a trial might take."""
+        """Log what was known of a session that the canary share covers."""
         session = request.session
         if session is None:
             return
-        marked = self._marks.age(mark(service, session))
+        age = self._fingerprints.age(mark(service, session))
         _LOG.decision(
             'session sent',
             request=request.request,
             session=session,
             version=version,
             before=self._sessions.version(service, session),
-            old_age=None if marked is None else round(marked, 3),
-            marks=len(self._marks),
+            old_age=None if age is None else round(age, 3),
+            marks=len(self._fingerprints),
         )
 
-    def _mark_living(self, order: RolloutOrder) -> None:
-        """Mark the sessions that were alive before an order was heard of."""
+    def _fingerprint_active(self, order: RolloutOrder) -> None:
+        """Fingerprint the sessions that were active before an order arrived."""
         for session, seen in self._sessions.living(order.service):
-            if seen.version != order.to and self._may_be_moved(session):
-                self._marks.saw(mark(order.service, session), seen.moment)
+            if seen.version != order.to and self._can_cover(session):
+                self._fingerprints.saw(
+                    mark(order.service, session), seen.moment
+                )
 
-    def _may_be_moved(self, session: SessionName) -> bool:
-        """Tell whether a trial might take a session; others need no mark."""
-        return _place(session) < self._state.trial + MOST_BEYOND
+    def _can_cover(self, session: SessionName) -> bool:
+        """Return whether a canary share can cover a session.
 
-    def _stays(self, rollout: Rollout) -> bool:
-        """Tell whether sessions may not be moved to the new version."""
+        Other sessions need no fingerprint.
+        """
+        return _hash_fraction(session) < self._state.trial + MOST_BEYOND
+
+    def _must_stay(self, rollout: Rollout) -> bool:
+        """Return whether sessions must not be moved to the new version."""
         if rollout.stage is None:
             return True
         if rollout.stage.ended:
             return False
-        return rollout.elapsed(self._state.store_time()) < SESSIONS_STAY
+        return rollout.elapsed(self._state.store_time()) < SESSION_PIN_FRACTION
 
 
 def make_gate(
     directory: Directory,
     state: RolloutState,
     clock: Clock,
-    span: float,
-    marks: SessionMarks,
+    session_timeout: float,
+    fingerprints: SessionMarks,
 ) -> RolloutGate:
-    """Return a gate that remembers sessions.
+    """Create a gate that remembers sessions.
 
     Args:
         directory: All upstreams.
-        state: All roll-outs.
+        state: Rollouts and the evidence on them.
         clock: The host's clock.
-        span: Seconds after which requests don't belong together any more.
-        marks: Sessions that other hosts have seen on the old version.
+        session_timeout: Seconds after which requests no longer belong to one
+            session.
+        fingerprints: Fingerprints of sessions that other hosts have seen on the
+            old version.
     """
     return RolloutGate(
         directory,
         state,
-        SessionVersions(clock, span),
-        marks,
+        SessionVersions(clock, session_timeout),
+        fingerprints,
         Suspicions(clock),
     )
 
 
 def kind_number(name: str) -> KindNumber:
-    """Return the number of a kind of request, the same on every host."""
-    return KindNumber(xxh3_64_intdigest(name.encode()) % KINDS)
+    """Return the number of a kind of request.
+
+    All hosts compute the same number from a name.
+    """
+    return KindNumber(xxh3_64_intdigest(name.encode()) % KIND_COUNT)
+
 
+def _hash_fraction(name: str) -> float:
+    """Map a name to a number between 0 and 1.
 
-def _place(name: str) -> float:
-    """Return a name's place between 0 and 1, the same on every host."""
-    return xxh3_64_intdigest(name.encode()) / _HASHES
+    All hosts compute the same number from a name.
+    """
+    return xxh3_64_intdigest(name.encode()) / _HASH_VALUES
 
 
 def _versions(upstreams: Iterable[Upstream]) -> frozenset[SoftwareVersion]:
--- a/src/nutmegroad/canary/order_book.py
+++ b/src/nutmegroad/canary/order_book.py
@@ -1,8 +1,8 @@
-"""The orders of roll-outs that a host knows, and how far they have come.
+"""Registry of the rollouts that a host knows: their orders and their progress.
 
-Both are rows of the platform's store, which may come back from a copy: what it
-lacks then is written again by a host, and nothing that was known is begun anew
-or reversed.
+Orders and progress are rows of the platform's store, which may be restored from
+a backup. Rows that the restored store lacks are written again by a host. A
+restore neither starts a known rollout again nor reverses it.
 """
 
 from collections.abc import Callable, Container
@@ -23,87 +23,94 @@
 
 _LOG: Final = part_logger('rollouts')
 
-#: Seconds for which a host leaves it to others to begin an order that stood in
-#: the store as it started: they may know it by another number, and how far it
-#: has come.
+#: Seconds for which a host leaves it to others to start an order that was in
+#: the store when this host started. The others may know the order by another
+#: number, and may know its progress.
 START_PATIENCE: Final = 3.0
 
-#: Seconds for which an order that may be out of a copy, from before the one
-#: that is known, is left aside: the operator writes that one again meanwhile.
+#: Seconds for which an order is set aside that may come from a backup and
+#: precede the known order. The operator writes the known order again meanwhile.
 DOUBTED: Final = 6.0
 
 
 @dataclass(slots=True)
-class _Known:
-    """What is known of a service's last order.
+class _KnownRollout:
+    """Latest known order of a service.
 
     Attributes:
-        rollout: The order, and how far it has come.
-        written: Position at which the order was read last.
-        others_until: Clock seconds until which others are to begin it.
+        rollout: The order and its progress.
+        written: Position at which the order was last read.
+        deferred_until: Host clock, in seconds, until which the start of the
+            order is left to other hosts.
         past: Numbers of the orders before it.
-        adopted: Whether its number is one that others know it by.
-        lacking: Whether the store lacks how far it has come.
+        adopted: Whether its number is an earlier one by which other hosts know
+            it.
+        lacking: Whether the store lacks its progress, or part of it.
     """
 
     rollout: Rollout
     written: int
-    others_until: float
+    deferred_until: float
     past: frozenset[int]
     adopted: bool = False
     lacking: bool = False
 
-    def is_ahead(self, row: RolloutRow) -> bool:
-        """Tell whether more is known than a row says."""
+    def is_ahead_of(self, row: RolloutRow) -> bool:
+        """Return whether this host knows more progress than a row states."""
         known = self.rollout.row
         number = self.rollout.order.number
         if known is None or self.rollout.stage is None:
             return False
-        if not self._is_same(row):
+        if not self._is_of_order(row):
             return row.order < number
         if self.adopted and row.order != number:
-            # Begun by a host that knows the order by where it is now, or a
-            # later order: whoever has adopted its number can't tell.
+            # The row was written by a host that knows the order by its present
+            # position, or belongs to a later order. A host that has adopted
+            # another number cannot tell these cases apart.
             return False
         return is_behind(row, known)
 
-    def join(self, row: RolloutRow, version: int) -> None:
-        """Take in how far the order has come."""
-        if self._is_same(row):
-            self._call(row.order)
+    def apply(self, row: RolloutRow, version: int) -> None:
+        """Apply a row with the progress of the order."""
+        if self._is_of_order(row):
+            self._renumber(row.order)
         self.rollout = Rollout(self.rollout.order, row, version)
         self.lacking = False
 
-    def keep(self, row: RolloutRow | None, version: int) -> None:
-        """Keep what is known, in place of a row of the store's.
+    def retain(self, row: RolloutRow | None, version: int) -> None:
+        """Keep the known progress instead of the store's row.
 
         Args:
-            row: What the store has, if it has one.
-            version: The row's version; 0 for none.
+            row: The store's row; None if there is none.
+            version: Version of the row; 0 for none.
         """
         known = self.rollout.row
-        if row is not None and self._adopts(row) and known is not None:
-            self._call(row.order)
+        if (
+            row is not None
+            and self._has_earlier_number(row)
+            and known is not None
+        ):
+            self._renumber(row.order)
             known = structs.replace(known, order=row.order)
         self.rollout = Rollout(self.rollout.order, known, version)
         self.lacking = True
 
-    def _is_same(self, row: RolloutRow) -> bool:
-        """Tell whether a row is of this order, by whatever number."""
+    def _is_of_order(self, row: RolloutRow) -> bool:
+        """Return whether a row belongs to this order, by any of its numbers."""
         numbers = (self.rollout.order.number, self.written)
-        return row.order in numbers or self._adopts(row)
+        return row.order in numbers or self._has_earlier_number(row)
 
-    def _adopts(self, row: RolloutRow) -> bool:
-        """Tell whether a row knows this order by the number of an earlier era.
+    def _has_earlier_number(self, row: RolloutRow) -> bool:
+        """Return whether a row names this order by a number of an earlier era.
 
-        Hosts that start after the store came back know orders by where they
-        are then.
+        Hosts that start after the store was restored know orders by their
+        positions at that time.
         """
         if row.order in self.past:
             return False
         return is_from_before(self.rollout.order, row)
 
-    def _call(self, number: int) -> None:
+    def _renumber(self, number: int) -> None:
         """Know the order by a number from now on."""
         before = self.rollout.order
         if number != before.number:
@@ -113,16 +120,16 @@
 
 
 class OrderBook:
-    """All roll-outs that a host knows.
+    """All rollouts that a host knows.
 
     Args:
-        now: Returns the host's clock seconds.
-        ended: Told of each service whose roll-out has ended.
+        now: Returns the host's clock in seconds.
+        on_end: Called with each service whose rollout has ended.
     """
 
     @property
     def active(self) -> tuple[Rollout, ...]:
-        """Return the roll-outs that have not ended."""
+        """Rollouts that have not ended."""
         return tuple(
             known.rollout
             for known in self._known.values()
@@ -131,7 +138,7 @@
 
     @property
     def lacking(self) -> tuple[Rollout, ...]:
-        """Return the roll-outs whose rows the store has lost, or partly."""
+        """Rollouts whose progress the store has lost, wholly or in part."""
         return tuple(
             known.rollout for known in self._known.values() if known.lacking
         )
@@ -139,37 +146,38 @@
     def __init__(
         self,
         now: Callable[[], float],
-        ended: Callable[[ServiceName], None],
+        on_end: Callable[[ServiceName], None],
     ) -> None:
         self._now = now
-        self._ended = ended
-        self._known: dict[ServiceName, _Known] = {}
+        self._on_end = on_end
+        self._known: dict[ServiceName, _KnownRollout] = {}
         self._rows: dict[ServiceName, tuple[RolloutRow, int]] = {}
-        # Perhaps out of a copy, from before the order that is known; and the
-        # clock seconds from which they are taken in nevertheless.
+        # Orders that may come from a backup and precede the known order, each
+        # with the host's clock, in seconds, from which it is accepted
+        # nevertheless.
         self._doubtful: dict[ServiceName, tuple[RolloutOrder, float]] = {}
-        self._told_of_orders: list[Callable[[RolloutOrder], None]] = []
+        self._order_listeners: list[Callable[[RolloutOrder], None]] = []
 
     def rollout(self, service: ServiceName) -> Rollout | None:
-        """Return a service's last roll-out, or None."""
+        """Return the latest rollout of a service, or None."""
         known = self._known.get(service)
         return None if known is None else known.rollout
 
-    def tell_of_orders(self, tell: Callable[[RolloutOrder], None]) -> None:
-        """Let somebody hear of each order that is taken in."""
-        self._told_of_orders.append(tell)
+    def tell_of_orders(self, listener: Callable[[RolloutOrder], None]) -> None:
+        """Call a function with each order that is accepted from now on."""
+        self._order_listeners.append(listener)
 
     def take(self, order: RolloutOrder, *, at_start: bool = False) -> None:
-        """Take a row of the operator's in, unless a later order is known.
+        """Apply a row of the operator's unless a later order is known.
 
         Args:
-            order: What it says.
-            at_start: Whether it stood in the store as this host started.
+            order: Content of the row.
+            at_start: Whether the row was in the store when this host started.
         """
         service = order.service
         known = self._known.get(service)
         if known is None:
-            self._begin(order, START_PATIENCE if at_start else 0)
+            self._accept(order, START_PATIENCE if at_start else 0)
             return
         number = known.rollout.order.number
         sighting = sight(known.rollout.order, known.written, order)
@@ -177,14 +185,14 @@
             return
         self._doubtful.pop(service, None)
         if sighting is Sighting.NEW:
-            self._begin(order)
+            self._accept(order)
             return
         if sighting is Sighting.AGAIN:
             known.written = order.number
         else:
             self._doubtful[service] = (order, self._now() + DOUBTED)
         _LOG.decision(
-            'order seen after the store came back',
+            'order seen after a store restore',
             service=service,
             version=order.to,
             number=number,
@@ -193,16 +201,16 @@
         )
 
     def settle(self) -> None:
-        """Take in the doubtful orders that nobody has written over."""
-        for service, (order, patience) in tuple(self._doubtful.items()):
-            if self._now() >= patience:
+        """Accept doubtful orders that nobody has overwritten in time."""
+        for service, (order, accept_at) in tuple(self._doubtful.items()):
+            if self._now() >= accept_at:
                 self._doubtful.pop(service)
-                self._begin(order)
+                self._accept(order)
 
     def leaves_beginning(self, service: ServiceName) -> bool:
-        """Tell whether others are to begin a service's order, for a while."""
+        """Return whether the start of an order is still left to other hosts."""
         known = self._known.get(service)
-        return known is not None and self._now() < known.others_until
+        return known is not None and self._now() < known.deferred_until
 
     def progress(
         self,
@@ -210,14 +218,14 @@
         row: RolloutRow,
         version: int,
     ) -> None:
-        """Take in how far the hosts have come."""
+        """Apply a row with the hosts' progress on an order."""
         self._rows[service] = (row, version)
         known = self._known.get(service)
         if known is None or known.rollout.version >= version:
             return
-        if known.is_ahead(row):
-            known.keep(row, version)
-            _tell_of_loss(known, row.stage)
+        if known.is_ahead_of(row):
+            known.retain(row, version)
+            _log_loss(known, row.stage)
             return
         _LOG.decision(
             'roll-out stage',
@@ -227,17 +235,17 @@
             why=row.why,
             row_version=version,
         )
-        known.join(row, version)
+        known.apply(row, version)
         stage = known.rollout.stage
         if stage is not None and stage.ended:
-            self._ended(service)
+            self._on_end(service)
 
     def listed(self, services: Container[ServiceName], version: int) -> None:
-        """Take in that the table was read whole.
+        """Apply a full snapshot of the table, which may lack rows.
 
         Args:
-            services: Those of which it has a row.
-            version: Version of the table as it was read.
+            services: Services of which the snapshot has a row.
+            version: Version of the snapshot.
         """
         for service, known in self._known.items():
             is_older = version <= known.rollout.version
@@ -245,16 +253,21 @@
                 continue
             if service not in services:
                 self._rows.pop(service, None)
-                known.keep(None, 0)
-                _tell_of_loss(known, '')
+                known.retain(None, 0)
+                _log_loss(known, '')
 
     def restored(self, rollout: Rollout, version: int) -> None:
-        """Take in that a roll-out's row was written again."""
+        """Apply the row of a rollout that was written to the store again."""
         if rollout.row is not None:
             self.progress(rollout.order.service, rollout.row, version)
 
-    def _begin(self, order: RolloutOrder, patience: float = 0) -> None:
-        """Take a new order in; others are to begin it for some seconds."""
+    def _accept(self, order: RolloutOrder, start_delay: float = 0) -> None:
+        """Accept a new order.
+
+        Args:
+            order: The order.
+            start_delay: Seconds for which its start is left to other hosts.
+        """
         service = order.service
         _LOG.decision(
             'roll-out ordered',
@@ -267,24 +280,24 @@
         past: frozenset[int] = frozenset()
         if before is not None:
             past = before.past | {before.rollout.order.number}
-        known = _Known(
+        known = _KnownRollout(
             Rollout(order),
             order.number,
-            self._now() + patience,
+            self._now() + start_delay,
             past,
         )
         self._known[service] = known
         if service in self._rows:
-            known.join(*self._rows[service])
-        for tell in self._told_of_orders:
-            tell(order)
+            known.apply(*self._rows[service])
+        for listener in self._order_listeners:
+            listener(order)
 
 
-def _tell_of_loss(known: _Known, stored: str) -> None:
-    """Say what the store lacks of a roll-out, and which stage it has."""
+def _log_loss(known: _KnownRollout, stored: str) -> None:
+    """Log which stage of a rollout the store has lost, and which it has."""
     rollout = known.rollout
     _LOG.decision(
-        'roll-out stage lost by the store',
+        'roll-out stage missing from the store',
         service=rollout.order.service,
         order=rollout.order.number,
         stage=rollout.stage and rollout.stage.value,
--- a/src/nutmegroad/canary/orders.py
+++ b/src/nutmegroad/canary/orders.py
@@ -1,9 +1,9 @@
-"""Which order of the operator a row names, also after the store came back.
+"""Identifies the operator's orders after the store was restored from a backup.
 
-An order is known by the position of the row in which it was first seen. When
-the store comes back from a copy its rows get other positions, and what was lost
-is written again by the operator, at yet another one: without a look at what an
-order says, a roll-out that has ended would begin anew.
+The number of an order is the position of the row in which it was first seen.
+When the store is restored from a backup, its rows get other positions. The
+operator writes lost orders again, at yet other positions. If the contents of
+orders were not compared, a rollout that has ended would start again.
 """
 
 from enum import Enum, unique
@@ -14,25 +14,25 @@
 
 @unique
 class Sighting(Enum):
-    """What a row of the operator's is to a host that knows an order."""
+    """How a row of the operator's relates to the order that a host knows."""
 
     #: Nothing new.
     KNOWN = 'known'
-    #: The order that is known, at a position of a later era.
+    #: The known order, at a position of a later era.
     AGAIN = 'again'
-    #: A later order, or one from before the known order, out of the copy.
+    #: A later order, or one before the known order, out of the backup.
     DOUBTFUL = 'doubtful'
     #: A later order.
     NEW = 'new'
 
 
 def sight(known: RolloutOrder, written: int, seen: RolloutOrder) -> Sighting:
-    """Return what a row is to a host that knows an order of the same service.
+    """Compare a row with the order that a host knows of the same service.
 
     Args:
-        known: The order that it knows.
-        written: The last position at which that was read.
-        seen: What the row says, with the row's position for a number.
+        known: The known order.
+        written: Position at which the known order was last read.
+        seen: Content of the row, with the row's position as its number.
     """
     if seen.number <= written:
         return Sighting.KNOWN
@@ -40,21 +40,21 @@
         return Sighting.NEW
     if says_the_same(seen, known.to, known.duration):
         return Sighting.AGAIN
-    # A copy ends before what it lacks.
+    # The rows that a backup lacks come after its end.
     if version_of(seen.number) < version_of(written):
         return Sighting.DOUBTFUL
     return Sighting.NEW
 
 
 def says_the_same(order: RolloutOrder, to: str, duration: float) -> bool:
-    """Tell whether an order asks for the same."""
+    """Return whether an order asks for a version and a duration."""
     return (order.to, order.duration) == (to, duration)
 
 
 def is_from_before(order: RolloutOrder, row: RolloutRow) -> bool:
-    """Tell whether a row is of the same order, by a number of an earlier era.
+    """Return whether a row names an order by a number of an earlier era.
 
-    For a host that has started after the store came back.
+    This serves hosts that have started after the store was restored.
     """
     if era_of(row.order) >= era_of(order.number):
         return False
@@ -62,17 +62,18 @@
 
 
 def is_behind(row: RolloutRow, known: RolloutRow) -> bool:
-    """Tell whether a row of an order is behind one that was known before.
+    """Return whether a row of an order shows less progress than a known row.
 
-    An end stays: of two that contradict each other the first one holds, since
-    the operator has acted on it. Where both are as far, the lower number stays,
-    with what is known under it.
+    The end of a rollout is final. Of two ends that contradict each other the
+    first one holds, because the operator has acted on it. Of two rows with
+    equal progress the one with the lower order number holds, together with what
+    is known under that number.
     """
-    return _progress(row) < _progress(known)
+    return _progress_key(row) < _progress_key(known)
 
 
-def _progress(row: RolloutRow) -> tuple[int, float, bool, int]:
-    """Return how far a row is, to be compared."""
+def _progress_key(row: RolloutRow) -> tuple[int, float, bool, int]:
+    """Return the progress of a row as a value to be compared."""
     stage = Stage(row.stage)
     if stage.ended:
         return 2, -row.since, False, -row.order
--- a/src/nutmegroad/canary/rollouts.py
+++ b/src/nutmegroad/canary/rollouts.py
@@ -1,9 +1,9 @@
-"""Roll-outs: a new version gets a part of the traffic, or all, or none.
+"""Rollouts of a service's software: orders, stages and traffic shares.
 
-The operator orders one; the hosts carry it out together through rows of the
-platform's store. Nobody leads: each step is one conditional write that any
-host may make, and the first wins. What follows from the rows (who gets the
-new version now) each host works out by itself, alike.
+The operator orders a rollout. The hosts carry it out together through rows of
+the platform's store. No host leads: each step is one conditional write that any
+host may make, and the first write wins. Each host computes the traffic share of
+the new version from these rows, and all get the same result.
 """
 
 from dataclasses import dataclass
@@ -15,55 +15,58 @@
 from nutmegroad.foundations.types import ServiceName
 from nutmegroad.upstreams.directory import SoftwareVersion
 
-#: Share of the trial against the operator's bound on exposure. The bound is on
-#: the requests of the whole duration, of which the trial is two thirds at most:
-#: so a bad version gets three quarters of it, and the rest is for requests that
-#: hosts count unlike.
+#: Ratio of the canary share to the operator's exposure bound. The bound covers
+#: the requests of the whole duration, of which the canary stage takes at most
+#: two thirds. A bad version therefore gets three quarters of the bound. The
+#: rest allows for requests that hosts count differently.
 TRIAL_PART: Final = 1.1
 
-#: Part of the requests that operators allow besides that share which a trial
-#: uses; they let a service of few requests show something in time. The rest is
-#: for hosts that misjudge how many requests there are.
-BESIDES_PART: Final = 0.5
+#: Fraction of the exposure slack that a canary stage uses. The slack is the
+#: number of requests that operators allow beyond the exposure bound, so that a
+#: service with few requests reaches a verdict in time. The rest allows for
+#: hosts that misjudge the number of requests.
+SLACK_FRACTION: Final = 0.5
 
-#: Greatest share that this may add, and the least that is worth a write.
+#: Maximum share that the slack may add, and the minimum that is worth a write.
 MOST_BEYOND: Final = 0.15
-LEAST_BEYOND: Final = 0.01
+MIN_EXTRA_SHARE: Final = 0.01
 
-#: Seconds after the beginning of a roll-out from which it is known how many
-#: requests there are: the answers of two seconds, and one in which they are
-#: told.
+#: Seconds after the start of a rollout from which the request rate is known:
+#: two seconds of answers, and one second for hosts to exchange their counts.
 MEASURED: Final = 3.0
 
-#: Seconds between the beginning of a roll-out and its trial: by then all hosts
-#: know of it, and have told each other which sessions are on the old version.
+#: Seconds between the start of a rollout and its first canary requests. By then
+#: all hosts know of the rollout, and have exchanged which sessions are on the
+#: old version.
 LEAD: Final = 2.0
 
-#: Part of the duration after which the new version may get more than the
-#: trial's share. Sessions are not moved in the first half.
+#: Fraction of the duration after which the new version may get more than the
+#: canary share. Sessions are not moved in the first half.
 OPEN_AT: Final = 0.52
 
-#: Part of the duration after which that can't be begun any more in time.
+#: Fraction of the duration after which it is too late to begin the full
+#: rollout.
 LAST_OPEN: Final = 0.78
 
-#: Part of the duration in which the share then grows to the whole; less where
-#: the rest of the time is shorter.
+#: Fraction of the duration in which the share then grows to 1; less if less
+#: time is left.
 RAMP: Final = 0.14
 
-#: Part of the duration after which the old version is given up, if the new one
-#: is shown to be good, and after which the new one is, if it is not. What is
-#: left covers a write that has to be made again.
+#: Fractions of the duration after which the rollout ends. After the first it
+#: succeeds if the new version is shown to be good. After the second it is
+#: rolled back if the new version is not. The remaining time covers a write that
+#: has to be repeated.
 CLOSE_AT: Final = 0.88
 GIVE_UP_AT: Final = 0.92
 
-#: Part of the duration for which the whole traffic is on the new version at
-#: least before the old one is given up.
+#: Minimum fraction of the duration for which the new version gets all traffic
+#: before the old one is given up.
 SETTLED: Final = 0.01
 
 
 @unique
 class Stage(Enum):
-    """How far a roll-out has come."""
+    """Stage of a rollout."""
 
     TRIAL = 'trial'
     OPEN = 'open'
@@ -72,18 +75,18 @@
 
     @property
     def ended(self) -> bool:
-        """Tell whether nothing more happens."""
+        """Whether the rollout has ended."""
         return self in (Stage.SUCCEEDED, Stage.ROLLED_BACK)
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutOrder:
-    """What the operator has ordered.
+    """Order of the operator to roll out a version.
 
     Attributes:
-        service: Whose software changes.
+        service: Service whose software changes.
         to: The new version.
-        duration: Seconds within which it should be done.
+        duration: Seconds within which the rollout should be complete.
         number: Position at which the order's row was first seen; a later order
             has a higher one.
     """
@@ -95,18 +98,19 @@
 
 
 class RolloutRow(Struct, frozen=True):
-    """How far the hosts have come with an order; a row of the store.
+    """Progress of the hosts on an order; a row of the store.
 
     Attributes:
         order: Number of the order.
         stage: Value of a ``Stage``.
-        started: Seconds on the store's clock at which it began.
-        opened: Seconds on the store's clock at which the trial ended.
-        why: What decided the last step.
-        beyond: What its trial gets beyond the share of all trials.
+        started: Store clock, in seconds, at which the rollout started.
+        opened: Store clock, in seconds, at which the canary stage ended and the
+            full rollout began.
+        why: Reason for the last step.
+        beyond: Share that the canary stage gets beyond the common canary share.
         to: The version that is ordered.
-        duration: Seconds within which it should be done.
-        since: Seconds on the store's clock at which it came to this stage.
+        duration: Seconds within which the rollout should be complete.
+        since: Store clock, in seconds, at which the rollout entered this stage.
     """
 
     order: int
@@ -122,11 +126,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Rollout:
-    """An order and how far it has come.
+    """An order and its progress.
 
     Attributes:
         order: The order.
-        row: The row of it; None if no host has begun.
+        row: Row with its progress; None if no host has started it.
         version: Version of that row; 0 for none.
     """
 
@@ -136,47 +140,51 @@
 
     @property
     def stage(self) -> Stage | None:
-        """Return how far it has come, or None if it has not begun."""
+        """Present stage; None if the rollout has not started."""
         if self.row is None or self.row.order != self.order.number:
             return None
         return Stage(self.row.stage)
 
     def elapsed(self, store_time: float) -> float:
-        """Return the part of its duration that is over."""
+        """Return the elapsed fraction of the duration.
+
+        Args:
+            store_time: Store clock in seconds.
+        """
         if self.row is None:
             return 0
         return (store_time - self.row.started) / self.order.duration
 
-    def share(self, store_time: float, trial: float) -> float:
-        """Return the part of the traffic that the new version gets.
+    def share(self, store_time: float, canary_share: float) -> float:
+        """Return the traffic share of the new version.
 
         Args:
-            store_time: Seconds on the store's clock.
-            trial: Share of the trial.
+            store_time: Store clock in seconds.
+            canary_share: Common traffic share of canary stages.
         """
         stage, row = self.stage, self.row
         if stage is Stage.SUCCEEDED:
             return 1
         if row is None or stage not in {Stage.TRIAL, Stage.OPEN}:
             return 0
-        trial += row.beyond
+        canary_share += row.beyond
         if stage is Stage.TRIAL:
-            return trial if store_time >= row.started + LEAD else 0
+            return canary_share if store_time >= row.started + LEAD else 0
         duration = self.order.duration
         opened = (row.opened - row.started) / duration
         ramp = min(RAMP, max(SETTLED, CLOSE_AT - SETTLED - opened))
         grown = (store_time - row.opened) / (duration * ramp)
-        return min(1.0, trial + (1 - trial) * max(0, grown))
+        return min(1.0, canary_share + (1 - canary_share) * max(0, grown))
 
 
-def beyond_share(besides: float, rate: float, seconds: float) -> float:
-    """Return what a trial may get beyond its share.
+def beyond_share(slack: float, rate: float, seconds: float) -> float:
+    """Return the share that a canary stage gets beyond the common share.
 
     Args:
-        besides: Requests that operators allow besides the share.
-        rate: Requests a second to the service.
-        seconds: Seconds that are left of the trial.
+        slack: Requests that operators allow beyond the exposure bound.
+        rate: Requests per second to the service.
+        seconds: Seconds that are left of the canary stage.
     """
     requests = max(rate * seconds, 1)
-    share = min(MOST_BEYOND, besides * BESIDES_PART / requests)
-    return share if share >= LEAST_BEYOND else 0
+    share = min(MOST_BEYOND, slack * SLACK_FRACTION / requests)
+    return share if share >= MIN_EXTRA_SHARE else 0
--- a/src/nutmegroad/canary/sessions.py
+++ b/src/nutmegroad/canary/sessions.py
@@ -1,4 +1,4 @@
-"""Which side of a roll-out each session is on, as far as a host has seen."""
+"""Records the version on which each session last ran at this host."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -10,17 +10,17 @@
 from nutmegroad.routes.requests import SessionName
 from nutmegroad.upstreams.directory import SoftwareVersion
 
-#: Sessions that are remembered at most; at some 200 bytes each, 4 MB.
-MOST: Final = 20_000
+#: Maximum number of remembered sessions: 4 MB at some 200 bytes each.
+MAX_SESSIONS: Final = 20_000
 
 
 @dataclass(frozen=True, slots=True)
 class LastRun:
-    """Where a session ran last.
+    """Latest run of a session.
 
     Attributes:
-        version: On which version.
-        moment: Clock seconds.
+        version: Version on which it ran.
+        moment: Host clock in seconds.
     """
 
     version: SoftwareVersion
@@ -28,16 +28,17 @@
 
 
 class SessionVersions:
-    """Remembers on which version a session ran last.
+    """Remembers the version on which each session last ran.
 
     Args:
         clock: The host's clock.
-        span: Seconds after which requests don't belong together any more.
+        session_timeout: Seconds after which requests no longer belong to one
+            session.
     """
 
-    def __init__(self, clock: Clock, span: float) -> None:
+    def __init__(self, clock: Clock, session_timeout: float) -> None:
         self._clock = clock
-        self._span = span
+        self._session_timeout = session_timeout
         self._seen: OrderedDict[tuple[ServiceName, SessionName], LastRun] = (
             OrderedDict()
         )
@@ -47,7 +48,7 @@
         service: ServiceName,
         session: SessionName,
     ) -> SoftwareVersion | None:
-        """Return the version that a living session is on, or None."""
+        """Return the version of an active session, or None."""
         last = self.last(service, session)
         return None if last is None else last.version
 
@@ -56,9 +57,12 @@
         service: ServiceName,
         session: SessionName,
     ) -> LastRun | None:
-        """Return where a living session ran last, or None."""
+        """Return the latest run of an active session, or None."""
         seen = self._seen.get((service, session))
-        if seen is None or self._clock.now() - seen.moment > self._span:
+        if (
+            seen is None
+            or self._clock.now() - seen.moment > self._session_timeout
+        ):
             return None
         return seen
 
@@ -66,8 +70,8 @@
         self,
         service: ServiceName,
     ) -> Iterator[tuple[SessionName, LastRun]]:
-        """Yield the living sessions of a service, the last used first."""
-        oldest = self._clock.now() - self._span
+        """Yield the active sessions of a service, the latest one first."""
+        oldest = self._clock.now() - self._session_timeout
         for (used, session), seen in reversed(self._seen.items()):
             if seen.moment < oldest:
                 return
@@ -80,9 +84,9 @@
         session: SessionName,
         version: SoftwareVersion,
     ) -> None:
-        """Remember that a session ran on a version just now."""
+        """Record that a session has just run on a version."""
         key = (service, session)
         self._seen[key] = LastRun(version, self._clock.now())
         self._seen.move_to_end(key)
-        while len(self._seen) > MOST:
+        while len(self._seen) > MAX_SESSIONS:
             self._seen.popitem(last=False)
--- a/src/nutmegroad/canary/state.py
+++ b/src/nutmegroad/canary/state.py
@@ -1,6 +1,7 @@
-"""What hosts have seen of roll-outs, and what follows from it.
+"""Evidence on rollouts from all hosts, and the verdicts that follow from it.
 
-They tell each other. A host halts a version on its own sum, store or not.
+Hosts exchange their counts. A host halts a version on the sum that it knows,
+whether the store is available or not.
 """
 
 from collections.abc import Callable
@@ -20,15 +21,15 @@
 
 
 @dataclass(slots=True)
-class _Weighed:
-    """What an order's answers have shown up to now.
+class _Assessment:
+    """Assessment of an order's answers so far.
 
     Attributes:
         order: Number of the order.
-        judgement: What weighs them.
-        seen: What the book had counted when they were weighed last, and how
-            many hosts there were.
-        verdict: What they showed then.
+        judgement: Tests of the answers.
+        seen: Change count of the evidence and number of hosts at the last
+            assessment.
+        verdict: Verdict of the last assessment.
     """
 
     order: int
@@ -38,37 +39,38 @@
 
 
 class RolloutState:
-    """All roll-outs that a host knows, and the evidence on them.
+    """All rollouts that a host knows, and the evidence on them.
 
     Args:
         host: This host.
-        trial: Share of the traffic that a new version gets on trial.
-        store_time: Returns the present seconds of the store's clock.
-        book: What all hosts have seen.
-        hosts: Returns how many hosts the fleet has, this one included.
-        besides: Requests that operators allow a bad version besides its share.
-        orders: The orders, and how far they have come.
+        canary_share: Traffic share of a new version in the canary stage.
+        store_time: Returns the store's clock in seconds.
+        evidence: Counts of all hosts.
+        host_count: Returns the number of hosts, including this one.
+        exposure_slack: Requests that operators allow a bad version beyond its
+            share.
+        orders: The orders and their progress.
     """
 
     def __init__(
         self,
         host: HostId,
-        trial: float,
+        canary_share: float,
         store_time: Callable[[], float],
-        book: EvidenceBook,
-        hosts: Callable[[], int],
-        besides: float = 0,
+        evidence: EvidenceBook,
+        host_count: Callable[[], int],
+        exposure_slack: float = 0,
         *,
         orders: OrderBook,
     ) -> None:
         self.host = host
-        self.trial = trial
+        self.trial = canary_share
         self.store_time = store_time
         self.orders = orders
-        self.besides = besides
-        self._hosts = hosts
-        self._book = book
-        self._weighed: dict[ServiceName, _Weighed] = {}
+        self.besides = exposure_slack
+        self._host_count = host_count
+        self._evidence = evidence
+        self._assessments: dict[ServiceName, _Assessment] = {}
         self._halted: set[int] = set()
 
     def told(
@@ -77,8 +79,8 @@
         host: HostId,
         evidence: Evidence,
     ) -> None:
-        """Take in what a host has seen, this one at an earlier start too."""
-        self._book.told(service, host, evidence)
+        """Merge the counts of a host; it may be this one before a restart."""
+        self._evidence.told(service, host, evidence)
 
     def observe(
         self,
@@ -88,43 +90,43 @@
         *,
         poor: bool,
     ) -> None:
-        """Count an answer, if a roll-out of its service is under way."""
+        """Count an answer if a rollout of its service is in progress."""
         rollout = self.orders.rollout(service)
         if rollout is None or rollout.stage is None or rollout.stage.ended:
             return
         of_new = version == rollout.order.to
         number = rollout.order.number
-        self._book.count(service, number, kind, of_new=of_new, poor=poor)
+        self._evidence.count(service, number, kind, of_new=of_new, poor=poor)
 
     def own(self, rollout: Rollout) -> Evidence:
-        """Return what this host has seen of a roll-out."""
-        return self._book.own(rollout.order.service, rollout.order.number)
+        """Return what this host has counted of a rollout."""
+        return self._evidence.own(rollout.order.service, rollout.order.number)
 
     def verdict(self, rollout: Rollout) -> Verdict:
-        """Return what all answers show, as far as this host knows of them."""
-        return self._weigh(rollout).verdict
+        """Return the verdict on all answers that this host knows of."""
+        return self._assess(rollout).verdict
 
     def reason(self, rollout: Rollout) -> str:
-        """Return one line on what the verdict rests on."""
-        return self._weigh(rollout).judgement.reason()
+        """Return one line with the figures behind the verdict."""
+        return self._assess(rollout).judgement.reason()
 
     def halted(self, rollout: Rollout) -> bool:
-        """Tell whether this host sends the new version nothing any more."""
+        """Return whether this host sends the new version no more requests."""
         if rollout.stage is Stage.ROLLED_BACK:
             return True
         if rollout.stage is Stage.SUCCEEDED:
             return False
         if rollout.order.number in self._halted:
             return True
-        return self._reconsider(rollout)
+        return self._halt_if_bad(rollout)
 
     def answers(self, rollout: Rollout) -> int:
-        """Return how many answers all hosts have had, about."""
-        whole = self._weigh(rollout).judgement.whole
-        return whole.count * self._views(rollout)
+        """Return the approximate number of answers at all hosts."""
+        whole = self._assess(rollout).judgement.whole
+        return whole.count * self._group_count(rollout)
 
-    def _reconsider(self, rollout: Rollout) -> bool:
-        """Halt a roll-out if its answers show that the version is bad."""
+    def _halt_if_bad(self, rollout: Rollout) -> bool:
+        """Halt a rollout if its answers show that the version is bad."""
         if self.verdict(rollout) is not Verdict.BAD:
             return False
         self._halted.add(rollout.order.number)
@@ -136,38 +138,40 @@
         )
         return True
 
-    def _weigh(self, rollout: Rollout) -> _Weighed:
-        """Weigh what has come in since the last time.
+    def _assess(self, rollout: Rollout) -> _Assessment:
+        """Assess the evidence that has arrived since the last assessment.
 
-        Each request asks for it, so nothing is done where nothing is new.
+        Each request calls this method, so it does nothing if nothing is new.
         """
         service, number = rollout.order.service, rollout.order.number
-        weighed = self._weighed.get(service)
-        if weighed is None or weighed.order != number:
-            weighed = _Weighed(number, Judgement())
-            self._weighed[service] = weighed
-        seen = (self._book.changes, self._hosts())
-        if weighed.seen != seen:
-            weighed.seen = seen
-            weighed.judgement.take(self._book.sums(service, number))
-            weighed.verdict = weighed.judgement.verdict(self._views(rollout))
-        return weighed
-
-    def _views(self, rollout: Rollout) -> int:
+        assessment = self._assessments.get(service)
+        if assessment is None or assessment.order != number:
+            assessment = _Assessment(number, Judgement())
+            self._assessments[service] = assessment
+        seen = (self._evidence.changes, self._host_count())
+        if assessment.seen != seen:
+            assessment.seen = seen
+            assessment.judgement.take(self._evidence.sums(service, number))
+            assessment.verdict = assessment.judgement.verdict(
+                self._group_count(rollout)
+            )
+        return assessment
+
+    def _group_count(self, rollout: Rollout) -> int:
         """Return how many groups of hosts judge by answers of their own.
 
-        A host of a large fleet hears of a part of it in time, and any host
-        may make a step.
+        A host of a large fleet receives only a part of the answers in time, and
+        any host may make a step.
         """
         order = rollout.order
-        heard = self._book.tellers(order.service, order.number)
-        return max(1, round(self._hosts() / max(1, heard)))
+        reporting = self._evidence.tellers(order.service, order.number)
+        return max(1, round(self._host_count() / max(1, reporting)))
 
 
 def trial_share(exposure: float) -> float:
-    """Return the share of requests that a new version gets on trial.
+    """Return the traffic share of a new version in the canary stage.
 
     Args:
-        exposure: The share that the operator allows a bad version.
+        exposure: Share of the requests that the operator allows a bad version.
     """
     return exposure * TRIAL_PART
--- a/src/nutmegroad/canary/steps.py
+++ b/src/nutmegroad/canary/steps.py
@@ -1,4 +1,4 @@
-"""The steps of a roll-out that hosts write into the platform's store."""
+"""Steps of a rollout that hosts write to the platform's store."""
 
 from collections.abc import Callable, Iterator
 from typing import Final, Protocol
@@ -39,42 +39,45 @@
 STEP_KEY: Final = 'rollout/'
 EVIDENCE_KEY: Final = 'evidence/'
 
-#: What hosts take turns in, to write again what the store has lost.
-RESTORE: Final = 'rollouts/restore'
+#: Name of the task of writing lost rows again, by which hosts are ranked.
+RESTORE_TASK: Final = 'rollouts/restore'
 
-#: Roll-outs written again in one transaction: with the operator's rows, and a
-#: condition each, below the hundred entries that the platform takes.
-MOST_RESTORED: Final = 30
+#: Maximum number of rollouts restored in one transaction. With the operator's
+#: rows and a condition each, they stay below the hundred entries that the
+#: platform accepts.
+MAX_RESTORED: Final = 30
 
-#: Seconds between looks at what is to be done.
-LOOK: Final = 0.25
+#: Seconds between checks for due steps.
+STEP_INTERVAL: Final = 0.25
 
-#: Seconds by which the second host waits behind the first with a step that any
-#: of them may make, so that mostly the first one's write is the only one; those
-#: behind it wait for ever less more, so that many lost ones cost little.
-SPREAD: Final = 0.8
+#: Seconds by which the second host delays a step that any host may make, so
+#: that usually the first host's write is the only one. The delay grows ever
+#: less from host to host, so that many lost hosts cost little time.
+RANK_DELAY: Final = 0.8
 
-#: Poor answers from which a host writes down what it has seen: hosts tell each
-#: other as well, so a row only serves those that can't hear it.
-FEWEST_WRITTEN: Final = 2
+#: Poor answers from which a host writes its counts to the store. Hosts send
+#: each other their counts as well, so the row only serves hosts that those
+#: messages do not reach.
+MIN_POOR_WRITTEN: Final = 2
 
 
 class StatusWriter(Protocol):
-    """Says how the operator is told of a roll-out."""
+    """Creates the rows that report rollouts to the operator."""
 
     def status(self, order: RolloutOrder, stage: Stage) -> RowPut:
-        """Return the row that tells the operator."""
+        """Return the row that reports a stage to the operator."""
 
 
 class RolloutSteps:
-    """Makes the steps that are due, and tells what this host has seen.
+    """Makes due steps, and writes the counts of this host to the store.
 
     Args:
-        state: All roll-outs.
+        state: Rollouts and the evidence on them.
         store: The platform's store.
-        status: Says how the operator is told.
+        status: Creates the rows that report rollouts to the operator.
         clock: The host's clock.
-        turn: Returns this host's place among all for something one has to do.
+        rank: Returns this host's rank among all hosts for a task that one of
+            them has to do; 0 for the first.
     """
 
     def __init__(
@@ -83,32 +86,32 @@
         store: Store,
         status: StatusWriter,
         clock: Clock,
-        turn: Callable[[str], int],
+        rank: Callable[[str], int],
     ) -> None:
         self._state = state
         self._store = store
         self._status = status
         self._clock = clock
-        self._turn = turn
+        self._rank = rank
         self._written: dict[ServiceName, Evidence] = {}
 
     async def run(self) -> None:
-        """Make steps as they fall due until cancelled."""
+        """Make due steps until cancelled."""
         while True:
-            await self._clock.sleep(LOOK)
+            await self._clock.sleep(STEP_INTERVAL)
             self._state.orders.settle()
             await self._restore()
             for rollout in self._state.orders.active:
-                await self._tell(rollout)
-                step = self._due(rollout)
+                await self._write_evidence(rollout)
+                step = self._due_step(rollout)
                 if step is not None:
-                    await self._make(rollout, step)
+                    await self._write_step(rollout, step)
 
-    def _due(self, rollout: Rollout) -> RolloutRow | None:
-        """Return the step that is due, or None."""
+    def _due_step(self, rollout: Rollout) -> RolloutRow | None:
+        """Return the row of the step that is due, or None."""
         now = self._state.store_time()
         if rollout.stage is None:
-            return self._begun(rollout.order, now)
+            return self._first_row(rollout.order, now)
         row = rollout.row
         if row is None:
             return None
@@ -118,7 +121,7 @@
             verdict = Verdict.BAD
         stage = next_stage(rollout.stage, verdict, elapsed)
         if stage is None:
-            return self._widened(rollout, row, now)
+            return self._row_with_extra_share(rollout, row, now)
         opened = now if stage is Stage.OPEN else row.opened
         why = f'{verdict.value}: {self._state.reason(rollout)}'
         return structs.replace(
@@ -129,8 +132,8 @@
             since=now,
         )
 
-    def _begun(self, order: RolloutOrder, now: float) -> RolloutRow | None:
-        """Return the row that begins an order, if this host may."""
+    def _first_row(self, order: RolloutOrder, now: float) -> RolloutRow | None:
+        """Return the first row of an order, or None if it is left to others."""
         if self._state.orders.leaves_beginning(order.service):
             return None
         return RolloutRow(
@@ -142,13 +145,16 @@
             since=now,
         )
 
-    def _widened(
+    def _row_with_extra_share(
         self,
         rollout: Rollout,
         row: RolloutRow,
         now: float,
     ) -> RolloutRow | None:
-        """Return a trial's row with a share fit for few requests, or None."""
+        """Return the row of a canary stage with an additional share, or None.
+
+        The additional share is for services with few requests.
+        """
         passed = now - row.started
         if rollout.stage is not Stage.TRIAL or row.beyond or passed < MEASURED:
             return None
@@ -160,18 +166,20 @@
         why = f'few requests: {rate:.1f} a second'
         return structs.replace(row, why=why, beyond=beyond)
 
-    async def _make(self, rollout: Rollout, step: RolloutRow) -> None:
-        """Write a step down, unless another host is first."""
+    async def _write_step(self, rollout: Rollout, step: RolloutRow) -> None:
+        """Write a step to the store unless another host has been first."""
         service = rollout.order.service
-        await self._wait_for_turn(f'{service}/{step.order}/{step.stage}')
-        present = self._state.orders.rollout(service)
-        if present != rollout:
+        await self._wait_for_rank(f'{service}/{step.order}/{step.stage}')
+        current = self._state.orders.rollout(service)
+        if current != rollout:
             return
         puts = [_step_row(service, step)]
         stage = Stage(step.stage)
         if stage is not rollout.stage and stage is not Stage.OPEN:
             puts.append(self._status.status(rollout.order, stage))
-        outcome = await self._store.commit((_unchanged(rollout),), tuple(puts))
+        outcome = await self._store.commit(
+            (_expect_unchanged(rollout),), tuple(puts)
+        )
         if isinstance(outcome, Committed):
             self._state.orders.progress(service, step, outcome.version)
             return
@@ -186,23 +194,24 @@
         )
 
     async def _restore(self) -> None:
-        """Write again what the store has lost as it came back from a copy.
+        """Write the rows again that the store lost in a restore from a backup.
 
-        All in one transaction, by one host in turn.
+        The hosts wait by rank, and the first one writes all rows in one
+        transaction.
         """
         lacking = self._state.orders.lacking
         if not lacking:
             return
-        await self._wait_for_turn(RESTORE)
-        lacking = self._state.orders.lacking[:MOST_RESTORED]
+        await self._wait_for_rank(RESTORE_TASK)
+        lacking = self._state.orders.lacking[:MAX_RESTORED]
         if not lacking:
             return
         outcome = await self._store.commit(
-            tuple(_unchanged(rollout) for rollout in lacking),
+            tuple(_expect_unchanged(rollout) for rollout in lacking),
             tuple(row for each in lacking for row in self._rows_of(each)),
         )
         _LOG.decision(
-            'roll-outs written again',
+            'roll-outs restored to the store',
             services=[rollout.order.service for rollout in lacking],
             done=isinstance(outcome, Committed),
             why=outcome.reason if isinstance(outcome, Refusal) else '',
@@ -213,24 +222,24 @@
             self._state.orders.restored(rollout, outcome.version)
 
     def _rows_of(self, rollout: Rollout) -> Iterator[RowPut]:
-        """Return the rows of a roll-out that has come to a stage."""
+        """Return the rows of a rollout that has reached a stage."""
         if rollout.row is None or rollout.stage is None:
             return
         yield _step_row(rollout.order.service, rollout.row)
         yield self._status.status(rollout.order, rollout.stage)
 
-    async def _wait_for_turn(self, name: str) -> None:
-        """Wait behind the hosts that are to do something before this one."""
-        delay = delay_of_turn(self._turn(name), SPREAD)
+    async def _wait_for_rank(self, name: str) -> None:
+        """Wait behind the hosts that rank before this one for a task."""
+        delay = delay_of_turn(self._rank(name), RANK_DELAY)
         await self._clock.sleep(delay)
 
-    async def _tell(self, rollout: Rollout) -> None:
-        """Write down what this host has seen, if it is news."""
+    async def _write_evidence(self, rollout: Rollout) -> None:
+        """Write this host's counts to the store if they have grown enough."""
         if rollout.stage is None:
             return
         own = self._state.own(rollout)
         service = rollout.order.service
-        if not _is_news(self._written.get(service), own):
+        if not _has_grown(self._written.get(service), own):
             return
         key = f'{EVIDENCE_KEY}{service}/{self._state.host}'
         put = RowPut(FLEET_TABLE, key, msgspec.json.encode(own))
@@ -244,12 +253,12 @@
     verdict: Verdict,
     elapsed: float,
 ) -> Stage | None:
-    """Return the stage that a roll-out should enter now, or None.
+    """Return the stage that a rollout should enter now, or None.
 
     Args:
-        stage: Where it is.
-        verdict: What its answers show.
-        elapsed: Part of its duration that is over.
+        stage: Its present stage.
+        verdict: Verdict on its answers.
+        elapsed: Elapsed fraction of its duration.
     """
     if verdict is Verdict.BAD:
         return Stage.ROLLED_BACK
@@ -264,25 +273,25 @@
 
 
 def _step_key(service: ServiceName) -> str:
-    """Return the key of the row that says how far a roll-out is."""
+    """Return the key of the row with a rollout's progress."""
     return f'{STEP_KEY}{service}'
 
 
 def _step_row(service: ServiceName, step: RolloutRow) -> RowPut:
-    """Return that row."""
+    """Return the row with a rollout's progress."""
     content = msgspec.json.encode(step)
     return RowPut(FLEET_TABLE, _step_key(service), content)
 
 
-def _unchanged(rollout: Rollout) -> RowExpected:
-    """Return the condition that nobody has written that row since."""
+def _expect_unchanged(rollout: Rollout) -> RowExpected:
+    """Return the condition that a rollout's row was not written since."""
     key = _step_key(rollout.order.service)
     return RowExpected(FLEET_TABLE, key, rollout.version)
 
 
-def _is_news(written: Evidence | None, own: Evidence) -> bool:
-    """Tell whether poor answers are twice as many as were written down."""
+def _has_grown(written: Evidence | None, own: Evidence) -> bool:
+    """Return whether poor answers have doubled since the last write."""
     known = 0
     if written is not None and written.order == own.order:
         known = written.whole.new_poor
-    return own.whole.new_poor >= max(FEWEST_WRITTEN, 2 * known)
+    return own.whole.new_poor >= max(MIN_POOR_WRITTEN, 2 * known)
--- a/src/nutmegroad/canary/suspicions.py
+++ b/src/nutmegroad/canary/suspicions.py
@@ -1,8 +1,9 @@
-"""Attempts that broke off, of which it is not known yet what broke them.
+"""Interrupted attempts whose cause is not known yet.
 
-A crash, a cut or a lost machine break attempts on any version. An upstream
-that answers again a moment later was there all the while, so what broke at it
-speaks against its version; one that does not says nothing about it.
+A crash, a network cut or a lost host interrupts attempts on any version. If the
+upstream answers again shortly after, it was running all the while, and the
+interruption counts against its version. If it does not, the interruption says
+nothing about the version.
 """
 
 from collections import deque
@@ -12,19 +13,19 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import UpstreamIncarnation
 
-#: Seconds within which an upstream that was there all the while has answered
-#: something else: it gets a request or two a second at the least.
+#: Seconds within which an upstream that was running all the while has answered
+#: another request: it gets at least one or two requests per second.
 SPAN: Final = 3.0
 
-#: Attempts that are remembered for one upstream at most.
+#: Maximum number of attempts remembered for one upstream.
 MOST: Final = 30
 
-#: When attempts broke off, in clock seconds, and what kind they were.
-_Broken = deque[tuple[float, KindNumber]]
+#: Host clock, in seconds, of each interruption, and the kind of request.
+_Interruptions = deque[tuple[float, KindNumber]]
 
 
 class Suspicions:
-    """Remembers attempts that broke off, by upstream.
+    """Remembers interrupted attempts by upstream.
 
     Args:
         clock: The host's clock.
@@ -32,26 +33,31 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._broken: dict[UpstreamIncarnation, _Broken] = {}
+        self._interrupted: dict[UpstreamIncarnation, _Interruptions] = {}
 
     def broke(self, upstream: UpstreamIncarnation, kind: KindNumber) -> None:
-        """Note that an attempt broke off."""
-        self._forget_old()
-        known = self._broken.setdefault(upstream, deque(maxlen=MOST))
+        """Record that an attempt was interrupted."""
+        self._remove_expired()
+        known = self._interrupted.setdefault(upstream, deque(maxlen=MOST))
         known.append((self._clock.now(), kind))
 
     def answered(
         self,
         upstream: UpstreamIncarnation,
     ) -> tuple[KindNumber, ...]:
-        """Return the kinds of what broke at an upstream that has answered."""
+        """Return the kinds of request interrupted at an upstream that answered.
+
+        The upstream's interruptions are removed.
+        """
         oldest = self._clock.now() - SPAN
-        broken = self._broken.pop(upstream, ())
-        return tuple(kind for moment, kind in broken if moment >= oldest)
+        interrupted = self._interrupted.pop(upstream, ())
+        return tuple(
+            kind for timestamp, kind in interrupted if timestamp >= oldest
+        )
 
-    def _forget_old(self) -> None:
-        """Forget upstreams that have not answered in time."""
+    def _remove_expired(self) -> None:
+        """Remove upstreams that have not answered in time."""
         oldest = self._clock.now() - SPAN
-        for upstream, broken in tuple(self._broken.items()):
-            if broken[-1][0] < oldest:
-                self._broken.pop(upstream)
+        for upstream, interrupted in tuple(self._interrupted.items()):
+            if interrupted[-1][0] < oldest:
+                self._interrupted.pop(upstream)
--- a/tests/test_moved_sessions.py
+++ b/tests/test_moved_sessions.py
@@ -1,11 +1,12 @@
-"""No living session is moved to a new version, at nine and at 200 hosts.
-
-Callers of a large deployment saw four requests run on another version than the
-one before them in their session, on a calm day with a good roll-out. Sessions
-come to any host. The one that moved a session had not heard from the one that
-had served it seconds before in another failure domain: nearly all hosts of
-other domains counted as silent, and were told next to nothing. Where sessions
-were many, the older marks were told to nobody.
+"""A rollout moves no active session to a new version, at 9 and at 200 hosts.
+
+The failure: on a calm day with a good rollout, four requests of a large
+deployment ran on another version than the previous request of their session.
+The requests of a session go to any host. The host that moved a session had
+received nothing from the host of another failure domain that had served it
+seconds before. Nearly all hosts of other domains counted as unresponsive and
+were sent next to nothing, and where sessions were many, the older fingerprints
+were sent to nobody.
 """
 
 import asyncio
@@ -36,20 +37,21 @@
 
 NEW: Final = SoftwareVersion('v2')
 
-#: Seconds of the day: the order, the row that begins its trial, and how long a
-#: host may be behind with each.
+#: Times of the simulation in seconds: the order, the row that starts its canary
+#: stage, and the maximum delay with which a host receives each.
 ORDERED: Final = 6.0
 BEGUN: Final = 6.3
 BEHIND: Final = 0.3
 
-#: Seconds that the roll-out may take; sessions stay for the first half.
+#: Duration of the rollout in seconds; sessions stay for the first half.
 DURATION: Final = 16.0
 
-#: Requests a second to the whole fleet, and sessions that they belong to.
+#: Requests per second to all hosts together, and the sessions to which they
+#: belong.
 RATE: Final = 270.0
 SESSIONS: Final = 1600
 
-#: Share of the sessions that the trial takes.
+#: Fraction of the sessions that the canary stage covers.
 TRIAL: Final = 0.25
 
 #: Status, headers and body.
@@ -58,12 +60,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """Where a request of a session ran.
+    """Run of one request of a session.
 
     Attributes:
-        version: On which version.
-        host: By which host.
-        moment: When.
+        version: Version on which it ran.
+        host: Host that served it.
+        moment: Virtual time in seconds.
     """
 
     version: SoftwareVersion
@@ -72,7 +74,7 @@
 
 
 class Day:
-    """Sessions that come to all hosts while a roll-out is ordered.
+    """Sessions whose requests go to all hosts while a rollout is ordered.
 
     Args:
         fleet: The hosts.
@@ -83,11 +85,11 @@
         self._gates = {each.name: self._gate(each) for each in fleet.members}
         self._ran: dict[str, Run] = {}
         self._numbers = itertools.count()
-        #: Pairs of runs of a session, on the old and on the new version.
+        #: Pairs of consecutive runs of a session on different versions.
         self.moved: list[tuple[Run, Run]] = []
 
     async def run(self) -> None:
-        """Let requests come until sessions may be moved."""
+        """Send requests until sessions may be moved."""
         fleet = self._fleet
         steps = asyncio.gather(*map(self._carry_out, fleet.members))
         weights = [1 / (1 + rank) ** 0.3 for rank in range(SESSIONS)]
@@ -106,7 +108,7 @@
         await steps
 
     def _gate(self, member: Member) -> RolloutGate:
-        """Return what decides at a host where sessions go."""
+        """Create the rollout gate of a host."""
         clock = self._fleet.clock
         directory = Directory(clock)
         directory.put(an_entry('old'))
@@ -126,13 +128,13 @@
             member.told.marks,
             Suspicions(clock),
         )
-        # The version that is there before the order.
+        # The steady version is the one present before the order.
         gate.permitted(a_request('first'), ENGINES)
         directory.put(an_entry('new', NEW))
         return gate
 
     async def _carry_out(self, member: Member) -> None:
-        """Let a host hear of the order, and of its trial."""
+        """Apply the order and the start of its canary stage at a host."""
         clock, randomness = self._fleet.clock, self._fleet.randomness
         orders = self._gates[member.name]._state.orders
         late = randomness.uniform(0, BEHIND)
@@ -143,7 +145,7 @@
         orders.progress(ENGINES, row, 11)
 
     def _ask(self, session: str, member: Member) -> None:
-        """Let a request of a session come to a host."""
+        """Send a request of a session to a host."""
         request = a_request(f'r{next(self._numbers)}', session=session)
         gate = self._gates[member.name]
         version = gate.permitted(request, ENGINES)[0].entry.version
@@ -158,10 +160,10 @@
 
 
 class MovedSessionsTest(unittest.TestCase):
-    """Sessions stay where they are."""
+    """Sessions stay on their version."""
 
     def test_living_sessions_stay_at_any_size(self) -> None:
-        """Guards: a host moves a session that another one has just served."""
+        """A host must not move a session that another host has just served."""
         for (hosts, domains), seed in itertools.product(SIZES, range(3)):
             moved = play(hosts, domains, seed)
             with self.subTest(hosts=hosts, seed=seed):
@@ -169,20 +171,20 @@
 
 
 class SessionLifeTest(unittest.IsolatedAsyncioTestCase):
-    """From when to when a request speaks for its session."""
+    """Start and end of the time for which a request keeps a session active."""
 
     async def asyncSetUp(self) -> None:
-        """Start a host and a worker that answers when it is let."""
+        """Start a host, and a worker whose answers wait for an event."""
         self.rig = await self.enterAsyncContext(Rig())
         await self.rig.start()
         self.clock = BootClock()
         self.let_go = asyncio.Event()
 
     def answer(self, *pieces: bytes) -> None:
-        """Let the worker wait before the last piece of its answer."""
+        """Make the worker wait before the last piece of its answer."""
 
         def make(seen: Seen) -> Script:
-            """Answer a request."""
+            """Return the answer to a request."""
             length = str(sum(map(len, pieces)))
             begin = head('200 OK', signed(seen, **{'Content-Length': length}))
             written = (begin + pieces[0], *pieces[1:])
@@ -198,12 +200,12 @@
         )
 
     def seen(self) -> LastRun | None:
-        """Return where and when the host has seen the session last."""
+        """Return the latest run of the session that the host has recorded."""
         gate = cast(RolloutGate, self.rig.host._parts.versions)
         return gate._sessions.last(ServiceName('desk'), SessionName('s'))
 
     async def test_it_begins_when_a_request_is_sent(self) -> None:
-        """Guards: the next request comes before the first is answered."""
+        """The next request may arrive before the first one is answered."""
         self.answer(b'fine')
         asked = self.ask()
         await self.rig.until(lambda: self.rig.seen('r1'))
@@ -214,7 +216,7 @@
         self.assertEqual(seen.version, 'v1')
 
     async def test_it_lasts_from_the_end_of_an_answer(self) -> None:
-        """Guards: a span that began with a long answer is over too soon."""
+        """A session must not time out during a long answer."""
         self.answer(b'first', b'last')
         asked = self.ask()
         await self.rig.until(lambda: self.rig.seen('r1'))
@@ -228,7 +230,7 @@
 
 
 def _tell(moved: list[tuple[Run, Run]]) -> Iterator[str]:
-    """Return a line for each session that was moved."""
+    """Yield a line for each session that was moved."""
     for before, run in moved:
         yield (
             f'{before.version} at {before.host}, '
@@ -238,7 +240,7 @@
 
 
 def play(hosts: int, domains: int, seed: int) -> list[tuple[Run, Run]]:
-    """Play a day, and return which sessions were moved."""
+    """Simulate a rollout, and return the sessions that were moved."""
     loop = VirtualLoop()
 
     async def run() -> list[tuple[Run, Run]]:
--- a/tests/test_relay_rollouts.py
+++ b/tests/test_relay_rollouts.py
@@ -1,4 +1,4 @@
-"""Who gets a new version, and when it counts as bad."""
+"""Traffic share of a new version during a rollout, and when it is halted."""
 
 import itertools
 import unittest
@@ -32,13 +32,13 @@
 
 
 class RolloutTest(unittest.TestCase):
-    """Who gets a new version."""
+    """Requests that a new version gets."""
 
-    #: Versions of the roll-out's row.
+    #: Versions of the rollout's row.
     numbers = itertools.count(11)
 
     def setUp(self) -> None:
-        """Make a service with an old and a new upstream."""
+        """Create a service with an old and a new upstream."""
         self.clock = ManualClock(start=100)
         self.directory = Directory(self.clock)
         self.directory.put(an_entry('old'))
@@ -70,7 +70,7 @@
         return [each.entry.version for each in found]
 
     def order(self) -> None:
-        """Order a roll-out and begin it."""
+        """Order a rollout."""
         order = RolloutOrder(ENGINES, SoftwareVersion('v2'), 20, 7)
         self.state.orders.take(order)
 
@@ -80,16 +80,16 @@
         self.state.orders.progress(ENGINES, row, next(self.numbers))
 
     def share(self) -> float:
-        """Return the share of requests that the new version gets."""
+        """Return the measured traffic share of the new version."""
         new = sum(self.versions(f'q{n}') == ['v2'] for n in range(1000))
         return new / 1000
 
     def test_version_that_nobody_ordered_gets_nothing(self) -> None:
-        """Pattern: a new worker registers before its order is heard of."""
+        """A new upstream registers before the host has received its order."""
         self.assertEqual(self.versions('r'), ['v1'])
 
     def test_share_follows_the_stage(self) -> None:
-        """Nothing before the trial, then a tenth, then all, or none."""
+        """No share before the canary stage, then a tenth, then all or none."""
         self.order()
         self.assertEqual(self.share(), 0)
         self.enter(Stage.TRIAL)
@@ -100,7 +100,7 @@
         self.assertEqual(self.share(), 0)
 
     def test_living_session_is_not_moved_in_the_first_half(self) -> None:
-        """Pattern: a session of before the order goes on through it."""
+        """A session that was active before the order stays on its version."""
         self.order()
         self.enter(Stage.TRIAL)
         name = next(
@@ -110,10 +110,10 @@
         self.assertEqual(self.versions('r', name), ['v1'])
 
     def test_session_that_another_host_has_seen_is_not_moved(self) -> None:
-        """Pattern: a session comes to one host, then to another.
+        """A session's requests go to one host, then to another.
 
-        Seen as lsf quiet-1 --seed 566875859236 (PINNED 4): most sessions
-        come to several hosts.
+        Most sessions use several hosts. Seen as lsf quiet-1 --seed 566875859236
+        (PINNED 4).
         """
         self.order()
         other = SessionMarks(self.clock, 6)
@@ -137,10 +137,11 @@
         )
 
     def test_session_of_before_the_order_is_not_moved_elsewhere(self) -> None:
-        """Pattern: a session is alive when a roll-out is ordered.
+        """A session is active when a rollout is ordered.
 
-        Seen as lsf-grown quiet-1 --seed 664896862532 (PINNED 4): all four had
-        run at another host in the second before the order, which told nobody.
+        Seen as lsf-grown quiet-1 --seed 664896862532 (PINNED 4): all four
+        sessions had run at another host in the second before the order, and
+        that host sent no fingerprints of them.
         """
         names = [f's{n}' for n in range(200)]
         book = a_book()
@@ -170,13 +171,13 @@
         self.enter(Stage.TRIAL)
         moved = [n for n in names if self.versions('r', n) == ['v2']]
         self.assertEqual(moved, [])
-        # They live no longer for having been told.
+        # A fingerprint that was sent does not extend the life of its session.
         self.clock._now += 5.5
         moved = [n for n in names if self.versions('r', n) == ['v2']]
         self.assertNotEqual(moved, [])
 
     def test_trial_begins_when_all_hosts_know_of_it(self) -> None:
-        """Pattern: one host hears of the trial a second before another."""
+        """One host receives the start of the canary stage late."""
         self.order()
         row = RolloutRow(7, Stage.TRIAL.value, 100)
         self.state.orders.progress(ENGINES, row, 11)
@@ -185,14 +186,14 @@
         self.assertGreater(self.share(), 0)
 
     def test_session_on_the_new_version_stays_there(self) -> None:
-        """Pattern: a retry on the old version would be a step back."""
+        """A session must not return to the old version after it has moved."""
         self.order()
         self.enter(Stage.TRIAL)
         self.sessions.ran(ENGINES, SessionName('x'), SoftwareVersion('v2'))
         self.assertEqual(self.versions('r', 'x'), ['v2'])
 
     def test_host_halts_before_any_verdict(self) -> None:
-        """Pattern: the store is down while a bad version fails."""
+        """A bad version fails while the store is unavailable."""
         self.order()
         self.enter(Stage.TRIAL)
         for _ in range(6):
@@ -200,7 +201,7 @@
         self.assertEqual(self.share(), 0)
 
     def test_what_broke_counts_once_its_upstream_answers(self) -> None:
-        """Pattern: a cut breaks attempts on both versions, at one moment."""
+        """A network cut interrupts attempts on both versions at one time."""
         self.order()
         self.enter(Stage.TRIAL)
         new = next(
@@ -216,13 +217,13 @@
         self.assertEqual(self.share(), 0)
 
     def test_kinds_have_the_same_number_on_every_host(self) -> None:
-        """Hosts add counts of the same kind."""
+        """Hosts add up counts by kind, so they must agree on the numbers."""
         self.assertEqual(kind_number('a'), kind_number('a'))
         numbers = {kind_number(f'route-{number}') for number in range(200)}
         self.assertEqual(len(numbers), 8)
 
     def test_halts_on_what_others_have_seen(self) -> None:
-        """Pattern: each host sees two failures, all together enough."""
+        """Each host sees two failures; only their sum is significant."""
         self.order()
         self.enter(Stage.TRIAL)
         for host in ('a', 'b', 'c'):
@@ -231,7 +232,7 @@
         self.assertEqual(self.share(), 0)
 
     def test_progress_never_goes_back(self) -> None:
-        """An older row, read late, changes nothing."""
+        """An older row that is read late changes nothing."""
         self.order()
         self.enter(Stage.OPEN, opened=90)
         late = RolloutRow(7, Stage.TRIAL.value, 100)
@@ -239,7 +240,7 @@
         self.assertEqual(self.share(), 1)
 
     def test_ramp_grows_to_the_whole(self) -> None:
-        """The share grows from the trial's over its part of the time."""
+        """The share grows from the canary share to 1 within its time."""
         order = RolloutOrder(ENGINES, SoftwareVersion('v2'), 100, 7)
         row = RolloutRow(7, Stage.OPEN.value, 0, 50)
         rollout = Rollout(order, row, 1)
--- a/tests/test_rollout_returns.py
+++ b/tests/test_rollout_returns.py
@@ -1,10 +1,11 @@
-"""Roll-outs while the platform's store comes back from a copy.
-
-An order is known by its row's position, which changes whenever the store comes
-back, and once more when the operator writes again what the copy lacks. Found by
-reading: hosts took each such row for a new order, began a version that had been
-rolled back anew, and put one that had succeeded back to a part of the traffic.
-What proved it: the tests here, in which nothing is ordered but once.
+"""Rollouts while the platform's store is restored from a backup.
+
+A host knows an order by the position of its row. The position changes when the
+store is restored, and again when the operator writes a row that the backup
+lacks. The failure, found by reading the code: hosts took each such row for a
+new order, started a version again that had been rolled back, and reduced the
+traffic share of one that had succeeded. In these tests each order is given only
+once.
 """
 
 import asyncio
@@ -25,18 +26,18 @@
 
 DESK: Final = ServiceName('desk')
 ROW: Final = 'rollout/desk'
-#: Seconds of an order; nothing is asked meanwhile, so that it ends rolled back.
+#: Seconds for the order. No requests are sent meanwhile, so it is rolled back.
 DURATION: Final = 2
 ENDED: Final = Stage.ROLLED_BACK.value
-#: Seconds after which whatever a return sets going has been written.
+#: Seconds within which all writes that follow a restore are made.
 SETTLED: Final = 1.5
 
 
-class ReturnTest(unittest.IsolatedAsyncioTestCase):
+class RestoreTest(unittest.IsolatedAsyncioTestCase):
     """Two hosts that have rolled a version back."""
 
     async def asyncSetUp(self) -> None:
-        """Start them, and let the operator order it."""
+        """Start the hosts, order a rollout and wait for its end."""
         self.rig = await self.enterAsyncContext(Rig(workers=2, hosts=2))
         self.rig.store.era = 1
         self.rig.register(1, version='v2')
@@ -50,13 +51,13 @@
 
     @property
     def stage(self) -> str:
-        """Return the stage that the hosts have written."""
+        """Stage that the hosts have written."""
         row = self.rig.store.content(FLEET_TABLE, ROW)
         return json.loads(row)['stage'] if row else ''
 
     @property
     def state(self) -> str:
-        """Return what the operator is told."""
+        """State that is reported to the operator."""
         row = self.rig.store.content('status', ROW)
         return json.loads(row)['state'] if row else ''
 
@@ -66,7 +67,7 @@
         self.rig.store.put('op', ROW, json.dumps(order).encode())
 
     def stages_since(self, moment: int) -> list[str]:
-        """Return the stages that were written after so many writes."""
+        """Return the stages written after a number of writes."""
         return [
             json.loads(content)['stage']
             for table, key, content in self.rig.store.writes[moment:]
@@ -74,37 +75,37 @@
         ]
 
     def come_back(self, copy: StoreCopy) -> int:
-        """Let the store come back; return how many writes there were."""
+        """Restore the store; return the number of writes before that."""
         self.rig.store.come_back(copy)
         return len(self.rig.store.writes)
 
     async def until_settled(self) -> None:
-        """Wait until the operator is told of the end, and a while longer."""
+        """Wait until the operator has the result, and some time beyond."""
         await self.rig.until(lambda: self.state == 'rolled_back')
         await asyncio.sleep(SETTLED)
 
     async def test_an_ended_roll_out_stays_ended(self) -> None:
-        """Nothing was lost; only the versions mean something else."""
+        """Nothing is lost; only the positions of the rows change."""
         moment = self.come_back(self.rig.store.copy())
         await self.until_settled()
         self.assertEqual(self.stages_since(moment), [])
 
     async def test_a_lost_end_is_written_again(self) -> None:
-        """Once; it is not judged a second time."""
+        """The end is written once, and not decided a second time."""
         moment = self.come_back(self.under_way)
         await self.until_settled()
         self.assertEqual(self.stages_since(moment), [ENDED])
 
     async def test_a_lost_order_is_the_same_once_it_is_written(self) -> None:
-        """The operator writes it some time later."""
+        """The operator writes the lost order some time later."""
         moment = self.come_back(self.before)
         await asyncio.sleep(0.3)
         self.order()
         await self.until_settled()
         self.assertEqual(self.stages_since(moment), [ENDED])
 
-    async def test_it_holds_through_two_returns(self) -> None:
-        """The second while the first is being made good."""
+    async def test_it_holds_through_two_restores(self) -> None:
+        """The second restore happens while the first is being repaired."""
         moment = self.come_back(self.before)
         self.order()
         await asyncio.sleep(0.1)
@@ -113,7 +114,7 @@
         self.assertEqual(set(self.stages_since(moment)), {ENDED})
 
     async def test_a_host_that_starts_then_begins_nothing(self) -> None:
-        """It knows the order by the position that it has now."""
+        """The host knows the order by its new position."""
         moment = self.come_back(self.before)
         self.order()
         await self.rig.add_host()
@@ -121,7 +122,7 @@
         self.assertEqual(self.stages_since(moment), [ENDED])
 
     async def test_a_host_that_starts_later_begins_nothing(self) -> None:
-        """When nobody is left who knew the order by its first position."""
+        """No host is left that knew the order by its first position."""
         moment = self.come_back(self.rig.store.copy())
         await asyncio.sleep(SETTLED)
         for host in self.rig.hosts:
@@ -131,7 +132,7 @@
         self.assertEqual(self.stages_since(moment), [])
 
     async def test_a_later_order_is_begun(self) -> None:
-        """Also if it asks for the same."""
+        """A later order is started even if it asks for the same version."""
         moment = self.come_back(self.rig.store.copy())
         await asyncio.sleep(SETTLED)
         self.order()
@@ -140,10 +141,10 @@
 
 
 class AdoptionTest(unittest.TestCase):
-    """Numbers that hosts know one order by."""
+    """Numbers by which hosts know one order."""
 
     def setUp(self) -> None:
-        """Make a host that knows an order from before a return."""
+        """Create a host that knows an order from before a restore."""
         self.first = position(1, 50)
         self.again = position(2, 40)
         self.witness = self.a_book(self.first)
@@ -153,7 +154,7 @@
         self.witness.take(self.order(self.again))
 
     def a_book(self, number: int) -> OrderBook:
-        """Return what a host knows that has seen an order first there."""
+        """Return the registry of a host that first saw an order there."""
         book = OrderBook(float, lambda _: None)
         book.take(self.order(number))
         return book
@@ -163,7 +164,7 @@
         return RolloutOrder(DESK, SoftwareVersion('v2'), 20, number)
 
     def row(self, number: int, stage: Stage) -> RolloutRow:
-        """Return how far an order is."""
+        """Return a row with the progress of an order."""
         return RolloutRow(number, stage.value, 0, to='v2', duration=20)
 
     def number(self, book: OrderBook) -> int:
@@ -173,7 +174,7 @@
         return rollout.order.number
 
     def test_who_starts_later_takes_the_number_of_the_others(self) -> None:
-        """Also if it has begun the order under another one meanwhile."""
+        """It adopts the number even if it has started the order meanwhile."""
         begun = self.row(self.again, Stage.TRIAL)
         known = self.row(self.first, Stage.OPEN)
         newcomer = self.a_book(self.again)
@@ -186,10 +187,10 @@
             self.assertEqual(book.lacking, ())
 
     def test_who_has_seen_no_stage_follows_who_has(self) -> None:
-        """Pattern: one host heard of the order before the return, others not.
+        """One host received the order before the restore, others did not.
 
-        Found by the model: that host began the order anew, where the others
-        had ended it, and they took its number and lost the end.
+        Found by the model: that host started the order again although the
+        others had ended it. They adopted its number and lost the end.
         """
         alone = self.a_book(self.first)
         alone.take(self.order(self.again))
@@ -199,7 +200,7 @@
         self.assertEqual(alone.active, ())
 
     def test_an_end_stays_whatever_the_number(self) -> None:
-        """It is written under the number that the others use."""
+        """The end is written under the number that the other hosts use."""
         ended = self.row(self.again, Stage.ROLLED_BACK)
         other = self.a_book(self.again)
         other.progress(DESK, ended, position(2, 41))
@@ -209,7 +210,7 @@
         self.assertIs(other.lacking[0].stage, Stage.ROLLED_BACK)
 
     def test_a_later_order_is_not_taken_for_the_one_before(self) -> None:
-        """Whoever knows both keeps them apart; others follow."""
+        """A host that knows both orders keeps them apart; others follow it."""
         later = position(2, 60)
         self.witness.take(self.order(later))
         newcomer = self.a_book(later)
@@ -226,7 +227,7 @@
             self.assertEqual(book.lacking, ())
 
     def test_a_doubtful_order_is_taken_in_the_end(self) -> None:
-        """If nobody writes the one again that it came after."""
+        """It is accepted if nobody writes the known order again."""
         now = 0.0
         book = OrderBook(lambda: now, lambda _: None)
         book.take(self.order(self.first))
@@ -239,35 +240,35 @@
         self.assertEqual(self.number(book), self.again)
 
 
-class SightTest(unittest.TestCase):
-    """What a row of the operator's is to a host that knows an order."""
+class OrderMatchTest(unittest.TestCase):
+    """Relation of an operator's row to the order that a host knows."""
 
     known = RolloutOrder(DESK, SoftwareVersion('v2'), 20, position(1, 50))
 
     def seen(self, era: int, version: int, to: str = 'v2') -> Sighting:
-        """Return what a row is."""
+        """Compare a row with the known order."""
         number = position(era, version)
         order = RolloutOrder(DESK, SoftwareVersion(to), 20, number)
         return sight(self.known, self.known.number, order)
 
     def test_within_an_era_positions_tell(self) -> None:
-        """As they always have."""
+        """Within an era only the positions count."""
         self.assertIs(self.seen(1, 50), Sighting.KNOWN)
         self.assertIs(self.seen(1, 40, 'v1'), Sighting.KNOWN)
         self.assertIs(self.seen(1, 51), Sighting.NEW)
 
     def test_the_same_order_in_a_later_era(self) -> None:
-        """In the copy, or written again before or after its first version."""
+        """The row is in the backup, or was written again at any position."""
         for version in (50, 40, 60):
             self.assertIs(self.seen(2, version), Sighting.AGAIN)
 
     def test_another_order_in_a_later_era(self) -> None:
-        """What the copy may hold from before is waited for."""
+        """An order that may be an earlier one in the backup has to wait."""
         self.assertIs(self.seen(2, 40, 'v1'), Sighting.DOUBTFUL)
         self.assertIs(self.seen(2, 51, 'v3'), Sighting.NEW)
 
     def test_a_first_end_holds(self) -> None:
-        """Two hosts may have judged on either side of a return."""
+        """Two hosts may reach different verdicts before and after a restore."""
         trial, opened = self.row(Stage.TRIAL, 1), self.row(Stage.OPEN, 2)
         first = self.row(Stage.SUCCEEDED, 3)
         second = self.row(Stage.ROLLED_BACK, 4)
@@ -282,5 +283,5 @@
         self.assertFalse(is_behind(first, first))
 
     def row(self, stage: Stage, since: float) -> RolloutRow:
-        """Return a row that has been at a stage for a while."""
+        """Return a row that entered a stage at a time."""
         return RolloutRow(self.known.number, stage.value, 0, since=since)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""What the answers of a new version show, and what follows from it."""
+"""Verdicts on a new version's answers, and the stages that follow."""
 
 import itertools
 import random
@@ -29,13 +29,13 @@
 
 KIND, OTHER = KindNumber(1), KindNumber(2)
 
-#: A chance, and the logarithm of a hundred.
+#: Probability of a hit, and the logarithm of a hundred.
 RATE = 0.22
 LEVEL = 4.6
 
 
 def judged(*states: Answers, kind: KindNumber = KIND) -> Judgement:
-    """Return what has taken in sums of one kind, one after another."""
+    """Return the judgement of successive sums of one kind."""
     judgement = Judgement()
     for seen in states:
         judgement.take({kind: seen})
@@ -43,10 +43,10 @@
 
 
 class VerdictTest(unittest.TestCase):
-    """Bad, good, or not shown."""
+    """Bad, good or inconclusive."""
 
     def test_bad_version_is_found_within_few_answers(self) -> None:
-        """Pattern: a third of the answers fail; the bound is 30 requests."""
+        """A third of the answers fail; the exposure bound is 30 requests."""
         judgement = judged(Answers(old=200, old_poor=2))
         answers = 0
         poor = 0
@@ -57,7 +57,7 @@
         self.assertLessEqual(answers, 30)
 
     def test_faults_that_befall_all_versions_speak_against_none(self) -> None:
-        """Pattern: a lost failure domain fails a fifth of everything."""
+        """A lost failure domain fails a fifth of all answers."""
         judgement = judged(
             Answers(old=100, old_poor=20),
             Answers(50, 10, 500, 100),
@@ -69,16 +69,17 @@
     def test_poor_answers_of_a_disturbed_day_don_t_make_a_version_good(
         self,
     ) -> None:
-        """Pattern: 12 of 28 poor on the new version, 19 of 88 on the old.
+        """12 of 28 answers are poor on the new version, 19 of 88 on the old.
 
-        It was open to all at 8 of 20 against 19 of 95, and succeeded: what is
-        not shown to be bad in time was taken for good.
+        The failure: the rollout became full at 8 of 20 against 19 of 95, and
+        succeeded, because a version that was not shown to be bad in time
+        counted as good.
         """
         judgement = judged(Answers(20, 8, 95, 19), Answers(28, 12, 95, 19))
         self.assertIsNot(judgement.verdict(), Verdict.GOOD)
 
     def test_few_answers_show_nothing(self) -> None:
-        """Pattern: twenty good answers, as a bad version may have by luck."""
+        """Twenty good answers may be the luck of a bad version."""
         judgement = judged(Answers(20, 0, 200, 2))
         self.assertIs(judgement.verdict(), Verdict.NOT_SHOWN)
 
@@ -88,7 +89,7 @@
         self.assertIs(judgement.verdict(), Verdict.GOOD)
 
     def test_version_that_is_bad_for_one_kind_is_not_good(self) -> None:
-        """Pattern: a kind with a fifth of the requests fails by half."""
+        """Half the answers of a kind with a fifth of the requests fail."""
         judgement = Judgement()
         for step in range(1, 30):
             judgement.take(
@@ -101,8 +102,8 @@
                 self.assertIsNot(judgement.verdict(), Verdict.GOOD)
         self.assertIs(judgement.verdict(), Verdict.BAD)
 
-    def test_version_that_turns_bad_late_is_not_lived_on(self) -> None:
-        """Pattern: three hundred good answers, then every second one fails."""
+    def test_version_that_turns_bad_late_is_halted(self) -> None:
+        """Three hundred good answers, then every second one fails."""
         judgement = judged(Answers(300, 3, 2000, 20))
         self.assertIs(judgement.verdict(), Verdict.GOOD)
         judgement.take({KIND: Answers(306, 6, 2010, 20)})
@@ -111,13 +112,13 @@
         self.assertIs(judgement.verdict(), Verdict.BAD)
 
     def test_hosts_that_judge_by_parts_ask_for_more(self) -> None:
-        """Pattern: five failure domains hear of their own answers in time."""
+        """Five failure domains receive only their own answers in time."""
         judgement = judged(Answers(old=100, old_poor=1), Answers(26, 0, 300, 3))
-        self.assertIs(judgement.verdict(views=1), Verdict.GOOD)
-        self.assertIs(judgement.verdict(views=9), Verdict.NOT_SHOWN)
+        self.assertIs(judgement.verdict(groups=1), Verdict.GOOD)
+        self.assertIs(judgement.verdict(groups=9), Verdict.NOT_SHOWN)
 
     def test_any_counts_can_be_weighed(self) -> None:
-        """Pattern: every answer of the old version is poor, or none is."""
+        """Every answer of the old version is poor, or none is."""
         randomness = random.Random(5)
         for _ in range(200):
             old, new = randomness.randrange(50), randomness.randrange(50)
@@ -130,16 +131,16 @@
             self.assertIsInstance(judged(seen).verdict(), Verdict)
 
     def test_reason_names_what_it_rests_on(self) -> None:
-        """An operator reads it in the log and in the store."""
+        """Operators read the reason in the log and in the store."""
         reason = judged(Answers(20, 8, 95, 19)).reason()
         self.assertIn('8 of 20 poor, before 19 of 95', reason)
 
 
 class NextStageTest(unittest.TestCase):
-    """Which stage follows a verdict."""
+    """Stage that follows a verdict."""
 
     def test_stages(self) -> None:
-        """What is not shown in time is rolled back while there is time."""
+        """A version without a verdict in time is rolled back in time."""
         trial, opened = Stage.TRIAL, Stage.OPEN
         cases = (
             (trial, Verdict.BAD, 0.1, Stage.ROLLED_BACK),
@@ -159,17 +160,17 @@
                 self.assertIs(next_stage(stage, verdict, elapsed), expected)
 
     def test_late_opening_reaches_all_before_the_end(self) -> None:
-        """Pattern: a version that is shown to be good at the last moment."""
+        """A version is shown to be good at the last moment."""
         order = RolloutOrder(ENGINES, SoftwareVersion('v2'), 100, 7)
         row = RolloutRow(7, Stage.OPEN.value, 0, 100 * LAST_OPEN)
         self.assertEqual(Rollout(order, row, 1).share(87.9, 0.1), 1)
 
 
 class BeyondTest(unittest.TestCase):
-    """What a trial gets beyond its share."""
+    """Share that a canary stage gets beyond the common share."""
 
     def test_few_requests_get_a_larger_share(self) -> None:
-        """Half of what operators allow besides, over what is left."""
+        """Half of the slack, spread over the remaining requests."""
         cases = ((30, 9, 10, 0.15), (30, 25, 15, 0.04), (30, 270, 10, 0))
         for besides, rate, seconds, share in cases:
             with self.subTest(rate=rate):
@@ -177,19 +178,20 @@
                 self.assertAlmostEqual(found, share)
 
     def test_share_of_a_row_is_added(self) -> None:
-        """All hosts read it from the row, so they agree on it."""
+        """All hosts read the extra share from the row, so they agree on it."""
         order = RolloutOrder(ENGINES, SoftwareVersion('v2'), 100, 7)
         row = RolloutRow(7, Stage.TRIAL.value, 0, beyond=0.1)
         self.assertAlmostEqual(Rollout(order, row, 1).share(20, 0.15), 0.25)
 
 
 class ExposureTest(unittest.TestCase):
-    """What a bad version gets that nobody halts before its trial ends."""
+    """Exposure of a bad version that is not halted in its canary stage."""
 
     def test_trial_keeps_within_the_operators_bounds(self) -> None:
-        """0.86 of the share over the duration, 0.6 of what is besides.
+        """At most 0.86 of the share over the duration, and 0.6 of the slack.
 
-        The last step is made up to a second late, so that hosts spread it.
+        Hosts delay their writes by rank, so the last step is up to a second
+        late.
         """
         exposure, besides, late = 0.15, 30, 1.05
         for seconds in (10, 16, 24, 60, 600):
@@ -199,7 +201,8 @@
                 beyond = beyond_share(besides, rate, left)
                 row = RolloutRow(7, Stage.TRIAL.value, 0, beyond=beyond)
                 share = Rollout(order, row).share(9, trial_share(exposure))
-                # What a trial gets before its share is widened is less.
+                # Before the share is raised, a canary stage gets less than
+                # this.
                 got = share * rate * (seconds * LAST_OPEN + late - LEAD)
                 allowed = 0.86 * exposure * rate * seconds
                 with self.subTest(seconds=seconds, rate=rate):
@@ -207,17 +210,17 @@
 
 
 class SuspicionsTest(unittest.TestCase):
-    """What broke off, and why."""
+    """Interrupted attempts and their causes."""
 
     upstream = UpstreamIncarnation('u')
 
     def setUp(self) -> None:
-        """Make a host that has seen nothing break."""
+        """Create a host without interrupted attempts."""
         self.clock = ManualClock()
         self.suspicions = Suspicions(self.clock)
 
     def test_upstream_that_answers_again_was_there(self) -> None:
-        """Pattern: a version hangs on a part of its requests."""
+        """A version hangs on a part of its requests."""
         self.suspicions.broke(self.upstream, KIND)
         self.suspicions.broke(self.upstream, OTHER)
         self.assertEqual(
@@ -227,19 +230,19 @@
         self.assertEqual(self.suspicions.answered(self.upstream), ())
 
     def test_upstream_that_was_cut_off_says_nothing(self) -> None:
-        """Pattern: a failure domain is cut off for five seconds."""
+        """A failure domain is cut off for five seconds."""
         self.suspicions.broke(self.upstream, KIND)
         self.clock._now += SPAN + 0.1
         self.assertEqual(self.suspicions.answered(self.upstream), ())
 
     def test_memory_is_bounded(self) -> None:
-        """Pattern: thousands of attempts break at upstreams that are gone."""
+        """Thousands of attempts are interrupted at terminated upstreams."""
         for number in range(2000):
             upstream = UpstreamIncarnation(f'u{number}')
             self.suspicions.broke(upstream, KIND)
             self.suspicions.broke(self.upstream, KIND)
             self.clock._now += 0.1
-        self.assertLess(len(self.suspicions._broken), 40)
+        self.assertLess(len(self.suspicions._interrupted), 40)
         self.assertLessEqual(
             len(self.suspicions.answered(self.upstream)),
             MOST,
@@ -247,7 +250,7 @@
 
 
 class LikelihoodTest(unittest.TestCase):
-    """The arithmetic below."""
+    """Likelihood ratios and bets that the verdicts are based on."""
 
     def test_ratio_is_a_ratio_of_probabilities(self) -> None:
         """Checked by hand: two hits and a miss at a half against a third."""
@@ -255,7 +258,7 @@
         self.assertAlmostEqual(ratio, 0.52324814376)
 
     def test_bet_does_not_grow_while_it_is_wrong(self) -> None:
-        """Of 2,000 streams at the chance bet against, few reach 100 to 1."""
+        """Few of 2,000 streams at the rate bet against reach 100 to 1."""
         randomness = random.Random(7)
         reached = 0
         for _ in range(2000):
@@ -269,7 +272,7 @@
         self.assertLessEqual(reached, 20)
 
     def test_wealth_forgets_what_spoke_for_a_version(self) -> None:
-        """A cumulative sum: a thousand good answers hide nothing."""
+        """A cumulative sum: a thousand good answers hide no later failures."""
         wealth = Wealth(1)
         wealth.add([log_ratio(0, 1000, 0.5, 0.1)])
         for _ in itertools.repeat(None, 5):
