--- a/src/nutmegroad/rollouts/__init__.py
+++ b/src/nutmegroad/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""New versions by stages, bad ones halted, engines told what to load."""
+"""Rollouts of model versions: traffic shares, quarantines, engine orders."""
--- a/src/nutmegroad/rollouts/_exposure_spread.py
+++ b/src/nutmegroad/rollouts/_exposure_spread.py
@@ -1,4 +1,4 @@
-"""Tells other hosts of evidence and quarantines, and hears from them."""
+"""Exchanges evidence and quarantines with other hosts."""
 
 import random
 from typing import Final
@@ -9,23 +9,23 @@
 from nutmegroad.rollouts.evidence import EvidenceMessage, EvidenceStore
 from nutmegroad.rollouts.quarantines import QuarantineMessage, Quarantines
 
-#: Hosts to which each host passes evidence on in every period.
+#: Number of hosts to which each host sends evidence in every period.
 FANOUT: Final = 3
-#: Seconds after which a run of a host that nobody hears of is over. A
-#: domain that is cut off for some minutes is not forgotten.
-FOLD_AFTER: Final = 900.0
+#: Seconds without a sign of it after which an incarnation of a host counts as
+#: ended. A domain that is cut off for some minutes is not forgotten.
+FOLD_AFTER_SECONDS: Final = 900.0
 
 
 class ExposureSpread:
-    """Spreads evidence by and by, and quarantines at once.
+    """Gossips evidence periodically, and broadcasts quarantines at once.
 
     Args:
-        mesh: The other hosts.
-        evidence: What was counted.
-        quarantines: What was decided.
+        mesh: Links to the other hosts.
+        evidence: Counted attempts.
+        quarantines: Quarantines that this host knows.
         clock: The host's clock.
-        randomness: Chooses whom to tell.
-        period: Seconds between messages.
+        randomness: Selects the receivers.
+        period: Seconds between gossip rounds.
     """
 
     def __init__(
@@ -43,31 +43,32 @@
         self._clock = clock
         self._randomness = randomness
         self._period = period
-        self._heard: dict[Incarnation, float] = {}
+        self._last_seen: dict[Incarnation, float] = {}
         mesh.handle(EvidenceMessage, self._take_evidence)
         mesh.handle(QuarantineMessage, self._take_quarantines)
-        # The host itself has stopped sending when it tells the others.
-        quarantines.listen(self._announce)
+        # This host itself has stopped sending requests to the version before it
+        # broadcasts the quarantine.
+        quarantines.listen(self._broadcast)
 
     async def run(self) -> None:
-        """Spread until cancelled."""
+        """Gossip until cancelled."""
         while True:
             self.tick()
             await self._clock.sleep(self._period)
 
     def tick(self) -> None:
-        """Tell a few hosts what is new."""
+        """Run one gossip round: send recent changes to a few hosts."""
         message = self._evidence.outgoing()
         if message.cells:
-            self._tell_some(message, FANOUT)
-        # Also if there is none: whoever knows more answers.
-        self._tell_some(self._quarantines.message(), 1)
+            self._send_to_some(message, FANOUT)
+        # Sent even if empty: a receiver with more records sends them back.
+        self._send_to_some(self._quarantines.message(), 1)
         self._fold()
 
-    def _announce(self) -> None:
+    def _broadcast(self) -> None:
         self._mesh.tell_all(self._quarantines.message())
 
-    def _tell_some(self, message: Message, count: int) -> None:
+    def _send_to_some(self, message: Message, count: int) -> None:
         hosts = [member.host for member in self._mesh.members()]
         chosen = self._randomness.sample(hosts, min(count, len(hosts)))
         for host in chosen:
@@ -76,15 +77,16 @@
     def _fold(self) -> None:
         now = self._clock.now()
         for member in self._mesh.members():
-            self._heard[member.incarnation] = now
-        self._heard = {
-            name: heard
-            for name, heard in self._heard.items()
-            if now - heard < FOLD_AFTER
+            self._last_seen[member.incarnation] = now
+        self._last_seen = {
+            name: last_seen
+            for name, last_seen in self._last_seen.items()
+            if now - last_seen < FOLD_AFTER_SECONDS
         }
-        # At the start nobody has been heard, and nothing may be over yet.
-        if now >= FOLD_AFTER:
-            self._evidence.fold(frozenset(self._heard))
+        # Shortly after the start no peer has been seen yet, so no incarnation
+        # may count as ended.
+        if now >= FOLD_AFTER_SECONDS:
+            self._evidence.fold(frozenset(self._last_seen))
 
     async def _take_evidence(
         self,
@@ -98,7 +100,7 @@
         sender: HostId,
         message: QuarantineMessage,
     ) -> None:
-        # What is new is announced to all by the listener.
+        # The listener broadcasts what is new.
         self._quarantines.learn(message.records)
         if self._quarantines.lacks(message.records):
             self._mesh.tell(sender, self._quarantines.message())
--- a/src/nutmegroad/rollouts/evidence.py
+++ b/src/nutmegroad/rollouts/evidence.py
@@ -1,9 +1,9 @@
 """Evidence on versions: small counters that hosts add up and share.
 
-Each run of a host counts for itself, in one cell for each version and task
-class. A cell only grows, so of two states of a cell the one with more
-attempts holds: messages that are late, doubled or out of order do no harm,
-and a host may pass on what it heard from others.
+Each incarnation of a host counts by itself, in one cell for each version and
+task class. A cell only grows, so of two states of a cell the one with more
+attempts holds. Late, duplicated or reordered messages do no harm, and a host
+may forward what it received from others.
 """
 
 import math
@@ -17,8 +17,8 @@
 from nutmegroad.foundations.results import ResultCode
 from nutmegroad.foundations.types import Incarnation, TaskName, VersionId
 
-#: Endings that speak against the version. An upstream that can't be
-#: reached, is busy or leaves says nothing about the version on it.
+#: Results that count against the version. An upstream that is unreachable, busy
+#: or draining says nothing about its version.
 FAILURES: Final = frozenset(
     (
         ResultCode.UPSTREAM_ERROR,
@@ -26,22 +26,22 @@
         ResultCode.ANSWER_CROSSED,
     ),
 )
-#: Cells that one message carries, so that its size is bounded.
+#: Maximum number of changed cells in a message, so that its size is bounded.
 MESSAGE_CELLS: Final = 24
-#: Cells of this host that are sent again though they have not changed, so
-#: that what a lost message held arrives after all.
+#: Cells of this host that are sent again although they have not changed, so
+#: that the content of a lost message arrives eventually.
 REPEATED_CELLS: Final = 4
 
 #: A version and a task class.
 EvidenceKey = tuple[VersionId, TaskName]
 
-#: Shortest seconds of which a logarithm is taken.
-_SHORTEST: Final = 1e-4
+#: Minimum seconds of which a logarithm is taken.
+_MIN_SECONDS: Final = 1e-4
 _DIGITS: Final = 4
 
 
 class Moments(Struct, frozen=True, array_like=True):
-    """How many values, their sum and the sum of their squares."""
+    """Number of values, their sum and the sum of their squares."""
 
     count: int = 0
     total: float = 0
@@ -49,19 +49,19 @@
 
     @property
     def mean(self) -> float:
-        """Return the mean; 0 of no value."""
+        """Mean; 0 without values."""
         return self.total / self.count if self.count else 0
 
     @property
     def deviation(self) -> float:
-        """Return the standard deviation; 0 of no value."""
+        """Standard deviation; 0 without values."""
         if not self.count:
             return 0
         spread = self.squares / self.count - self.mean * self.mean
         return math.sqrt(max(spread, 0))
 
     def plus(self, other: 'Moments') -> 'Moments':
-        """Return both together."""
+        """Return the moments of both samples together."""
         return Moments(
             self.count + other.count,
             round(self.total + other.total, _DIGITS),
@@ -69,7 +69,7 @@
         )
 
     def minus(self, other: 'Moments') -> 'Moments':
-        """Return what is here beyond an earlier state."""
+        """Return the moments of the values added since an earlier state."""
         return Moments(
             self.count - other.count,
             self.total - other.total,
@@ -89,12 +89,12 @@
     """Attempts of a version for a task class.
 
     Attributes:
-        answers: Whole answers.
-        errors: Attempts that the version's engine failed.
-        cuts: Answers without their end.
+        answers: Complete answers.
+        errors: Attempts that failed in the version's engine.
+        cuts: Truncated answers.
         first: Logarithms of the seconds to the first token.
-        pace: Logarithms of the seconds for each token.
-        length: Logarithms of the tokens of a whole answer.
+        pace: Logarithms of the seconds per token.
+        length: Logarithms of the number of tokens of a complete answer.
     """
 
     answers: int = 0
@@ -106,16 +106,16 @@
 
     @property
     def attempts(self) -> int:
-        """Return how many attempts were counted."""
+        """Number of counted attempts."""
         return self.answers + self.errors + self.cuts
 
     @property
     def failures(self) -> int:
-        """Return how many of them failed."""
+        """Number of failed attempts."""
         return self.errors + self.cuts
 
     def plus(self, other: 'Tally') -> 'Tally':
-        """Return both together."""
+        """Return the sum of both tallies."""
         return Tally(
             self.answers + other.answers,
             self.errors + other.errors,
@@ -126,7 +126,7 @@
         )
 
     def minus(self, other: 'Tally') -> 'Tally':
-        """Return what is here beyond an earlier state."""
+        """Return the attempts added since an earlier state."""
         return Tally(
             self.answers - other.answers,
             self.errors - other.errors,
@@ -138,13 +138,13 @@
 
 
 class EvidenceCell(Struct, frozen=True, array_like=True):
-    """What one run of a host has counted.
+    """Counts of one incarnation of a host.
 
     Attributes:
-        incarnation: The run of the host.
+        incarnation: The host's incarnation.
         version: The version.
         task: The task class.
-        tally: The counts since that run began.
+        tally: Counts since the incarnation started.
     """
 
     incarnation: Incarnation
@@ -154,58 +154,58 @@
 
     @property
     def key(self) -> EvidenceKey:
-        """Return what it is about."""
+        """Version and task class of the counts."""
         return self.version, self.task
 
 
 class EvidenceMessage(Message, frozen=True, tag='evidence'):
-    """Cells that have grown."""
+    """Evidence cells that a host sends to others."""
 
     part: ClassVar[str] = 'exposure'
 
     cells: tuple[EvidenceCell, ...]
 
 
-#: Is told what is new about a version and a task class.
+#: Called with the new attempts of a version and a task class.
 EvidenceListener = Callable[[EvidenceKey, Tally], None]
 
 _CellId = tuple[Incarnation, VersionId, TaskName]
 
 
 class EvidenceStore:
-    """All cells that this host knows, its own among them.
+    """All cells that this host knows, including its own.
 
     It observes the attempts of this host.
 
     Args:
-        incarnation: This run of this host.
+        incarnation: This host's present incarnation.
     """
 
     def __init__(self, incarnation: Incarnation) -> None:
         self._incarnation = incarnation
         self._cells: dict[_CellId, EvidenceCell] = {}
         self._sums: dict[EvidenceKey, Tally] = {}
-        self._gone: set[Incarnation] = set()
+        self._folded: set[Incarnation] = set()
         self._listeners: list[EvidenceListener] = []
-        # Cells to be sent, the one that has waited longest first.
+        # Cells to be sent, the longest waiting first.
         self._unsent: dict[_CellId, None] = {}
-        self._repeated = 0
+        self._repeat_position = 0
 
     @property
     def size(self) -> int:
-        """Return how many cells are kept."""
+        """Number of stored cells."""
         return len(self._cells)
 
     def listen(self, listener: EvidenceListener) -> None:
-        """Tell a listener of all that is new from now on."""
+        """Call a function with all evidence that is new from now on."""
         self._listeners.append(listener)
 
     def total(self, version: VersionId, task: TaskName) -> Tally:
-        """Return what all hosts have counted, as far as it is known."""
+        """Return the counts of all hosts, as far as they are known."""
         return self._sums.get((version, task), Tally())
 
     def started(self, start: AttemptStart) -> None:
-        """Note nothing: only endings are evidence."""
+        """Do nothing: only the end of an attempt is evidence."""
 
     def ended(self, end: AttemptEnd) -> None:
         """Count an attempt of this host."""
@@ -218,32 +218,32 @@
         self._put(EvidenceCell(*name, tally), counted)
 
     def learn(self, cells: Iterable[EvidenceCell]) -> None:
-        """Take cells that another host has sent."""
+        """Merge cells received from another host."""
         for cell in cells:
             name = (cell.incarnation, *cell.key)
-            # Our own cells are known best here.
-            if cell.incarnation in {self._incarnation, *self._gone}:
+            # This host knows its own cells best.
+            if cell.incarnation in {self._incarnation, *self._folded}:
                 continue
             known = self._cells.get(name, EvidenceCell(*name)).tally
             if cell.tally.attempts > known.attempts:
                 self._put(cell, cell.tally.minus(known))
 
     def fold(self, live: frozenset[Incarnation]) -> None:
-        """Keep only the sums of runs that have ended.
+        """Keep only the sums of incarnations that have ended.
 
         Args:
-            live: Runs of hosts that are still known to the membership.
+            live: Incarnations of hosts that membership still knows.
         """
         ended = {name[0] for name in self._cells} - live
         ended.discard(self._incarnation)
-        self._gone.update(ended)
+        self._folded.update(ended)
         folded = [name for name in self._cells if name[0] in ended]
         for name in folded:
             self._cells.pop(name)
             self._unsent.pop(name, None)
 
     def outgoing(self) -> EvidenceMessage:
-        """Return the next message for others; it may be empty."""
+        """Return the next message for other hosts; it may be empty."""
         names = list(self._unsent)[:MESSAGE_CELLS]
         for sent in names:
             self._unsent.pop(sent)
@@ -254,8 +254,8 @@
         own = [name for name in self._cells if name[0] == self._incarnation]
         if not own:
             return []
-        start = self._repeated % len(own)
-        self._repeated = start + REPEATED_CELLS
+        start = self._repeat_position % len(own)
+        self._repeat_position = start + REPEATED_CELLS
         return own[start : start + REPEATED_CELLS]
 
     def _put(self, cell: EvidenceCell, fresh: Tally) -> None:
@@ -282,7 +282,7 @@
     pace = (end.seconds - first) / tokens
     return Tally(
         answers=1,
-        first=moments_of(math.log(max(first, _SHORTEST))),
-        pace=moments_of(math.log(max(pace, _SHORTEST))),
+        first=moments_of(math.log(max(first, _MIN_SECONDS))),
+        pace=moments_of(math.log(max(pace, _MIN_SECONDS))),
         length=moments_of(math.log(tokens)),
     )
--- a/src/nutmegroad/rollouts/exposure.py
+++ b/src/nutmegroad/rollouts/exposure.py
@@ -1,9 +1,9 @@
-"""The exposure guard: it turns evidence into quarantines on this host.
+"""Exposure guard: tests evidence, and imposes quarantines on this host.
 
-A version in roll-out is compared with the version before it, a steady one
-with its own past. Each host tests all evidence that it knows, its own and
-what others have told, and stops sending before it tells anybody. Nothing
-here needs the platform.
+A version in a rollout is compared with the version that it replaces, a steady
+version with its own past. Each host tests all evidence that it knows, its own
+and what it received from others. It stops sending requests to a bad version
+before it informs any other host. None of this needs the platform.
 """
 
 import math
@@ -24,36 +24,38 @@
 from nutmegroad.rollouts.quarantines import Grade, Quarantines
 from nutmegroad.rollouts.sequential import MeanTest, RateTest, ScoreTest
 
-#: Ratings or attempts until a false alarm, in the mean and at the least.
+#: Minimum for the mean number of ratings or attempts until a false alarm.
 FALSE_ALARM_DISTANCE: Final = 1e6
-#: Strength from which a version is put into quarantine.
+#: Strength from which a version is quarantined.
 WEAK_STRENGTH: Final = math.log(FALSE_ALARM_DISTANCE)
-#: Strength from which the last version of a task is, too.
+#: Strength from which the last version of a task is quarantined, too.
 STRONG_STRENGTH: Final = 2 * WEAK_STRENGTH
 
-#: Ratings of its own past that a steady version is compared with.
+#: Ratings of its own past with which a steady version is compared.
 REFERENCE_RATINGS: Final = 1000
-#: Strength from which ratings are not taken for a good past any more.
-SUSPICION: Final = 2.0
-#: Attempts of its own past that a steady version is compared with.
+#: Strength from which ratings no longer count as a good past.
+SUSPICION_STRENGTH: Final = 2.0
+#: Attempts of its own past with which a steady version is compared.
 REFERENCE_ATTEMPTS: Final = 500
 #: Ratings from which a version may serve as a reference for another.
-LEAST_RATINGS: Final = 20
+MIN_REFERENCE_RATINGS: Final = 20
 #: Answers from which a version may serve as a reference for another.
-LEAST_ANSWERS: Final = 50
+MIN_REFERENCE_ANSWERS: Final = 50
 
-#: A mean score may lie so far below its reference.
+#: Tolerated drop of a mean score below its reference.
 SCORE_TOLERANCE: Final = 0.03
-#: And so far below what its owner declared, where there is no past yet.
+#: Tolerated drop of a mean score below what the owner declared, while there is
+#: no past yet.
 DECLARED_TOLERANCE: Final = 0.15
-#: A rate of failures up to this is not held against a version.
+#: Failure rate up to which failures do not count against a version.
 USUAL_FAILURES: Final = 0.03
-#: Failures in one run of them from which a version may be stopped. A few
-#: requests that are retried on a broken engine are no evidence on a version.
-LEAST_FAILURES: Final = 20
-#: Lengths may differ by a third, as a logarithm.
+#: Failures since the last restart of their test from which a version may be
+#: stopped. A few requests that are retried on a broken engine are no evidence
+#: on a version.
+MIN_FAILURES: Final = 20
+#: Tolerated difference of lengths: a third, as a logarithm.
 LENGTH_TOLERANCE: Final = math.log(4 / 3)
-#: Times to the first token may be longer by this factor, as a logarithm.
+#: Tolerated factor of times to the first token, as a logarithm.
 LATENCY_TOLERANCE: Final = math.log(2)
 
 _DEVIATIONS: Final = 2
@@ -61,33 +63,34 @@
 
 @unique
 class Signal(Enum):
-    """What a test looks at."""
+    """What a test measures."""
 
     RATINGS = 'ratings'
     FAILURES = 'failures'
     SHORTER = 'shorter answers'
     LONGER = 'longer answers'
-    #: It holds a roll-out but is no ground for a quarantine: load makes
-    #: good versions slow, too.
+    #: Holds a rollout but is no ground for a quarantine: load slows good
+    #: versions down, too.
     LATENCY = 'latency'
 
 
 @dataclass(slots=True)
 class Watch:
-    """The tests of one version for one task class.
+    """Tests of one version for one task class.
 
     Attributes:
-        identity: Epoch and stage; another one begins anew.
+        identity: Epoch and stage of the version; the tests restart if they
+            change.
         ratings: Test of the ratings.
-        failures: Test of errors and cut answers.
+        failures: Test of errors and truncated answers.
         shorter: Test for answers that became shorter.
         longer: Test for answers that became longer.
         latency: Test of the time to the first token.
         past_ratings: Ratings of its past, for a steady version.
         past: Attempts of its past, for a steady version.
-        baseline: What the version before had when the watch began.
+        baseline: Attempts of the replaced version before the tests started.
         rated: Ratings that were tested.
-        failed: Failures since the test of failures last began anew.
+        failed: Failures since the test of failures last restarted.
     """
 
     identity: tuple[int, Stage]
@@ -114,20 +117,20 @@
 
 
 class RatingSource(Protocol):
-    """Where the guard hears of ratings."""
+    """Source of the ratings that the guard tests."""
 
     def listen(self, listener: RatingListener) -> None:
-        """Tell a listener what is new."""
+        """Call a function with new ratings."""
 
 
 class ExposureGuard:
-    """Tests evidence as it comes, and imposes quarantines.
+    """Tests evidence as it arrives, and imposes quarantines.
 
     Args:
-        configuration: What is in force.
-        evidence: Attempts, of this host and of others.
+        configuration: Configuration in force.
+        evidence: Attempts of this host and of others.
         feed: Ratings.
-        quarantines: Where it says what it found.
+        quarantines: Where the guard imposes quarantines.
     """
 
     def __init__(
@@ -143,12 +146,12 @@
         self._watches: dict[EvidenceKey, Watch] = {}
         self._rated: dict[EvidenceKey, Moments] = {}
         self._lifted: dict[VersionId, int] = {}
-        quarantines.listen(self._notice)
+        quarantines.listen(self._restart_lifted)
         evidence.listen(self.counted)
         feed.listen(self.rated)
 
     def watch(self, version: VersionId, task: TaskName) -> Watch | None:
-        """Return the tests of a version for a task class, if any began."""
+        """Return the tests of a version for a task class, if any started."""
         return self._watches.get((version, task))
 
     def ratings(self, version: VersionId, task: TaskName) -> Moments:
@@ -156,13 +159,13 @@
         return self._rated.get((version, task), Moments())
 
     def forget(self, version: VersionId) -> None:
-        """Begin anew with a version, as after a lifted quarantine."""
+        """Restart the tests of a version, as after a lifted quarantine."""
         keys = [key for key in self._watches if key[0] == version]
         for key in keys:
             self._watches.pop(key)
 
     def rated(self, tally: RatingTally) -> None:
-        """Take new ratings."""
+        """Test new ratings."""
         sample = Moments(tally.count, tally.total, tally.squares)
         key = tally.key
         self._rated[key] = self.ratings(*key).plus(sample)
@@ -170,49 +173,51 @@
         if entry is None:
             return
         watch = self._watch(entry, tally.task)
-        least = self._least_score(entry, tally.task, watch)
-        if least is not None:
+        min_score = self._min_score(entry, tally.task, watch)
+        if min_score is not None:
             watch.rated = watch.rated.plus(sample)
-            watch.ratings.add(tally, least)
+            watch.ratings.add(tally, min_score)
         is_open = watch.past_ratings.count < REFERENCE_RATINGS
-        if is_open and watch.ratings.strength < SUSPICION:
+        if is_open and watch.ratings.strength < SUSPICION_STRENGTH:
             watch.past_ratings = watch.past_ratings.plus(sample)
         self._judge(key, watch)
 
     def counted(self, key: EvidenceKey, fresh: Tally) -> None:
-        """Take new attempts."""
+        """Test new attempts."""
         entry = self._configuration.entry(key[0])
         if entry is None:
             return
         watch = self._watch(entry, key[1])
         reference = self._reference(entry, key[1], watch)
-        most = max(USUAL_FAILURES, _rate(reference))
+        max_rate = max(USUAL_FAILURES, _failure_rate(reference))
         if watch.failures.strength <= 0:
             watch.failed = 0
         watch.failed += fresh.failures
-        watch.failures.add(fresh.failures, fresh.answers, most)
-        if reference.answers >= LEAST_ANSWERS:
+        watch.failures.add(fresh.failures, fresh.answers, max_rate)
+        if reference.answers >= MIN_REFERENCE_ANSWERS:
             length = reference.length
             watch.shorter.add(fresh.length, length, LENGTH_TOLERANCE)
             watch.longer.add(fresh.length, length, LENGTH_TOLERANCE)
         if entry.stage is Stage.ROLLOUT:
-            self._time(watch, fresh, reference)
+            self._test_latency(watch, fresh, reference)
         elif watch.past.attempts < REFERENCE_ATTEMPTS:
             watch.past = watch.past.plus(fresh)
         self._judge(key, watch)
 
-    def _notice(self) -> None:
-        """Begin anew with versions whose quarantine was lifted."""
+    def _restart_lifted(self) -> None:
+        """Restart the tests of versions whose quarantine was lifted."""
         for record in self._quarantines.records:
             known = self._lifted.get(record.version, 0)
             if not record.stands and record.level > known:
                 self._lifted[record.version] = record.level
                 self.forget(record.version)
 
-    def _time(self, watch: Watch, fresh: Tally, reference: Tally) -> None:
-        """Compare latency with that of the same hours, under one load."""
+    def _test_latency(
+        self, watch: Watch, fresh: Tally, reference: Tally
+    ) -> None:
+        """Compare latency with that of the same period, under the same load."""
         concurrent = reference.minus(watch.baseline).first
-        if concurrent.count >= LEAST_ANSWERS:
+        if concurrent.count >= MIN_REFERENCE_ANSWERS:
             watch.latency.add(fresh.first, concurrent, LATENCY_TOLERANCE)
 
     def _watch(self, entry: VersionEntry, task: TaskName) -> Watch:
@@ -228,19 +233,19 @@
             self._watches[key] = watch
         return watch
 
-    def _least_score(
+    def _min_score(
         self,
         entry: VersionEntry,
         task: TaskName,
         watch: Watch,
     ) -> float | None:
-        """Return the least mean score of a good version, if known."""
+        """Return the minimum mean score of a good version, if known."""
         past = watch.past_ratings
         if entry.stage is Stage.ROLLOUT and entry.replaces is not None:
             past = self.ratings(VersionId(entry.replaces), task)
-        if past.count >= LEAST_RATINGS:
-            doubt = _DEVIATIONS * past.deviation / math.sqrt(past.count)
-            return past.mean - SCORE_TOLERANCE - doubt
+        if past.count >= MIN_REFERENCE_RATINGS:
+            uncertainty = _DEVIATIONS * past.deviation / math.sqrt(past.count)
+            return past.mean - SCORE_TOLERANCE - uncertainty
         declared = entry.quality.get(task)
         return None if declared is None else declared - DECLARED_TOLERANCE
 
@@ -250,24 +255,24 @@
         task: TaskName,
         watch: Watch,
     ) -> Tally:
-        """Return the attempts that a version is compared with."""
+        """Return the attempts with which a version is compared."""
         if entry.stage is Stage.ROLLOUT and entry.replaces is not None:
             return self._evidence.total(VersionId(entry.replaces), task)
         return watch.past
 
     def _judge(self, key: EvidenceKey, watch: Watch) -> None:
-        """Put a version into quarantine if a test speaks against it."""
+        """Quarantine a version if a test speaks against it."""
         strengths = watch.strengths()
         strengths.pop(Signal.LATENCY)
-        if watch.failed < LEAST_FAILURES:
+        if watch.failed < MIN_FAILURES:
             strengths.pop(Signal.FAILURES)
         if watch.identity[1] is Stage.STEADY:
-            # Requests that ask for more make every version's answers long.
+            # Requests for longer answers lengthen the answers of every version.
             strengths.pop(Signal.LONGER)
         signal = max(strengths, key=strengths.__getitem__)
         if strengths[signal] < WEAK_STRENGTH:
             return
-        # A version that merely fails does no harm as the last of its task.
+        # A version that merely fails does no harm as the last one of its task.
         is_strong = strengths[Signal.RATINGS] >= STRONG_STRENGTH
         grade = Grade.STRONG if is_strong else Grade.WEAK
         reason = (
@@ -277,8 +282,8 @@
         self._quarantines.impose(*key, grade, reason)
 
 
-def _rate(tally: Tally) -> float:
-    """Return the share of attempts that failed, were there enough."""
-    if tally.attempts < LEAST_ANSWERS:
+def _failure_rate(tally: Tally) -> float:
+    """Return the fraction of failed attempts; 0 if there are too few."""
+    if tally.attempts < MIN_REFERENCE_ANSWERS:
         return 0
     return tally.failures / tally.attempts
--- a/src/nutmegroad/rollouts/exposure_part.py
+++ b/src/nutmegroad/rollouts/exposure_part.py
@@ -1,4 +1,4 @@
-"""The part that guards against bad versions."""
+"""Part that guards against bad versions."""
 
 from typing import Final
 
@@ -13,13 +13,13 @@
 from nutmegroad.rollouts.exposure import ExposureGuard
 from nutmegroad.rollouts.quarantines import Quarantines
 
-#: Seconds between messages with evidence.
-SPREAD_PERIOD: Final = 2.0
+#: Seconds between gossip rounds.
+GOSSIP_PERIOD: Final = 2.0
 
 
 @register('quarantine', 'evidence')
 def evidence_quarantine(kernel: Kernel) -> Quarantines:
-    """Make the quarantines of a host."""
+    """Create the quarantines of a host."""
     return Quarantines(kernel.need(Configuration))
 
 
@@ -27,14 +27,14 @@
 class ExposurePart:
     """Provides the evidence, the guard and the quarantines.
 
-    Where the settings choose another quarantine, the guard still tests and
-    says what it finds, but nothing is blocked.
+    If the settings select another quarantine, the guard still tests and logs
+    its findings, but nothing is blocked.
     """
 
     needs = (Quarantine, Observers, Mesh, RatingFeed)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to count and to tell."""
+        """Start to count attempts and to exchange evidence."""
         configuration = kernel.need(Configuration)
         quarantines = kernel.need(Quarantine)
         if not isinstance(quarantines, Quarantines):
@@ -52,7 +52,7 @@
             quarantines,
             kernel.clock,
             kernel.randomness,
-            SPREAD_PERIOD,
+            GOSSIP_PERIOD,
         )
         kernel.need(Observers).add(evidence)
         kernel.provide(EvidenceStore, evidence)
--- a/src/nutmegroad/rollouts/order_keeper.py
+++ b/src/nutmegroad/rollouts/order_keeper.py
@@ -1,9 +1,9 @@
-"""Gives orders to the engines of this domain, while it holds their lease.
+"""Sends orders to the engines of this domain, while it holds their lease.
 
-The lease is checked in the order's gate, in one step of the event loop
-with the first byte. Engines that check the fencing number refuse what a
-lapsed holder still sends; for the others the gate wants more time to be
-left than an order may take.
+The order's gate checks the lease in the same step of the event loop in which
+the first byte is sent. Engines that check the fencing number refuse orders of a
+host whose lease has expired. For other engines the gate requires more time left
+on the lease than an order may take.
 """
 
 from collections.abc import Callable
@@ -36,7 +36,7 @@
 
 _LOG: Final = part_logger('orders')
 
-#: The row that names the preset whose versions are loaded ahead.
+#: Row with the name of the preset whose versions are loaded in advance.
 PREPARED_KEY: Final = RowKey('orders/prepared')
 
 _MINUTE: Final = 60.0
@@ -44,16 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderParts:
-    """What a keeper of orders needs.
+    """Dependencies of an order controller.
 
     Attributes:
-        configuration: What is in force.
+        configuration: Configuration in force.
         directory: The engines.
-        engines: How they are reached.
-        leases: Takes the lease.
-        shares: The roll-outs.
-        table: Holds the preset to prepare for.
-        weights: Says how many loads the weight store bears.
+        engines: Client of the engines.
+        leases: Acquires the lease.
+        shares: Traffic shares of the rollouts.
+        table: Holds the name of the preset to prepare.
+        weights: Returns how many loads the weight store can take.
     """
 
     configuration: Configuration
@@ -66,13 +66,13 @@
 
 
 class OrderKeeper:
-    """Brings a domain's engines to what is wanted, step by step.
+    """Brings a domain's engines to the desired state, step by step.
 
     Args:
-        parts: What it needs.
-        domain: The domain of this host.
+        parts: Dependencies of the controller.
+        domain: Domain of this host.
         clock: The host's clock.
-        period: Seconds between looks.
+        period: Seconds between checks.
     """
 
     def __init__(
@@ -88,18 +88,18 @@
         self._period = period
         self._pending = Pending()
         self._next_load = float('-inf')
-        self._unused: dict[VersionId, float] = {}
+        self._unused_since: dict[VersionId, float] = {}
 
     @property
     def lease_name(self) -> str:
-        """Return the lease under which this domain's engines get orders."""
+        """Name of the lease under which this domain's engines get orders."""
         return f'orders/{self._domain}'
 
     async def run(self, is_mine: Callable[[], bool]) -> None:
-        """Look and order until cancelled.
+        """Check the engines and send orders until cancelled.
 
         Args:
-            is_mine: Tells whether this host tries for the lease.
+            is_mine: Returns whether this host is a candidate for the lease.
         """
         while True:
             if is_mine():
@@ -107,7 +107,7 @@
             await self._clock.sleep(self._period)
 
     async def act(self) -> None:
-        """Look once, and give the orders that are due."""
+        """Check the engines once, and send the orders that are due."""
         lease = await self._parts.leases.keep(self.lease_name)
         if isinstance(lease, Refusal):
             return
@@ -122,21 +122,21 @@
         if loads:
             await self._load(loads[0], lease)
             return
-        # What is wanted comes first; what is needless costs only memory.
+        # Wanted versions come first; unneeded ones only cost memory.
         for order in inventory.needless(desired):
             if self._has_drained(order.version, desired, now):
-                await self._give(order, lease)
+                await self._send(order, lease)
 
     async def prepare(
         self,
         preset: str,
         author: OperatorId,
     ) -> Refusal | None:
-        """Have the versions of a preset loaded before it is switched to.
+        """Have the versions of a preset loaded before it comes into force.
 
         Args:
-            preset: Its name; empty to stop preparing.
-            author: Who asks for it.
+            preset: Name of the preset; empty to stop preparing.
+            author: Operator who asks for it.
         """
         accepted = self._parts.configuration.accepted
         presets = accepted.document.presets if accepted else ()
@@ -151,16 +151,19 @@
         if isinstance(outcome, Refusal):
             return outcome
         if isinstance(outcome, tuple):
-            _LOG.info('%s has %r prepared', author, preset)
+            _LOG.info('%s asked to prepare the preset %r', author, preset)
             return None
-        reason = 'Another operator came first; look and try again.'
+        reason = (
+            'Another operator changed the prepared preset first; check it and '
+            'try again.'
+        )
         return Refusal(ResultCode.TABLE_CONFLICT, reason)
 
     async def _desired(self) -> Desired | None:
-        """Return what this domain's engines ought to have, if known.
+        """Return the desired state of this domain's engines, if known.
 
-        A host without a confirmed configuration knows nothing: to it, no
-        version would be allowed, and it would unload them all.
+        A host without a confirmed configuration knows no allowed version, and
+        would unload all of them.
         """
         configuration = self._parts.configuration
         if configuration.accepted is None or configuration.isolated:
@@ -176,29 +179,29 @@
         )
         return desired_of(
             configuration,
-            self._domains(),
+            self._engine_domains(),
             self._domain,
             prepared.text,
             sharing,
         )
 
-    def _domains(self) -> tuple[DomainId, ...]:
+    def _engine_domains(self) -> tuple[DomainId, ...]:
         states = self._parts.directory.states()
         return tuple(
             sorted({state.info.domain for state in states if is_engine(state)}),
         )
 
     async def _load(self, order: PlannedOrder, lease: Lease) -> None:
-        """Load one version, no faster than the weight store bears."""
+        """Load one version, no faster than the weight store can take."""
         if self._clock.now() < self._next_load:
             return
         rate = await self._parts.weights.loads_per_minute()
         if isinstance(rate, Refusal) or rate <= 0:
             return
-        # The other domains load by themselves, out of the same store.
-        pause = _MINUTE / rate * max(len(self._domains()), 1)
+        # The other domains load on their own from the same weight store.
+        pause = _MINUTE / rate * max(len(self._engine_domains()), 1)
         self._next_load = self._clock.now() + pause
-        await self._give(order, lease)
+        await self._send(order, lease)
 
     def _has_drained(
         self,
@@ -206,21 +209,21 @@
         desired: Desired,
         now: float,
     ) -> bool:
-        """Tell whether work of a version must have ended at every host.
+        """Return whether work with a version must have ended at every host.
 
-        No host begins work with it any more; what had begun ends within
+        No host starts work with it any more. Work that had started ends within
         the longest deadline.
         """
-        for known in tuple(self._unused):
+        for known in tuple(self._unused_since):
             if known in desired.allowed:
-                self._unused.pop(known)
-        since = self._unused.setdefault(version, now)
+                self._unused_since.pop(known)
+        since = self._unused_since.setdefault(version, now)
         accepted = self._parts.configuration.accepted
         tasks = accepted.document.tasks if accepted else ()
         longest = max((task.deadline for task in tasks), default=0)
         return now - since >= longest
 
-    async def _give(self, order: PlannedOrder, lease: Lease) -> None:
+    async def _send(self, order: PlannedOrder, lease: Lease) -> None:
         gate = self._gate(order, lease)
         refusal = await self._parts.engines.order(
             order.state.info,
@@ -230,26 +233,33 @@
         engine = order.state.info.upstream
         if refusal is None:
             self._pending.note(order, self._clock.now())
-            _LOG.info('%s at %s, number %d', what, engine, lease.number)
+            _LOG.info(
+                'order %s sent to engine %s, fencing number %d',
+                what,
+                engine,
+                lease.number,
+            )
             return
-        _LOG.warning('%s at %s: %s', what, engine, refusal.reason)
+        _LOG.warning(
+            'order %s for engine %s failed: %s', what, engine, refusal.reason
+        )
 
     def _gate(self, order: PlannedOrder, lease: Lease) -> Gate:
-        """Return the last look before an order's first byte."""
+        """Return the last check before an order's first byte."""
 
         def check() -> Refusal | None:
-            """Look at the lease, the version and the engine once more."""
+            """Check the lease, the version and the engine once more."""
             leases = self._parts.leases
             margin = 0 if _checks_fencing(order.state) else leases.margin
             refusal = leases.check(lease, margin)
             if refusal is not None:
                 return refusal
-            return self._change_of_mind(order)
+            return self._obsolete_reason(order)
 
         return check
 
-    def _change_of_mind(self, order: PlannedOrder) -> Refusal | None:
-        """Return why an order is not wanted any more, or None."""
+    def _obsolete_reason(self, order: PlannedOrder) -> Refusal | None:
+        """Return why an order is no longer wanted, or None."""
         version = order.version
         if order.action is OrderAction.UNLOAD:
             if order.state.in_flight_versions.get(version):
@@ -265,5 +275,5 @@
 
 
 def _checks_fencing(state: UpstreamState) -> bool:
-    """Tell whether an engine says that it refuses old numbers."""
+    """Return whether an engine reports that it refuses old fencing numbers."""
     return state.report is not None and state.report.checks_fencing
--- a/src/nutmegroad/rollouts/orders.py
+++ b/src/nutmegroad/rollouts/orders.py
@@ -1,9 +1,9 @@
-"""Orders to engines: which versions each is to have loaded.
+"""Orders to engines: which versions each engine is to load or unload.
 
-Orders are worked out of a desired state: what the preset and the roll-outs
-want is compared with what the engines report, again and again. So an order
-that was lost is given anew, and one that a lapsed holder got through to an
-engine is put right.
+Orders follow from a desired state: the versions that the preset and the
+rollouts want are compared with the engines' reports, again and again. A lost
+order is therefore sent again, and an order that a host got through to an engine
+after its lease had expired is corrected.
 """
 
 from collections.abc import Iterable, Mapping
@@ -25,16 +25,16 @@
 )
 from nutmegroad.routing.directory import is_engine
 
-#: Seconds after which an order that shows no effect is given again.
-PATIENCE: Final = 90.0
+#: Seconds after which an order without visible effect is sent again.
+ORDER_TIMEOUT: Final = 90.0
 
 
 @dataclass(frozen=True, slots=True)
 class Desired:
-    """What the engines of a domain ought to have.
+    """Desired state of the engines of a domain.
 
     Attributes:
-        wanted: How many engines of the domain each version needs.
+        wanted: Number of engines of the domain that each version needs.
         allowed: Versions that some workspace may still use.
     """
 
@@ -44,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedOrder:
-    """An order that is to be given.
+    """An order to be sent.
 
     Attributes:
-        state: The engine.
+        state: State of the engine.
         action: Load or unload.
-        version: Which version.
+        version: The version.
     """
 
     state: UpstreamState
@@ -59,10 +59,11 @@
 
 @dataclass(slots=True)
 class Pending:
-    """Orders that were given and have not shown in a report.
+    """Orders that were sent and do not show in a report yet.
 
     Attributes:
-        given: When, by engine, action and version.
+        given: Host clock, in seconds, at which each was sent, by engine, action
+            and version.
     """
 
     given: dict[tuple[UpstreamId, OrderAction, VersionId], float] = field(
@@ -70,17 +71,17 @@
     )
 
     def note(self, order: PlannedOrder, now: float) -> None:
-        """Note that an order was given."""
+        """Record that an order was sent."""
         engine = order.state.info.upstream
         self.given[engine, order.action, order.version] = now
 
     def has(self, order: PlannedOrder) -> bool:
-        """Tell whether an order was given and may still take effect."""
+        """Return whether an order was sent and may still take effect."""
         engine = order.state.info.upstream
         return (engine, order.action, order.version) in self.given
 
     def expire(self, now: float, states: Iterable[UpstreamState]) -> None:
-        """Forget orders that have shown, or ought to have by now."""
+        """Remove orders that show in a report, or should do so by now."""
         loaded = {
             (state.info.upstream, OrderAction.LOAD, version)
             for state in states
@@ -90,17 +91,17 @@
         self.given = {
             name: given
             for name, given in self.given.items()
-            if now - given < PATIENCE and name not in loaded
+            if now - given < ORDER_TIMEOUT and name not in loaded
         }
 
 
 class Inventory:
-    """The engines of a domain that take orders, and what they have.
+    """Engines of a domain that accept orders, and their versions.
 
     Args:
-        states: All upstreams.
+        states: States of all upstreams.
         domain: The domain.
-        pending: Orders under way.
+        pending: Orders in progress.
     """
 
     def __init__(
@@ -119,20 +120,20 @@
         ]
 
     def missing(self, desired: Desired) -> list[PlannedOrder]:
-        """Return the loads that are missing, the most urgent first."""
+        """Return the missing loads, the most urgent first."""
         orders: list[PlannedOrder] = []
         ranked = sorted(
             desired.wanted.items(),
             key=lambda named: (self.copies(named[0]) > 0, named[0]),
         )
         for version, need in ranked:
-            orders.extend(self._loads(version, need))
+            orders.extend(self._missing_loads(version, need))
         return orders
 
     def needless(self, desired: Desired) -> list[PlannedOrder]:
-        """Return the unloads of what nobody may use and nothing uses.
+        """Return the unloads of versions that nobody may use and nothing uses.
 
-        A version that is allowed stays, so the last copy of one does, too.
+        An allowed version stays, so its last replica stays, too.
         """
         orders = []
         for state, report in self._engines:
@@ -152,19 +153,21 @@
             self._has(state, report, version) for state, report in self._engines
         )
 
-    def _loads(self, version: VersionId, need: int) -> list[PlannedOrder]:
+    def _missing_loads(
+        self, version: VersionId, need: int
+    ) -> list[PlannedOrder]:
         missing = need - self.copies(version)
         if missing <= 0:
             return []
         without = [
-            (self._burden(state, report), state)
+            (self._load_rank(state, report), state)
             for state, report in self._engines
             if not self._has(state, report, version)
         ]
         without.sort(key=lambda ranked: ranked[0])
         return [
             PlannedOrder(state, OrderAction.LOAD, version)
-            for _burden, state in without[:missing]
+            for _load_rank, state in without[:missing]
         ]
 
     def _has(
@@ -178,22 +181,22 @@
         engine = state.info.upstream
         return (engine, OrderAction.LOAD, version) in self._pending.given
 
-    def _burden(
+    def _load_rank(
         self,
         state: UpstreamState,
         report: EngineReport,
     ) -> tuple[int, int, str]:
         engine = state.info.upstream
-        coming = sum(
+        loading = sum(
             name[0] == engine and name[1] is OrderAction.LOAD
             for name in self._pending.given
         )
         busy = report.running + report.queued
-        return len(report.versions) + coming, busy, engine
+        return len(report.versions) + loading, busy, engine
 
 
 def _takes_orders(state: UpstreamState) -> bool:
-    """Tell whether an upstream is an engine that stays."""
+    """Return whether an upstream is an engine that may get new work."""
     return state.is_open and is_engine(state)
 
 
@@ -204,24 +207,26 @@
     prepared: str,
     sharing: frozenset[VersionId],
 ) -> Desired:
-    """Return what the engines of a domain ought to have.
+    """Return the desired state of a domain's engines.
 
     Args:
-        configuration: What is in force.
+        configuration: Configuration in force.
         domains: The domains that have engines, in order.
-        domain: Which of them.
-        prepared: A preset that comes next, whose versions are loaded
-            ahead; empty for none.
-        sharing: Versions whose roll-out has a share.
+        domain: Domain of the engines.
+        prepared: Name of the next preset, whose versions are loaded in advance;
+            empty for none.
+        sharing: Versions whose rollout has a traffic share.
     """
     accepted = configuration.accepted
     if accepted is None:
         return Desired({}, frozenset())
     allowed = _allowed(configuration, accepted)
-    presets = [accepted.preset_entry, *_named(accepted, prepared)]
+    presets = [accepted.preset_entry, *_presets_named(accepted, prepared)]
     wanted = {
         version: max(
-            _share_of(preset.preload.get(version, 0), version, domains, domain)
+            _domain_count(
+                preset.preload.get(version, 0), version, domains, domain
+            )
             for preset in presets
         )
         for preset in presets
@@ -233,8 +238,8 @@
     return Desired(wanted, allowed)
 
 
-def _named(accepted: Accepted, prepared: str) -> list[PresetEntry]:
-    """Return the preset of a name, if there is one."""
+def _presets_named(accepted: Accepted, prepared: str) -> list[PresetEntry]:
+    """Return the preset with a name, if there is one."""
     return [
         preset
         for preset in accepted.document.presets
@@ -265,23 +270,24 @@
     version: VersionId,
     sharing: frozenset[VersionId],
 ) -> bool:
-    """Tell whether a version is steady or its roll-out has a share."""
+    """Return whether a version is steady or its rollout has a traffic share."""
     entry = accepted.document.version(version)
     if entry is None:
         return False
     return entry.stage is Stage.STEADY or version in sharing
 
 
-def _share_of(
+def _domain_count(
     count: int,
     version: VersionId,
     domains: tuple[DomainId, ...],
     domain: DomainId,
 ) -> int:
-    """Return a domain's part of a deployment's count of engines.
+    """Return a domain's part of a deployment's number of engines.
 
-    Every domain gets the whole part; who gets what is left depends on the
-    version, so that no domain gets the rest of all versions.
+    Every domain gets the integer quotient. Which domains get the remainder
+    depends on the version, so that no domain gets the remainder of all
+    versions.
     """
     if domain not in domains:
         return 0
--- a/src/nutmegroad/rollouts/orders_part.py
+++ b/src/nutmegroad/rollouts/orders_part.py
@@ -1,4 +1,4 @@
-"""The part that gives orders to the engines of this domain."""
+"""Part that sends orders to the engines of this domain."""
 
 from typing import Final
 
@@ -13,9 +13,9 @@
 from nutmegroad.rollouts.rollout_shares import RolloutShares
 from nutmegroad.routing.directory import Directory
 
-#: Seconds between looks; a holder renews its lease as often.
+#: Seconds between checks; a lease holder renews its lease as often.
 ORDER_PERIOD: Final = 2.0
-#: Hosts of the domain that try for the lease.
+#: Number of hosts of the domain that are candidates for the lease.
 CANDIDATES: Final = 2
 
 _DUTY: Final = DutyName('orders')
@@ -23,12 +23,12 @@
 
 @register('part', 'orders')
 class OrdersPart:
-    """Provides the keeper of orders."""
+    """Provides the order controller."""
 
     needs = (LeaseKeeper, RolloutShares, Directory, EngineClient, Weights)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to look."""
+        """Start to check the engines."""
         parts = OrderParts(
             kernel.need(Configuration),
             kernel.need(Directory),
@@ -44,7 +44,7 @@
         kernel.provide(OrderKeeper, keeper)
 
         def is_mine() -> bool:
-            """Tell whether this host tries for the lease."""
+            """Return whether this host is a candidate for the lease."""
             return duties.is_mine(_DUTY, CANDIDATES)
 
         kernel.spawn(keeper.run(is_mine), 'orders')
--- a/src/nutmegroad/rollouts/part.py
+++ b/src/nutmegroad/rollouts/part.py
@@ -1,4 +1,4 @@
-"""The part that keeps leases and moves roll-outs."""
+"""Part that provides leases and runs the rollouts."""
 
 from typing import Final
 
@@ -17,11 +17,11 @@
 from nutmegroad.rollouts.rollout_shares import RolloutShares
 from nutmegroad.rollouts.rollout_store import RolloutStore
 
-#: Seconds that a lease lasts.
+#: Seconds for which a lease is valid.
 LEASE_TERM: Final = 8.0
-#: Seconds between reads of the roll-outs; a holder renews as often.
+#: Seconds between reads of the rollouts; a lease holder renews as often.
 ROLLOUT_PERIOD: Final = 2.0
-#: Hosts of each domain that try for the lease.
+#: Number of hosts of each domain that are candidates for the lease.
 CANDIDATES: Final = 2
 
 _DUTY: Final = DutyName('rollouts')
@@ -29,12 +29,12 @@
 
 @register('part', 'rollouts')
 class RolloutsPart:
-    """Provides leases, roll-outs and their shares."""
+    """Provides leases, rollouts and their traffic shares."""
 
     needs = (Table, Mesh, Duties, ExposureGuard)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to read and to move."""
+        """Start to read and to advance rollouts."""
         leases = LeaseKeeper(
             kernel.incarnation,
             kernel.need(Table),
@@ -70,7 +70,7 @@
         kernel.provide(RolloutService, service)
 
         def is_mine() -> bool:
-            """Tell whether this host tries for the lease."""
+            """Return whether this host is a candidate for the lease."""
             return duties.is_mine(_DUTY, CANDIDATES)
 
         kernel.spawn(keeper.run(is_mine), 'rollouts')
--- a/src/nutmegroad/rollouts/quarantines.py
+++ b/src/nutmegroad/rollouts/quarantines.py
@@ -1,10 +1,11 @@
-"""Quarantines: versions that evidence speaks against, agreed on by union.
-
-A quarantine is a level that only grows, odd while it stands and even once
-an operator has lifted it. Hosts take the higher level, so all come to the
-same whatever the order of the messages, and an old message undoes nothing.
-It holds for one epoch of the version and does not lapse by itself: waiting
-makes no version good, and nobody may be there overnight.
+"""Quarantines: versions that evidence speaks against, merged between hosts.
+
+A quarantine has a level that only grows. An odd level means that the quarantine
+is active, an even one that an operator has lifted it. Hosts keep the higher
+level, so they all reach the same state in whatever order messages arrive, and
+an old message undoes nothing. A quarantine holds for one epoch of the version.
+It does not expire: waiting makes no version good, and there may be nobody on
+duty overnight.
 """
 
 from collections.abc import Callable, Iterable
@@ -22,34 +23,35 @@
 
 _LOG: Final = part_logger('exposure')
 
-#: Records that one message carries, so that its size is bounded.
-MESSAGE_RECORDS: Final = 64
-#: A version that is bad at so many task classes gets no work of any.
-TASKS_FOR_ALL: Final = 2
+#: Maximum number of records in a message, so that its size is bounded.
+MAX_MESSAGE_RECORDS: Final = 64
+#: Number of quarantined task classes from which a version gets no work at all.
+MIN_TASKS_FOR_ALL: Final = 2
 
 _RETRY_AFTER: Final = 30.0
 
 
 @unique
 class Grade(IntEnum):
-    """How sure a quarantine is."""
+    """Certainty of a quarantine."""
 
-    #: It holds while another version may do the work.
+    #: Holds while another version may do the work.
     WEAK = 1
-    #: It holds even if no other version may.
+    #: Holds even if no other version may do the work.
     STRONG = 2
 
 
 class QuarantineRecord(Struct, frozen=True, array_like=True):
-    """Where a quarantine stands.
+    """State of a quarantine.
 
     Attributes:
         version: The version.
-        epoch: The epoch of it.
+        epoch: Epoch of the version.
         task: The task class.
-        level: Odd while it stands, even once it is lifted.
-        grade: How sure it is.
-        reason: Why, in one sentence.
+        level: An odd number if the quarantine is active, an even one if it
+            is lifted.
+        grade: Value of a ``Grade``.
+        reason: Reason, in one sentence.
     """
 
     version: VersionId
@@ -61,17 +63,17 @@
 
     @property
     def stands(self) -> bool:
-        """Tell whether it holds now."""
+        """Whether the quarantine is active."""
         return self.level % 2 == 1
 
     @property
     def rank(self) -> tuple[int, int, str]:
-        """Return what decides between two states of it."""
+        """Key by which two states are compared; the higher one holds."""
         return self.level, self.grade, self.reason
 
 
 class QuarantineMessage(Message, frozen=True, tag='quarantines'):
-    """What a host knows of quarantines."""
+    """Quarantines that a host knows."""
 
     part: ClassVar[str] = 'exposure'
 
@@ -82,10 +84,10 @@
 
 
 class Quarantines:
-    """All quarantines that this host knows; it meets ``Quarantine``.
+    """All quarantines that this host knows; implements ``Quarantine``.
 
     Args:
-        configuration: What is in force.
+        configuration: Configuration in force.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -95,7 +97,7 @@
 
     @property
     def records(self) -> tuple[QuarantineRecord, ...]:
-        """Return all records, the ones that stand first."""
+        """All records, the active ones first."""
         records = self._records.values()
         return tuple(sorted(records, key=lambda record: not record.stands))
 
@@ -110,7 +112,9 @@
         record = self.standing(version, task)
         if record is None:
             return None
-        if record.grade < Grade.STRONG and not self._has_other(version, task):
+        if record.grade < Grade.STRONG and not self._has_alternative(
+            version, task
+        ):
             return None
         return Refusal(
             ResultCode.VERSION_QUARANTINED,
@@ -123,19 +127,22 @@
         version: VersionId,
         task: TaskName,
     ) -> QuarantineRecord | None:
-        """Return the quarantine that stands for a task, or None."""
+        """Return the quarantine that is active for a task, or None.
+
+        A version in a rollout is blocked for all tasks by a quarantine for any.
+        """
         records = self.standing_all(version)
         for record in records:
             if record.task == task:
                 return record
         entry = self._configuration.entry(version)
         in_rollout = entry is not None and entry.stage is Stage.ROLLOUT
-        if records and (in_rollout or len(records) >= TASKS_FOR_ALL):
+        if records and (in_rollout or len(records) >= MIN_TASKS_FOR_ALL):
             return records[0]
         return None
 
     def standing_all(self, version: VersionId) -> tuple[QuarantineRecord, ...]:
-        """Return the quarantines of a version that stand, of any task."""
+        """Return the active quarantines of a version, for any task."""
         entry = self._configuration.entry(version)
         if entry is None:
             return ()
@@ -154,7 +161,7 @@
         grade: Grade,
         reason: str,
     ) -> None:
-        """Put a version into quarantine for a task class."""
+        """Quarantine a version for a task class."""
         entry = self._configuration.entry(version)
         if entry is None:
             return
@@ -168,7 +175,7 @@
         self.learn((record,))
 
     def lift(self, version: VersionId, author: str) -> int:
-        """Lift all quarantines of a version; return how many stood."""
+        """Lift all quarantines of a version; return how many were active."""
         lifted = tuple(
             QuarantineRecord(
                 record.version,
@@ -184,7 +191,7 @@
         return len(lifted)
 
     def learn(self, records: Iterable[QuarantineRecord]) -> bool:
-        """Take records; tell whether any was new."""
+        """Merge records; return whether any was new."""
         fresh = False
         for record in records:
             name = (record.version, record.epoch, record.task)
@@ -198,7 +205,7 @@
         return fresh
 
     def lacks(self, records: Iterable[QuarantineRecord]) -> bool:
-        """Tell whether somebody who knows these records knows less."""
+        """Return whether a host that sent these records lacks newer ones."""
         theirs = {
             (record.version, record.epoch, record.task): record
             for record in records
@@ -209,11 +216,11 @@
         )
 
     def message(self) -> QuarantineMessage:
-        """Return what is to be told to other hosts."""
-        return QuarantineMessage(self.records[:MESSAGE_RECORDS])
+        """Return the message with this host's records for other hosts."""
+        return QuarantineMessage(self.records[:MAX_MESSAGE_RECORDS])
 
-    def _has_other(self, version: VersionId, task: TaskName) -> bool:
-        """Tell whether another version may do a task's work."""
+    def _has_alternative(self, version: VersionId, task: TaskName) -> bool:
+        """Return whether another version may do a task's work."""
         accepted = self._configuration.accepted
         if accepted is None:
             return False
@@ -223,7 +230,7 @@
         )
 
     def _is_open(self, version: VersionId, task: TaskName) -> bool:
-        """Tell whether a version is steady, allowed and not in question."""
+        """Return whether a version is steady, allowed and not in quarantine."""
         entry = self._configuration.entry(version)
         if entry is None or entry.stage is Stage.ROLLOUT:
             return False
@@ -234,7 +241,7 @@
 
 
 def _versions_for(accepted: Accepted, task: TaskName) -> tuple[VersionId, ...]:
-    """Return the versions that the preset in force gives a task."""
+    """Return the versions that the preset in force assigns to a task."""
     for entry in accepted.preset_entry.tasks:
         if entry.task == task:
             return tuple(map(VersionId, entry.versions))
--- a/src/nutmegroad/rollouts/rollout_keeper.py
+++ b/src/nutmegroad/rollouts/rollout_keeper.py
@@ -1,4 +1,4 @@
-"""Moves roll-outs, while this host holds their lease."""
+"""Advances rollouts, while this host holds their lease."""
 
 import random
 from collections.abc import Callable
@@ -29,19 +29,19 @@
 
 _LOG: Final = part_logger('rollouts')
 
-#: The lease under which all roll-outs are moved.
+#: Name of the lease under which all rollouts are advanced.
 ROLLOUTS_LEASE: Final = 'rollouts'
-#: Reads are spread over this share of their period.
+#: Fraction of the period by which reads are spread either way.
 JITTER: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
-class _Mark:
-    """What stood when this host first saw a step.
+class _StepStart:
+    """State at the time at which this host first saw a step.
 
     Attributes:
-        state: The state after the step.
-        since: Clock seconds.
+        state: Rollout state after the step.
+        since: Host clock in seconds.
         answers: Answers of the version until then.
         ratings: Its ratings until then.
     """
@@ -54,16 +54,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutParts:
-    """What a keeper of roll-outs needs.
+    """Dependencies of a rollout controller.
 
     Attributes:
-        configuration: What is in force.
-        store: Reads and moves the rows.
-        shares: What is in force on this host.
-        leases: Takes the lease.
+        configuration: Configuration in force.
+        store: Reads and writes the rows.
+        shares: Traffic shares in force on this host.
+        leases: Acquires the lease.
         guard: Tests the evidence.
-        evidence: The evidence.
-        quarantines: What the guard has stopped.
+        evidence: Counted attempts.
+        quarantines: Quarantines, also those that the guard imposed.
     """
 
     configuration: Configuration
@@ -76,10 +76,10 @@
 
 
 class RolloutKeeper:
-    """Reads the roll-outs, and moves them if it holds the lease.
+    """Reads the rollouts, and advances them while it holds the lease.
 
     Args:
-        parts: What it needs.
+        parts: Dependencies of the controller.
         clock: The host's clock.
         randomness: Spreads the reads.
         period: Seconds between reads.
@@ -96,13 +96,13 @@
         self._clock = clock
         self._randomness = randomness
         self._period = period
-        self._marks: dict[VersionId, _Mark] = {}
+        self._step_starts: dict[VersionId, _StepStart] = {}
 
     async def run(self, is_mine: Callable[[], bool]) -> None:
-        """Read and move until cancelled.
+        """Read and advance rollouts until cancelled.
 
         Args:
-            is_mine: Tells whether this host tries for the lease.
+            is_mine: Returns whether this host is a candidate for the lease.
         """
         while True:
             rollouts = await self.read()
@@ -112,7 +112,7 @@
             await self._clock.sleep(self._period * (1 + spread))
 
     async def read(self) -> tuple[Rollout, ...]:
-        """Read the roll-outs, and put their shares into force here."""
+        """Read the rollouts, and apply their shares on this host."""
         rollouts = await self._parts.store.all()
         if isinstance(rollouts, Refusal):
             return ()
@@ -121,28 +121,28 @@
         return rollouts
 
     async def move(self, rollouts: tuple[Rollout, ...]) -> None:
-        """Move the roll-outs that run, under the lease."""
+        """Advance the running rollouts under the lease."""
         lease = await self._parts.leases.keep(ROLLOUTS_LEASE)
         if isinstance(lease, Refusal):
-            self._marks.clear()
+            self._step_starts.clear()
             return
         for rollout in rollouts:
             if rollout.state.phase is Phase.RUNNING:
-                await self._move_one(rollout, lease)
+                await self._advance_one(rollout, lease)
 
-    async def _move_one(self, rollout: Rollout, lease: Lease) -> None:
+    async def _advance_one(self, rollout: Rollout, lease: Lease) -> None:
         state = rollout.state
         entry = self._parts.configuration.entry(state.version)
         if entry is None or entry.epoch != state.epoch:
             return
         if state.fencing != lease.number:
-            # Claim it first; decide when the claim stands.
+            # Claim the row first; decide once the claim is written.
             await self._write(rollout, state, lease)
             return
         step = decide(state, self._findings(state, entry))
         if step is not None:
             _LOG.info(
-                '%s gets %.3f: %s',
+                'rollout of %s gets the share %.3f: %s',
                 state.version,
                 step.share,
                 step.reason,
@@ -169,35 +169,35 @@
         state: RolloutState,
         entry: VersionEntry,
     ) -> Findings:
-        """Sum up what is known of a version in this step."""
+        """Summarize what is known of a version in this step."""
         tasks = self._tasks(state.version)
         before = entry.replaces
-        answers, ratings = self._counted(state.version, tasks)
-        mark = self._mark(state, answers, ratings)
+        answers, ratings = self._totals(state.version, tasks)
+        start = self._step_start(state, answers, ratings)
         reference = Moments()
         if before is not None:
-            reference = self._counted(VersionId(before), tasks)[1]
+            reference = self._totals(VersionId(before), tasks)[1]
         standing = self._parts.quarantines.standing_all(state.version)
         return Findings(
             blocked=standing[0].reason if standing else '',
             bound=self._parts.shares.bound(state.version),
-            seconds=self._clock.now() - mark.since,
-            answers=answers - mark.answers,
-            ratings=ratings.minus(mark.ratings),
+            seconds=self._clock.now() - start.since,
+            answers=answers - start.answers,
+            ratings=ratings.minus(start.ratings),
             before=reference,
             strength=self._strength(state.version, tasks),
         )
 
-    def _mark(
+    def _step_start(
         self,
         state: RolloutState,
         answers: int,
         ratings: Moments,
-    ) -> _Mark:
-        known = self._marks.get(state.version)
+    ) -> _StepStart:
+        known = self._step_starts.get(state.version)
         if known is None or known.state.share != state.share:
-            known = _Mark(state, self._clock.now(), answers, ratings)
-            self._marks[state.version] = known
+            known = _StepStart(state, self._clock.now(), answers, ratings)
+            self._step_starts[state.version] = known
         return known
 
     def _tasks(self, version: VersionId) -> tuple[TaskName, ...]:
@@ -210,7 +210,7 @@
             if version in entry.versions
         )
 
-    def _counted(
+    def _totals(
         self,
         version: VersionId,
         tasks: tuple[TaskName, ...],
@@ -228,7 +228,7 @@
         version: VersionId,
         tasks: tuple[TaskName, ...],
     ) -> float:
-        """Return the strongest evidence against a version."""
+        """Return the strength of the strongest evidence against a version."""
         watches = (self._parts.guard.watch(version, task) for task in tasks)
         strengths = [
             max(watch.strengths().values())
--- a/src/nutmegroad/rollouts/rollout_service.py
+++ b/src/nutmegroad/rollouts/rollout_service.py
@@ -1,4 +1,4 @@
-"""Does what operators ask of roll-outs and quarantines."""
+"""Carries out operators' requests on rollouts and quarantines."""
 
 from enum import Enum, unique
 from types import MappingProxyType
@@ -26,13 +26,13 @@
     Step,
 )
 
-#: The task class of a quarantine that an operator imposes: all of them.
+#: Task class of a quarantine that an operator imposes: all of them.
 ALL_TASKS: Final = TaskName('all')
 
 
 @unique
 class Action(Enum):
-    """What an operator can do with a roll-out."""
+    """What an operator can do with a rollout."""
 
     START = 'start'
     PAUSE = 'pause'
@@ -42,7 +42,7 @@
     LIFT = 'lift'
 
 
-#: Where an action leaves a roll-out.
+#: Phase of a rollout after an action.
 _PHASES: Final = MappingProxyType(
     {
         Action.PAUSE: Phase.PAUSED,
@@ -53,12 +53,12 @@
 
 
 class RolloutStatus(Struct, frozen=True):
-    """What this host knows of roll-outs.
+    """Rollouts and quarantines that this host knows.
 
     Attributes:
-        rollouts: The roll-outs, with the reason of each step.
-        shares: The share that is in force here by version.
-        quarantines: The quarantines, those that stand first.
+        rollouts: The rollouts, with the reason of each step.
+        shares: Traffic share in force on this host, by version.
+        quarantines: The quarantines, the active ones first.
     """
 
     rollouts: tuple[RolloutState, ...]
@@ -67,13 +67,13 @@
 
 
 class RolloutService:
-    """Does what operators ask.
+    """Carries out operators' requests.
 
     Args:
-        configuration: What is in force.
-        store: The rows of roll-outs.
-        shares: What is in force on this host.
-        quarantines: What the guard has stopped.
+        configuration: Configuration in force.
+        store: The rows of rollouts.
+        shares: Traffic shares in force on this host.
+        quarantines: Quarantines that this host knows.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self._quarantines = quarantines
 
     def status(self) -> RolloutStatus:
-        """Return what this host knows."""
+        """Return the rollouts and quarantines that this host knows."""
         states = tuple(rollout.state for rollout in self._shares.known)
         return RolloutStatus(
             states,
@@ -106,20 +106,23 @@
         action: Action,
         author: OperatorId,
     ) -> Refusal | None:
-        """Do what an operator asks; halting needs no platform."""
+        """Carry out an operator's request.
+
+        Halting a version does not need the platform.
+        """
         entry = self._configuration.entry(version)
         if entry is None:
-            return _missing(f'There is no version {version!r}.')
+            return _not_found(f'There is no version {version!r}.')
         if action is Action.LIFT:
             self._quarantines.lift(version, author)
             return None
         if entry.stage is not Stage.ROLLOUT:
-            reason = f'The version {version} is not in roll-out but steady.'
+            reason = f'The version {version} is steady, not in a rollout.'
             return Refusal(ResultCode.OPERATOR_REQUEST_INVALID, reason)
         if action is Action.START:
             return await self._start(version, Epoch(entry.epoch), author)
         if action is Action.ABORT:
-            # It stops here, and on all hosts, before the table is asked.
+            # The version stops here and on all hosts before the table is asked.
             reason = f'aborted by {author}.'
             self._quarantines.impose(version, ALL_TASKS, Grade.STRONG, reason)
         return await self._change(version, _PHASES[action], author)
@@ -131,12 +134,12 @@
         author: OperatorId,
     ) -> Refusal | None:
         if self._quarantines.standing_all(version):
-            reason = f'The version {version} is in quarantine; lift it first.'
+            reason = f'The version {version} is in quarantine; lift that first.'
             return Refusal(ResultCode.OPERATOR_REQUEST_INVALID, reason)
         share = min(FIRST_SHARE, self._shares.bound(version))
         step = Step(share, Phase.RUNNING, f'Started by {author}.')
         wanted = RolloutState(version, epoch).after(step)
-        return self._take(await self._store.begin(wanted))
+        return self._apply(await self._store.begin(wanted))
 
     async def _change(
         self,
@@ -148,20 +151,21 @@
         if isinstance(found, Refusal):
             return found
         if found is None:
-            return _missing(f'No roll-out of {version} was started.')
+            return _not_found(f'No rollout of {version} was started.')
         share = 0 if phase is Phase.ABORTED else found.state.share
         step = Step(share, phase, f'{phase.value} by {author}.')
-        # The number stays: it says who may move the row by itself.
+        # The fencing number stays: it says which lease holder may advance the
+        # row on its own.
         wanted = found.state.after(step)
-        return self._take(await self._store.move(found.row, wanted))
+        return self._apply(await self._store.move(found.row, wanted))
 
-    def _take(self, moved: Rollout | Refusal) -> Refusal | None:
+    def _apply(self, moved: Rollout | Refusal) -> Refusal | None:
         if isinstance(moved, Refusal):
             return moved
         self._shares.learn(moved)
         return None
 
 
-def _missing(reason: str) -> Refusal:
-    """Say that there is no such thing."""
+def _not_found(reason: str) -> Refusal:
+    """Return a refusal for something that does not exist."""
     return Refusal(ResultCode.NOT_FOUND, reason)
--- a/src/nutmegroad/rollouts/rollout_shares.py
+++ b/src/nutmegroad/rollouts/rollout_shares.py
@@ -1,4 +1,4 @@
-"""The shares of roll-outs that are in force on this host."""
+"""Traffic shares of rollouts that are in force on this host."""
 
 from typing import ClassVar, Final
 
@@ -16,18 +16,18 @@
 
 _LOG: Final = part_logger('rollouts')
 
-#: Bits of the hash by which requests are drawn.
+#: Bits of the hash by which requests are selected.
 HASH_BITS: Final = 64
-_HASHES: Final = 2**HASH_BITS
+_HASH_VALUES: Final = 2**HASH_BITS
 
 
 class RolloutMessage(Message, frozen=True, tag='rollout'):
-    """A roll-out's row, as its writer or a reader knows it.
+    """Row of a rollout, sent by its writer or a reader.
 
     Attributes:
-        key: The row's key.
-        text: Its text.
-        version: Its version; of two, the higher holds.
+        key: Key of the row.
+        text: Content of the row.
+        version: Version of the row; of two, the higher holds.
     """
 
     part: ClassVar[str] = 'rollouts'
@@ -38,29 +38,29 @@
 
 
 class RolloutShares:
-    """Tells which requests a version in roll-out may get.
+    """Decides which requests a version in a rollout may get.
 
     Args:
-        configuration: What is in force.
-        mesh: The other hosts.
+        configuration: Configuration in force.
+        mesh: Links to the other hosts.
     """
 
     def __init__(self, configuration: Configuration, mesh: Mesh) -> None:
         self._configuration = configuration
         self._mesh = mesh
         self._known: dict[VersionId, Rollout] = {}
-        mesh.handle(RolloutMessage, self._take)
+        mesh.handle(RolloutMessage, self._receive)
 
     @property
     def known(self) -> tuple[Rollout, ...]:
-        """Return the roll-outs that this host knows."""
+        """Rollouts that this host knows."""
         return tuple(self._known.values())
 
     def share(self, version: VersionId) -> float:
-        """Return the share in force, within the preset's bound.
+        """Return the traffic share in force, within the preset's bound.
 
-        A steady version has no bound. One in roll-out has no share before
-        an operator has begun it, nor one of an earlier epoch.
+        A steady version has no bound. A version in a rollout has no share
+        before an operator has started the rollout of its present epoch.
         """
         entry = self._configuration.entry(version)
         if entry is None:
@@ -73,7 +73,7 @@
         return min(rollout.state.share_in_force, self.bound(version))
 
     def bound(self, version: VersionId) -> float:
-        """Return the most that the preset in force allows."""
+        """Return the maximum share that the preset in force allows."""
         accepted = self._configuration.accepted
         if accepted is None:
             return 0
@@ -83,22 +83,26 @@
         return 0
 
     def allows(self, version: VersionId, request: ModelRequest) -> bool:
-        """Tell whether a request may go to a version.
+        """Return whether a request may go to a version.
 
-        All hosts draw the same for the same request, and a growing share
-        takes no request away that a smaller one gave.
+        All hosts decide alike on the same request. A growing share keeps all
+        requests that a smaller share gave.
         """
         session = request.session
         if session is not None and session.version == version:
             return True
         share = self.share(version)
-        drawn = xxhash.xxh64_intdigest(
+        hashed = xxhash.xxh64_intdigest(
             f'{version}/{request.request}'.encode(),
         )
-        return drawn / _HASHES < share
+        return hashed / _HASH_VALUES < share
 
     def learn(self, rollout: Rollout) -> bool:
-        """Take a roll-out, and tell others if it is newer."""
+        """Store a rollout, and broadcast it, if it is newer.
+
+        Returns:
+            Whether it is newer.
+        """
         version = rollout.state.version
         known = self._known.get(version)
         if known is not None and rollout.row.version <= known.row.version:
@@ -108,11 +112,13 @@
         self._mesh.tell_all(RolloutMessage(row.key, row.text, row.version))
         return True
 
-    async def _take(self, sender: HostId, message: RolloutMessage) -> None:
+    async def _receive(self, sender: HostId, message: RolloutMessage) -> None:
         row = Row(message.key, message.text, message.version)
         try:
             rollout = decode_rollout(row)
         except msgspec.DecodeError:
-            _LOG.warning('host %s told of a roll-out that is none', sender)
+            _LOG.warning(
+                'host %s sent a rollout row that cannot be decoded', sender
+            )
             return
         self.learn(rollout)
--- a/src/nutmegroad/rollouts/rollout_store.py
+++ b/src/nutmegroad/rollouts/rollout_store.py
@@ -1,9 +1,9 @@
-"""Roll-outs: a version gets a small share, which grows on evidence.
+"""Rollout rows: a version gets a small traffic share, which grows on evidence.
 
-The state of a roll-out is a row of the table. The holder of one lease
-moves it by compare-and-set with its fencing number in every write, and
-claims each row with that number before it decides anything: what an
-earlier holder still sends then meets a row that has moved on.
+The state of a rollout is a row of the table. The holder of one lease changes
+the row by compare-and-set, with its fencing number in every write. It claims
+each row with that number before it decides anything. A late write of an earlier
+holder then finds a row that has changed, and fails.
 """
 
 import math
@@ -21,45 +21,45 @@
 from nutmegroad.foundations.types import Epoch, FencingNumber, VersionId
 from nutmegroad.rollouts.evidence import Moments
 
-#: Share that a roll-out begins with.
+#: Traffic share with which a rollout starts.
 FIRST_SHARE: Final = 0.01
-#: How many times its share a version gets at the next step.
-GROWTH: Final = 2.0
-#: Seconds that each step lasts at the least.
-STEP_SECONDS: Final = 60.0
+#: Factor by which the share grows at each step.
+GROWTH_FACTOR: Final = 2.0
+#: Minimum seconds for each step.
+MIN_STEP_SECONDS: Final = 60.0
 #: Answers that a version must have given in a step.
-STEP_ANSWERS: Final = 30
-#: Ratings that it must have had in a step.
-STEP_RATINGS: Final = 20
-#: Strength of the evidence against it from which a roll-out is held.
+MIN_STEP_ANSWERS: Final = 30
+#: Ratings that a version must have had in a step.
+MIN_STEP_RATINGS: Final = 20
+#: Strength of the evidence against a version from which its rollout is held.
 HOLD_STRENGTH: Final = 3.0
-#: Its mean score may lie so far below that of the version before it.
-TOLERANCE: Final = 0.03
-#: Steps that a row remembers.
-HISTORY: Final = 20
+#: Tolerated drop of the mean score below that of the replaced version.
+SCORE_TOLERANCE: Final = 0.03
+#: Number of steps that a row keeps.
+MAX_STEPS: Final = 20
 
 _PREFIX: Final = 'rollouts/'
 
 
 @unique
 class Phase(Enum):
-    """Where a roll-out stands."""
+    """Phase of a rollout."""
 
     RUNNING = 'running'
     PAUSED = 'paused'
-    #: The guard stopped it.
+    #: Stopped by the guard.
     HALTED = 'halted'
-    #: An operator stopped it.
+    #: Stopped by an operator.
     ABORTED = 'aborted'
 
 
 class Step(Struct, frozen=True):
-    """A step of a roll-out and its reason.
+    """A step of a rollout and its reason.
 
     Attributes:
-        share: Share of the version from then on.
-        phase: Where it stands.
-        reason: Why, in one sentence.
+        share: Traffic share of the version from this step on.
+        phase: Phase of the rollout from this step on.
+        reason: Reason, in one sentence.
     """
 
     share: float
@@ -68,16 +68,17 @@
 
 
 class RolloutState(Struct, frozen=True):
-    """The content of a roll-out's row.
+    """Content of a rollout's row.
 
     Attributes:
         version: The version.
-        epoch: The epoch of it.
-        share: Share of its tasks' requests that it may get.
-        phase: Where it stands.
-        fencing: Number of the lease under which it was written last.
-        nonce: Recognises the write whose reply was lost.
-        steps: The last steps, the newest at the end.
+        epoch: Epoch of the version.
+        share: Fraction of its tasks' requests that the version may get.
+        phase: Phase of the rollout.
+        fencing: Fencing number of the lease under which the row was last
+            written.
+        nonce: Identifies a write whose reply was lost.
+        steps: The last steps, the newest one last.
     """
 
     version: VersionId
@@ -90,7 +91,7 @@
 
     @property
     def share_in_force(self) -> float:
-        """Return the share that hosts may give it now."""
+        """Traffic share that hosts may give the version now."""
         open_phases = (Phase.RUNNING, Phase.PAUSED)
         return self.share if self.phase in open_phases else 0
 
@@ -100,22 +101,22 @@
             self,
             share=step.share,
             phase=step.phase,
-            steps=(*self.steps, step)[-HISTORY:],
+            steps=(*self.steps, step)[-MAX_STEPS:],
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Findings:
-    """What a step is decided on.
+    """Findings on which a step is decided.
 
     Attributes:
-        blocked: Why the guard has stopped the version; empty if not.
-        bound: The most that the preset in force allows.
-        seconds: How long the step has lasted for the holder.
+        blocked: Why the guard has stopped the version; empty if it has not.
+        bound: Maximum share that the preset in force allows.
+        seconds: Seconds since the lease holder first saw the present step.
         answers: Answers of the version in this step.
-        ratings: Its ratings in this step.
-        before: Ratings of the version before it.
-        strength: How strongly the evidence speaks against it.
+        ratings: Ratings of the version in this step.
+        before: Ratings of the replaced version.
+        strength: How strongly the evidence speaks against the version.
     """
 
     blocked: str
@@ -128,14 +129,14 @@
 
 
 def decide(state: RolloutState, findings: Findings) -> Step | None:
-    """Return the next step of a running roll-out, or None to wait."""
+    """Return the next step of a running rollout, or None to wait."""
     if findings.blocked:
         return Step(0, Phase.HALTED, findings.blocked)
     if state.share > findings.bound:
         return Step(findings.bound, Phase.RUNNING, 'The preset allows less.')
     if state.share == findings.bound or _must_wait(findings):
         return None
-    share = max(state.share * GROWTH, FIRST_SHARE)
+    share = max(state.share * GROWTH_FACTOR, FIRST_SHARE)
     return Step(
         min(share, findings.bound),
         Phase.RUNNING,
@@ -146,31 +147,31 @@
 
 
 def _must_wait(findings: Findings) -> bool:
-    """Tell whether there is too little evidence, or some against it."""
-    if findings.seconds < STEP_SECONDS:
+    """Return whether there is too little evidence, or some against it."""
+    if findings.seconds < MIN_STEP_SECONDS:
         return True
     if findings.strength >= HOLD_STRENGTH:
         return True
     ratings, before = findings.ratings, findings.before
-    if findings.answers < STEP_ANSWERS or ratings.count < STEP_RATINGS:
+    if findings.answers < MIN_STEP_ANSWERS or ratings.count < MIN_STEP_RATINGS:
         return True
-    if before.count < STEP_RATINGS:
+    if before.count < MIN_STEP_RATINGS:
         return True
-    doubt = math.hypot(_error(ratings), _error(before))
-    return ratings.mean - doubt < before.mean - TOLERANCE
+    uncertainty = math.hypot(_standard_error(ratings), _standard_error(before))
+    return ratings.mean - uncertainty < before.mean - SCORE_TOLERANCE
 
 
-def _error(sample: Moments) -> float:
+def _standard_error(sample: Moments) -> float:
     """Return the standard error of a mean."""
     return sample.deviation / math.sqrt(sample.count)
 
 
 @dataclass(frozen=True, slots=True)
 class Rollout:
-    """A roll-out, and the row that holds it.
+    """A rollout and the row that stores it.
 
     Attributes:
-        state: Where it stands.
+        state: State of the rollout.
         row: Its row.
     """
 
@@ -179,11 +180,11 @@
 
 
 class RolloutStore:
-    """Reads and moves the rows of roll-outs.
+    """Reads and writes the rows of rollouts.
 
     Args:
         table: The table service.
-        nonces: Makes words that never repeat.
+        nonces: Returns strings that never repeat.
     """
 
     def __init__(self, table: Table, nonces: Callable[[], str]) -> None:
@@ -191,28 +192,28 @@
         self._nonces = nonces
 
     async def all(self) -> tuple[Rollout, ...] | Refusal:
-        """Return all roll-outs."""
+        """Return all rollouts."""
         rows = await self._table.scan(_PREFIX)
         if isinstance(rows, Refusal):
             return rows
         return tuple(map(decode_rollout, rows))
 
     async def find(self, version: VersionId) -> Rollout | Refusal | None:
-        """Return a version's roll-out; None if there never was one."""
+        """Return a version's rollout; None if there never was one."""
         row = await self._table.read(_key(version))
         if isinstance(row, Refusal):
             return row
         return decode_rollout(row) if row.text else None
 
     async def begin(self, wanted: RolloutState) -> Rollout | Refusal:
-        """Write the first state of a version's roll-out, or a new one."""
+        """Write the first state of a version's rollout over any earlier row."""
         row = await self._table.read(_key(wanted.version))
         if isinstance(row, Refusal):
             return row
         return await self.move(row, wanted)
 
     async def move(self, row: Row, wanted: RolloutState) -> Rollout | Refusal:
-        """Write a state over the row that it was made from."""
+        """Write a state over the row from which it was made."""
         wanted = replace(wanted, nonce=self._nonces())
         text = msgspec.json.encode(wanted).decode()
         outcome = await self._table.commit(
@@ -221,15 +222,15 @@
         if isinstance(outcome, Conflict):
             return _conflict(wanted.version)
         if isinstance(outcome, Refusal):
-            return await self._settle(outcome, wanted)
+            return await self._resolve_write(outcome, wanted)
         return Rollout(wanted, outcome[0])
 
-    async def _settle(
+    async def _resolve_write(
         self,
         refusal: Refusal,
         wanted: RolloutState,
     ) -> Rollout | Refusal:
-        """Read back after a reply that may hide a write."""
+        """Read the row back after a reply that may hide a write."""
         found = await self.find(wanted.version)
         if found is None or isinstance(found, Refusal):
             return refusal
@@ -237,19 +238,19 @@
 
 
 def decode_rollout(row: Row) -> Rollout:
-    """Read a row that was written."""
+    """Decode a rollout's row."""
     return Rollout(msgspec.json.decode(row.text, type=RolloutState), row)
 
 
 def _key(version: VersionId) -> RowKey:
-    """Return the row of a version."""
+    """Return the key of a version's row."""
     return RowKey(f'{_PREFIX}{version}')
 
 
 def _conflict(version: VersionId) -> Refusal:
-    """Say that somebody else moved the row first."""
+    """Return the refusal that another writer changed the row first."""
     return Refusal(
         ResultCode.TABLE_CONFLICT,
-        f'The roll-out of {version} was changed by somebody else first; '
-        'look at it and try again.',
+        f'Another writer changed the rollout of {version} first; check it and '
+        'try again.',
     )
--- a/src/nutmegroad/rollouts/sequential.py
+++ b/src/nutmegroad/rollouts/sequential.py
@@ -1,11 +1,11 @@
-"""Sequential tests: how strongly a stream speaks against a version.
+"""Sequential tests: how strongly a stream of values speaks against a version.
 
 Each test bets against the hypothesis that the version is no worse than its
-reference by more than a tolerance. While that holds, the wealth of a bet
-does not grow in the mean, whatever the distribution of the scores is. The
-wealth never falls below what it began with (a cumulative sum), so a change
-late in a long life is found as fast as one at its beginning, and the mean
-time to a false alarm is at least the inverse of the level.
+reference by more than a tolerance. While the hypothesis holds, the expected
+wealth of a bet does not grow, whatever the distribution of the scores. The
+wealth never falls below its initial value (a cumulative sum). A change late in
+a long life is therefore detected as fast as one at its start, and the mean time
+to a false alarm is at least the inverse of the level.
 """
 
 import math
@@ -15,19 +15,19 @@
 from nutmegroad.quality.ratings import RatingTally, score_of
 from nutmegroad.rollouts.evidence import Moments
 
-#: Shares of the greatest bet: large ones find a great fall within a few
-#: ratings, small ones a slight fall within a few hundred.
+#: Fractions of the maximum bet: large ones detect a large drop within a few
+#: ratings, small ones a slight drop within a few hundred.
 BETS: Final = (0.1, 0.3, 0.9)
-#: How many times its usual rate a version's failures are taken to rise.
+#: Factors by which the failure rate of a bad version is assumed to rise.
 RATE_FACTORS: Final = (3.0, 10.0)
-#: Changes of a mean, in standard deviations, that are bet on.
+#: Changes of a mean that are bet on, in standard deviations.
 SHIFTS: Final = (0.25, 0.5)
 
-#: Least room above a reference score, so that no bet is without bound.
-_LEAST_ROOM: Final = 0.05
-_HIGHEST_RATE: Final = 0.9
-#: Least deviation of logarithms of lengths and of seconds.
-_LEAST_DEVIATION: Final = 0.5
+#: Minimum range above a reference score, so that every bet is bounded.
+_MIN_RANGE: Final = 0.05
+_MAX_RATE: Final = 0.9
+#: Minimum standard deviation of logarithms of lengths and of seconds.
+_MIN_DEVIATION: Final = 0.5
 
 
 class ScoreTest:
@@ -38,19 +38,19 @@
 
     @property
     def strength(self) -> float:
-        """Return how strongly the scores speak against the version."""
+        """How strongly the scores speak against the version."""
         return self._wealth.strength
 
-    def add(self, tally: RatingTally, least: float) -> None:
-        """Take new ratings.
+    def add(self, tally: RatingTally, min_score: float) -> None:
+        """Add new ratings.
 
         Args:
             tally: The ratings.
-            least: Least mean score of a good version.
+            min_score: Minimum mean score of a good version.
         """
-        room = max(1 - least, _LEAST_ROOM)
+        score_range = max(1 - min_score, _MIN_RANGE)
         counted = [
-            ((least - score_of(bucket)) / room, count)
+            ((min_score - score_of(bucket)) / score_range, count)
             for bucket, count in enumerate(tally.buckets)
             if count > 0
         ]
@@ -61,33 +61,36 @@
 
 
 class RateTest:
-    """Tests whether a share of failures has risen above a rate."""
+    """Tests whether a fraction of failures has risen above a rate."""
 
     def __init__(self) -> None:
         self._wealth = Wealth(len(RATE_FACTORS))
 
     @property
     def strength(self) -> float:
-        """Return how strongly the failures speak against the version."""
+        """How strongly the failures speak against the version."""
         return self._wealth.strength
 
-    def add(self, failed: int, good: int, most: float) -> None:
-        """Take new attempts.
+    def add(self, failed: int, good: int, max_rate: float) -> None:
+        """Add new attempts.
 
         Args:
-            failed: How many failed.
-            good: How many did not.
-            most: Greatest rate of failures of a good version.
+            failed: Number of failed attempts.
+            good: Number of the other attempts.
+            max_rate: Maximum failure rate of a good version.
         """
-        risen = [min(most * factor, _HIGHEST_RATE) for factor in RATE_FACTORS]
-        self._wealth.add(log_ratio(failed, good, rate, most) for rate in risen)
+        risen = [min(max_rate * factor, _MAX_RATE) for factor in RATE_FACTORS]
+        self._wealth.add(
+            log_ratio(failed, good, rate, max_rate) for rate in risen
+        )
 
 
 class MeanTest:
     """Tests whether a mean of logarithms has risen above a bound.
 
-    It takes the logarithms for normally distributed, which lengths and
-    seconds roughly are; so it has the wider tolerance of the tests.
+    It assumes that the logarithms are normally distributed, which is roughly
+    true of lengths and seconds. Its tolerance is therefore wider than that of
+    the other tests.
 
     Args:
         sign: 1 to test for a rise, -1 for a fall.
@@ -99,7 +102,7 @@
 
     @property
     def strength(self) -> float:
-        """Return how strongly the mean speaks against the version."""
+        """How strongly the mean speaks against the version."""
         return self._wealth.strength
 
     def add(
@@ -108,8 +111,14 @@
         reference: Moments,
         tolerance: float,
     ) -> None:
-        """Take new values and what they are compared with."""
-        deviation = max(reference.deviation, _LEAST_DEVIATION)
+        """Add new values and those with which they are compared.
+
+        Args:
+            sample: The new values.
+            reference: Values with which they are compared.
+            tolerance: Tolerated difference of the means.
+        """
+        deviation = max(reference.deviation, _MIN_DEVIATION)
         excess = self._sign * (sample.total - sample.count * reference.mean)
         scaled = (excess - sample.count * tolerance) / deviation
         self._wealth.add(
@@ -119,8 +128,8 @@
 
 
 def _log_bet(bet: float, fall: float) -> float:
-    """Return the logarithm of what a bet makes of one score.
+    """Return the logarithm of the factor by which one score changes a bet.
 
-    The middle of a bucket may lie above 1 - least by half a bucket.
+    The middle of a bucket may lie above 1 - min_score by half a bucket.
     """
-    return math.log1p(max(bet * fall, -_HIGHEST_RATE))
+    return math.log1p(max(bet * fall, -_MAX_RATE))
--- a/src/nutmegroad/rollouts/trials_part.py
+++ b/src/nutmegroad/rollouts/trials_part.py
@@ -1,4 +1,4 @@
-"""The part that lets roll-outs bound the trials of the planner."""
+"""Part that bounds the planner's canary requests by the rollouts' shares."""
 
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
@@ -8,10 +8,10 @@
 
 @register('part', 'trials')
 class TrialsPart:
-    """Has the planner follow the shares of roll-outs."""
+    """Makes the planner follow the traffic shares of rollouts."""
 
     needs = (RolloutShares, Trials)
 
     async def open(self, kernel: Kernel) -> None:
-        """Replace the rule that knows the preset alone."""
+        """Replace the rule that only knows the preset."""
         kernel.need(Trials).rule = kernel.need(RolloutShares)
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""Counters add up to the same everywhere, however the messages travel."""
+"""Evidence counters add up to the same sums on all hosts."""
 
 import asyncio
 import random
@@ -71,7 +71,7 @@
         totals = {store.total(VERSION, TASK).attempts for store in stores}
         self.assertEqual(totals, {300})
 
-    def test_only_what_speaks_of_the_version_counts(self) -> None:
+    def test_only_results_of_the_version_count(self) -> None:
         store = EvidenceStore(NAMES[0])
         for code in (
             ResultCode.OK,
@@ -90,7 +90,7 @@
         most = MESSAGE_CELLS + REPEATED_CELLS
         self.assertLessEqual(len(store.outgoing().cells), most)
 
-    def test_ended_runs_are_folded_and_not_counted_again(self) -> None:
+    def test_ended_incarnations_are_folded_and_not_counted_again(self) -> None:
         gone = EvidenceStore(NAMES[0])
         gone.ended(end_of())
         message = gone.outgoing()
@@ -101,7 +101,7 @@
         self.assertEqual(store.size, 0)
         self.assertEqual(store.total(VERSION, TASK).attempts, 1)
 
-    def test_listeners_hear_each_attempt_once(self) -> None:
+    def test_listeners_receive_each_attempt_once(self) -> None:
         heard: list[Tally] = []
         sender = EvidenceStore(NAMES[0])
         store = EvidenceStore(NAMES[1])
@@ -112,12 +112,12 @@
             messages.append(sender.outgoing())
         for message in (*messages, *messages):
             store.learn(message.cells)
-        # None is counted twice, and none is taken back by an old message.
+        # No attempt is counted twice, and an old message removes none.
         self.assertEqual([tally.attempts for tally in heard], [1, 1, 1])
 
 
-class TimeIsUpTest(unittest.IsolatedAsyncioTestCase):
-    """Callers whose time is up, which is no fault of the version."""
+class DeadlineTest(unittest.IsolatedAsyncioTestCase):
+    """Attempts whose caller's deadline has passed or who has gone away."""
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
@@ -138,7 +138,7 @@
         return script
 
     async def failures(self, *pauses: float) -> int:
-        """Return what is counted of an attempt that has three seconds."""
+        """Return the failures counted for an attempt with a deadline of 3 s."""
         self.rig.engines.scripts = [self.slowly(*pauses)]
         deadline = self.clock.now() + 3
         task = asyncio.create_task(self.rig.ask(deadline=deadline))
@@ -146,23 +146,25 @@
         await task
         return self.store.total(SMALL, ASKED).failures
 
-    async def test_one_that_was_writing_is_not_held_guilty(self) -> None:
+    async def test_attempt_that_was_writing_does_not_count(self) -> None:
         self.assertEqual(await self.failures(*repeat(0.5, 8)), 0)
 
-    async def test_one_that_fell_silent_is(self) -> None:
+    async def test_unresponsive_attempt_counts(self) -> None:
         self.assertEqual(await self.failures(0.5, 9), 1)
 
-    async def test_one_that_never_began_is(self) -> None:
+    async def test_attempt_without_output_counts(self) -> None:
         self.assertEqual(await self.failures(9), 1)
 
-    async def test_one_that_waits_at_full_engines_is_not(self) -> None:
+    async def test_attempt_that_waits_at_full_engines_does_not_count(
+        self,
+    ) -> None:
         for state in self.rig.directory.states():
             assert state.report is not None
             full = replace(state.report, running=4)
             self.rig.directory.reported(state.info.upstream, full)
         self.assertEqual(await self.failures(9), 0)
 
-    async def test_one_whose_caller_went_away_is_not(self) -> None:
+    async def test_attempt_whose_caller_left_does_not_count(self) -> None:
         self.rig.engines.scripts = [self.slowly(*repeat(0.5, 8))]
         task = asyncio.create_task(self.rig.ask())
         await self.clock.advance(2)
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -1,4 +1,4 @@
-"""The guard stops bad versions, and everybody, without the platform."""
+"""The exposure guard stops bad versions on all hosts without the platform."""
 
 import random
 import unittest
@@ -37,14 +37,14 @@
 
 
 class QuietFeed:
-    """A feed that says nothing by itself."""
+    """A feed without ratings of its own."""
 
     def listen(self, listener: RatingListener) -> None:
-        """Forget the listener."""
+        """Ignore the listener."""
 
 
 class Host:
-    """The guard of one host."""
+    """Exposure guard of one host."""
 
     def __init__(self, mesh: MemoryMesh, name: str, document: Document) -> None:
         peer = mesh.join(HostId(name), DomainId(name[0]))
@@ -72,12 +72,12 @@
         scores: Iterable[float],
         task: TaskName = TAG,
     ) -> None:
-        """Let ratings come in one by one."""
+        """Add ratings one by one."""
         for score in scores:
             self.guard.rated(RatingTally(version, task).plus(score))
 
     def blocks(self, version: VersionId, task: TaskName = TAG) -> bool:
-        """Tell whether a version gets no work."""
+        """Return whether a version gets no work."""
         return self.quarantines.blocked(version, task) is not None
 
 
@@ -85,7 +85,7 @@
     """Hosts of two domains on a mesh in memory."""
 
     async def asyncSetUp(self) -> None:
-        """Make the mesh."""
+        """Create the mesh."""
         self.clock = ManualClock()
         self.mesh = MemoryMesh(self.clock, random.Random(1))
         await self.mesh.__aenter__()
@@ -98,7 +98,7 @@
         return [Host(self.mesh, name, document) for name in names]
 
     def scores(self, mean: float, count: int) -> list[float]:
-        """Draw ratings."""
+        """Draw random ratings."""
         drawn = (self.chance.gauss(mean, 0.08) for _ in range(count))
         return [min(max(score, 0), 1) for score in drawn]
 
@@ -155,7 +155,7 @@
         self.assertTrue(shortened.blocks(OLD))
 
     def count_lengths(self, host: Host, mean: float, count: int) -> None:
-        """Let answers of a mean length come in."""
+        """Add answers with a mean length."""
         for _ in range(count):
             length = self.chance.gauss(mean, 0.7)
             tally = Tally(answers=1, length=moments_of(length))
@@ -255,13 +255,13 @@
         self.assertEqual(getattr(refusal, 'code', None), code)
 
     async def tick(self, hosts: list[Host], rounds: int) -> None:
-        """Let hosts spread what they know."""
+        """Run gossip rounds on all hosts."""
         for _ in range(rounds):
             for host in hosts:
                 host.spread.tick()
             await self.clock.advance(2)
 
     def fail_once(self, host: Host) -> None:
-        """Let an attempt of a host fail."""
+        """Count a failed attempt of a host."""
         failed = end_of(ResultCode.UPSTREAM_ERROR, version=OLD)
         host.evidence.ended(failed)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders go out under the lease only, and bring about what is wanted."""
+"""Engine orders are sent under the lease only, and reach the desired state."""
 
 import itertools
 import random
@@ -54,7 +54,7 @@
 
 
 class Engines:
-    """Engines that obey at once; one may ignore fencing numbers."""
+    """Engines that obey at once; some ignore fencing numbers."""
 
     def __init__(self, *, checks: bool = True) -> None:
         self.reports = {
@@ -69,7 +69,7 @@
         upstream: UpstreamInfo,
         order: EngineOrder,
     ) -> Refusal | None:
-        """Ask the gate, then obey, unless the number is old."""
+        """Check the gate, then obey unless the fencing number is old."""
         refusal = order.gate()
         if refusal is not None:
             return refusal
@@ -78,7 +78,7 @@
         return self.obey(upstream.upstream, order)
 
     def obey(self, engine: UpstreamId, order: EngineOrder) -> Refusal | None:
-        """Do what an order says."""
+        """Carry out an order."""
         report = self.reports[engine]
         if report.checks_fencing and order.fencing < report.fencing:
             return Refusal(ResultCode.ORDER_FENCED, 'old')
@@ -96,12 +96,12 @@
         return None
 
     async def loads_per_minute(self) -> float | Refusal:
-        """Return the weight store's rate."""
+        """Return the loads per minute that the weight store can take."""
         return 60
 
 
 class Host:
-    """What one host has for orders."""
+    """Order components of one host."""
 
     def __init__(self, case: 'OrderCase', name: str) -> None:
         numbers = itertools.count()
@@ -129,7 +129,7 @@
         self.keeper = OrderKeeper(parts, DOMAIN, clock, 2)
 
     async def act(self) -> None:
-        """Read the reports, and act."""
+        """Read the engines' reports, and send the orders that are due."""
         revision = self.configuration.revision
         self.configuration.confirm(revision, self.keeper._clock.now())
         engines = self._engines.reports
@@ -146,7 +146,7 @@
 
 
 def allowing(document: Document, *versions: VersionId) -> Document:
-    """Return a document whose one workspace may use some versions."""
+    """Return a document whose only workspace may use some versions."""
     workspace = WorkspaceEntry(name='w', key_hash='0' * 64, versions=versions)
     return changed(document, workspaces=(workspace,))
 
@@ -157,7 +157,7 @@
     preload: ClassVar = {OLD: 3, NEW: 2}
 
     async def asyncSetUp(self) -> None:
-        """Make them."""
+        """Create the hosts, the table and the engines."""
         clock = ManualClock()
         self.table = MemoryTable()
         self.mesh = MemoryMesh(clock, random.Random(1))
@@ -169,14 +169,14 @@
         self.set_up(Engines())
 
     def set_up(self, engines: Engines) -> None:
-        """Make two hosts before some engines."""
+        """Create two hosts for some engines."""
         self.engines = engines
         self.one = Host(self, 'one')
         self.two = Host(self, 'two')
 
     @property
     def clock(self) -> ManualClock:
-        """The clock of all."""
+        """The clock of all hosts."""
         return cast(ManualClock, self.mesh.clock)
 
     async def turns(self, *hosts: Host, seconds: float) -> None:
@@ -253,7 +253,7 @@
     preload: ClassVar = {OLD: 3}
 
     async def asyncSetUp(self) -> None:
-        """Have the new version loaded though nobody may use it."""
+        """Have the new version loaded although no workspace may use it."""
         await super().asyncSetUp()
         self.document = allowing(self.document, OLD)
         self.set_up(Engines())
@@ -301,13 +301,13 @@
         numbers = {order[-1] for order in self.engines.obeyed}
         self.assertEqual(len(numbers), 1)
 
-    async def test_a_lapsed_holder_sends_nothing(self) -> None:
+    async def test_an_expired_holder_sends_nothing(self) -> None:
         await self.one.act()
         before = len(self.engines.obeyed)
         await self.clock.jump(TERM)
         lease = self.one.leases._held['orders/d']
         order = next(iter(self.missing()))
-        await self.one.keeper._give(order, lease)
+        await self.one.keeper._send(order, lease)
         self.assertEqual(len(self.engines.obeyed), before)
 
     async def test_engines_that_ignore_numbers_want_more_time(self) -> None:
@@ -317,11 +317,11 @@
                 self.engines.down = True
                 await self.one.act()
                 lease = self.one.leases._held['orders/d']
-                # More than the margin is left, but less than twice that.
+                # The time left exceeds the margin, but not twice the margin.
                 await self.clock.jump(lease.expires - self.clock.now() - 1)
                 self.engines.down = False
                 order = next(iter(self.missing()))
-                await self.one.keeper._give(order, lease)
+                await self.one.keeper._send(order, lease)
                 self.assertEqual(len(self.engines.obeyed), obeyed)
                 await self.one.leases.release('orders/d')
 
@@ -359,7 +359,7 @@
         before = len(self.engines.obeyed)
         withdrawal = Withdrawal(version=NEW, epoch=0)
         self.one.configuration.withdraw((withdrawal,))
-        await self.one.keeper._give(order, lease)
+        await self.one.keeper._send(order, lease)
         self.assertEqual(len(self.engines.obeyed), before)
 
     def missing(self) -> list[PlannedOrder]:
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs grow on evidence, stop on it, and outlive their holders."""
+"""Rollouts of model versions: growth, halts, and a change of lease holder."""
 
 import dataclasses
 import itertools
@@ -75,7 +75,7 @@
 
 
 class Host:
-    """What one host has for roll-outs."""
+    """Rollout components of one host."""
 
     def __init__(self, mesh: MemoryMesh, table: MemoryTable, name: str) -> None:
         peer = mesh.join(HostId(name), DomainId('d'))
@@ -111,11 +111,11 @@
         )
 
     async def turn(self) -> None:
-        """Read, and move if the lease is to be had."""
+        """Read the rollouts, and advance them if the lease is available."""
         await self.keeper.move(await self.keeper.read())
 
     def see(self, version: VersionId, score: float, count: int = 60) -> None:
-        """Let rated answers come in."""
+        """Add rated answers of a version."""
         for _ in range(count):
             self.rate(RatingTally(version, TAG).plus(score))
         tally = self._evidence.total(version, TAG)
@@ -128,7 +128,7 @@
     """Two hosts on one table."""
 
     async def asyncSetUp(self) -> None:
-        """Make them."""
+        """Create the hosts."""
         self.clock = ManualClock()
         self.table = MemoryTable()
         self.mesh = MemoryMesh(self.clock, random.Random(1))
@@ -138,20 +138,20 @@
         self.two = Host(self.mesh, self.table, 'two')
 
     async def act(self, host: Host, action: Action) -> Refusal | None:
-        """Do something as an operator."""
+        """Send an operator's request."""
         refusal = await host.service.act(NEW, action, OPERATOR)
         await self.clock.advance(1)
         return refusal
 
     async def turns(self, *hosts: Host, seconds: float) -> None:
-        """Let hosts read and move every two seconds."""
+        """Let hosts read and advance rollouts every two seconds."""
         for _ in range(round(seconds / 2)):
             for host in hosts:
                 await host.turn()
             await self.clock.advance(2)
 
     def state(self, host: Host) -> RolloutState:
-        """Return the roll-out as a host knows it."""
+        """Return the rollout's state as a host knows it."""
         return host.shares.known[0].state
 
 
@@ -186,7 +186,7 @@
         await self.act(self.one, Action.START)
         await self.turns(self.one, self.two, seconds=8)
         first = self.state(self.two).fencing
-        # The first host is gone from here on.
+        # The first host stops here.
         await self.turns(self.two, seconds=2 * TERM)
         self.two.see(OLD, GOOD)
         self.two.see(NEW, GOOD)
@@ -194,14 +194,15 @@
         self.assertGreater(self.state(self.two).fencing, first)
         self.assertGreater(self.state(self.two).share, FIRST_SHARE)
 
-    async def test_a_holder_that_slept_moves_nothing(self) -> None:
+    async def test_a_holder_that_was_paused_moves_nothing(self) -> None:
         await self.act(self.one, Action.START)
         await self.turns(self.one, self.two, seconds=8)
         lease = self.one.held('rollouts')
         rollouts = await self.one.keeper.read()
         await self.turns(self.two, seconds=2 * TERM)
         claimed = self.state(self.two)
-        # It wakes with what it read before, and thinks it holds the lease.
+        # It resumes with what it read before, and believes that it holds the
+        # lease.
         if lease is None:
             self.fail('The first host held no lease.')
         await self.one.keeper._write(
