--- a/src/nutmegroad/canary/gate.py
+++ b/src/nutmegroad/canary/gate.py
@@ -65,7 +65,7 @@
         sessions: Version on which each session last ran at this host.
         fingerprints: Fingerprints of sessions that other hosts have seen on the
             old version.
-        suspicions: Interrupted attempts whose cause is not known yet.
+        interruptions: Interrupted attempts whose cause is not known yet.
     """
 
     def __init__(
@@ -74,13 +74,13 @@
         state: RolloutState,
         sessions: SessionVersions,
         fingerprints: SessionMarks,
-        suspicions: Suspicions,
+        interruptions: Suspicions,
     ) -> None:
         self._directory = directory
         self._state = state
         self._sessions = sessions
         self._fingerprints = fingerprints
-        self._suspicions = suspicions
+        self._interruptions = interruptions
         self._steady: dict[ServiceName, frozenset[SoftwareVersion]] = {}
         state.orders.tell_of_orders(self._fingerprint_active)
 
@@ -157,9 +157,9 @@
         entry = upstream.entry
         kind = kind_number(request.route.name)
         if observed is Observed.BROKEN:
-            self._suspicions.broke(entry.incarnation, kind)
+            self._interruptions.broke(entry.incarnation, kind)
             return
-        for broken in self._suspicions.answered(entry.incarnation):
+        for broken in self._interruptions.answered(entry.incarnation):
             self._state.observe(
                 entry.service,
                 entry.version,
--- a/src/nutmegroad/rollouts/exposure.py
+++ b/src/nutmegroad/rollouts/exposure.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class Watch:
+class VersionTests:
     """Tests of one version for one task class.
 
     Attributes:
@@ -143,16 +143,16 @@
         self._configuration = configuration
         self._evidence = evidence
         self._quarantines = quarantines
-        self._watches: dict[EvidenceKey, Watch] = {}
+        self._tests: dict[EvidenceKey, VersionTests] = {}
         self._rated: dict[EvidenceKey, Moments] = {}
         self._lifted: dict[VersionId, int] = {}
         quarantines.listen(self._restart_lifted)
         evidence.listen(self.counted)
         feed.listen(self.rated)
 
-    def watch(self, version: VersionId, task: TaskName) -> Watch | None:
+    def watch(self, version: VersionId, task: TaskName) -> VersionTests | None:
         """Return the tests of a version for a task class, if any started."""
-        return self._watches.get((version, task))
+        return self._tests.get((version, task))
 
     def ratings(self, version: VersionId, task: TaskName) -> Moments:
         """Return all ratings of a version for a task class."""
@@ -160,9 +160,9 @@
 
     def forget(self, version: VersionId) -> None:
         """Restart the tests of a version, as after a lifted quarantine."""
-        keys = [key for key in self._watches if key[0] == version]
+        keys = [key for key in self._tests if key[0] == version]
         for key in keys:
-            self._watches.pop(key)
+            self._tests.pop(key)
 
     def rated(self, tally: RatingTally) -> None:
         """Test new ratings."""
@@ -172,37 +172,37 @@
         entry = self._configuration.entry(tally.version)
         if entry is None:
             return
-        watch = self._watch(entry, tally.task)
-        min_score = self._min_score(entry, tally.task, watch)
+        tests = self._tests_of(entry, tally.task)
+        min_score = self._min_score(entry, tally.task, tests)
         if min_score is not None:
-            watch.rated = watch.rated.plus(sample)
-            watch.ratings.add(tally, min_score)
-        is_open = watch.past_ratings.count < REFERENCE_RATINGS
-        if is_open and watch.ratings.strength < SUSPICION_STRENGTH:
-            watch.past_ratings = watch.past_ratings.plus(sample)
-        self._judge(key, watch)
+            tests.rated = tests.rated.plus(sample)
+            tests.ratings.add(tally, min_score)
+        is_open = tests.past_ratings.count < REFERENCE_RATINGS
+        if is_open and tests.ratings.strength < SUSPICION_STRENGTH:
+            tests.past_ratings = tests.past_ratings.plus(sample)
+        self._judge(key, tests)
 
     def counted(self, key: EvidenceKey, fresh: Tally) -> None:
         """Test new attempts."""
         entry = self._configuration.entry(key[0])
         if entry is None:
             return
-        watch = self._watch(entry, key[1])
-        reference = self._reference(entry, key[1], watch)
+        tests = self._tests_of(entry, key[1])
+        reference = self._reference(entry, key[1], tests)
         max_rate = max(USUAL_FAILURES, _failure_rate(reference))
-        if watch.failures.strength <= 0:
-            watch.failed = 0
-        watch.failed += fresh.failures
-        watch.failures.add(fresh.failures, fresh.answers, max_rate)
+        if tests.failures.strength <= 0:
+            tests.failed = 0
+        tests.failed += fresh.failures
+        tests.failures.add(fresh.failures, fresh.answers, max_rate)
         if reference.answers >= MIN_REFERENCE_ANSWERS:
             length = reference.length
-            watch.shorter.add(fresh.length, length, LENGTH_TOLERANCE)
-            watch.longer.add(fresh.length, length, LENGTH_TOLERANCE)
+            tests.shorter.add(fresh.length, length, LENGTH_TOLERANCE)
+            tests.longer.add(fresh.length, length, LENGTH_TOLERANCE)
         if entry.stage is Stage.ROLLOUT:
-            self._test_latency(watch, fresh, reference)
-        elif watch.past.attempts < REFERENCE_ATTEMPTS:
-            watch.past = watch.past.plus(fresh)
-        self._judge(key, watch)
+            self._test_latency(tests, fresh, reference)
+        elif tests.past.attempts < REFERENCE_ATTEMPTS:
+            tests.past = tests.past.plus(fresh)
+        self._judge(key, tests)
 
     def _restart_lifted(self) -> None:
         """Restart the tests of versions whose quarantine was lifted."""
@@ -213,34 +213,34 @@
                 self.forget(record.version)
 
     def _test_latency(
-        self, watch: Watch, fresh: Tally, reference: Tally
+        self, tests: VersionTests, fresh: Tally, reference: Tally
     ) -> None:
         """Compare latency with that of the same period, under the same load."""
-        concurrent = reference.minus(watch.baseline).first
+        concurrent = reference.minus(tests.baseline).first
         if concurrent.count >= MIN_REFERENCE_ANSWERS:
-            watch.latency.add(fresh.first, concurrent, LATENCY_TOLERANCE)
+            tests.latency.add(fresh.first, concurrent, LATENCY_TOLERANCE)
 
-    def _watch(self, entry: VersionEntry, task: TaskName) -> Watch:
+    def _tests_of(self, entry: VersionEntry, task: TaskName) -> VersionTests:
         key = (entry.version, task)
         identity = (entry.epoch, entry.stage)
-        watch = self._watches.get(key)
-        if watch is None or watch.identity != identity:
+        tests = self._tests.get(key)
+        if tests is None or tests.identity != identity:
             baseline = Tally()
             if entry.replaces is not None:
                 before = VersionId(entry.replaces)
                 baseline = self._evidence.total(before, task)
-            watch = Watch(identity, baseline=baseline)
-            self._watches[key] = watch
-        return watch
+            tests = VersionTests(identity, baseline=baseline)
+            self._tests[key] = tests
+        return tests
 
     def _min_score(
         self,
         entry: VersionEntry,
         task: TaskName,
-        watch: Watch,
+        tests: VersionTests,
     ) -> float | None:
         """Return the minimum mean score of a good version, if known."""
-        past = watch.past_ratings
+        past = tests.past_ratings
         if entry.stage is Stage.ROLLOUT and entry.replaces is not None:
             past = self.ratings(VersionId(entry.replaces), task)
         if past.count >= MIN_REFERENCE_RATINGS:
@@ -253,20 +253,20 @@
         self,
         entry: VersionEntry,
         task: TaskName,
-        watch: Watch,
+        tests: VersionTests,
     ) -> Tally:
         """Return the attempts with which a version is compared."""
         if entry.stage is Stage.ROLLOUT and entry.replaces is not None:
             return self._evidence.total(VersionId(entry.replaces), task)
-        return watch.past
+        return tests.past
 
-    def _judge(self, key: EvidenceKey, watch: Watch) -> None:
+    def _judge(self, key: EvidenceKey, tests: VersionTests) -> None:
         """Quarantine a version if a test speaks against it."""
-        strengths = watch.strengths()
+        strengths = tests.strengths()
         strengths.pop(Signal.LATENCY)
-        if watch.failed < MIN_FAILURES:
+        if tests.failed < MIN_FAILURES:
             strengths.pop(Signal.FAILURES)
-        if watch.identity[1] is Stage.STEADY:
+        if tests.identity[1] is Stage.STEADY:
             # Requests for longer answers lengthen the answers of every version.
             strengths.pop(Signal.LONGER)
         signal = max(strengths, key=strengths.__getitem__)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -217,34 +217,34 @@
     def setUp(self) -> None:
         """Create a host without interrupted attempts."""
         self.clock = ManualClock()
-        self.suspicions = Suspicions(self.clock)
+        self.interruptions = Suspicions(self.clock)
 
     def test_upstream_that_answers_again_was_there(self) -> None:
         """A version hangs on a part of its requests."""
-        self.suspicions.broke(self.upstream, KIND)
-        self.suspicions.broke(self.upstream, OTHER)
+        self.interruptions.broke(self.upstream, KIND)
+        self.interruptions.broke(self.upstream, OTHER)
         self.assertEqual(
-            self.suspicions.answered(self.upstream),
+            self.interruptions.answered(self.upstream),
             (KIND, OTHER),
         )
-        self.assertEqual(self.suspicions.answered(self.upstream), ())
+        self.assertEqual(self.interruptions.answered(self.upstream), ())
 
     def test_upstream_that_was_cut_off_says_nothing(self) -> None:
         """A failure domain is cut off for five seconds."""
-        self.suspicions.broke(self.upstream, KIND)
+        self.interruptions.broke(self.upstream, KIND)
         self.clock._now += SPAN + 0.1
-        self.assertEqual(self.suspicions.answered(self.upstream), ())
+        self.assertEqual(self.interruptions.answered(self.upstream), ())
 
     def test_memory_is_bounded(self) -> None:
         """Thousands of attempts are interrupted at terminated upstreams."""
         for number in range(2000):
             upstream = UpstreamIncarnation(f'u{number}')
-            self.suspicions.broke(upstream, KIND)
-            self.suspicions.broke(self.upstream, KIND)
+            self.interruptions.broke(upstream, KIND)
+            self.interruptions.broke(self.upstream, KIND)
             self.clock._now += 0.1
-        self.assertLess(len(self.suspicions._interrupted), 40)
+        self.assertLess(len(self.interruptions._interrupted), 40)
         self.assertLessEqual(
-            len(self.suspicions.answered(self.upstream)),
+            len(self.interruptions.answered(self.upstream)),
             MOST,
         )
 
