--- a/src/nutmegroad/canary/steps.py
+++ b/src/nutmegroad/canary/steps.py
@@ -199,26 +199,26 @@
         The hosts wait by rank, and the first one writes all rows in one
         transaction.
         """
-        lacking = self._state.orders.lacking
-        if not lacking:
+        missing = self._state.orders.lacking
+        if not missing:
             return
         await self._wait_for_rank(RESTORE_TASK)
-        lacking = self._state.orders.lacking[:MAX_RESTORED]
-        if not lacking:
+        missing = self._state.orders.lacking[:MAX_RESTORED]
+        if not missing:
             return
         outcome = await self._store.commit(
-            tuple(_expect_unchanged(rollout) for rollout in lacking),
-            tuple(row for each in lacking for row in self._rows_of(each)),
+            tuple(_expect_unchanged(rollout) for rollout in missing),
+            tuple(row for each in missing for row in self._rows_of(each)),
         )
         _LOG.decision(
             'roll-outs restored to the store',
-            services=[rollout.order.service for rollout in lacking],
+            services=[rollout.order.service for rollout in missing],
             done=isinstance(outcome, Committed),
             why=outcome.reason if isinstance(outcome, Refusal) else '',
         )
         if not isinstance(outcome, Committed):
             return
-        for rollout in lacking:
+        for rollout in missing:
             self._state.orders.restored(rollout, outcome.version)
 
     def _rows_of(self, rollout: Rollout) -> Iterator[RowPut]:
--- a/src/nutmegroad/rollouts/exposure.py
+++ b/src/nutmegroad/rollouts/exposure.py
@@ -25,9 +25,9 @@
 from nutmegroad.rollouts.sequential import MeanTest, RateTest, ScoreTest
 
 #: Minimum for the mean number of ratings or attempts until a false alarm.
-FALSE_ALARM_DISTANCE: Final = 1e6
+FALSE_ALARM_RUN_LENGTH: Final = 1e6
 #: Strength from which a version is quarantined.
-WEAK_STRENGTH: Final = math.log(FALSE_ALARM_DISTANCE)
+WEAK_STRENGTH: Final = math.log(FALSE_ALARM_RUN_LENGTH)
 #: Strength from which the last version of a task is quarantined, too.
 STRONG_STRENGTH: Final = 2 * WEAK_STRENGTH
 
@@ -48,7 +48,7 @@
 #: no past yet.
 DECLARED_TOLERANCE: Final = 0.15
 #: Failure rate up to which failures do not count against a version.
-USUAL_FAILURES: Final = 0.03
+TOLERATED_FAILURE_RATE: Final = 0.03
 #: Failures since the last restart of their test from which a version may be
 #: stopped. A few requests that are retried on a broken engine are no evidence
 #: on a version.
@@ -189,7 +189,7 @@
             return
         tests = self._tests_of(entry, key[1])
         reference = self._reference(entry, key[1], tests)
-        max_rate = max(USUAL_FAILURES, _failure_rate(reference))
+        max_rate = max(TOLERATED_FAILURE_RATE, _failure_rate(reference))
         if tests.failures.strength <= 0:
             tests.failed = 0
         tests.failed += fresh.failures
--- a/src/nutmegroad/rollouts/orders.py
+++ b/src/nutmegroad/rollouts/orders.py
@@ -62,8 +62,8 @@
     """Orders that were sent and do not show in a report yet.
 
     Attributes:
-        given: Host clock, in seconds, at which each was sent, by engine, action
-            and version.
+        given: Host clock, in seconds, at which each was sent, by engine,
+            action and version.
     """
 
     given: dict[tuple[UpstreamId, OrderAction, VersionId], float] = field(
--- a/src/nutmegroad/rollouts/quarantines.py
+++ b/src/nutmegroad/rollouts/quarantines.py
@@ -225,11 +225,11 @@
         if accepted is None:
             return False
         return any(
-            other != version and self._is_open(other, task)
+            other != version and self._is_usable(other, task)
             for other in _versions_for(accepted, task)
         )
 
-    def _is_open(self, version: VersionId, task: TaskName) -> bool:
+    def _is_usable(self, version: VersionId, task: TaskName) -> bool:
         """Return whether a version is steady, allowed and not in quarantine."""
         entry = self._configuration.entry(version)
         if entry is None or entry.stage is Stage.ROLLOUT:
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -181,7 +181,7 @@
         self.assertTrue(host.blocks(OLD))
 
 
-class SpreadTest(ExposureCase):
+class GossipTest(ExposureCase):
     async def test_a_quarantine_reaches_all_and_survives_a_cut(self) -> None:
         hosts = self.hosts(STEADY)
         self.mesh.cut_domain(DomainId('b'))
--- a/tests/test_moved_sessions.py
+++ b/tests/test_moved_sessions.py
@@ -73,7 +73,7 @@
     moment: float
 
 
-class Day:
+class RolloutSimulation:
     """Sessions whose requests go to all hosts while a rollout is ordered.
 
     Args:
@@ -102,7 +102,7 @@
             await fleet.clock.sleep(fleet.randomness.expovariate(RATE))
             if fleet.clock.now() >= BEGUN + DURATION / 2:
                 break
-            self._ask(
+            self._send_request(
                 f'session-{number}', fleet.randomness.choice(fleet.members)
             )
         await steps
@@ -144,7 +144,7 @@
         row = RolloutRow(7, Stage.TRIAL.value, BEGUN, to=NEW, duration=DURATION)
         orders.progress(ENGINES, row, 11)
 
-    def _ask(self, session: str, member: Member) -> None:
+    def _send_request(self, session: str, member: Member) -> None:
         """Send a request of a session to a host."""
         request = a_request(f'r{next(self._numbers)}', session=session)
         gate = self._gates[member.name]
@@ -165,9 +165,9 @@
     def test_living_sessions_stay_at_any_size(self) -> None:
         """A host must not move a session that another host has just served."""
         for (hosts, domains), seed in itertools.product(SIZES, range(3)):
-            moved = play(hosts, domains, seed)
+            moved = simulate(hosts, domains, seed)
             with self.subTest(hosts=hosts, seed=seed):
-                self.assertEqual(list(_tell(moved)), [])
+                self.assertEqual(list(_describe(moved)), [])
 
 
 class SessionLifeTest(unittest.IsolatedAsyncioTestCase):
@@ -229,27 +229,28 @@
         self.assertGreaterEqual(seen.moment, late)
 
 
-def _tell(moved: list[tuple[Run, Run]]) -> Iterator[str]:
+def _describe(moved: list[tuple[Run, Run]]) -> Iterator[str]:
     """Yield a line for each session that was moved."""
     for before, run in moved:
         yield (
             f'{before.version} at {before.host}, '
             f'{run.moment - before.moment:.3f} s later {run.version} at '
-            f'{run.host}, {run.moment - BEGUN - LEAD:.3f} s into the trial'
+            f'{run.host}, '
+            f'{run.moment - BEGUN - LEAD:.3f} s into the trial'
         )
 
 
-def play(hosts: int, domains: int, seed: int) -> list[tuple[Run, Run]]:
+def simulate(hosts: int, domains: int, seed: int) -> list[tuple[Run, Run]]:
     """Simulate a rollout, and return the sessions that were moved."""
     loop = VirtualLoop()
 
     async def run() -> list[tuple[Run, Run]]:
         fleet = GossipFleet(hosts, domains, VirtualClock(loop), seed)
-        day = Day(fleet)
-        await day.run()
+        simulation = RolloutSimulation(fleet)
+        await simulation.run()
         for member in fleet.members:
             member.work.cancel()
-        return day.moved
+        return simulation.moved
 
     return run_virtually(loop, run())
 
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -172,9 +172,9 @@
     def test_few_requests_get_a_larger_share(self) -> None:
         """Half of the slack, spread over the remaining requests."""
         cases = ((30, 9, 10, 0.15), (30, 25, 15, 0.04), (30, 270, 10, 0))
-        for besides, rate, seconds, share in cases:
+        for slack, rate, seconds, share in cases:
             with self.subTest(rate=rate):
-                found = beyond_share(besides, rate, seconds)
+                found = beyond_share(slack, rate, seconds)
                 self.assertAlmostEqual(found, share)
 
     def test_share_of_a_row_is_added(self) -> None:
@@ -193,12 +193,12 @@
         Hosts delay their writes by rank, so the last step is up to a second
         late.
         """
-        exposure, besides, late = 0.15, 30, 1.05
+        exposure, slack, late = 0.15, 30, 1.05
         for seconds in (10, 16, 24, 60, 600):
             for rate in (1, 9, 27, 94, 270, 3500):
                 order = RolloutOrder(ENGINES, SoftwareVersion('v2'), seconds, 7)
                 left = seconds * LAST_OPEN - MEASURED
-                beyond = beyond_share(besides, rate, left)
+                beyond = beyond_share(slack, rate, left)
                 row = RolloutRow(7, Stage.TRIAL.value, 0, beyond=beyond)
                 share = Rollout(order, row).share(9, trial_share(exposure))
                 # Before the share is raised, a canary stage gets less than
@@ -206,7 +206,7 @@
                 got = share * rate * (seconds * LAST_OPEN + late - LEAD)
                 allowed = 0.86 * exposure * rate * seconds
                 with self.subTest(seconds=seconds, rate=rate):
-                    self.assertLessEqual(got, allowed + 0.6 * besides)
+                    self.assertLessEqual(got, allowed + 0.6 * slack)
 
 
 class SuspicionsTest(unittest.TestCase):
