--- a/src/nutmegroad/records/__init__.py
+++ b/src/nutmegroad/records/__init__.py
@@ -1,1 +1,1 @@
-"""What runs at most once, what is billed, what explains itself."""
+"""At-most-once execution, billing records and request explanations."""
--- a/src/nutmegroad/records/explanations.py
+++ b/src/nutmegroad/records/explanations.py
@@ -1,4 +1,4 @@
-"""What happened to a request and why, step by step."""
+"""In-memory explanations of requests: each processing step with its reason."""
 
 from collections import OrderedDict
 from typing import Final
@@ -8,17 +8,17 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import RequestId
 
-#: Requests whose explanations a host keeps, the newest.
-KEPT: Final = 20_000
+#: Number of most recent requests whose explanations a host retains.
+MAX_EXPLANATIONS: Final = 20_000
 
 
 class Step(Struct, frozen=True):
-    """One step of a request.
+    """One processing step of a request.
 
     Attributes:
-        at: Wall-clock seconds.
-        part: The part that took it, such as ``planner``.
-        text: What it did and why, in one sentence.
+        at: Wall-clock time of the step, in seconds.
+        part: The part that took the step, such as ``planner``.
+        text: What the part did and why, in one sentence.
     """
 
     at: float
@@ -27,11 +27,11 @@
 
 
 class Explanation:
-    """The steps of one request, as they come.
+    """The processing steps of one request, in order.
 
     Args:
-        request: Its id.
-        clock: Tells when each step was.
+        request: Id of the request.
+        clock: Supplies the time of each step.
     """
 
     def __init__(self, request: RequestId, clock: Clock) -> None:
@@ -40,31 +40,33 @@
         self._clock = clock
 
     def note(self, part: str, text: str) -> None:
-        """Add a step."""
+        """Append a step with the current wall-clock time."""
         self.steps.append(Step(self._clock.wall(), part, text))
 
 
 class Explanations:
-    """The newest explanations of this host.
+    """The most recent explanations of this host.
 
     Args:
-        clock: Tells when steps were.
-        kept: How many requests are kept.
+        clock: Supplies the times of steps.
+        max_requests: Number of requests whose explanations are retained.
     """
 
-    def __init__(self, clock: Clock, kept: int = KEPT) -> None:
+    def __init__(
+        self, clock: Clock, max_requests: int = MAX_EXPLANATIONS
+    ) -> None:
         self._clock = clock
-        self._kept = kept
+        self._max_requests = max_requests
         self._known: OrderedDict[RequestId, Explanation] = OrderedDict()
 
     def begin(self, request: RequestId) -> Explanation:
-        """Return a new explanation, and forget the oldest if need be."""
+        """Return a new explanation; evict the oldest one if full."""
         explanation = Explanation(request, self._clock)
         self._known[request] = explanation
-        if len(self._known) > self._kept:
+        if len(self._known) > self._max_requests:
             self._known.popitem(last=False)
         return explanation
 
     def find(self, request: RequestId) -> Explanation | None:
-        """Return a request's explanation, or None if it is not here."""
+        """Return the explanation of a request, or None if not retained."""
         return self._known.get(request)
--- a/src/nutmegroad/records/forwards.py
+++ b/src/nutmegroad/records/forwards.py
@@ -1,4 +1,7 @@
-"""Requests with a ticket, handed on to the one host that may run them."""
+"""Forwarding of requests with a ticket to the host that issued the ticket.
+
+Only the issuing host may execute such a request.
+"""
 
 from collections.abc import Awaitable, Callable
 from typing import ClassVar, Final
@@ -10,23 +13,24 @@
 from nutmegroad.foundations.types import HostId, Ran
 from nutmegroad.records.tickets import Ticket
 
-#: Hosts of the issuer's domain that are asked to hand a request on.
-MOST_RELAYS: Final = 2
-#: Seconds that hands on are given beyond the request's deadline.
-MARGIN: Final = 0.5
+#: Maximum number of hosts of the issuer's failure domain tried as relays.
+MAX_RELAYS: Final = 2
+#: Seconds beyond the request's deadline to wait for a forwarded reply.
+FORWARD_MARGIN: Final = 0.5
 
 
 class ForwardedRequest(Message, frozen=True, tag='ticketed-request'):
-    """A request as its caller sent it.
+    """A caller's request, forwarded to another host.
 
     Attributes:
-        host: The host that may run it; its ticket is checked there.
-        seconds: Seconds that are left until its deadline.
+        host: The host that may execute the request; it checks the ticket.
+        seconds: Seconds left until the deadline of the request.
         target: Path of the request.
         method: HTTP method.
-        headers: Those that matter.
-        content: Body.
-        relayed: It was handed on already, and is not handed on again.
+        headers: The headers that affect the request.
+        content: Body of the request.
+        relayed: Whether a relay has already forwarded the request. Such a
+            request is not forwarded again.
     """
 
     part: ClassVar[str] = 'tickets'
@@ -43,12 +47,12 @@
 
 
 class ForwardedReply(Message, frozen=True, tag='ticketed-reply'):
-    """The issuer's reply, to be given to the caller as it is.
+    """The reply of the issuing host, returned to the caller unchanged.
 
     Attributes:
         status: HTTP status.
-        content: Body.
-        content_type: Its media type.
+        content: Body of the reply.
+        content_type: Media type of the body.
         headers: Further headers.
     """
 
@@ -62,11 +66,11 @@
     headers: dict[str, str]
 
 
-Answering = Callable[[ForwardedRequest], Awaitable[ForwardedReply]]
+RequestHandler = Callable[[ForwardedRequest], Awaitable[ForwardedReply]]
 
 
 class Forwarder:
-    """Hands requests on, and answers those that were handed on to here.
+    """Forwards requests to other hosts and answers forwarded requests.
 
     Args:
         mesh: Links to peers.
@@ -76,46 +80,48 @@
     def __init__(self, mesh: Mesh, host: HostId) -> None:
         self._mesh = mesh
         self._host = host
-        self._answering: Answering | None = None
+        self._handler: RequestHandler | None = None
 
-    def listen(self, answering: Answering) -> None:
-        """Begin to answer what others hand on."""
-        self._answering = answering
-        self._mesh.handle(ForwardedRequest, self._take)
-        self._mesh.handle(ForwardedReply, _ignore)
+    def listen(self, handler: RequestHandler) -> None:
+        """Register a handler for requests that other hosts forward."""
+        self._handler = handler
+        self._mesh.handle(ForwardedRequest, self._handle_request)
+        self._mesh.handle(ForwardedReply, _ignore_reply)
 
     async def forward(
         self,
         ticket: Ticket,
         request: ForwardedRequest,
     ) -> ForwardedReply | Refusal:
-        """Have the issuer of a ticket answer a request.
+        """Forward a request to the issuer of its ticket.
 
-        A refusal is never ``not run``: the issuer may have run the request
-        when an earlier try of the caller's reached it.
+        Returns:
+            The reply of the issuer, or a refusal. The refusal never says
+            ``not run``: an earlier attempt of the caller may have reached the
+            issuer, which may have executed the request.
         """
         if self._is_replaced(ticket):
             return Refusal(
                 ResultCode.OUTCOME_UNKNOWN,
-                f'The run of host {ticket.host!r} that issued the ticket is '
-                'gone; whether it ran the request can not be told, and '
-                'nobody will run it.',
+                f'The process of host {ticket.host!r} that issued the ticket '
+                'has terminated; the request may have been executed and will '
+                'not be executed again.',
                 Ran.UNKNOWN,
             )
-        for member in self._ways(ticket):
+        for member in self._route(ticket):
             reply = await self._mesh.ask(
                 member.host,
                 request,
-                request.seconds + MARGIN,
+                request.seconds + FORWARD_MARGIN,
             )
             if isinstance(reply, ForwardedReply):
                 return reply
             if not isinstance(reply, Refusal) or reply.ran is not Ran.NOT_RUN:
                 break
-        return _unreached(ticket)
+        return _issuer_unreachable(ticket)
 
     def _is_replaced(self, ticket: Ticket) -> bool:
-        """Tell whether a later run of the issuing host is known."""
+        """Return whether a later incarnation of the issuer is known."""
         if ticket.host == self._host:
             return True
         return any(
@@ -124,8 +130,8 @@
             for member in self._mesh.members()
         )
 
-    def _ways(self, ticket: Ticket) -> tuple[Member, ...]:
-        """Return the issuer, then hosts of its domain."""
+    def _route(self, ticket: Ticket) -> tuple[Member, ...]:
+        """Return the issuer, followed by relays of its failure domain."""
         members = self._mesh.members()
         issuer = [
             member
@@ -139,37 +145,40 @@
             for member in members
             if member.domain == issuer[0].domain and member is not issuer[0]
         ]
-        return (issuer[0], *relays[:MOST_RELAYS])
+        return (issuer[0], *relays[:MAX_RELAYS])
 
-    async def _take(
+    async def _handle_request(
         self,
         host: HostId,
         request: ForwardedRequest,
     ) -> ForwardedReply | None:
-        """Answer a request, or hand it on to the host next door."""
-        if request.host == self._host and self._answering is not None:
-            return await self._answering(request)
+        """Answer a forwarded request, or relay it to the issuer."""
+        if request.host == self._host and self._handler is not None:
+            return await self._handler(request)
         if request.relayed:
             return None
         relayed = replace(request, relayed=True)
         reply = await self._mesh.ask(
             HostId(request.host),
             relayed,
-            request.seconds + MARGIN,
+            request.seconds + FORWARD_MARGIN,
         )
         return reply if isinstance(reply, ForwardedReply) else None
 
 
-def _unreached(ticket: Ticket) -> Refusal:
-    """Say that the issuer gave no answer; it may be cut off only."""
+def _issuer_unreachable(ticket: Ticket) -> Refusal:
+    """Return the refusal for an issuer that did not reply.
+
+    The issuer may be running and merely cut off from this host.
+    """
     return Refusal(
         ResultCode.TICKET_HOST_GONE,
-        f'The host {ticket.host!r} that issued the ticket gave no answer; '
-        'the request may have run there and will run nowhere else.',
+        f'The host {ticket.host!r} that issued the ticket did not reply; '
+        'it may have executed the request, and no other host will.',
         Ran.UNKNOWN,
         retry_after=2,
     )
 
 
-async def _ignore(host: HostId, message: ForwardedReply) -> None:
-    """Take a reply that came as a message of its own for nothing."""
+async def _ignore_reply(host: HostId, message: ForwardedReply) -> None:
+    """Ignore a reply received outside a request-reply exchange."""
--- a/src/nutmegroad/records/intents.py
+++ b/src/nutmegroad/records/intents.py
@@ -1,9 +1,10 @@
-"""Intent rows: a request that may not be repeated runs at most once.
+"""Intent rows: at-most-once execution of requests with an idempotency key.
 
-Before the first byte goes out, the host writes a row under the caller's
-key that must not exist yet; only the host whose write took effect sends,
-and only before its lease lapses. A host that dies after its intent leaves
-it open: the outcome is unknown, and there is never a second run.
+Before a host sends the first byte of a request that may not be repeated,
+it writes a row under the caller's key, on the condition that the row does
+not exist. Only the host whose write succeeded may send the request, and
+only before its lease expires. If that host terminates, its intent stays
+open: the outcome is unknown, and the request is never executed again.
 """
 
 import base64
@@ -40,16 +41,16 @@
 
 _PREFIX: Final = 'intent/'
 _ANSWERS: Final = 'answers/'
-#: Bytes of an answer that still fit into a row.
-SMALL_ANSWER: Final = 8192
-#: Seconds after the latest end of a request for which its owner, unheard
-#: of, is still taken to run it; wall clocks of hosts differ by less.
+#: Maximum size in bytes of an answer that is stored in the row itself.
+MAX_INLINE_ANSWER: Final = 8192
+#: Seconds after a request's latest end during which its unresponsive owner is
+#: still assumed to execute it. The wall clocks of hosts differ by less.
 END_MARGIN: Final = 2.0
 
 
 @unique
 class IntentState(Enum):
-    """Where an intent stands."""
+    """State of an intent."""
 
     OPEN = 'open'
     DONE = 'done'
@@ -60,17 +61,18 @@
     """The content of an intent row.
 
     Attributes:
-        request: The request that wrote it.
+        request: Id of the request that wrote the row.
         fingerprint: Hash of the request's content.
-        nonce: Recognises the write whose reply was lost.
+        nonce: Identifies the write, in case its reply is lost.
         owner: The incarnation that may send the request.
-        ends: Wall-clock seconds at which the request has ended at the
-            latest; only for telling callers when to come back.
-        state: Where it stands.
-        status: HTTP status of the answer, once done.
+        ends: Latest wall-clock time, in seconds, at which the request ends.
+            Used only to tell callers when to retry, and to take over
+            repeatable requests.
+        state: State of the request.
+        status: HTTP status of the answer, if the state is ``DONE``.
         content_type: Media type of the answer.
-        answer: The answer's body in base 64, if it is small.
-        stored: Name of the object that holds a large answer.
+        answer: Base64 body of the answer, if it is small.
+        stored: Name of the object that contains a large answer.
     """
 
     request: str
@@ -86,16 +88,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class IntentWish:
-    """What a request needs an intent for.
+class IntentSpec:
+    """The data of a request for which an intent is claimed.
 
     Attributes:
-        workspace: Who asks.
+        workspace: The workspace of the caller.
         key: The caller's idempotency key.
-        request: The request's id.
-        fingerprint: Hash of its content.
-        repeatable: Whether it may run twice.
-        seconds: Seconds after which it has ended at the latest.
+        request: Id of the request.
+        fingerprint: Hash of the request's content.
+        repeatable: Whether the request may be executed twice.
+        seconds: Maximum seconds from now until the request has ended.
     """
 
     workspace: WorkspaceId
@@ -107,18 +109,18 @@
 
     @property
     def row(self) -> RowKey:
-        """Return the key of its row."""
+        """Return the key of the intent row."""
         return RowKey(f'{_PREFIX}{self.workspace}/{self.key}')
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """The right to send a request, which one request alone gets.
+    """The exclusive right to send a request.
 
     Attributes:
-        intent: What was written.
+        intent: The intent that was written.
         row: Key of the row.
-        version: Version of the row.
+        version: Version of the row after the write.
     """
 
     intent: Intent
@@ -128,10 +130,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstAnswer:
-    """The answer that an earlier request with the same key got.
+    """The answer to an earlier request with the same key or ticket.
 
     Attributes:
-        request: That request.
+        request: Id of the earlier request.
         reply: Its answer.
     """
 
@@ -139,24 +141,24 @@
     reply: ServiceReply
 
 
-#: Tells whether an incarnation is known to be gone for good.
-IsGone = Callable[[Incarnation], bool]
+#: Returns whether an incarnation is known to have terminated for good.
+IsTerminated = Callable[[Incarnation], bool]
 
 
 @dataclass(frozen=True, slots=True)
 class IntentOwner:
-    """Who writes intents.
+    """The incarnation that writes intents, with the functions it needs.
 
     Attributes:
-        incarnation: This run of this host.
-        nonces: Makes nonces that never repeat.
-        is_gone: Tells whether another incarnation is gone for good; one
-            that is merely not heard may be cut off.
+        incarnation: The incarnation of this host.
+        nonces: Returns a nonce that is never repeated.
+        is_terminated: Whether another incarnation has terminated for good.
+            An incarnation that merely sends no messages may be cut off.
     """
 
     incarnation: Incarnation
     nonces: Callable[[], str]
-    is_gone: IsGone
+    is_terminated: IsTerminated
 
 
 class IntentLedger:
@@ -165,7 +167,7 @@
     Args:
         table: The table service.
         objects: The object store, for large answers.
-        owner: Who writes.
+        owner: The incarnation that writes.
         clock: The host's clock.
     """
 
@@ -183,52 +185,52 @@
         self._abandoned: list[Claim] = []
 
     def take_abandoned(self) -> tuple[Claim, ...]:
-        """Return claims that were not used and may stand in the table."""
+        """Return and clear unused claims whose rows may be in the table."""
         abandoned = tuple(self._abandoned)
         self._abandoned.clear()
         return abandoned
 
-    async def claim(self, wish: IntentWish) -> Claim | FirstAnswer | Refusal:
+    async def claim(self, spec: IntentSpec) -> Claim | FirstAnswer | Refusal:
         """Claim a key.
 
         Returns:
-            A claim for the one that may send; the first answer if there is
-            one; or why nothing may be sent.
+            A claim if the request may be sent, the first answer if the key
+            already has one, or a refusal that says why nothing may be sent.
         """
-        wanted = Intent(
-            wish.request,
-            wish.fingerprint,
+        proposed = Intent(
+            spec.request,
+            spec.fingerprint,
             self._owner.nonces(),
             self._owner.incarnation,
-            self._clock.wall() + wish.seconds,
+            self._clock.wall() + spec.seconds,
         )
-        row = await self._put(wish.row, wanted, ABSENT)
+        row = await self._put(spec.row, proposed, ABSENT)
         if isinstance(row, Refusal):
             return row
         found = msgspec.json.decode(row.text, type=Intent)
-        if found.nonce == wanted.nonce:
-            return Claim(wanted, row.key, row.version)
-        if found.fingerprint != wanted.fingerprint:
+        if found.nonce == proposed.nonce:
+            return Claim(proposed, row.key, row.version)
+        if found.fingerprint != proposed.fingerprint:
             return key_reused()
         if found.state is IntentState.DONE:
             return await self._first_answer(found)
-        return await self._again(row, found, wanted, wish)
+        return await self._reclaim(row, found, proposed, spec)
 
     async def settle(
         self,
         claim: Claim,
         reply: ServiceReply | Refusal,
     ) -> Refusal | None:
-        """Write how a claimed request ended; may be called again.
+        """Write the outcome of a claimed request; safe to call repeatedly.
 
-        An outcome that is unknown leaves the intent open for ever.
+        If the outcome is unknown, the intent stays open permanently.
         """
         if isinstance(reply, Refusal):
             if reply.ran is not Ran.NOT_RUN:
                 return None
             intent = replace(claim.intent, state=IntentState.NOT_RUN)
         else:
-            answered = await self._answered(claim, reply)
+            answered = await self._with_answer(claim, reply)
             if isinstance(answered, Refusal):
                 return answered
             intent = answered
@@ -236,37 +238,39 @@
         return row if isinstance(row, Refusal) else None
 
     async def release(self, claim: Claim) -> Refusal | None:
-        """Settle a claim that was not used and may stand in the table.
+        """Settle an unused claim whose row may be in the table.
 
-        Nobody knows whether its write took effect. The row may be another
-        host's by now, with the version that ours would have: that one runs
-        or has run, so only a row with our own nonce is settled.
+        It is unknown whether the write of the claim took effect. The row may
+        belong to another host by now, with the version that the claim expects.
+        That host executes or has executed its request, so a row is settled
+        only if it contains the nonce of this claim.
         """
         row = await self._table.read(claim.row)
         if isinstance(row, Refusal):
             return row
         if row.version >= claim.version and not _is_open(row, claim):
             return None
-        # Where nothing stands yet, a write that comes late is in conflict.
+        # If the row does not exist yet, creating it makes a late write of
+        # the claim conflict.
         intent = replace(claim.intent, state=IntentState.NOT_RUN)
         present = await self._put(claim.row, intent, row.version)
         if isinstance(present, Refusal):
             return present
         return intent_unavailable() if _is_open(present, claim) else None
 
-    async def _answered(
+    async def _with_answer(
         self,
         claim: Claim,
         reply: ServiceReply,
     ) -> Intent | Refusal:
-        """Return the intent with its answer, which is stored if large."""
+        """Return the intent with its answer; store a large answer."""
         intent = replace(
             claim.intent,
             state=IntentState.DONE,
             status=reply.status,
             content_type=reply.content_type,
         )
-        if len(reply.body) <= SMALL_ANSWER:
+        if len(reply.body) <= MAX_INLINE_ANSWER:
             text = base64.b64encode(reply.body).decode()
             return replace(intent, answer=text)
         digest = hashlib.sha256(reply.body).hexdigest()
@@ -277,7 +281,7 @@
         return replace(intent, stored=name)
 
     async def _first_answer(self, intent: Intent) -> FirstAnswer | Refusal:
-        """Return the answer that an intent holds."""
+        """Return the answer that an intent contains."""
         body: bytes | Refusal = base64.b64decode(intent.answer)
         if intent.stored:
             body = await self._objects.fetch(intent.stored)
@@ -291,31 +295,31 @@
         reply = ServiceReply(intent.status, body, intent.content_type)
         return FirstAnswer(RequestId(intent.request), reply)
 
-    async def _again(
+    async def _reclaim(
         self,
         row: Row,
         found: Intent,
-        wanted: Intent,
-        wish: IntentWish,
+        proposed: Intent,
+        spec: IntentSpec,
     ) -> Claim | Refusal:
-        """Decide about a key whose first request has no answer."""
+        """Handle a key whose first request has no answer."""
         open_until = self._open_until(found)
         free = found.state is IntentState.NOT_RUN
-        # What may be repeated may also be taken over from the dead.
-        if free or (wish.repeatable and open_until <= self._clock.wall()):
-            again = await self._put(row.key, wanted, row.version)
-            if isinstance(again, Refusal):
-                return again
-            present = msgspec.json.decode(again.text, type=Intent)
-            if present.nonce == wanted.nonce:
-                return Claim(wanted, row.key, again.version)
+        # A repeatable request may be taken over from a terminated owner.
+        if free or (spec.repeatable and open_until <= self._clock.wall()):
+            rewritten = await self._put(row.key, proposed, row.version)
+            if isinstance(rewritten, Refusal):
+                return rewritten
+            present = msgspec.json.decode(rewritten.text, type=Intent)
+            if present.nonce == proposed.nonce:
+                return Claim(proposed, row.key, rewritten.version)
             open_until = self._open_until(present)
         left = open_until - self._clock.wall()
         return still_running(left) if left > 0 else outcome_unknown()
 
     def _open_until(self, intent: Intent) -> float:
-        """Return until when an intent's request may run, wall seconds."""
-        if self._owner.is_gone(Incarnation(intent.owner)):
+        """Return the wall time until which a request may run."""
+        if self._owner.is_terminated(Incarnation(intent.owner)):
             return 0
         return intent.ends + END_MARGIN
 
@@ -325,7 +329,7 @@
         intent: Intent,
         expected: RowVersion,
     ) -> Row | Refusal:
-        """Write an intent, or return the row that stands in its way."""
+        """Write an intent, or return the row that conflicts with it."""
         text = msgspec.json.encode(intent).decode()
         outcome = await self._table.commit((RowWrite(key, text, expected),))
         if isinstance(outcome, Conflict):
@@ -334,7 +338,7 @@
             return outcome[0]
         if outcome.ran is Ran.NOT_RUN:
             return intent_unavailable()
-        # The write may have taken effect: our nonce would tell.
+        # The write may have taken effect; the caller compares the nonce.
         row = await self._table.read(key)
         if not isinstance(row, Refusal) and row.version > expected:
             return row
@@ -345,7 +349,7 @@
 
 
 def _is_open(row: Row, claim: Claim) -> bool:
-    """Tell whether a row holds a claim's own intent, not settled yet."""
+    """Return whether a row contains the claim's own unsettled intent."""
     if row.version == ABSENT:
         return False
     intent = msgspec.json.decode(row.text, type=Intent)
@@ -354,7 +358,7 @@
 
 
 def key_reused() -> Refusal:
-    """Say that a key or a ticket came with another request before."""
+    """Return the refusal for a key or ticket used by another request."""
     return Refusal(
         ResultCode.KEY_REUSED,
         'The idempotency key was used for another request.',
@@ -362,7 +366,11 @@
 
 
 def still_running(seconds: float) -> Refusal:
-    """Say that the first request may be running, for so many seconds."""
+    """Return the refusal for a repeat of a request that may be running.
+
+    Args:
+        seconds: Seconds for which the first request may still be running.
+    """
     return Refusal(
         ResultCode.STILL_RUNNING,
         'A request with this idempotency key is running.',
@@ -372,20 +380,20 @@
 
 
 def outcome_unknown() -> Refusal:
-    """Say that the first request may have run, and nobody will know."""
+    """Return the refusal for a repeat whose outcome is never known."""
     return Refusal(
         ResultCode.OUTCOME_UNKNOWN,
-        'A request with this idempotency key was begun and never settled; '
-        'whether it ran can not be told, and it is not run again.',
+        'A request with this idempotency key was started and never settled; '
+        'it may have been executed and will not be executed again.',
         Ran.UNKNOWN,
     )
 
 
 def intent_unavailable() -> Refusal:
-    """Say that nothing may be sent, since nothing can be written down."""
+    """Return the refusal for a request whose intent was not written."""
     return Refusal(
         ResultCode.INTENT_UNAVAILABLE,
-        'The request may not be repeated, and its intent can not be '
-        'written now, so it was not sent.',
+        'The request may not be repeated and its intent could not be '
+        'written, so it was not sent.',
         retry_after=5,
     )
--- a/src/nutmegroad/records/once.py
+++ b/src/nutmegroad/records/once.py
@@ -1,10 +1,10 @@
-"""The one place that keeps requests from running twice.
+"""The guard that prevents requests from being executed twice.
 
-Model requests and calls to plain services both come here: ``claim`` says
-whether a request may go on, and ``settle`` how it ended::
+Model requests and calls to plain services both use it. ``claim`` decides
+whether a request may be executed here, and ``settle`` records its outcome::
 
-    claim = await once.claim(order)
-    if isinstance(claim, Run):
+    claim = await once.claim(claim_request)
+    if isinstance(claim, ExecutionGrant):
         reply = await work(claim.fence)
         reply = await once.settle(claim, reply)
 """
@@ -32,21 +32,21 @@
     Claim,
     FirstAnswer,
     IntentLedger,
-    IntentWish,
+    IntentSpec,
     intent_unavailable,
     key_reused,
     still_running,
 )
 from nutmegroad.records.tickets import SpentTicket, Ticket, TicketIssuer
 
-#: Seconds from before a claim until its first byte must have gone out.
+#: Seconds from the start of a claim within which its first byte must be sent.
 LEASE: Final = 5.0
-#: Seconds that an answer may wait until it is stored for repeats.
-SETTLE_WAIT: Final = 0.25
-#: Seconds for which claims are refused at once after the table failed.
-TABLE_REST: Final = 1.0
-#: Claims that are kept while how they ended can not be stored.
-MOST_UNSETTLED: Final = 10_000
+#: Maximum seconds that an answer is delayed while it is stored for repeats.
+SETTLE_TIMEOUT: Final = 0.25
+#: Seconds after a table failure during which claims are refused immediately.
+TABLE_PAUSE: Final = 1.0
+#: Maximum number of claims retained while their outcomes can not be stored.
+MAX_UNSETTLED: Final = 10_000
 
 _NO_KEY: Final = IdempotencyKey('')
 _LOG: Final = part_logger('once')
@@ -54,16 +54,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """A request that asks whether it may run.
+    """A request for the right to execute a caller's request.
 
     Attributes:
-        request: Its id.
-        workspace: Who asks.
-        fingerprint: Hash of its content.
-        repeatable: Whether it may run twice.
-        deadline: Clock seconds at which it has ended at the latest.
-        key: The caller's idempotency key; empty for none.
-        ticket: The caller's ticket; empty for none.
+        request: Id of the caller's request.
+        workspace: The workspace of the caller.
+        fingerprint: Hash of the request's content.
+        repeatable: Whether the request may be executed twice.
+        deadline: Time of the host's clock, in seconds, at which the request
+            ends at the latest.
+        key: The caller's idempotency key; empty if there is none.
+        ticket: The caller's ticket; empty if there is none.
     """
 
     request: RequestId
@@ -77,40 +78,40 @@
 
 @dataclass(slots=True)
 class Run:
-    """The right of one request to run here and now.
+    """The right to execute one request on this host.
 
     Attributes:
-        order: The request.
-        fence: What its attempts must pass.
-        claim: Its intent, if it has one.
-        spent: Its ticket, if it has one.
+        claim_request: The request for this right.
+        fence: The fence that each attempt must pass.
+        claim: The claimed intent of a request with a key, else None.
+        spent: The spent ticket of a request with a ticket, else None.
     """
 
-    order: Order
+    claim_request: Order
     fence: Fence
     claim: Claim | None = None
     spent: SpentTicket | None = None
 
     @property
     def is_held(self) -> bool:
-        """Tell whether it goes on to its end although its caller leaves."""
+        """Whether the request continues after its caller disconnects."""
         return self.claim is not None or self.spent is not None
 
 
 @dataclass(frozen=True, slots=True)
 class Elsewhere:
-    """Only another host may run the request.
+    """Result of a claim that only another host may execute.
 
     Attributes:
-        ticket: Names that host.
+        ticket: The ticket; it names the other host.
     """
 
     ticket: Ticket
 
 
 @dataclass(slots=True)
-class _Known:
-    """A claim whose end is not in the table yet."""
+class _PendingClaim:
+    """A claim whose outcome is not in the table yet."""
 
     request: RequestId
     fingerprint: str
@@ -119,18 +120,18 @@
     storing: asyncio.Lock = field(default_factory=asyncio.Lock)
 
 
-Claimed = Run | FirstAnswer | Elsewhere | Refusal
+ClaimResult = Run | FirstAnswer | Elsewhere | Refusal
 
 
 class Once:
-    """Lets requests run, and remembers how they ended.
+    """Grants the right to execute requests and records their outcomes.
 
     Args:
         intents: Intents in the table.
         issuer: Tickets of this incarnation.
         clock: The host's clock.
-        invariants: Told what the fences see.
-        metrics: Where events are counted.
+        invariants: Passed to the fences, which report violations.
+        metrics: Counts failed writes and dropped answers.
     """
 
     def __init__(
@@ -146,29 +147,39 @@
         self._clock = clock
         self._invariants = invariants
         self._metrics = metrics
-        self._known: OrderedDict[RowKey, _Known] = OrderedDict()
+        self._pending: OrderedDict[RowKey, _PendingClaim] = OrderedDict()
         self._abandoned: list[Claim] = []
-        self._table_rests_until = float('-inf')
+        self._table_paused_until = float('-inf')
 
     @property
     def unsettled(self) -> int:
-        """Return how many ends are not stored yet."""
-        return len(self._ended()) + len(self._abandoned)
-
-    async def claim(self, order: Order) -> Claimed:
-        """Say whether a request may run here and now."""
-        if order.ticket:
-            return self._claim_ticket(order)
-        if order.key:
-            return await self._claim_key(order)
-        return Run(order, self._fence(order, None))
+        """Return the number of outcomes that are not stored yet."""
+        return len(self._unstored_rows()) + len(self._abandoned)
+
+    async def claim(self, claim_request: Order) -> ClaimResult:
+        """Decide whether a request may be executed on this host now.
+
+        Returns:
+            The right to execute it, the first answer to an earlier request, a
+            reference to the host that may execute it, or a refusal.
+        """
+        if claim_request.ticket:
+            return self._claim_ticket(claim_request)
+        if claim_request.key:
+            return await self._claim_key(claim_request)
+        return Run(claim_request, self._fence(claim_request, None))
 
     async def settle(
         self,
         run: Run,
         reply: ServiceReply | Refusal,
     ) -> ServiceReply | Refusal:
-        """Take in how a run ended; return what its caller is told."""
+        """Record the outcome of a request.
+
+        Returns:
+            The reply for the caller. A refusal that falsely says ``not run``
+            is corrected.
+        """
         if isinstance(reply, Refusal):
             reply = run.fence.review(reply)
         if run.spent is not None:
@@ -177,20 +188,20 @@
             await self._settle_claim(run.claim, reply)
         return reply
 
-    def give_up(self, run: Run) -> None:
-        """Take in that a run was broken off and nobody knows how it ended."""
+    def settle_unknown(self, run: Run) -> None:
+        """Record that a request was aborted with unknown outcome."""
         refusal = Refusal(
             ResultCode.OUTCOME_UNKNOWN,
-            'The request was broken off; whether it ran can not be told.',
+            'The request was aborted; it may have been executed.',
             Ran.UNKNOWN,
         )
         if run.spent is not None:
             self._issuer.settle(run.spent, refusal)
         if run.claim is not None:
-            self._known.pop(run.claim.row, None)
+            self._pending.pop(run.claim.row, None)
 
-    async def settle_rest(self) -> None:
-        """Store ends that could not be stored before."""
+    async def settle_pending(self) -> None:
+        """Retry storing outcomes that could not be stored before."""
         self._abandoned.extend(self._intents.take_abandoned())
         while self._abandoned:
             claim = self._abandoned[0]
@@ -198,95 +209,111 @@
             if refusal is not None:
                 return
             self._abandoned.pop(0)
-        for row in self._ended():
-            known = self._known.get(row)
-            if known is not None and not await self._store(row, known):
+        for row in self._unstored_rows():
+            pending = self._pending.get(row)
+            if pending is not None and not await self._store(row, pending):
                 return
 
-    def _claim_ticket(self, order: Order) -> Claimed:
-        """Claim a ticket's request."""
-        ticket = self._issuer.read(order.ticket, order.workspace)
+    def _claim_ticket(self, claim_request: Order) -> ClaimResult:
+        """Claim a request that carries a ticket."""
+        ticket = self._issuer.read(
+            claim_request.ticket, claim_request.workspace
+        )
         if isinstance(ticket, Refusal):
             return ticket
         if ticket.incarnation != self._issuer.incarnation:
             return Elsewhere(ticket)
-        began = self._clock.now()
-        spent = self._issuer.spend(ticket, order.request, order.fingerprint)
+        started_at = self._clock.now()
+        spent = self._issuer.spend(
+            ticket, claim_request.request, claim_request.fingerprint
+        )
         if not isinstance(spent, SpentTicket):
             return spent
-        return Run(order, self._fence(order, began), spent=spent)
-
-    async def _claim_key(self, order: Order) -> Claimed:
-        """Claim a key in the table."""
-        # The lease counts from before the write, not from its reply.
-        began = self._clock.now()
-        wish = IntentWish(
-            order.workspace,
-            order.key,
-            order.request,
-            order.fingerprint,
-            order.repeatable,
-            max(0, order.deadline - began),
+        return Run(
+            claim_request, self._fence(claim_request, started_at), spent=spent
+        )
+
+    async def _claim_key(self, claim_request: Order) -> ClaimResult:
+        """Claim the idempotency key of a request in the table."""
+        # The lease starts before the write, not when its reply arrives.
+        started_at = self._clock.now()
+        spec = IntentSpec(
+            claim_request.workspace,
+            claim_request.key,
+            claim_request.request,
+            claim_request.fingerprint,
+            claim_request.repeatable,
+            max(0, claim_request.deadline - started_at),
         )
-        if wish.row in self._known:
-            return self._from_memory(self._known[wish.row], order)
-        if began < self._table_rests_until:
-            return self._without_table(order, intent_unavailable())
-        known = _Known(order.request, order.fingerprint)
-        self._known[wish.row] = known
-        claim = await self._claim_row(wish)
+        if spec.row in self._pending:
+            return self._from_memory(self._pending[spec.row], claim_request)
+        if started_at < self._table_paused_until:
+            return self._without_table(claim_request, intent_unavailable())
+        pending = _PendingClaim(
+            claim_request.request, claim_request.fingerprint
+        )
+        self._pending[spec.row] = pending
+        claim = await self._claim_row(spec)
         if isinstance(claim, Claim):
-            known.claim = claim
-            fence = self._fence(order, began)
-            return Run(order, fence, claim)
-        self._known.pop(wish.row, None)
+            pending.claim = claim
+            fence = self._fence(claim_request, started_at)
+            return Run(claim_request, fence, claim)
+        self._pending.pop(spec.row, None)
         if isinstance(claim, Refusal):
-            return self._without_table(order, claim)
+            return self._without_table(claim_request, claim)
         return claim
 
     async def _claim_row(
         self,
-        wish: IntentWish,
+        spec: IntentSpec,
     ) -> Claim | FirstAnswer | Refusal:
-        """Write an intent to its end, even if the caller leaves."""
-        claim = await self._intents.claim(wish)
+        """Write an intent; after a failure, pause writes for a while."""
+        claim = await self._intents.claim(spec)
         unavailable = ResultCode.INTENT_UNAVAILABLE
         if isinstance(claim, Refusal) and claim.code is unavailable:
-            self._table_rests_until = self._clock.now() + TABLE_REST
+            self._table_paused_until = self._clock.now() + TABLE_PAUSE
             self._metrics.record_event('intent_not_written')
         return claim
 
     def _without_table(
         self,
-        order: Order,
+        claim_request: Order,
         refusal: Refusal,
     ) -> Run | Refusal:
-        """Let what may be repeated go on though the table is down."""
+        """Allow a repeatable request while the table is unavailable."""
         if refusal.code is not ResultCode.INTENT_UNAVAILABLE:
             return refusal
-        if not order.repeatable:
+        if not claim_request.repeatable:
             return refusal
-        return Run(order, self._fence(order, None))
+        return Run(claim_request, self._fence(claim_request, None))
 
     def _from_memory(
         self,
-        known: _Known,
-        order: Order,
+        pending: _PendingClaim,
+        claim_request: Order,
     ) -> FirstAnswer | Refusal:
-        """Answer a repeat of what this host itself knows."""
-        if known.fingerprint != order.fingerprint:
+        """Answer a repeat of a request that this host has claimed."""
+        if pending.fingerprint != claim_request.fingerprint:
             return key_reused()
-        if isinstance(known.reply, ServiceReply):
-            return FirstAnswer(known.request, known.reply)
+        if isinstance(pending.reply, ServiceReply):
+            return FirstAnswer(pending.request, pending.reply)
         return still_running(1)
 
-    def _fence(self, order: Order, began: float | None) -> Fence:
-        """Return the fence of a run."""
+    def _fence(self, claim_request: Order, started_at: float | None) -> Fence:
+        """Return the fence of a request.
+
+        Args:
+            claim_request: The request.
+            started_at: Time of the host's clock, in seconds, at which its lease
+                started; None for no lease.
+        """
         send_by = None
-        # A takeover of what may be repeated does no harm, so no lease.
-        if began is not None and not order.repeatable:
-            send_by = began + LEASE
-        terms = FenceTerms(order.request, order.repeatable, send_by)
+        # A repeatable request may be taken over safely and needs no lease.
+        if started_at is not None and not claim_request.repeatable:
+            send_by = started_at + LEASE
+        terms = FenceTerms(
+            claim_request.request, claim_request.repeatable, send_by
+        )
         return Fence(terms, self._clock, self._invariants)
 
     async def _settle_claim(
@@ -294,18 +321,22 @@
         claim: Claim,
         reply: ServiceReply | Refusal,
     ) -> None:
-        """Store how a claim ended, now or later."""
-        known = self._known.get(claim.row)
-        if known is None:
+        """Store the outcome of a claim.
+
+        If the write takes longer than ``SETTLE_TIMEOUT``, it continues in the
+        background.
+        """
+        pending = self._pending.get(claim.row)
+        if pending is None:
             return
         if isinstance(reply, Refusal) and reply.ran is not Ran.NOT_RUN:
-            # The row stays open: the outcome is unknown to all, for ever.
-            self._known.pop(claim.row)
+            # The row stays open: the outcome is permanently unknown.
+            self._pending.pop(claim.row)
             return
-        known.reply = reply
-        self._bound()
-        storing = asyncio.ensure_future(self._store(claim.row, known))
-        waiting = asyncio.ensure_future(self._clock.sleep(SETTLE_WAIT))
+        pending.reply = reply
+        self._drop_oldest()
+        storing = asyncio.ensure_future(self._store(claim.row, pending))
+        waiting = asyncio.ensure_future(self._clock.sleep(SETTLE_TIMEOUT))
         try:
             await asyncio.wait(
                 (storing, waiting),
@@ -314,33 +345,35 @@
         finally:
             waiting.cancel()
 
-    async def _store(self, row: RowKey, known: _Known) -> bool:
-        """Store one end; false if that failed."""
-        async with known.storing:
-            if known.claim is None or known.reply is None:
+    async def _store(self, row: RowKey, pending: _PendingClaim) -> bool:
+        """Store one outcome; return False if the write failed."""
+        async with pending.storing:
+            if pending.claim is None or pending.reply is None:
                 return True
-            refusal = await self._intents.settle(known.claim, known.reply)
+            refusal = await self._intents.settle(pending.claim, pending.reply)
             if refusal is not None:
                 self._metrics.record_event('answer_not_stored')
                 return False
-            if self._known.get(row) is known:
-                self._known.pop(row)
+            if self._pending.get(row) is pending:
+                self._pending.pop(row)
             return True
 
-    def _ended(self) -> tuple[RowKey, ...]:
-        """Return the rows whose end is known and not stored."""
+    def _unstored_rows(self) -> tuple[RowKey, ...]:
+        """Return the rows whose outcome is known but not stored."""
         return tuple(
             row
-            for row, known in self._known.items()
-            # A refusal is false, so ``if known.reply`` would pass over it.
-            if known.reply is not None
+            for row, pending in self._pending.items()
+            # A refusal is falsy, so ``if pending.reply`` would skip it.
+            if pending.reply is not None
         )
 
-    def _bound(self) -> None:
-        """Forget the oldest ends if too many wait to be stored."""
-        if len(self._known) <= MOST_UNSETTLED:
+    def _drop_oldest(self) -> None:
+        """Drop the oldest unstored outcomes above the limit."""
+        if len(self._pending) <= MAX_UNSETTLED:
             return
-        for row in self._ended()[: len(self._known) - MOST_UNSETTLED]:
-            self._known.pop(row)
+        for row in self._unstored_rows()[: len(self._pending) - MAX_UNSETTLED]:
+            self._pending.pop(row)
             self._metrics.record_event('answer_forgotten')
-            _LOG.error('the end of %s could not be stored', row)
+            _LOG.error(
+                'dropped the outcome of %s, which could not be stored', row
+            )
--- a/src/nutmegroad/records/part.py
+++ b/src/nutmegroad/records/part.py
@@ -1,4 +1,8 @@
-"""The part that keeps records: intents, tickets, billing, explanations."""
+"""Kernel parts for billing and for at-most-once execution of requests.
+
+``BillingPart`` provides billing records and their copies. ``RecordsPart``
+provides intents, tickets, forwarding and explanations.
+"""
 
 from collections.abc import Callable
 from typing import Final
@@ -18,23 +22,27 @@
 from nutmegroad.records.record_copies import RecordKeeper, RecordSender
 from nutmegroad.records.tickets import TicketIssuer, TicketSigner
 
-#: Seconds between flushes of billing records, jittered; 400 hosts then
-#: store some 80 objects a second.
+#: Seconds between flushes of billing records, before jitter. 400 hosts then
+#: store about 80 objects per second.
 FLUSH_PERIOD: Final = 5.0
-#: Share by which that is moved, so that hosts do not march in step.
+#: Maximum jitter as a fraction of the period; prevents hosts from flushing
+#: at the same time.
 FLUSH_JITTER: Final = 0.2
-#: Seconds between tries to store what could not be stored.
+#: Seconds between attempts to store outcomes that could not be stored.
 SETTLE_PERIOD: Final = 1.0
 
 
 @register('part', 'billing')
 class BillingPart:
-    """Provides the biller and what hands its records on."""
+    """Provides the biller and the sender of its records to peers."""
 
     needs = (Objects, Mesh, Metrics, Invariants)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to store batches; store or hand on the rest at the end."""
+        """Start to store batches periodically.
+
+        When the host stops, the remaining batches are stored or left to peers.
+        """
         metrics = kernel.need(Metrics)
         objects = kernel.need(Objects)
         mesh = kernel.need(Mesh)
@@ -42,7 +50,7 @@
         biller = Biller(objects, kernel.incarnation, metrics, invariants)
         domain = kernel.settings.domain
         sender = RecordSender(biller, mesh, domain, kernel.clock, metrics)
-        kernel.stack.push_async_callback(sender.end)
+        kernel.stack.push_async_callback(sender.close)
         keeper = RecordKeeper(biller, mesh, kernel.clock, metrics)
         keeper.listen()
 
@@ -53,21 +61,21 @@
 
 @register('part', 'records')
 class RecordsPart:
-    """Provides what keeps requests from running twice."""
+    """Provides at-most-once execution of requests."""
 
     needs = (Table, Objects, Mesh, Metrics, Invariants)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to store how requests ended."""
+        """Start to store the outcomes of requests periodically."""
         host = kernel.settings.host
         mesh = kernel.need(Mesh)
         metrics = kernel.need(Metrics)
         incarnation = kernel.incarnation
-        is_gone = gone_check(mesh, host, incarnation)
+        is_terminated = termination_check(mesh, host, incarnation)
         intents = IntentLedger(
             kernel.need(Table),
             kernel.need(Objects),
-            IntentOwner(incarnation, kernel.nonce, is_gone),
+            IntentOwner(incarnation, kernel.nonce, is_terminated),
             kernel.clock,
         )
         signer = TicketSigner(
@@ -77,7 +85,7 @@
         issuer = TicketIssuer(host, incarnation, signer, kernel.clock)
         invariants = kernel.need(Invariants)
         once = Once(intents, issuer, kernel.clock, invariants, metrics)
-        kernel.stack.push_async_callback(once.settle_rest)
+        kernel.stack.push_async_callback(once.settle_pending)
 
         kernel.spawn(_settle_often(kernel, once), 'records')
         kernel.provide(IntentLedger, intents)
@@ -87,19 +95,24 @@
         kernel.provide(Explanations, Explanations(kernel.clock))
 
 
-def gone_check(
+def termination_check(
     mesh: Mesh,
     host: HostId,
     own: Incarnation,
 ) -> Callable[[Incarnation], bool]:
-    """Return a check whether an incarnation is gone for good.
+    """Return a function that checks whether an incarnation has terminated.
+
+    An incarnation has terminated if a later incarnation of its host is known.
+    A host that merely sends no messages may only be cut off.
 
-    It is if a later run of its host is known; one of which nothing is
-    heard may only be cut off.
+    Args:
+        mesh: Links to peers.
+        host: This host.
+        own: The incarnation of this host.
     """
 
-    def is_gone(incarnation: Incarnation) -> bool:
-        """Look for another run of the same host."""
+    def is_terminated(incarnation: Incarnation) -> bool:
+        """Return whether its host has another incarnation."""
         owner = incarnation.rpartition('.')[0]
         if owner == host:
             return incarnation != own
@@ -108,7 +121,7 @@
             for member in mesh.members()
         )
 
-    return is_gone
+    return is_terminated
 
 
 async def _flush_often(
@@ -116,11 +129,11 @@
     sender: RecordSender,
     keeper: RecordKeeper,
 ) -> None:
-    """Store batches until cancelled."""
+    """Store batches periodically until cancelled."""
     state = kernel.need(Metrics).state
     while True:
-        spread = kernel.randomness.uniform(-FLUSH_JITTER, FLUSH_JITTER)
-        await kernel.clock.sleep(FLUSH_PERIOD * (1 + spread))
+        jitter = kernel.randomness.uniform(-FLUSH_JITTER, FLUSH_JITTER)
+        await kernel.clock.sleep(FLUSH_PERIOD * (1 + jitter))
         keeper.take_over()
         await sender.flush()
         state.unstored('billing', sender.pending)
@@ -128,9 +141,9 @@
 
 
 async def _settle_often(kernel: Kernel, once: Once) -> None:
-    """Store what could not be stored, until cancelled."""
+    """Retry unstored outcomes periodically until cancelled."""
     state = kernel.need(Metrics).state
     while True:
         await kernel.clock.sleep(SETTLE_PERIOD)
-        await once.settle_rest()
+        await once.settle_pending()
         state.unstored('answers', once.unsettled)
--- a/src/nutmegroad/records/record_copies.py
+++ b/src/nutmegroad/records/record_copies.py
@@ -1,9 +1,9 @@
 """Copies of billing records that a peer holds until they are stored.
 
-A host hands its records on before the end of their answers, as many at a
-time as have come together. If the host is gone, or says so at its end, the
-receiver takes the records over: it stores them as its own, and hands them
-to a receiver too.
+A host copies its records to a peer before their answers end; records that
+accumulate meanwhile are sent together. If the host terminates or announces
+its stop, the peer takes the records over: it stores them itself and copies
+them to a peer of its own.
 """
 
 import asyncio
@@ -16,36 +16,39 @@
 from nutmegroad.foundations.types import DomainId, HostId, Incarnation, Presence
 from nutmegroad.records.billing import Batch, Biller, BillingRecord
 
-#: Seconds that the end of an answer may wait for one peer to take its
-#: record; it takes less than a millisecond unless the peer stands still.
-HAND_WAIT: Final = 0.5
-#: Peers that are tried in turn.
-MOST_TRIED: Final = 2
-#: Peers that hold what a host can not store at its end. From then on
-#: nobody else has it, and one of them may die before it has handed it on.
-HOLDERS_AT_END: Final = 2
-#: Seconds for which a peer that did not take records is passed over.
-SHUN: Final = 5.0
-#: Seconds for which a host must be unknown before its records are stored.
-GONE_AFTER: Final = 10.0
-#: Records that a host holds for others.
-MOST_HELD: Final = 200_000
+#: Maximum seconds that the end of an answer waits for one peer to accept its
+#: record. This takes less than a millisecond unless the peer is stalled.
+HAND_TIMEOUT: Final = 0.5
+#: Maximum number of peers tried one after the other.
+MAX_PEERS_TRIED: Final = 2
+#: Number of peers that receive the records that a host can not store when it
+#: stops. No other copy remains then, and one of these peers may terminate
+#: before it has copied the records to another one.
+COPIES_AT_STOP: Final = 2
+#: Seconds for which a peer that did not accept records is excluded.
+EXCLUSION_PERIOD: Final = 5.0
+#: Seconds for which a host must be absent from the member list before its
+#: records are taken over.
+TERMINATED_AFTER: Final = 10.0
+#: Maximum number of records that a host holds for other hosts.
+MAX_HELD: Final = 200_000
 
 _LOG: Final = part_logger('billing')
 
-#: Whose cost the messages are.
+#: The part that the cost of the messages is attributed to.
 RECORDS_PART: Final = 'billing'
 
 
-class HandedRecords(Message, frozen=True, tag='billing-records'):
-    """Records of one batch, from a place in it on.
+class RecordCopies(Message, frozen=True, tag='billing-records'):
+    """Records of one batch, starting at a given position.
 
     Attributes:
-        incarnation: Whose batch it is.
-        sequence: Its number.
-        place: How many records stand before these.
+        incarnation: Incarnation of the host that created the batch.
+        sequence: Sequence number of the batch.
+        place: Number of records of the batch that precede these.
         records: The records.
-        last: The sender is at its end; the receiver is to store the batch.
+        last: Whether the sender is stopping; the receiver must then store the
+            batch.
     """
 
     part: ClassVar[str] = RECORDS_PART
@@ -59,8 +62,12 @@
     last: bool = False
 
 
-class HeldRecords(Message, frozen=True, tag='billing-held'):
-    """How many records of the batch the receiver holds now."""
+class CopiesAccepted(Message, frozen=True, tag='billing-held'):
+    """Reply to ``RecordCopies``.
+
+    Attributes:
+        held: Number of records of the batch that the receiver now holds.
+    """
 
     part: ClassVar[str] = RECORDS_PART
 
@@ -69,8 +76,13 @@
     held: int
 
 
-class StoredBatches(Message, frozen=True, tag='billing-stored'):
-    """The sender has stored its batches up to a number."""
+class BatchesStored(Message, frozen=True, tag='billing-stored'):
+    """Notice that the sender has stored its batches up to a sequence number.
+
+    Attributes:
+        incarnation: Incarnation of the sender.
+        sequence: Sequence number of the last stored batch.
+    """
 
     part: ClassVar[str] = RECORDS_PART
 
@@ -81,14 +93,14 @@
 
 
 class RecordSender:
-    """Hands this host's records to the peer that receives them.
+    """Copies the records of this host to a peer, the receiver.
 
     Args:
-        biller: Has the records.
+        biller: Supplies the records.
         mesh: Links to peers.
         domain: The failure domain of this host.
         clock: The host's clock.
-        metrics: Where failures are counted.
+        metrics: Counts failures.
     """
 
     def __init__(
@@ -105,139 +117,149 @@
         self._clock = clock
         self._metrics = metrics
         self._receiver: Member | None = None
-        self._shunned: dict[HostId, float] = {}
+        self._excluded_until: dict[HostId, float] = {}
         self._lock = asyncio.Lock()
 
     @property
     def pending(self) -> int:
-        """Return how many records are not stored yet."""
+        """Return the number of records not stored yet."""
         return self._biller.pending
 
     async def hand(self, last: bool = False) -> bool:
-        """Hand on what is not handed on yet.
+        """Copy all records that have not been copied yet to a peer.
 
         Args:
-            last: The receiver is to store what it gets.
+            last: Whether the receiver must store the records.
 
         Returns:
             Whether a peer holds all records that waited.
         """
-        # Whoever waits for the lock finds its record handed on with others.
+        # Records added while the lock is held are copied together by the
+        # next holder.
         async with self._lock:
-            for _ in range(MOST_TRIED):
+            for _ in range(MAX_PEERS_TRIED):
                 if await self._hand_all(last):
                     return True
         return False
 
     async def flush(self) -> None:
-        """Store all batches, and tell the receiver that it need not."""
+        """Store all batches, and notify the receiver of stored batches."""
         open_batches = self._biller.batches
         refusal = await self._biller.flush()
         if refusal is not None:
-            # What can not be stored is the more worth a second holder.
+            # Records that can not be stored must at least have a second copy.
             await self.hand()
             return
         receiver = self._receiver
         if receiver is not None and open_batches:
             sequence = open_batches[-1].sequence
             incarnation = self._biller.incarnation
-            self._mesh.tell(receiver.host, StoredBatches(incarnation, sequence))
+            self._mesh.tell(receiver.host, BatchesStored(incarnation, sequence))
 
-    async def end(self) -> None:
-        """Store all batches at a graceful stop, or leave them to peers."""
+    async def close(self) -> None:
+        """Store all batches at a graceful stop, or copy them to peers."""
         await self.flush()
         if not self._biller.pending:
             return
-        taken = [await self._leave_to_peer() for _ in range(HOLDERS_AT_END)]
+        taken = [await self._copy_at_stop() for _ in range(COPIES_AT_STOP)]
         holders = sum(taken)
         event = 'billing_handed_at_stop' if holders else 'billing_lost_at_stop'
         self._metrics.record_event(event)
         _LOG.warning(
-            '%d records could not be stored at the end; %d peers hold them',
+            '%d billing records could not be stored at the stop; '
+            'held by %d peers',
             self._biller.pending,
             holders,
         )
 
-    async def _leave_to_peer(self) -> bool:
-        """Leave all batches to one peer, and pass it over from then on."""
+    async def _copy_at_stop(self) -> bool:
+        """Copy all batches to one peer, then exclude this peer."""
         for batch in self._biller.batches:
-            batch.handed = 0
+            batch.copied = 0
         handed = await self.hand(last=True)
         if handed and self._receiver is not None:
-            self._shunned[self._receiver.host] = self._clock.now() + SHUN
+            self._excluded_until[self._receiver.host] = (
+                self._clock.now() + EXCLUSION_PERIOD
+            )
         return handed
 
     async def _hand_all(self, last: bool) -> bool:
-        """Hand all batches to one peer."""
+        """Copy all batches to one peer."""
         for batch in self._biller.batches:
             if not await self._hand_batch(batch, last):
                 return False
         return True
 
     async def _hand_batch(self, batch: Batch, last: bool) -> bool:
-        """Hand one batch on, from where the receiver's part of it ends."""
-        receiver = self._choose()
+        """Copy the part of a batch that the receiver does not hold."""
+        receiver = self._choose_receiver()
         if receiver is None:
             return False
-        place = batch.handed
+        place = batch.copied
         records = tuple(batch.records[place:])
         if not records:
             return True
-        message = HandedRecords(
+        message = RecordCopies(
             batch.incarnation,
             batch.sequence,
             place,
             records,
             last,
         )
-        reply = await self._mesh.ask(receiver.host, message, HAND_WAIT)
-        if isinstance(reply, HeldRecords):
-            batch.handed = min(reply.held, place + len(records))
-            return batch.handed == place + len(records)
+        reply = await self._mesh.ask(receiver.host, message, HAND_TIMEOUT)
+        if isinstance(reply, CopiesAccepted):
+            batch.copied = min(reply.held, place + len(records))
+            return batch.copied == place + len(records)
         self._metrics.record_event('billing_not_handed')
-        self._shunned[receiver.host] = self._clock.now() + SHUN
+        self._excluded_until[receiver.host] = (
+            self._clock.now() + EXCLUSION_PERIOD
+        )
         return False
 
-    def _choose(self) -> Member | None:
-        """Return the receiver; a new one gets everything from the start."""
+    def _choose_receiver(self) -> Member | None:
+        """Return the receiver.
+
+        A new receiver is sent every batch from its first record.
+        """
         members = self._mesh.members()
         now = self._clock.now()
-        fit = [
+        candidates = [
             member
             for member in members
             if member.presence is Presence.LIVE
-            and self._shunned.get(member.host, 0) <= now
+            and self._excluded_until.get(member.host, 0) <= now
         ]
-        for member in fit:
+        for member in candidates:
             if self._receiver is not None and (
                 member.incarnation == self._receiver.incarnation
             ):
                 return member
         for batch in self._biller.batches:
-            batch.handed = 0
-        self._receiver = min(fit, key=self._rank) if fit else None
+            batch.copied = 0
+        self._receiver = min(candidates, key=self._rank) if candidates else None
         return self._receiver
 
     def _rank(self, member: Member) -> tuple[bool, bool, str]:
-        """Order peers: of this domain first, then the next by name."""
+        """Order peers: local failure domain first, then next by name."""
         own = self._biller.incarnation
         return (
             member.domain != self._domain,
-            # The next one round, so that hosts do not all choose the same.
+            # Incarnations after this one come first, so that hosts choose
+            # different receivers.
             member.incarnation <= own,
             member.incarnation,
         )
 
 
 class RecordKeeper:
-    """Holds the records of other hosts, and takes over those of the gone.
+    """Holds other hosts' records; takes over those of terminated hosts.
 
     Args:
-        biller: Stores what is taken over.
+        biller: Stores the batches that are taken over.
         mesh: Links to peers.
         clock: The host's clock.
-        metrics: Where events are counted.
-        most_held: Records that may be held.
+        metrics: Counts events.
+        max_held: Maximum number of records held.
     """
 
     def __init__(
@@ -246,63 +268,65 @@
         mesh: Mesh,
         clock: Clock,
         metrics: Metrics,
-        most_held: int = MOST_HELD,
+        max_held: int = MAX_HELD,
     ) -> None:
         self._biller = biller
         self._mesh = mesh
         self._clock = clock
         self._metrics = metrics
-        self._most_held = most_held
+        self._max_held = max_held
         self._held: dict[tuple[str, int], Batch] = {}
-        self._heard: dict[str, float] = {}
-        self._left: set[str] = set()
+        self._last_seen: dict[str, float] = {}
+        self._terminated: set[str] = set()
 
     @property
     def held(self) -> int:
-        """Return how many records are held for others."""
+        """Return the number of records held for other hosts."""
         return sum(len(batch.records) for batch in self._held.values())
 
     def listen(self) -> None:
-        """Begin to take records."""
-        self._mesh.handle(HandedRecords, self._take)
-        self._mesh.handle(HeldRecords, _ignore)
-        self._mesh.handle(StoredBatches, self._release)
+        """Register the message handlers; copies are accepted from now on."""
+        self._mesh.handle(RecordCopies, self._handle_copies)
+        self._mesh.handle(CopiesAccepted, _ignore_reply)
+        self._mesh.handle(BatchesStored, self._handle_stored)
 
     def take_over(self) -> None:
-        """Take over what is held for hosts that are gone or have ended."""
-        self._listen_about()
+        """Take over the batches of hosts that terminated or stopped."""
+        self._check_owners()
         for key, batch in tuple(self._held.items()):
-            if not self._is_gone(batch.incarnation):
+            if not self._is_terminated(batch.incarnation):
                 continue
             self._metrics.record_event('billing_taken_over')
             self._biller.adopt(batch)
             self._held.pop(key)
-        self._forget_owners()
+        self._drop_owners()
 
-    async def _take(
+    async def _handle_copies(
         self,
         host: HostId,
-        message: HandedRecords,
-    ) -> HeldRecords | None:
-        """Hold records; None refuses them."""
-        self._heard[message.incarnation] = self._clock.now()
+        message: RecordCopies,
+    ) -> CopiesAccepted | None:
+        """Accept copies of records; return None to reject them."""
+        self._last_seen[message.incarnation] = self._clock.now()
         key = (message.incarnation, message.sequence)
         batch = self._held.get(key)
         if batch is None:
             batch = Batch(Incarnation(message.incarnation), message.sequence)
-        # Records before these may be missing, or some may come again.
+        # Earlier records may be missing, and records may be sent repeatedly.
         known = len(batch.records)
         fresh = message.records[max(0, known - message.place) :]
-        if message.place > known or self.held + len(fresh) > self._most_held:
+        if message.place > known or self.held + len(fresh) > self._max_held:
             return None
         batch.records.extend(fresh)
         self._held[key] = batch
         if message.last:
-            self._left.add(message.incarnation)
-        return HeldRecords(len(batch.records))
+            self._terminated.add(message.incarnation)
+        return CopiesAccepted(len(batch.records))
 
-    async def _release(self, host: HostId, message: StoredBatches) -> None:
-        """Forget batches that their owner has stored."""
+    async def _handle_stored(
+        self, host: HostId, message: BatchesStored
+    ) -> None:
+        """Drop batches that their owner has stored."""
         done = [
             key
             for key in self._held
@@ -311,33 +335,33 @@
         for key in done:
             self._held.pop(key)
 
-    def _listen_about(self) -> None:
-        """Take in which owners are members, and which came back anew."""
+    def _check_owners(self) -> None:
+        """Update which owners are members and which have restarted."""
         now = self._clock.now()
         running = {
             member.host: member.incarnation for member in self._mesh.members()
         }
-        for owner in self._heard:
+        for owner in self._last_seen:
             present = running.get(HostId(owner.rpartition('.')[0]))
             if present == owner:
-                self._heard[owner] = now
+                self._last_seen[owner] = now
             elif present is not None:
-                # A later run of the host: the owner is gone for good.
-                self._left.add(owner)
+                # A later incarnation of the host: the owner has terminated.
+                self._terminated.add(owner)
 
-    def _is_gone(self, owner: str) -> bool:
-        """Tell whether a host's batches are to be taken over."""
+    def _is_terminated(self, owner: str) -> bool:
+        """Return whether an owner's batches are to be taken over."""
         now = self._clock.now()
-        unheard = now - self._heard.get(owner, now)
-        return owner in self._left or unheard >= GONE_AFTER
+        unseen = now - self._last_seen.get(owner, now)
+        return owner in self._terminated or unseen >= TERMINATED_AFTER
 
-    def _forget_owners(self) -> None:
-        """Forget hosts for which nothing is held."""
+    def _drop_owners(self) -> None:
+        """Drop the state of owners without held batches."""
         owners = {incarnation for incarnation, _ in self._held}
-        for owner in self._heard.keys() - owners:
-            self._heard.pop(owner)
-        self._left &= owners
+        for owner in self._last_seen.keys() - owners:
+            self._last_seen.pop(owner)
+        self._terminated &= owners
 
 
-async def _ignore(host: HostId, message: HeldRecords) -> None:
-    """Take a reply that came as a message of its own for nothing."""
+async def _ignore_reply(host: HostId, message: CopiesAccepted) -> None:
+    """Ignore a reply received outside a request-reply exchange."""
--- a/src/nutmegroad/records/runs.py
+++ b/src/nutmegroad/records/runs.py
@@ -1,7 +1,7 @@
-"""Runs of requests: claimed, carried out, settled and billed, each once.
+"""Executes requests at most once: claims, executes, settles and bills them.
 
-A request with a key or a ticket goes on to its end although its caller
-has left, so that a repeat gets its answer.
+A request with a key or a ticket is executed to its end even if its caller
+disconnects, so that a repeat gets the answer.
 """
 
 import asyncio
@@ -21,40 +21,40 @@
 
 _LOG: Final = part_logger('runs')
 
-#: Seconds that runs whose callers have left are given when the host stops.
-LAST_RUNS: Final = 2.0
+#: Seconds that requests with a key or a ticket have to finish at a stop.
+STOP_TIMEOUT: Final = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """How a run ended here.
+    """The result of a request that was executed on this host.
 
     Attributes:
-        reply: The answer, or why there is none.
-        record: What is billed.
+        reply: The answer, or the refusal that replaces it.
+        record: The billing record.
     """
 
     reply: ServiceReply | Refusal
     record: BillingRecord
 
 
-#: Carries a request out; its attempts pass the fence.
-Work = Callable[[Fence], Awaitable[Ended]]
+#: Executes a request; each of its attempts must pass the fence.
+Execute = Callable[[Fence], Awaitable[Ended]]
 
-#: Returns what is billed for a request that was broken off.
-BrokenOff = Callable[[], BillingRecord]
+#: Returns the billing record of a request that was cancelled.
+CancelledRecord = Callable[[], BillingRecord]
 
-#: What became of a request that came to the runner.
+#: The result of a request given to the runner.
 Outcome = Ended | FirstAnswer | Elsewhere | Refusal
 
 
 class Runner:
-    """Has requests run at most once, and bills them.
+    """Executes requests at most once and bills them.
 
     Args:
-        once: Says what may run.
-        biller: Takes billing records.
-        sender: Hands them to a peer.
+        once: Grants the right to execute a request.
+        biller: Receives billing records.
+        sender: Copies billing records to a peer.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._tasks: set[asyncio.Task[Outcome]] = set()
 
     async def __aenter__(self) -> Self:
-        """Begin with no run."""
+        """Return the runner, which has no running requests."""
         return self
 
     async def __aexit__(
@@ -75,9 +75,13 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Wait a little for runs whose callers have left, and end them."""
+        """Wait for running requests, then cancel the rest.
+
+        Requests with a key or a ticket may still run although their callers
+        have disconnected. They are given ``STOP_TIMEOUT`` seconds.
+        """
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=LAST_RUNS)
+            await asyncio.wait(self._tasks, timeout=STOP_TIMEOUT)
         left = tuple(self._tasks)
         for task in left:
             task.cancel()
@@ -85,58 +89,61 @@
 
     async def run(
         self,
-        order: Order,
-        work: Work,
-        broken_off: BrokenOff,
+        claim_request: Order,
+        work: Execute,
+        cancelled_record: CancelledRecord,
     ) -> Outcome:
-        """Have a request run, unless it ran or runs already.
+        """Execute a request unless it was executed or is running already.
 
         Args:
-            order: The request.
-            work: Carries it out.
-            broken_off: Returns what is billed if it is broken off.
+            claim_request: The request.
+            work: Executes the request.
+            cancelled_record: Returns the billing record if the request is
+                cancelled.
         """
-        carrying = self._claim_and_carry(order, work, broken_off)
-        if order.key or order.ticket:
-            return await self._shielded(carrying)
-        return await carrying
+        execution = self._claim_and_execute(
+            claim_request, work, cancelled_record
+        )
+        if claim_request.key or claim_request.ticket:
+            return await self._shielded(execution)
+        return await execution
 
     async def _shielded(
         self,
-        carrying: Coroutine[Any, Any, Outcome],
+        execution: Coroutine[Any, Any, Outcome],
     ) -> Outcome:
-        """Carry out to the end, whether or not the caller waits."""
-        task = asyncio.create_task(carrying)
+        """Execute a request to its end, even if its caller disconnects."""
+        task = asyncio.create_task(execution)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return await asyncio.shield(task)
 
-    async def _claim_and_carry(
+    async def _claim_and_execute(
         self,
-        order: Order,
-        work: Work,
-        broken_off: BrokenOff,
+        claim_request: Order,
+        work: Execute,
+        cancelled_record: CancelledRecord,
     ) -> Outcome:
-        """Claim a request, and carry it out if it may run here."""
-        claim = await self._once.claim(order)
+        """Claim a request, and execute it if the claim is granted."""
+        claim = await self._once.claim(claim_request)
         if not isinstance(claim, Run):
             return claim
-        return await self._carry(claim, work, broken_off)
+        return await self._execute(claim, work, cancelled_record)
 
-    async def _carry(
+    async def _execute(
         self,
         run: Run,
-        work: Work,
-        broken_off: BrokenOff,
+        work: Execute,
+        cancelled_record: CancelledRecord,
     ) -> Ended:
-        """Carry a run out; whatever happens, it is settled and billed."""
+        """Execute a claimed request; it is always settled and billed."""
         ended: Ended | None = None
         try:
             ended = await work(run.fence)
         finally:
             if ended is None:
-                self._once.give_up(run)
-                self._biller.record(broken_off())
+                self._once.settle_unknown(run)
+                self._biller.record(cancelled_record())
         self._biller.record(ended.record)
         reply = await self._once.settle(run, ended.reply)
         await self._sender.hand()
--- a/src/nutmegroad/records/tickets.py
+++ b/src/nutmegroad/records/tickets.py
@@ -1,9 +1,10 @@
-"""Tickets: a request that may not be repeated, without the table service.
+"""Tickets: at-most-once execution without the table service.
 
-A ticket names the incarnation that issued it and a sequence number, and is
-signed. Only that incarnation ever runs the request that brings it, once,
-and keeps the first answer in its memory. Any other host hands the request
-on. Since nothing is written, tickets work while the platform is down.
+A ticket is signed and names the incarnation that issued it and a sequence
+number. Only that incarnation executes the request that carries the ticket,
+once, and retains the first answer in memory. Other hosts forward the
+request to it. Nothing is written to the platform, so tickets also work
+while the platform is unavailable.
 """
 
 from collections import OrderedDict
@@ -26,31 +27,33 @@
 )
 from nutmegroad.records.intents import FirstAnswer, key_reused, still_running
 
-#: Seconds for which a ticket may begin its request.
-TICKET_LIFE: Final = 600.0
-#: Seconds for which a spent ticket is remembered, so that one which is
-#: older than its life is still known to be unspent.
-MEMORY: Final = 1800.0
-#: Tickets that are remembered; more are refused, not forgotten.
-MOST_SPENT: Final = 50_000
-#: Bytes of answers that are kept; the oldest go first.
-MOST_ANSWER_BYTES: Final = 33_554_432
-
-#: Seconds after which a host may remember fewer tickets.
-_FULL_WAIT: Final = 30
+#: Seconds after its issue during which a ticket can be spent.
+TICKET_LIFETIME: Final = 600.0
+#: Seconds for which a spent ticket is retained. Longer than the lifetime, so
+#: that an expired ticket can still be known to be unspent.
+SPENT_RETENTION: Final = 1800.0
+#: Maximum number of spent tickets retained. Beyond it, tickets are refused;
+#: none is dropped early.
+MAX_SPENT: Final = 50_000
+#: Maximum total size of retained answers in bytes; the oldest are dropped.
+MAX_ANSWER_BYTES: Final = 33_554_432
+
+#: Seconds after which a caller may retry when the limit is reached.
+_FULL_RETRY_AFTER: Final = 30
 _SALT: Final = 'nutmegroad-ticket'
 
 
 class Ticket(Struct, frozen=True):
-    """What a ticket holds.
+    """The content of a ticket.
 
     Attributes:
-        workspace: Whose it is.
+        workspace: The workspace that the ticket was issued to.
         host: The host that issued it.
-        incarnation: The run of that host.
-        number: Its place among that run's tickets.
-        until: Seconds of that run's own clock at which it lapses; no
-            other host judges it, so clocks need not agree.
+        incarnation: The incarnation of that host.
+        number: Sequence number among the tickets of that incarnation.
+        until: Time at which it expires, in seconds of the issuing
+            incarnation's clock. No other host evaluates it, so clocks need
+            not agree.
     """
 
     workspace: str
@@ -61,26 +64,26 @@
 
 
 class TicketSigner:
-    """Signs and reads tickets.
+    """Signs and verifies tickets.
 
     Args:
-        key: Secret that the deployment's hosts share.
-        old_key: Another one that holds while the key is changed; empty for
-            none.
+        key: Secret shared by the hosts of the deployment.
+        old_key: Previous secret, accepted while the key is rotated; empty if
+            there is none.
     """
 
     def __init__(self, key: str, old_key: str = '') -> None:
-        # It reads what any of these signed, and signs with the last.
+        # The serializer accepts any of these keys and signs with the last.
         keys = [old_key, key] if old_key else [key]
         self._serializer = URLSafeSerializer(keys, salt=_SALT)
 
     def sign(self, ticket: Ticket) -> str:
-        """Return a ticket as text."""
+        """Return a signed ticket as text."""
         signed = self._serializer.dumps(msgspec.to_builtins(ticket))
         return signed.decode() if isinstance(signed, bytes) else signed
 
     def read(self, text: str, workspace: WorkspaceId) -> Ticket | Refusal:
-        """Return what a ticket holds, if it is ours and the workspace's."""
+        """Verify a ticket and its workspace, and return its content."""
         try:
             ticket = msgspec.convert(self._serializer.loads(text), Ticket)
         except (BadData, msgspec.ValidationError):
@@ -92,16 +95,17 @@
 
 @dataclass(slots=True)
 class SpentTicket:
-    """A ticket that has begun its request.
+    """A ticket whose request has started.
 
     Attributes:
-        number: Its number.
-        request: The request.
+        number: Sequence number of the ticket.
+        request: Id of the request.
         fingerprint: Hash of the request's content.
-        until: Clock seconds at which it is forgotten.
-        running: Whether the request runs now.
-        reply: Its answer, if it is kept.
-        refusal: Why there is no answer, if there is none.
+        until: Time of the host's clock, in seconds, until which the entry
+            is retained.
+        running: Whether the request is running.
+        reply: The answer, if it is retained.
+        refusal: The refusal of the request, if there was no answer.
     """
 
     number: int
@@ -114,14 +118,14 @@
 
 
 class TicketIssuer:
-    """Issues tickets of this incarnation, and lets each be spent once.
+    """Issues tickets of this incarnation and lets each be spent once.
 
     Args:
         host: This host.
-        incarnation: This run of it.
-        signer: Signs tickets.
+        incarnation: The incarnation of this host.
+        signer: Signs and verifies tickets.
         clock: The host's clock.
-        most_spent: Tickets that are remembered.
+        max_spent: Maximum number of spent tickets retained.
     """
 
     def __init__(
@@ -130,13 +134,13 @@
         incarnation: Incarnation,
         signer: TicketSigner,
         clock: Clock,
-        most_spent: int = MOST_SPENT,
+        max_spent: int = MAX_SPENT,
     ) -> None:
         self._host = host
         self._incarnation = incarnation
         self._signer = signer
         self._clock = clock
-        self._most_spent = most_spent
+        self._max_spent = max_spent
         self._issued = 0
         self._spent: OrderedDict[int, SpentTicket] = OrderedDict()
         self._answers: OrderedDict[int, int] = OrderedDict()
@@ -144,13 +148,13 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return the incarnation whose tickets may be spent here."""
+        """Return the incarnation whose tickets can be spent here."""
         return self._incarnation
 
     def issue(self, workspace: WorkspaceId) -> str | Refusal:
-        """Return a new ticket; it costs no write and no message."""
+        """Return a new ticket; needs no write and no message."""
         self._forget()
-        if len(self._spent) >= self._most_spent:
+        if len(self._spent) >= self._max_spent:
             return _full()
         self._issued += 1
         ticket = Ticket(
@@ -158,12 +162,12 @@
             self._host,
             self._incarnation,
             self._issued,
-            self._clock.now() + TICKET_LIFE,
+            self._clock.now() + TICKET_LIFETIME,
         )
         return self._signer.sign(ticket)
 
     def read(self, text: str, workspace: WorkspaceId) -> Ticket | Refusal:
-        """Return what a ticket holds."""
+        """Verify a ticket and return its content."""
         return self._signer.read(text, workspace)
 
     def spend(
@@ -175,22 +179,23 @@
         """Spend a ticket of this incarnation.
 
         Returns:
-            The spent ticket for the one request that may run; the first
-            answer if there is one; or why nothing may be sent.
+            The spent ticket if the request may be executed, the first answer
+            if there is one, or a refusal that says why nothing may be sent.
         """
         self._forget()
         spent = self._spent.get(ticket.number)
         if spent is not None:
             return self._repeat(spent, fingerprint)
         now = self._clock.now()
-        if now >= ticket.until + MEMORY - TICKET_LIFE:
+        if now >= ticket.until + SPENT_RETENTION - TICKET_LIFETIME:
             return _forgotten()
         if now >= ticket.until:
-            return ticket_invalid('has lapsed, and was never used')
-        if len(self._spent) >= self._most_spent:
+            return ticket_invalid('has expired and was never used')
+        if len(self._spent) >= self._max_spent:
             return _full()
-        # Kept for longer than the ticket can still be said to be unspent.
-        until = now + MEMORY
+        # Retained for at least as long as an expired ticket can still be
+        # reported as unspent.
+        until = now + SPENT_RETENTION
         spent = SpentTicket(ticket.number, request, fingerprint, until)
         self._spent[ticket.number] = spent
         return spent
@@ -200,7 +205,10 @@
         spent: SpentTicket,
         reply: ServiceReply | Refusal,
     ) -> None:
-        """Take in how the request ended; one not run frees its ticket."""
+        """Record the outcome of a request.
+
+        If the request was not executed, its ticket can be spent again.
+        """
         spent.running = False
         if isinstance(reply, Refusal):
             spent.refusal = reply
@@ -210,7 +218,7 @@
         spent.reply = reply
         self._answers[spent.number] = len(reply.body)
         self._answer_bytes += len(reply.body)
-        while self._answer_bytes > MOST_ANSWER_BYTES:
+        while self._answer_bytes > MAX_ANSWER_BYTES:
             self._drop_answer(next(iter(self._answers)))
 
     def _repeat(
@@ -218,7 +226,7 @@
         spent: SpentTicket,
         fingerprint: str,
     ) -> FirstAnswer | Refusal:
-        """Answer a request whose ticket was spent before."""
+        """Answer a request whose ticket has been spent before."""
         if spent.fingerprint != fingerprint:
             return key_reused()
         if spent.running:
@@ -229,12 +237,12 @@
             return spent.refusal
         return Refusal(
             ResultCode.TICKET_SPENT,
-            'The request has run; its first answer is no longer kept.',
+            'The request has run; its first answer is no longer retained.',
             Ran.RAN,
         )
 
     def _forget(self) -> None:
-        """Forget tickets whose time is over, the oldest first."""
+        """Drop spent tickets whose retention has ended, oldest first."""
         now = self._clock.now()
         while self._spent:
             spent = next(iter(self._spent.values()))
@@ -244,7 +252,7 @@
             self._drop_answer(spent.number)
 
     def _drop_answer(self, number: int) -> None:
-        """Keep an answer no longer, but that its ticket is spent."""
+        """Drop a retained answer; the ticket remains spent."""
         self._answer_bytes -= self._answers.pop(number, 0)
         spent = self._spent.get(number)
         if spent is not None:
@@ -252,23 +260,23 @@
 
 
 def ticket_invalid(why: str) -> Refusal:
-    """Say why a ticket can not be used; it was not."""
+    """Return the refusal for a ticket that can not be used."""
     return Refusal(ResultCode.TICKET_INVALID, f'The ticket {why}.')
 
 
 def _forgotten() -> Refusal:
-    """Say that a ticket is so old that nothing is known of it."""
+    """Return the refusal for a ticket older than the retention period."""
     return Refusal(
         ResultCode.OUTCOME_UNKNOWN,
-        'The ticket is too old to tell whether its request ran.',
+        'The ticket is too old; its request may have been executed.',
         Ran.UNKNOWN,
     )
 
 
 def _full() -> Refusal:
-    """Say that no more tickets can be remembered now."""
+    """Return the refusal for when no more tickets can be retained."""
     return Refusal(
         ResultCode.OVERLOADED,
-        'This host remembers as many tickets as it may.',
-        retry_after=_FULL_WAIT,
+        'This host has reached its limit of spent tickets.',
+        retry_after=_FULL_RETRY_AFTER,
     )
--- a/tests/records_rig.py
+++ b/tests/records_rig.py
@@ -1,4 +1,4 @@
-"""Hosts' records over a platform's stand-in, for tests of records."""
+"""Test rig: the records of several hosts, over a fake platform."""
 
 import itertools
 import random
@@ -24,17 +24,17 @@
     WorkspaceId,
 )
 from nutmegroad.records.billing import Biller
-from nutmegroad.records.intents import IntentLedger, IntentOwner, IntentWish
+from nutmegroad.records.intents import IntentLedger, IntentOwner, IntentSpec
 from nutmegroad.records.once import Once, Order
-from nutmegroad.records.part import gone_check
+from nutmegroad.records.part import termination_check
 from nutmegroad.records.record_copies import RecordKeeper, RecordSender
 from nutmegroad.records.tickets import TicketIssuer, TicketSigner
 from nutmegroad.testing._memory_mesh import MemoryPeer
 from nutmegroad.testing.virtual import ManualClock, MemoryMesh
 
 WORKSPACE: Final = WorkspaceId('head-office')
-NEAR: Final = DomainId('petaling')
-FAR: Final = DomainId('cyberjaya')
+LOCAL_DOMAIN: Final = DomainId('petaling')
+REMOTE_DOMAIN: Final = DomainId('cyberjaya')
 CLUSTER_KEY: Final = 'a-cluster-key-for-tests'
 ANSWER: Final = ServiceReply(200, b'{"receipt": 1}', 'application/json')
 UNKNOWN: Final = Refusal(ResultCode.UPSTREAM_TIMEOUT, 'Late.', Ran.UNKNOWN)
@@ -47,7 +47,7 @@
     deadline=20,
     key=IdempotencyKey('k1'),
 )
-WISH: Final = IntentWish(
+INTENT_SPEC: Final = IntentSpec(
     WORKSPACE,
     IdempotencyKey('k1'),
     RequestId('r1'),
@@ -58,14 +58,14 @@
 
 
 def order(number: int = 1, **changes: object) -> Order:
-    """Return the order that is usual, under another request id."""
+    """Return the default order with another request id and changes."""
     request = RequestId(f'r{number}')
     return replace(ORDER, request=request, **changes)  # type: ignore[arg-type]
 
 
 @dataclass(slots=True)
 class Host:
-    """One host's records."""
+    """The records components of one host."""
 
     peer: MemoryPeer
     intents: IntentLedger
@@ -77,7 +77,7 @@
 
 
 class RecordsRig:
-    """A platform, a mesh and hosts, each made when it is asked for."""
+    """A fake platform, an in-memory mesh and hosts created on demand."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -94,7 +94,7 @@
         return self._objects
 
     async def __aenter__(self) -> Self:
-        """Open the platform."""
+        """Open the platform and the mesh."""
         await self._stack.enter_async_context(self.platform)
         await self._stack.enter_async_context(self.mesh)
         session = await self._stack.enter_async_context(ClientSession())
@@ -106,14 +106,14 @@
         """Close everything."""
         await self._stack.aclose()
 
-    def host(self, name: str, domain: DomainId = NEAR) -> Host:
-        """Start a host, or a new run of one."""
+    def host(self, name: str, domain: DomainId = LOCAL_DOMAIN) -> Host:
+        """Start a host, or a new incarnation of an existing one."""
         peer = self.mesh.join(HostId(name), domain)
         incarnation = peer.incarnation
         owner = IntentOwner(
             incarnation,
             lambda: f'n{next(self._nonces)}',
-            gone_check(peer, peer.host, incarnation),
+            termination_check(peer, peer.host, incarnation),
         )
         intents = IntentLedger(self._table, self._objects, owner, self.clock)
         signer = TicketSigner(CLUSTER_KEY)
@@ -128,7 +128,7 @@
         return Host(peer, intents, issuer, once, biller, sender, keeper)
 
     def fault(self, kind: FaultKind, scope: str, **more: object) -> None:
-        """Switch a fault of the platform on."""
+        """Enable a fault of the platform."""
         self.platform.faults.add(
             FaultOrder(kind, scope, **more)  # type: ignore[arg-type]
         )
--- a/tests/test_billing.py
+++ b/tests/test_billing.py
@@ -1,4 +1,8 @@
-"""Billing: one record a request, whoever of two hosts stores it."""
+"""Tests of billing: one record per request, whichever host stores it.
+
+Guards against lost and doubled records when hosts terminate, peers do not
+reply or the object store fails.
+"""
 
 import asyncio
 import unittest
@@ -16,17 +20,17 @@
     WorkspaceId,
 )
 from nutmegroad.records.billing import Biller, BillingRecord, read_bills
-from nutmegroad.records.record_copies import GONE_AFTER, HAND_WAIT
-from tests.records_rig import FAR, Host, RecordsRig
+from nutmegroad.records.record_copies import HAND_TIMEOUT, TERMINATED_AFTER
+from tests.records_rig import REMOTE_DOMAIN, Host, RecordsRig
 
 
 def bill(request: str, cost: float = 0) -> BillingRecord:
-    """Return a record."""
+    """Return a billing record."""
     return BillingRecord(request, 'head-office', 'dossier', 1, cost=cost)
 
 
 def attempt(biller: Biller, request: str, cost: float) -> None:
-    """Let an attempt of a request end."""
+    """Start and end an attempt of a request."""
     start = AttemptStart(
         AttemptId(f'{request}.{cost}'),
         RequestId(request),
@@ -39,38 +43,38 @@
     biller.ended(AttemptEnd(start, ResultCode.OK, None, 1, 5, 5, cost, ''))
 
 
-#: Real seconds that peers have to answer before time is moved on.
-PATIENCE = 0.5
+#: Real seconds that peers have to reply before the manual clock advances.
+REPLY_TIMEOUT = 0.5
 
 
 class BillingTest(unittest.IsolatedAsyncioTestCase):
-    """Two hosts of a domain and one of another."""
+    """Two hosts of one failure domain and one host of another."""
 
     async def asyncSetUp(self) -> None:
         """Start the hosts."""
         self.rig = await self.enterAsyncContext(RecordsRig())
-        self.far = self.rig.host('far', FAR)
+        self.remote = self.rig.host('far', REMOTE_DOMAIN)
         self.one = self.rig.host('one')
         self.two = self.rig.host('two')
 
     async def hand(self, host: Host) -> bool:
-        """Hand records on, while time goes on."""
+        """Copy records to a peer while the clock advances."""
         handing = asyncio.ensure_future(host.sender.hand())
-        # Peers answer on real sockets, for which time by hand stands still:
-        # on a busy machine it would else be over before they can.
-        await asyncio.wait((handing,), timeout=PATIENCE)
+        # Peers reply over real sockets, which the manual clock does not
+        # drive. On a busy host the timeout would expire before they reply.
+        await asyncio.wait((handing,), timeout=REPLY_TIMEOUT)
         while not handing.done():
-            await self.rig.clock.advance(2 * HAND_WAIT)
+            await self.rig.clock.advance(2 * HAND_TIMEOUT)
         return await handing
 
     async def billed(self) -> dict[str, float]:
-        """Return what a reader finds."""
+        """Return the cost by request that a reader finds."""
         bills = await read_bills(self.rig.objects)
         assert isinstance(bills, dict)
         return {request: record.cost for request, record in bills.items()}
 
     async def objects(self) -> int:
-        """Return how many objects there are."""
+        """Return the number of stored objects."""
         names = await self.rig.objects.names('billing/')
         assert isinstance(names, tuple)
         return len(names)
@@ -92,7 +96,7 @@
         self.assertEqual(1, self.one.biller.pending)
 
     async def test_a_lost_reply_stores_the_same_object(self) -> None:
-        # The library sends a lost PUT again by itself, once.
+        # The HTTP library itself retries a lost PUT once.
         self.rig.fault(FaultKind.LOSE_REPLY, 'objects', count=2)
         self.one.biller.record(bill('r1', 1))
         self.assertIsNotNone(await self.one.biller.flush())
@@ -102,18 +106,22 @@
         self.assertEqual(2, await self.objects())
         self.assertEqual(0, self.one.biller.pending)
 
-    async def test_the_receiver_stores_what_a_dead_host_had(self) -> None:
+    async def test_the_receiver_stores_records_of_a_terminated_host(
+        self,
+    ) -> None:
         self.one.biller.record(bill('r1', 1))
         self.assertTrue(await self.hand(self.one))
         self.one.biller.record(bill('r2', 2))
         self.assertTrue(await self.hand(self.one))
-        self.assertEqual((2, 0), (self.two.keeper.held, self.far.keeper.held))
-        # A host that is merely not heard for a moment keeps its batch.
+        self.assertEqual(
+            (2, 0), (self.two.keeper.held, self.remote.keeper.held)
+        )
+        # The batch of a briefly unresponsive host is not taken over.
         self.two.keeper.take_over()
         await self.two.sender.flush()
         self.assertEqual({}, await self.billed())
         self.rig.mesh.remove(self.one.peer.host)
-        await self.rig.clock.jump(GONE_AFTER)
+        await self.rig.clock.jump(TERMINATED_AFTER)
         self.two.keeper.take_over()
         await self.two.sender.flush()
         self.assertEqual({'r1': 1, 'r2': 2}, await self.billed())
@@ -125,13 +133,13 @@
         self.one.biller.record(bill('r1', 1))
         await self.hand(self.one)
         self.rig.mesh.remove(self.one.peer.host)
-        await self.rig.clock.jump(GONE_AFTER)
+        await self.rig.clock.jump(TERMINATED_AFTER)
         self.two.keeper.take_over()
         await self.hand(self.two)
         self.rig.mesh.remove(self.two.peer.host)
-        await self.rig.clock.jump(GONE_AFTER)
-        self.far.keeper.take_over()
-        await self.far.sender.flush()
+        await self.rig.clock.jump(TERMINATED_AFTER)
+        self.remote.keeper.take_over()
+        await self.remote.sender.flush()
         self.assertEqual({'r1': 1}, await self.billed())
 
     async def test_receivers_of_each_other_hold_a_batch_once(self) -> None:
@@ -139,19 +147,20 @@
         await self.hand(self.one)
         self.rig.mesh.remove(self.one.peer.host)
         for _ in range(3):
-            await self.rig.clock.jump(GONE_AFTER)
-            for host in (self.two, self.far):
+            await self.rig.clock.jump(TERMINATED_AFTER)
+            for host in (self.two, self.remote):
                 host.keeper.take_over()
                 await self.hand(host)
         self.assertEqual(1, self.two.biller.pending)
-        self.assertEqual(1, self.far.biller.pending)
+        self.assertEqual(1, self.remote.biller.pending)
 
     async def test_both_storing_a_batch_doubles_nothing(self) -> None:
         self.one.biller.record(bill('r1', 1))
         await self.hand(self.one)
-        # The owner was only cut off, and its receiver stored a part.
+        # The owner was only cut off, and its receiver stored a part of the
+        # batch.
         self.rig.mesh.cut(self.one.peer.host, self.two.peer.host, noticed=True)
-        await self.rig.clock.jump(GONE_AFTER)
+        await self.rig.clock.jump(TERMINATED_AFTER)
         self.two.keeper.take_over()
         await self.two.sender.flush()
         self.one.biller.record(bill('r2', 2))
@@ -162,7 +171,7 @@
         self.one.biller.record(bill('r1', 1))
         await self.hand(self.one)
         self.rig.mesh.cut(self.one.peer.host, self.two.peer.host, noticed=True)
-        await self.rig.clock.jump(GONE_AFTER)
+        await self.rig.clock.jump(TERMINATED_AFTER)
         self.two.keeper.take_over()
         await self.two.sender.flush()
         await self.one.sender.flush()
@@ -172,7 +181,7 @@
         self.one.biller.record(bill('r1', 1))
         await self.hand(self.one)
         await self.one.sender.flush()
-        await self.rig.clock.advance(HAND_WAIT)
+        await self.rig.clock.advance(HAND_TIMEOUT)
         self.assertEqual(0, self.two.keeper.held)
 
     async def test_a_new_receiver_gets_everything(self) -> None:
@@ -181,52 +190,53 @@
         self.rig.mesh.remove(self.two.peer.host)
         self.one.biller.record(bill('r2', 2))
         self.assertTrue(await self.hand(self.one))
-        self.assertEqual(2, self.far.keeper.held)
+        self.assertEqual(2, self.remote.keeper.held)
 
-    async def test_a_silent_receiver_is_waited_for_once(self) -> None:
+    async def test_an_unresponsive_receiver_is_waited_for_once(self) -> None:
         self.rig.mesh.cut(self.one.peer.host, self.two.peer.host)
         self.one.biller.record(bill('r1', 1))
-        # Another takes the record, and all that come while it is shunned.
+        # Another peer accepts this record, and all later ones while the
+        # unresponsive peer is excluded.
         self.assertTrue(await self.hand(self.one))
         self.rig.mesh.heal_all()
         self.one.biller.record(bill('r2', 2))
         self.assertTrue(await self.hand(self.one))
-        self.assertEqual(2, self.far.keeper.held)
+        self.assertEqual(2, self.remote.keeper.held)
         self.assertEqual(0, self.two.keeper.held)
 
-    async def test_a_stop_leaves_two_peers_what_can_not_be_stored(self) -> None:
+    async def test_a_stop_copies_unstored_records_to_two_peers(self) -> None:
         self.one.biller.record(bill('r1', 1))
         self.rig.fault(FaultKind.DOWN, 'objects', count=2)
-        ending = asyncio.ensure_future(self.one.sender.end())
+        ending = asyncio.ensure_future(self.one.sender.close())
         while not ending.done():
             await asyncio.sleep(0)
-            await self.rig.clock.advance(HAND_WAIT / 5)
-        # Right after the stop, the nearer of the two dies.
+            await self.rig.clock.advance(HAND_TIMEOUT / 5)
+        # Right after the stop, the local one of the two peers terminates.
         self.rig.mesh.remove(self.one.peer.host)
         self.rig.mesh.remove(self.two.peer.host)
-        self.far.keeper.take_over()
-        await self.far.sender.flush()
+        self.remote.keeper.take_over()
+        await self.remote.sender.flush()
         self.assertEqual({'r1': 1}, await self.billed())
 
-    async def test_a_stop_leaves_to_a_peer_what_can_not_be_stored(self) -> None:
+    async def test_a_stop_copies_unstored_records_to_a_peer(self) -> None:
         self.one.biller.record(bill('r1', 1))
         self.rig.fault(FaultKind.DOWN, 'objects', count=2)
-        ending = asyncio.ensure_future(self.one.sender.end())
+        ending = asyncio.ensure_future(self.one.sender.close())
         while not ending.done():
             await asyncio.sleep(0)
-            await self.rig.clock.advance(HAND_WAIT / 5)
+            await self.rig.clock.advance(HAND_TIMEOUT / 5)
         self.rig.mesh.remove(self.one.peer.host)
         self.two.keeper.take_over()
         await self.two.sender.flush()
         self.assertEqual({'r1': 1}, await self.billed())
 
-    async def test_a_long_outage_is_bounded_and_told(self) -> None:
+    async def test_a_long_outage_is_bounded_and_logged(self) -> None:
         biller = Biller(
             self.rig.objects,
             self.one.peer.incarnation,
             self.rig.metrics,
             self.rig.invariants,
-            most_kept=1,
+            max_unstored=1,
         )
         biller.record(bill('r1'))
         with self.assertLogs('absl', 'ERROR') as logs:
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -1,4 +1,7 @@
-"""Intent rows under lost replies, stale reads, repeats and dead owners."""
+"""Tests of intent rows: a key is claimed at most once.
+
+Covers lost replies, stale reads, repeated requests and terminated owners.
+"""
 
 import unittest
 from dataclasses import replace
@@ -7,20 +10,20 @@
 
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Ran, RequestId
-from nutmegroad.records.intents import SMALL_ANSWER, Claim, FirstAnswer
+from nutmegroad.records.intents import MAX_INLINE_ANSWER, Claim, FirstAnswer
 from tests.records_rig import (
     ANSWER,
+    INTENT_SPEC,
     NOT_RUN,
     UNKNOWN,
-    WISH,
     RecordsRig,
 )
 
-AGAIN = replace(WISH, request=RequestId('r2'))
+AGAIN = replace(INTENT_SPEC, request=RequestId('r2'))
 
 
 class IntentTest(unittest.IsolatedAsyncioTestCase):
-    """Two hosts and one key."""
+    """Two hosts that claim the same key."""
 
     async def asyncSetUp(self) -> None:
         """Start two hosts."""
@@ -29,13 +32,13 @@
         self.two = self.rig.host('two')
 
     async def claim(self) -> Claim:
-        """Claim the key at the first host."""
-        claim = await self.one.intents.claim(WISH)
+        """Claim the key on the first host."""
+        claim = await self.one.intents.claim(INTENT_SPEC)
         assert isinstance(claim, Claim)
         return claim
 
     async def refused(self) -> Refusal:
-        """Claim the key again at the second host, in vain."""
+        """Claim the key on the second host and expect a refusal."""
         refusal = await self.two.intents.claim(AGAIN)
         assert isinstance(refusal, Refusal)
         return refusal
@@ -56,15 +59,17 @@
         )
 
     async def test_a_repeat_gets_the_first_answer_anywhere(self) -> None:
-        large = replace(ANSWER, body=bytes(range(256)) * SMALL_ANSWER)
+        large = replace(ANSWER, body=bytes(range(256)) * MAX_INLINE_ANSWER)
         for answer, key in ((ANSWER, 'small'), (large, 'large')):
             with self.subTest(key):
-                wish = replace(WISH, key=key)
+                wish = replace(INTENT_SPEC, key=key)
                 claim = await self.one.intents.claim(wish)
                 assert isinstance(claim, Claim)
                 await self.one.intents.settle(claim, answer)
                 first = await self.two.intents.claim(replace(AGAIN, key=key))
-                self.assertEqual(FirstAnswer(WISH.request, answer), first)
+                self.assertEqual(
+                    FirstAnswer(INTENT_SPEC.request, answer), first
+                )
 
     async def test_a_lost_reply_to_the_answer_is_no_harm(self) -> None:
         claim = await self.claim()
@@ -72,7 +77,7 @@
         await self.one.intents.settle(claim, ANSWER)
         await self.one.intents.settle(claim, ANSWER)
         first = await self.two.intents.claim(AGAIN)
-        self.assertEqual(FirstAnswer(WISH.request, ANSWER), first)
+        self.assertEqual(FirstAnswer(INTENT_SPEC.request, ANSWER), first)
 
     async def test_a_key_is_not_for_another_body(self) -> None:
         await self.claim()
@@ -81,7 +86,7 @@
         assert isinstance(refusal, Refusal)
         self.assertIs(ResultCode.KEY_REUSED, refusal.code)
 
-    async def test_what_did_not_run_may_be_claimed_again(self) -> None:
+    async def test_a_request_not_executed_may_be_claimed_again(self) -> None:
         claim = await self.claim()
         await self.one.intents.settle(claim, NOT_RUN)
         self.assertIsInstance(await self.two.intents.claim(AGAIN), Claim)
@@ -90,7 +95,7 @@
             (await self.refused()).code,
         )
 
-    async def test_what_is_unknown_is_never_claimed_again(self) -> None:
+    async def test_an_unknown_outcome_is_never_claimed_again(self) -> None:
         claim = await self.claim()
         await self.one.intents.settle(claim, UNKNOWN)
         await self.rig.clock.jump(3600)
@@ -98,9 +103,9 @@
         self.assertIs(ResultCode.OUTCOME_UNKNOWN, refusal.code)
         self.assertIs(Ran.UNKNOWN, refusal.ran)
 
-    async def test_a_dead_owner_leaves_the_outcome_unknown(self) -> None:
+    async def test_a_terminated_owner_leaves_the_outcome_unknown(self) -> None:
         await self.claim()
-        # A host of which nothing is heard may only be cut off.
+        # An unresponsive host may only be cut off.
         self.rig.mesh.remove(self.one.peer.host)
         self.assertIs(
             ResultCode.STILL_RUNNING,
@@ -112,18 +117,18 @@
             (await self.refused()).code,
         )
 
-    async def test_the_repeatable_is_taken_over_from_the_dead(self) -> None:
-        wish = replace(WISH, repeatable=True)
+    async def test_a_repeatable_request_is_taken_over(self) -> None:
+        wish = replace(INTENT_SPEC, repeatable=True)
         self.assertIsInstance(await self.one.intents.claim(wish), Claim)
         self.rig.host('one')
         again = replace(AGAIN, repeatable=True)
         self.assertIsInstance(await self.two.intents.claim(again), Claim)
 
-    async def test_a_write_that_may_stand_is_released(self) -> None:
-        # Its reply is lost, and the read that would find it is stale.
+    async def test_a_write_with_unknown_outcome_is_released(self) -> None:
+        # The reply is lost, and the read that would find the row is stale.
         self.rig.fault(FaultKind.LOSE_REPLY, 'table', count=1)
         self.rig.fault(FaultKind.STALE, 'table', count=1)
-        refusal = await self.one.intents.claim(WISH)
+        refusal = await self.one.intents.claim(INTENT_SPEC)
         assert isinstance(refusal, Refusal)
         self.assertIs(ResultCode.INTENT_UNAVAILABLE, refusal.code)
         self.assertIs(Ran.NOT_RUN, refusal.ran)
@@ -136,13 +141,13 @@
         self.assertIsInstance(await self.two.intents.claim(AGAIN), Claim)
 
     async def test_a_release_leaves_the_claim_of_another_alone(self) -> None:
-        # The write never arrives, so the row that stands there later, of
-        # the same version, is another host's.
+        # The write never arrives, so the later row with the same version
+        # belongs to another host.
         self.rig.fault(FaultKind.LOSE_REPLY, 'table', count=1)
         self.rig.fault(FaultKind.STALE, 'table', count=1)
-        await self.one.intents.claim(WISH)
+        await self.one.intents.claim(INTENT_SPEC)
         (claim,) = self.one.intents.take_abandoned()
-        other = replace(WISH, key='k2')
+        other = replace(INTENT_SPEC, key='k2')
         self.assertIsInstance(await self.two.intents.claim(other), Claim)
         lost = replace(claim, row=other.row)
         self.assertIsNone(await self.one.intents.release(lost))
@@ -151,13 +156,14 @@
         self.assertIs(ResultCode.STILL_RUNNING, refusal.code)
 
     async def test_a_write_that_comes_late_finds_it_released(self) -> None:
-        wish = replace(WISH, key='k3')
+        wish = replace(INTENT_SPEC, key='k3')
         self.rig.fault(FaultKind.LOSE_REPLY, 'table', count=1)
         self.rig.fault(FaultKind.STALE, 'table', count=1)
-        await self.one.intents.claim(WISH)
+        await self.one.intents.claim(INTENT_SPEC)
         (claim,) = self.one.intents.take_abandoned()
         late = replace(claim, row=wish.row)
-        # Nothing is there yet: from now on the write would be in conflict.
+        # The row does not exist yet. The release creates it, so that the
+        # late write conflicts.
         self.assertIsNone(await self.one.intents.release(late))
         self.assertIsInstance(await self.two.intents.claim(wish), Claim)
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,8 @@
-"""One place that keeps requests from running twice, and its fence."""
+"""Tests of at-most-once execution: claims, fences, runs and forwarding.
+
+Guards against a second execution of a request when hosts pause, replies
+are lost, the platform fails or callers disconnect.
+"""
 
 import asyncio
 import unittest
@@ -17,7 +21,7 @@
     Forwarder,
 )
 from nutmegroad.records.intents import FirstAnswer
-from nutmegroad.records.once import LEASE, TABLE_REST, Elsewhere, Order, Run
+from nutmegroad.records.once import LEASE, TABLE_PAUSE, Elsewhere, Order, Run
 from nutmegroad.records.runs import Ended, Runner
 from nutmegroad.records.tickets import Ticket
 from tests.records_rig import (
@@ -43,7 +47,7 @@
 
 
 class OnceCase(unittest.IsolatedAsyncioTestCase):
-    """Two hosts."""
+    """Base class with two hosts."""
 
     async def asyncSetUp(self) -> None:
         """Start the hosts."""
@@ -52,20 +56,20 @@
         self.two = self.rig.host('two')
 
     async def run_of(self, host: Host, wanted: Order = ORDER) -> Run:
-        """Claim a request that may run."""
+        """Claim a request that may be executed."""
         run = await host.once.claim(wanted)
         assert isinstance(run, Run), run
         return run
 
     async def refused(self, host: Host, wanted: Order) -> Refusal:
-        """Claim a request that may not."""
+        """Claim a request and expect a refusal."""
         refusal = await host.once.claim(wanted)
         assert isinstance(refusal, Refusal), refusal
         return refusal
 
 
 class FenceTest(OnceCase):
-    """What the fence lets pass."""
+    """Attempts that the fence allows or refuses."""
 
     async def test_a_host_that_slept_past_its_lease_sends_nothing(self) -> None:
         ticket = str(self.one.issuer.issue(WORKSPACE))
@@ -87,7 +91,7 @@
         assert isinstance(run, Run)
         self.assertIsNotNone(run.fence.attempt().check())
 
-    async def test_an_attempt_proved_not_run_makes_room(self) -> None:
+    async def test_an_attempt_proved_not_run_allows_another(self) -> None:
         run = await self.run_of(self.one)
         attempt_fence = run.fence.attempt()
         self.assertIsNone(attempt_fence.check())
@@ -105,7 +109,7 @@
         attempt_fence.end(UNKNOWN)
         await self.rig.clock.jump(LEASE)
         self.assertIsNone(attempt_fence.check())
-        # That it could not be resumed says nothing of what ran before.
+        # A failed resumption does not show that nothing was executed before.
         attempt_fence.end(NOT_RUN)
         self.assertEqual(1, run.fence.passed)
 
@@ -129,7 +133,7 @@
 
 
 class KeyTest(OnceCase):
-    """Requests with a key, while the platform comes and goes."""
+    """Requests with a key while the platform fails and recovers."""
 
     async def test_the_same_key_at_two_hosts_at_once_runs_once(self) -> None:
         claims = await asyncio.gather(
@@ -150,7 +154,7 @@
         repeatable = order(3, key='k3', repeatable=True)
         await self.run_of(self.one, repeatable)
         self.rig.platform.faults.clear()
-        await self.rig.clock.jump(TABLE_REST)
+        await self.rig.clock.jump(TABLE_PAUSE)
         await self.run_of(self.one, order(4, key='k2'))
 
     async def test_an_answer_survives_an_outage_in_memory(self) -> None:
@@ -160,10 +164,11 @@
         first = await self.one.once.claim(order(2))
         self.assertEqual(FirstAnswer(ORDER.request, ANSWER), first)
         self.rig.platform.faults.clear()
-        # Elsewhere it is not known yet, and it is not said otherwise.
+        # The other host does not know the answer yet and must not claim
+        # that the request ended.
         refusal = await self.refused(self.two, order(3))
         self.assertIs(ResultCode.STILL_RUNNING, refusal.code)
-        await self.one.once.settle_rest()
+        await self.one.once.settle_pending()
         self.assertEqual(0, self.one.once.unsettled)
         first = await self.two.once.claim(order(4))
         self.assertEqual(FirstAnswer(ORDER.request, ANSWER), first)
@@ -171,16 +176,16 @@
     async def test_a_run_that_is_given_up_is_never_run_again(self) -> None:
         ticket = str(self.one.issuer.issue(WORKSPACE))
         for wanted in (order(1), order(2, ticket=ticket)):
-            self.one.once.give_up(await self.run_of(self.one, wanted))
+            self.one.once.settle_unknown(await self.run_of(self.one, wanted))
             refusal = await self.refused(self.one, replace(wanted))
             self.assertIs(Ran.UNKNOWN, refusal.ran)
 
 
 class RunnerTest(OnceCase):
-    """Runs that are carried to their end."""
+    """Requests that are executed to their end."""
 
     async def asyncSetUp(self) -> None:
-        """Make a runner whose work waits to be let go."""
+        """Create a runner whose work waits for a gate."""
         await super().asyncSetUp()
         self.runner = Runner(self.one.once, self.one.biller, self.one.sender)
         self.record = BillingRecord('r1', WORKSPACE, 'portal', 1)
@@ -194,7 +199,7 @@
         return Ended(ANSWER, self.record)
 
     async def begin(self, wanted: Order) -> asyncio.Task[object]:
-        """Start a run, and let its caller leave."""
+        """Start a request, then let its caller disconnect."""
         coming = self.runner.run(wanted, self.work, lambda: self.record)
         task: asyncio.Task[object] = asyncio.ensure_future(coming)
         while not self.one.once.unsettled and not task.done():
@@ -229,7 +234,7 @@
 
 
 class ForwardTest(OnceCase):
-    """Tickets that come to another host than their issuer."""
+    """Tickets used at a host other than their issuer."""
 
     async def asyncSetUp(self) -> None:
         """Issue a ticket at the first host."""
@@ -241,7 +246,7 @@
         self.answered = 0
 
     async def answer(self, message: ForwardedRequest) -> ForwardedReply:
-        """Answer at the issuer."""
+        """Answer as the issuer."""
         self.answered += 1
         return REPLY
 
@@ -252,7 +257,7 @@
         return claim.ticket
 
     async def forward(self) -> ForwardedReply | Refusal:
-        """Hand the request on, while time goes on."""
+        """Forward the request while the clock advances."""
         ticket = await self.elsewhere()
         handing = asyncio.ensure_future(
             self.forwarder.forward(ticket, FORWARDED)
--- a/tests/test_records_random.py
+++ b/tests/test_records_random.py
@@ -1,6 +1,8 @@
-"""Random calls at random hosts under random faults, by fixed seeds.
+"""Random requests at random hosts under random platform faults.
 
-``SEEDS=200 python -m unittest tests.test_records_random`` runs more.
+Guards against a second execution and against requests without a billing
+record. Seeds are fixed;
+``SEEDS=200 python -m unittest tests.test_records_random`` runs more of them.
 """
 
 import asyncio
@@ -17,7 +19,7 @@
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.records.billing import BillingRecord, read_bills
 from nutmegroad.records.once import LEASE, Order
-from nutmegroad.records.record_copies import GONE_AFTER
+from nutmegroad.records.record_copies import TERMINATED_AFTER
 from nutmegroad.records.runs import Ended, Runner
 from tests.records_rig import (
     NOT_RUN,
@@ -42,7 +44,7 @@
 
 
 class Fleet:
-    """Hosts that die and come back, and what ran behind them."""
+    """Hosts that terminate and restart, and the executions they caused."""
 
     def __init__(self, rig: RecordsRig, randomness: random.Random) -> None:
         self._rig = rig
@@ -54,7 +56,7 @@
         self.numbers = 0
 
     async def step(self) -> None:
-        """Let something happen."""
+        """Perform one random action."""
         act = self.randomness.choices(
             (self.call, self.call_twice, self.fault, self.die, self.wait),
             (8, 4, 3, 1, 2),
@@ -62,15 +64,16 @@
         await act()
 
     async def fault(self) -> None:
-        """Switch a fault of the platform on for a call or two."""
+        """Enable a random platform fault for one to three calls."""
         kind, scope = self.randomness.choice(FAULTS)
         self._rig.fault(kind, scope, count=self.randomness.randint(1, 3))
 
     async def die(self) -> None:
-        """Let a host die, with all it knew, and come back.
+        """Terminate a host, which loses its memory, and restart it.
 
-        A host and its receiver that die within one period lose what they held;
-        that is the price of one receiver, so there is a period between deaths.
+        If a host and its receiver terminate within one flush period, their
+        records are lost. This is the known cost of a single receiver, so all
+        hosts store and copy their records before each termination.
         """
         await self.do_duties()
         name = self.randomness.choice(NAMES)
@@ -78,24 +81,24 @@
         self.hosts[name] = self._rig.host(name)
 
     async def wait(self) -> None:
-        """Let time go on, and hosts do what they do now and then."""
+        """Advance the clock and perform the periodic duties of all hosts."""
         await self._rig.clock.jump(self.randomness.choice((1, LEASE, 30)))
         await self.do_duties()
 
     async def do_duties(self) -> None:
-        """Let each host store or hand on what it has."""
+        """Let each host store or copy its records and outcomes."""
         for host in self.hosts.values():
-            await timed(self._rig, host.once.settle_rest())
+            await timed(self._rig, host.once.settle_pending())
             host.keeper.take_over()
             await timed(self._rig, host.sender.flush())
 
     async def call(self) -> None:
-        """Make a call with a key or a ticket, often one used before."""
+        """Send a request with a key or a ticket, often a used one."""
         wanted, work = self.order()
         await self.make(self.host(), wanted, work)
 
     async def call_twice(self) -> None:
-        """Make a call at two hosts at once."""
+        """Send the same request to two hosts concurrently."""
         wanted, work = self.order()
         self.numbers += 1
         again = order(self.numbers, key=wanted.key, ticket=wanted.ticket)
@@ -105,15 +108,15 @@
         )
 
     def one_in(self, many: int) -> bool:
-        """Draw one of so many."""
+        """Return True with a probability of one in ``many``."""
         return not self.randomness.randrange(many)
 
     def host(self) -> Host:
-        """Return a host."""
+        """Return a random host."""
         return self.hosts[self.randomness.choice(NAMES)]
 
     def order(self) -> tuple[Order, str]:
-        """Return a call, and the name of its piece of work."""
+        """Return an order and the name of its piece of work."""
         self.numbers += 1
         deadline = self._rig.clock.now() + 20
         if self.one_in(2):
@@ -127,11 +130,11 @@
         return wanted, work
 
     async def make(self, host: Host, wanted: Order, work: str) -> None:
-        """Make a call at a host, and note what its caller is told."""
+        """Send a request to a host; record whether it must be billed."""
         runner = Runner(host.once, host.biller, host.sender)
 
         async def attempt(fence: Fence) -> Ended:
-            """Be the upstream."""
+            """Act as the upstream."""
             return Ended(self.attempt(fence, work), record)
 
         record = BillingRecord(wanted.request, WORKSPACE, 'portal', 1)
@@ -141,7 +144,7 @@
             self.billed.add(wanted.request)
 
     def attempt(self, fence: Fence, work: str) -> ServiceReply | Refusal:
-        """Send one attempt; it may be lost before or after it ran."""
+        """Send one attempt; its reply may be lost before or after execution."""
         attempt_fence = fence.attempt()
         refusal = attempt_fence.check()
         if refusal is not None:
@@ -158,7 +161,7 @@
 
 
 async def timed(rig: RecordsRig, coming: object) -> object:
-    """Wait for something while the clock goes on in small steps."""
+    """Await a coroutine while the clock advances in small steps."""
     task = asyncio.ensure_future(coming)  # type: ignore[call-overload]
     while not task.done():
         await asyncio.sleep(0.0005)
@@ -167,7 +170,7 @@
 
 
 class RandomRecordsTest(unittest.IsolatedAsyncioTestCase):
-    """Fixed seeds."""
+    """Runs all seeds."""
 
     async def test_nothing_runs_twice_and_all_that_ended_is_billed(
         self,
@@ -179,14 +182,14 @@
         sys.stdout.write(f'{SEEDS} seeds, {calls} calls\n')
 
     async def run_seed(self, seed: int) -> int:
-        """Run one seed; return how many calls were made."""
+        """Run one seed; return the number of requests."""
         async with RecordsRig() as rig:
             fleet = Fleet(rig, random.Random(seed))
             for _ in range(STEPS):
                 await fleet.step()
                 self.assertLessEqual(max(fleet.runs.values(), default=0), 1)
             rig.platform.faults.clear()
-            await rig.clock.jump(GONE_AFTER)
+            await rig.clock.jump(TERMINATED_AFTER)
             await fleet.do_duties()
             bills = await read_bills(rig.objects)
             assert isinstance(bills, dict)
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -1,4 +1,8 @@
-"""Tickets: spent once, by the run of the host that issued them."""
+"""Tests of tickets: each is spent once, by the incarnation that issued it.
+
+Guards against a second execution after a ticket expires, its answer is
+dropped or the issuer reaches its limit of spent tickets.
+"""
 
 import unittest
 
@@ -14,7 +18,7 @@
 
 
 class TicketTest(unittest.IsolatedAsyncioTestCase):
-    """What one host issues and spends."""
+    """Tickets that one host issues and spends."""
 
     async def asyncSetUp(self) -> None:
         """Issue a ticket."""
@@ -24,7 +28,7 @@
         self.ticket = self.read(self.issuer)
 
     def read(self, issuer: TicketIssuer) -> Ticket:
-        """Read the ticket, at any host."""
+        """Read the ticket at any host."""
         ticket = issuer.read(str(self.text), WORKSPACE)
         assert isinstance(ticket, Ticket)
         return ticket
@@ -36,7 +40,7 @@
         return spent
 
     def refused(self, fingerprint: str = 'f1') -> Refusal:
-        """Spend the ticket again, in vain."""
+        """Spend the ticket again and expect a refusal."""
         refusal = self.issuer.spend(self.ticket, SECOND, fingerprint)
         assert isinstance(refusal, Refusal)
         return refusal
@@ -67,14 +71,14 @@
                 assert isinstance(refusal, Refusal)
                 self.assertIs(ResultCode.TICKET_INVALID, refusal.code)
 
-    async def test_a_lapsed_ticket_is_not_run_while_that_is_known(self) -> None:
-        await self.rig.clock.jump(tickets.TICKET_LIFE)
+    async def test_an_expired_unspent_ticket_is_not_executed(self) -> None:
+        await self.rig.clock.jump(tickets.TICKET_LIFETIME)
         refusal = self.refused()
         self.assertIs(ResultCode.TICKET_INVALID, refusal.code)
         self.assertIs(Ran.NOT_RUN, refusal.ran)
 
     async def test_a_spent_ticket_is_never_run_again(self) -> None:
-        await self.rig.clock.jump(tickets.TICKET_LIFE - 1)
+        await self.rig.clock.jump(tickets.TICKET_LIFETIME - 1)
         self.issuer.settle(self.spend(), ANSWER)
         for _ in range(40):
             await self.rig.clock.jump(100)
@@ -85,7 +89,7 @@
 
     def test_an_answer_that_is_dropped_leaves_the_ticket_spent(self) -> None:
         spent = self.spend()
-        big = type(ANSWER)(200, bytes(tickets.MOST_ANSWER_BYTES + 1), 'x/y')
+        big = type(ANSWER)(200, bytes(tickets.MAX_ANSWER_BYTES + 1), 'x/y')
         self.issuer.settle(spent, big)
         refusal = self.refused()
         self.assertIs(ResultCode.TICKET_SPENT, refusal.code)
@@ -97,7 +101,7 @@
             self.issuer.incarnation,
             tickets.TicketSigner('key'),
             self.rig.clock,
-            most_spent=1,
+            max_spent=1,
         )
         self.issuer = issuer
         self.spend()
