--- a/src/nutmegroad/fleet/eras.py
+++ b/src/nutmegroad/fleet/eras.py
@@ -1,10 +1,12 @@
-"""The platform's store, which may come back from a copy some seconds old.
-
-Its versions go back then and are given out again, so a version means something
-only within one era, which its answers name. Here era and version become one
-number, a position, which only ever grows: whoever compares positions compares
-eras first without knowing it. A position of an era that is over is no condition
-and no place to read on from; whoever comes with one reads the table whole.
+"""Monotonic row versions across restores of the platform's store.
+
+When the store is restored from a backup, its versions go back and are then
+assigned again, so a version is only meaningful within one era, which the
+store's answers name. This module combines era and version into one number, a
+position, that only ever grows: comparing two positions compares the eras first.
+A position of a past era can't be used as a write condition or as a point to
+continue reading from; whoever presents one has to read the full snapshot of the
+table.
 """
 
 from collections.abc import Callable
@@ -26,65 +28,65 @@
 
 _LOG: Final = part_logger('eras')
 
-#: Bits of a version within a position: a million transactions a second for a
-#: hundred days, and an era for each of a million returns fits besides.
+#: Bits of the version within a position: enough for a million transactions per
+#: second during a hundred days, with room for the eras of a million restores.
 VERSION_BITS: Final = 43
 
-#: Told that the store has come back from a copy.
+#: Called when the store was restored from a backup.
 TellOfRise = Callable[[], None]
 
 
 def position(era: int, version: int) -> int:
-    """Return a version of an era as one number."""
+    """Return an era and a version as one number."""
     return era << VERSION_BITS | version
 
 
-def era_of(place: int) -> int:
+def era_of(stored_position: int) -> int:
     """Return the era of a position."""
-    return place >> VERSION_BITS
+    return stored_position >> VERSION_BITS
 
 
-def version_of(place: int) -> int:
+def version_of(stored_position: int) -> int:
     """Return the store's own version of a position."""
-    return place & ((1 << VERSION_BITS) - 1)
+    return stored_position & ((1 << VERSION_BITS) - 1)
 
 
 class EraStore:
     """A store whose versions never go back.
 
     Args:
-        store: The platform's store, with versions and eras of its own.
+        store: The platform's store, with its own versions and eras.
     """
 
     def __init__(self, store: Store) -> None:
         self._store = store
-        self._told: list[TellOfRise] = []
-        self._complained: int | None = None
-        # Whether any era was named yet.
-        self._named = False
-        #: The highest era that is known of.
+        self._callbacks: list[TellOfRise] = []
+        self._last_lower_era: int | None = None
+        # Whether any answer has named an era yet.
+        self._has_era = False
+        #: The highest era seen so far.
         self.era = 0
-        #: How often it has risen since the first answer.
+        #: How often the era has risen since the first answer.
         self.returns = 0
 
-    def tell_of_rises(self, tell: TellOfRise) -> None:
-        """Let somebody hear when an answer shows that the store came back."""
-        self._told.append(tell)
+    def tell_of_rises(self, callback: TellOfRise) -> None:
+        """Register a callback for restores of the store from a backup."""
+        self._callbacks.append(callback)
 
-    def heard(self, place: int) -> None:
-        """Take in a position that another host has told."""
-        if self._named or era_of(place):
-            self._learn(era_of(place), told=True)
+    def heard(self, stored_position: int) -> None:
+        """Take the era from a position that another host has sent."""
+        if self._has_era or era_of(stored_position):
+            self._record_era(era_of(stored_position), told=True)
 
     async def snapshot(self, table: str) -> RowsRead | Refusal:
-        """Return all rows of a table as of one moment."""
+        """Return all rows of a table as of one point in time."""
         known = self.era
         found = await self._store.snapshot(table)
         if isinstance(found, Refusal):
             return found
         if not self._is_current(found.era, known):
-            return _crossed(table)
-        return self._placed(found)
+            return _stale_answer(table)
+        return self._with_positions(found)
 
     async def changes(
         self,
@@ -92,7 +94,13 @@
         after: int,
         wait: float,
     ) -> RowsRead | HistoryLost | Refusal:
-        """Return what has changed, or wait so many seconds for a change."""
+        """Return the changes after a position, or wait for one.
+
+        Args:
+            table: The table.
+            after: The position that is known.
+            wait: Seconds to wait for a change.
+        """
         known = era_of(after)
         if known != self.era:
             return HistoryLost()
@@ -100,22 +108,23 @@
         if isinstance(found, Refusal):
             return found
         if not self._is_current(found.era, known):
-            return _crossed(table)
+            return _stale_answer(table)
         if isinstance(found, HistoryLost) or self.era != known:
-            # With no sign at all the feed would go on past what it has missed.
+            # Continuing would silently skip the changes that were missed.
             return HistoryLost()
-        return self._placed(found)
+        return self._with_positions(found)
 
     async def commit(
         self,
         expected: tuple[RowExpected, ...],
         puts: tuple[RowPut, ...],
     ) -> Committed | RowsMoved | Refusal:
-        """Write all rows if all expectations hold, else none.
+        """Write all rows if all conditions hold, otherwise none.
 
-        A condition of an era that is over says nothing of the row that is there
-        now. One that is over as it arrives may hold by chance; what it wrote is
-        then read like anybody's row.
+        A condition from a past era says nothing about the current row, so
+        nothing is written. If the era ends while the call is on its way, the
+        condition may hold by chance; such a write is reported as a conflict and
+        its rows are read back like those of any other host.
         """
         known = self.era
         if any(
@@ -135,56 +144,56 @@
             return RowsMoved()
         return replace(outcome, version=position(self.era, outcome.version))
 
-    def _placed(self, read: RowsRead) -> RowsRead:
-        """Return what was read, with positions for versions."""
+    def _with_positions(self, read: RowsRead) -> RowsRead:
+        """Return rows with positions in place of versions."""
         if not self.era:
             return read
-        rows = tuple(self._place(row) for row in read.rows)
+        rows = tuple(self._with_position(row) for row in read.rows)
         return replace(
             read,
             rows=rows,
             version=position(self.era, read.version),
         )
 
-    def _place(self, row: StoredRow) -> StoredRow:
-        """Return a row with its position."""
+    def _with_position(self, row: StoredRow) -> StoredRow:
+        """Return a row with its position in place of its version."""
         return replace(row, version=position(self.era, row.version))
 
     def _is_current(self, era: int | None, known: int) -> bool:
-        """Tell whether an answer may be taken, and learn its era.
+        """Return whether an answer may be used, and record its era.
 
         Args:
-            era: The era that it names; None if it names none.
-            known: The era that was known as the call was made.
+            era: The era that the answer names; None if it names none.
+            known: The era that was known when the call was made.
         """
         if era is None:
             return True
         if era >= self.era:
-            if self._learn(era, told=False):
-                self._tell()
+            if self._record_era(era, told=False):
+                self._notify()
             return True
         if known < self.era:
-            # From before: on its way as the store came back.
+            # The answer was made before the store was restored.
             return False
-        if self._complained != era:
-            self._complained = era
-            _LOG.decision('era lower than before', known=self.era, told=era)
+        if self._last_lower_era != era:
+            self._last_lower_era = era
+            _LOG.decision('store named a lower era', known=self.era, told=era)
         return True
 
-    def _tell(self) -> None:
-        """Tell whoever wants to know."""
-        for tell in self._told:
-            tell()
+    def _notify(self) -> None:
+        """Call all registered callbacks."""
+        for callback in self._callbacks:
+            callback()
 
-    def _learn(self, era: int, *, told: bool) -> bool:
-        """Take in an era; tell whether the store has come back from a copy.
+    def _record_era(self, era: int, *, told: bool) -> bool:
+        """Record an era and return whether the store has been restored.
 
         Args:
             era: The era.
-            told: Whether another host has told it.
+            told: Whether another host has reported it.
         """
-        first = not self._named
-        self._named = True
+        first = not self._has_era
+        self._has_era = True
         if era <= self.era:
             return False
         before = self.era
@@ -201,9 +210,9 @@
         return True
 
 
-def _crossed(table: str) -> Refusal:
-    """Return the refusal of an answer from an era that is over."""
+def _stale_answer(table: str) -> Refusal:
+    """Return the refusal of an answer from a past era."""
     return Refusal(
         ResultCode.TABLE_UNAVAILABLE,
-        f'An answer on {table!r} was made before the store came back.',
+        f'answer for table {table!r} predates the restore of the store',
     )
--- a/src/nutmegroad/fleet/followers.py
+++ b/src/nutmegroad/fleet/followers.py
@@ -1,7 +1,8 @@
-"""Following a table of the platform's store.
+"""Followers that keep local state in step with a table of the store.
 
-A follower reads a table whole, then waits for changes, for ever. It tells
-its sink up to what moment it knows the table: when the answer was made.
+A follower reads the full snapshot of a table, then waits for changes until it
+is cancelled. It reports to its sink up to which time the table is known: the
+time at which the store made the answer.
 """
 
 import random
@@ -17,43 +18,48 @@
 
 _LOG: Final = part_logger('followers')
 
-#: Seconds before the first and the later tries after a failure. A configuration
-#: has to be in force three seconds after the store is back: one is for a call
-#: that hangs, one for this pause at its longest.
+#: Initial and maximum seconds between retries after a failure. A configuration
+#: has to be in force three seconds after the store is available again: one
+#: second is for a call that hangs, one for this delay at its maximum.
 FIRST_RETRY: Final = 0.1
 LONGEST_RETRY: Final = 0.6
 
-#: Between which parts of a pause retries are spread.
+#: Range of factors by which retry delays are randomized.
 SPREAD: Final = (0.5, 1.5)
 
 
 class TableSink(Protocol):
-    """Takes in what a follower reads."""
+    """Receives what a follower reads."""
 
     def replace(self, read: RowsRead) -> None:
-        """Take the whole table in."""
+        """Replace the state with a full snapshot of the table."""
 
     def apply(self, read: RowsRead) -> None:
-        """Take changes in."""
+        """Apply changes of the table."""
 
     def confirm(self, moment: float, read: RowsRead) -> None:
-        """Note that nothing newer existed at a moment of our clock."""
+        """Record that nothing newer existed at a time of this host's clock.
+
+        Args:
+            moment: Clock time in seconds.
+            read: What was read.
+        """
 
     def lost(self) -> None:
-        """Note that the store does not answer."""
+        """Record that the store does not answer."""
 
     def went_back(self) -> None:
-        """Note that the store came back from a copy that is some seconds old.
+        """Record that the store was restored from an older backup.
 
-        The table is taken in whole right after that.
+        A full snapshot of the table follows immediately.
         """
 
 
 class TableSource(Protocol):
-    """Where tables are followed: the store, or another host that reads it."""
+    """Where followers read tables: the store, or another host that reads it."""
 
     async def snapshot(self, table: str) -> RowsRead | Refusal:
-        """Return all rows of a table as of one moment."""
+        """Return all rows of a table as of one point in time."""
 
     async def changes(
         self,
@@ -62,30 +68,30 @@
         wait: float,
         told_until: float,
     ) -> RowsRead | HistoryLost | Refusal:
-        """Return what has changed, or wait for a change.
+        """Return the changes after a version, or wait for one.
 
         Args:
             table: The table.
             after: The version that is known.
             wait: Seconds that the store is asked to wait.
-            told_until: Clock seconds until which news of another host are
-                waited for; then the store is asked.
+            told_until: Clock time in seconds until which updates from another
+                host are awaited; after it, the store is asked.
         """
 
     async def rest(self, table: str, seconds: float) -> None:
-        """Wait after a failure before the next question."""
+        """Wait after a failure before the next call."""
 
 
 @dataclass(frozen=True, slots=True)
 class FeedPace:
-    """How often a table's changes are asked for.
+    """How often the changes of a table are requested.
 
     Attributes:
         wait: Seconds that the store is asked to wait for a change.
-        rest: Seconds between an answer and the next question, so that
-            changes which come one after another share an answer.
-        reliance: Seconds for which what another host told is relied on, counted
-            from the store's answer that it had.
+        rest: Seconds between an answer and the next call, so that changes in
+            quick succession share one answer.
+        reliance: Seconds for which updates from another host are valid, counted
+            from the store's answer that they come from.
     """
 
     wait: float
@@ -97,13 +103,13 @@
     """Keeps a sink in step with one table.
 
     Args:
-        store: Where tables are read.
+        store: Where the table is read.
         table: Name of the table.
-        sink: What takes it in.
-        pace: How often the store is asked.
+        sink: Receives the table's rows.
+        timing: How often the store is asked.
         clock: The host's clock.
         store_clock: The store's clock.
-        randomness: Spreads retries of many hosts.
+        randomness: Randomizes the retries of many hosts.
     """
 
     def __init__(
@@ -111,7 +117,7 @@
         store: TableSource,
         table: str,
         sink: TableSink,
-        pace: FeedPace,
+        timing: FeedPace,
         clock: Clock,
         store_clock: StoreClock,
         randomness: random.Random,
@@ -119,18 +125,18 @@
         self._store = store
         self._table = table
         self._sink = sink
-        self._wait = pace.wait
-        self._rest = pace.rest
-        self._reliance = pace.reliance
+        self._wait = timing.wait
+        self._pause = timing.rest
+        self._update_validity = timing.reliance
         self._clock = clock
         self._store_clock = store_clock
         self._randomness = randomness
         self._after: int | None = None
-        # The store's era as the table was last read whole.
+        # Era of the store at the last full snapshot.
         self._era: int | None = None
-        # Clock seconds up to which the table is known.
-        self._known = float('-inf')
-        self._retry = FIRST_RETRY
+        # Clock time up to which the table is known.
+        self._known_until = float('-inf')
+        self._retry_delay = FIRST_RETRY
         self._failing = False
         self._relayed = False
 
@@ -138,57 +144,57 @@
         """Follow the table until cancelled."""
         while True:
             if not await self.step():
-                pause = self._retry * self._randomness.uniform(*SPREAD)
-                self._retry = min(LONGEST_RETRY, self._retry * 2)
+                pause = self._retry_delay * self._randomness.uniform(*SPREAD)
+                self._retry_delay = min(LONGEST_RETRY, self._retry_delay * 2)
                 await self._store.rest(self._table, pause)
             elif not self._relayed:
-                # What another host has read, it has rested for already.
-                await self._clock.sleep(self._rest)
+                # The host that relayed the answer has paused already.
+                await self._clock.sleep(self._pause)
 
     async def step(self) -> bool:
-        """Make one call, and tell whether it gave an answer."""
+        """Make one call and return whether it was answered."""
         if self._after is None:
             read = await self._store.snapshot(self._table)
             if isinstance(read, Refusal):
-                return self._failed(read)
+                return self._record_failure(read)
             self._replace(read)
             return True
-        # A call to a silent store hangs for as long as it was to wait, also
-        # when the store has come back meanwhile.
+        # A call to an unresponsive store hangs for as long as the store was to
+        # wait, even if the store has become available meanwhile.
         wait = 0 if self._failing else self._wait
         found = await self._store.changes(
             self._table,
             self._after,
             wait,
-            self._known + self._reliance,
+            self._known_until + self._update_validity,
         )
         if isinstance(found, HistoryLost):
             _LOG.decision('history lost', table=self._table, after=self._after)
             self._after = None
             return True
         if isinstance(found, Refusal):
-            return self._failed(found)
+            return self._record_failure(found)
         if found.whole:
             self._replace(found)
             return True
         if found.rows:
             self._sink.apply(found)
-        self._took(found)
+        self._record_answer(found)
         return True
 
     def _replace(self, read: RowsRead) -> None:
-        """Take the whole table in."""
+        """Pass a full snapshot to the sink."""
         era = era_of(read.version)
         if self._era is not None and era > self._era:
             self._sink.went_back()
-            # What was known is known of the era before.
-            self._known = float('-inf')
+            # Earlier confirmations apply to the previous era.
+            self._known_until = float('-inf')
         self._era = era
         self._sink.replace(read)
-        self._took(read)
+        self._record_answer(read)
 
-    def _took(self, read: RowsRead) -> None:
-        """Note that the store has answered."""
+    def _record_answer(self, read: RowsRead) -> None:
+        """Record an answer of the store."""
         self._relayed = read.relayed
         moment = self._store_clock.moment(read.store_time)
         if read.rows:
@@ -201,16 +207,16 @@
                 told=read.relayed,
                 age=round(self._clock.now() - moment, 3),
             )
-        self._known = max(self._known, moment)
+        self._known_until = max(self._known_until, moment)
         self._after = max(read.version, self._after or 0)
-        self._retry = FIRST_RETRY
+        self._retry_delay = FIRST_RETRY
         if self._failing:
             self._failing = False
             _LOG.decision('store regained', table=self._table)
         self._sink.confirm(moment, read)
 
-    def _failed(self, refusal: Refusal) -> bool:
-        """Note that the store has not answered."""
+    def _record_failure(self, refusal: Refusal) -> bool:
+        """Record that the store has not answered."""
         if not self._failing:
             self._failing = True
             _LOG.decision(
@@ -224,13 +230,13 @@
 
 
 class FollowedStore:
-    """Makes followers of one store.
+    """Creates followers of one store.
 
     Args:
         store: Where tables are read.
         clock: The host's clock.
         store_clock: The store's clock.
-        randomness: Spreads retries of many hosts.
+        randomness: Randomizes the retries of many hosts.
     """
 
     def __init__(
@@ -249,14 +255,14 @@
         self,
         table: str,
         sink: TableSink,
-        pace: FeedPace,
+        timing: FeedPace,
     ) -> TableFollower:
         """Return a follower of a table."""
         return TableFollower(
             self._store,
             table,
             sink,
-            pace,
+            timing,
             self._clock,
             self._store_clock,
             self._randomness,
--- a/src/nutmegroad/fleet/heard_versions.py
+++ b/src/nutmegroad/fleet/heard_versions.py
@@ -1,24 +1,26 @@
-"""The newest configuration that any host nearby has in force.
+"""The newest configuration version that this host or a peer has in force.
 
-A store that came back from a copy shows an older one, and a host that has just
-started knows no other. It hears of the newer one from those that hold it, and
-takes nothing that the store shows for confirmed until then.
+A store that was restored from a backup shows an older configuration, and a host
+that has just started knows no other. Such a host receives the newer version
+number from the hosts that have it in force. Until it has that version, it does
+not treat anything that the store shows as confirmed.
 """
 
 from typing import Final
 
 from nutmegroad.foundations.clocks import Clock
 
-#: Seconds for which a version counts that was heard of: some tellings of a host
-#: in another failure domain. Who told may be gone, with what it believed.
+#: Seconds for which a received version is valid: several gossip intervals of a
+#: host in another failure domain. The host that sent it may have terminated,
+#: and its configuration with it.
 SPAN: Final = 3.0
 
-#: What is told before the first configuration.
+#: Version that is sent before the first configuration.
 NONE: Final = -1
 
 
 class HeardVersions:
-    """Knows which version this host has in force, and which others have.
+    """Tracks the configuration versions of this host, its peers and the store.
 
     Args:
         clock: The host's clock.
@@ -26,8 +28,8 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._heard = NONE
-        self._until = float('-inf')
+        self._received = NONE
+        self._valid_until = float('-inf')
         #: The version that this host has in force.
         self.own = NONE
         #: The version that the store shows.
@@ -35,21 +37,22 @@
 
     @property
     def store_lacks(self) -> bool:
-        """Tell whether the store shows less than this host has in force.
+        """Whether the store shows an older version than this host has in force.
 
-        Then it has to be told, also by hosts that have nothing else to tell.
+        In that case the version has to be sent, even by hosts that have nothing
+        else to send.
         """
         return self.shown < self.own
 
     @property
     def newest(self) -> int:
-        """Return the newest version that is known of."""
-        if self._clock.now() >= self._until:
+        """The newest version that is known."""
+        if self._clock.now() >= self._valid_until:
             return self.own
-        return max(self.own, self._heard)
+        return max(self.own, self._received)
 
     def told(self, version: int) -> None:
-        """Take in which version another host has in force."""
+        """Record the version that another host has in force."""
         if version >= self.newest:
-            self._heard = version
-            self._until = self._clock.now() + SPAN
+            self._received = version
+            self._valid_until = self._clock.now() + SPAN
--- a/src/nutmegroad/fleet/news.py
+++ b/src/nutmegroad/fleet/news.py
@@ -1,10 +1,11 @@
-"""What one host tells another of the platform's tables.
-
-A host that has read a table tells the hosts that follow it what has changed
-and up to which moment of the store's clock that is all. One that follows says
-first what it knows, and is told whole tables where it knows another version;
-after that frames go one way. Each has its length before it; large ones are
-compressed, since a host with a slow link may tell many.
+"""Messages about the platform's tables that hosts send each other.
+
+A host that has read a table sends its changes to the hosts that follow it, and
+the time on the store's clock up to which the changes are complete. A follower
+first sends the versions that it knows and receives full snapshots of the tables
+of which it knows another version. After that, frames flow in one direction
+only. Each frame is preceded by its length. Large frames are compressed, since a
+host with a slow link may have many followers.
 """
 
 import zlib
@@ -16,28 +17,28 @@
 
 from nutmegroad.fleet.stored import RowsRead, StoredRow
 
-#: Bytes of a frame's length.
-_LENGTH: Final = 4
+#: Bytes of a frame's length prefix.
+_LENGTH_BYTES: Final = 4
 
-#: Bytes of a frame from which it is compressed: below, little is gained.
-_COMPRESSED: Final = 2048
+#: Bytes from which a frame is compressed; smaller ones gain little.
+_MIN_COMPRESSED_BYTES: Final = 2048
 
-#: Bytes that one frame may have: sixty hosts at the slowest link of today
-#: (5 Mbit/s) take half a second for a frame of 5 KB, and those that tell are
-#: among the fastest. What is larger each host reads from the store itself.
+#: Maximum bytes of a frame. At today's slowest link (5 Mbit/s), sending a frame
+#: of 5 KB to sixty hosts takes half a second, and the hosts that send are among
+#: the fastest. Each host reads larger changes from the store itself.
 MOST_BYTES: Final = 65_536
 
-#: Bytes that a frame may have when it is unpacked; no frame of ours has more.
-_MOST_UNPACKED: Final = 8_388_608
+#: Maximum bytes of a decompressed frame; no frame that hosts create is larger.
+_MAX_UNPACKED_BYTES: Final = 8_388_608
 
 
-class News(Struct, frozen=True, array_like=True, tag='n'):
-    """What has changed in a table, and up to when that is all.
+class TableUpdate(Struct, frozen=True, array_like=True, tag='n'):
+    """Changes of a table, and the time up to which they are complete.
 
     Attributes:
-        table: Its name.
+        table: Name of the table.
         base: Version after which the rows are all that changed.
-        version: Version up to which they are.
+        version: Version up to which the changes are complete.
         store_time: Seconds on the store's clock at that version.
         rows: The rows that changed.
     """
@@ -49,25 +50,27 @@
     rows: tuple[StoredRow, ...] = ()
 
     def after(self, version: int) -> RowsRead | None:
-        """Return what is new to a host that knows a version.
+        """Return the changes after a version.
 
         Returns:
-            None if the host has missed something before.
+            None if changes between that version and these are missing.
         """
         if self.base > version:
             return None
         rows = tuple(row for row in self.rows if row.version > version)
         return RowsRead(rows, self.version, self.store_time, relayed=True)
 
-    def marker(self) -> 'News':
-        """Return news without rows that follow on this."""
-        return News(self.table, self.version, self.version, self.store_time)
+    def marker(self) -> 'TableUpdate':
+        """Return an update without rows that starts where this one ends."""
+        return TableUpdate(
+            self.table, self.version, self.version, self.store_time
+        )
 
-    def joined(self, later: 'News') -> 'News':
-        """Return this and later news of the same table as one."""
+    def joined(self, later: 'TableUpdate') -> 'TableUpdate':
+        """Return this update merged with a later one of the same table."""
         if later.base > self.version:
             return later
-        return News(
+        return TableUpdate(
             self.table,
             self.base,
             max(self.version, later.version),
@@ -76,13 +79,13 @@
         )
 
 
-class Whole(Struct, frozen=True, array_like=True, tag='w'):
-    """All rows of a table at one moment.
+class TableSnapshot(Struct, frozen=True, array_like=True, tag='w'):
+    """Full snapshot of a table.
 
     Attributes:
-        table: Its name.
-        version: The store's version at that moment.
-        store_time: Seconds on the store's clock at that moment.
+        table: Name of the table.
+        version: The store's version at the time of the snapshot.
+        store_time: Seconds on the store's clock at that time.
         rows: The rows.
     """
 
@@ -92,7 +95,7 @@
     rows: tuple[StoredRow, ...] = ()
 
     def read(self) -> RowsRead:
-        """Return it as it was read."""
+        """Return the snapshot as rows read from another host."""
         return RowsRead(
             self.rows,
             self.version,
@@ -101,13 +104,15 @@
             whole=True,
         )
 
-    def marker(self) -> News:
-        """Return news without rows that follow on this."""
-        return News(self.table, self.version, self.version, self.store_time)
+    def marker(self) -> TableUpdate:
+        """Return an update without rows that starts at this snapshot."""
+        return TableUpdate(
+            self.table, self.version, self.version, self.store_time
+        )
 
 
-class Known(Struct, frozen=True, array_like=True, tag='k'):
-    """What one who begins to follow knows.
+class KnownVersions(Struct, frozen=True, array_like=True, tag='k'):
+    """Handshake of a follower: the table versions that it knows.
 
     Attributes:
         versions: The version of each table.
@@ -116,73 +121,77 @@
     versions: dict[str, int] = {}
 
 
-class StoreLost(Struct, frozen=True, array_like=True, tag='l'):
-    """The store does not answer the one who tells.
+class StoreUnavailable(Struct, frozen=True, array_like=True, tag='l'):
+    """Notice that the store does not answer the sender.
 
     Attributes:
-        table: The table that it asked for.
+        table: The table that the sender requested.
     """
 
     table: str
 
 
-class Alive(Struct, frozen=True, array_like=True, tag='a'):
-    """Nothing is new; the one who tells is there."""
+class KeepAlive(Struct, frozen=True, array_like=True, tag='a'):
+    """Keep-alive; the sender has no changes to report."""
 
 
-Frame = News | Whole | StoreLost | Alive | Known
+Frame = (
+    TableUpdate | TableSnapshot | StoreUnavailable | KeepAlive | KnownVersions
+)
 
 _DECODER: Final = msgspec.msgpack.Decoder(Frame)
 _ENCODER: Final = msgspec.msgpack.Encoder()
 
 
 class FrameError(Exception):
-    """A peer sent what is no frame of ours."""
+    """A peer sent bytes that are not a valid frame."""
 
 
-#: How a link ends: broken, closed, silent, or with what is no frame.
+#: Errors that end a link: it was reset, closed, silent for too long, or carried
+#: an invalid frame.
 LINK_ENDS: Final = (OSError, EOFError, TimeoutError, FrameError)
 
 
 def encode(frame: Frame) -> bytes | None:
-    """Return a frame with its length, or None if it is too large."""
-    text = _ENCODER.encode(frame)
+    """Return a frame with its length prefix, or None if it is too large."""
+    payload = _ENCODER.encode(frame)
     kind = b'p'
-    if len(text) >= _COMPRESSED:
-        text = zlib.compress(text, level=1)
+    if len(payload) >= _MIN_COMPRESSED_BYTES:
+        payload = zlib.compress(payload, level=1)
         kind = b'z'
-    if len(text) >= MOST_BYTES:
+    if len(payload) >= MOST_BYTES:
         return None
-    return (len(text) + 1).to_bytes(_LENGTH) + kind + text
+    return (len(payload) + 1).to_bytes(_LENGTH_BYTES) + kind + payload
 
 
-def encode_or_mark(told: News | Whole) -> bytes | None:
-    """Return a frame; of one that is too large, that there is something new.
+def encode_or_mark(message: TableUpdate | TableSnapshot) -> bytes | None:
+    """Return an encoded frame, without its rows if it is too large.
 
-    Whoever follows has to read it from the store then.
+    A follower that receives a frame without rows reads the changes from the
+    store.
     """
-    return encode(told) or encode(told.marker())
+    return encode(message) or encode(message.marker())
 
 
 async def receive(reader: StreamReader) -> Frame:
     """Return the next frame.
 
     Raises:
-        FrameError: If it is none.
+        FrameError: If the bytes are not a valid frame.
         EOFError: If the peer has closed the connection.
     """
-    size = int.from_bytes(await reader.readexactly(_LENGTH))
+    size = int.from_bytes(await reader.readexactly(_LENGTH_BYTES))
     if not 0 < size <= MOST_BYTES:
-        raise FrameError(f'a frame of {size} bytes; expected 1 to {MOST_BYTES}')
-    text = await reader.readexactly(size)
+        raise FrameError(f'frame of {size} bytes; expected 1 to {MOST_BYTES}')
+    payload = await reader.readexactly(size)
     try:
-        return _DECODER.decode(_unpacked(text))
-    except (zlib.error, msgspec.DecodeError) as problem:
-        raise FrameError(str(problem)) from problem
+        return _DECODER.decode(_unpack(payload))
+    except (zlib.error, msgspec.DecodeError) as error:
+        raise FrameError(str(error)) from error
 
 
-def _unpacked(text: bytes) -> bytes:
-    """Return a frame's content."""
-    if text[:1] == b'p':
-        return text[1:]
-    return zlib.decompressobj().decompress(text[1:], _MOST_UNPACKED)
+def _unpack(payload: bytes) -> bytes:
+    """Return the content of a frame, decompressed if necessary."""
+    if payload[:1] == b'p':
+        return payload[1:]
+    return zlib.decompressobj().decompress(payload[1:], _MAX_UNPACKED_BYTES)
--- a/src/nutmegroad/fleet/news_link.py
+++ b/src/nutmegroad/fleet/news_link.py
@@ -1,10 +1,10 @@
-"""Follows another host's news of the platform's tables.
+"""Link on which a host follows the table updates of another host.
 
-One host of a failure domain reads the store for all: the first in an order
-that all hosts see alike. The others follow it; one that finds nobody before it
-reads the store itself, and so does everybody whose link is silent and who
-finds no other in time. A host only ever follows one before it, so there are
-no circles.
+One host of a failure domain reads the store for the others: the first in a
+ranking that all hosts compute alike. The others follow it. A host reads the
+store itself if no host ranks before it, and also while its link is unresponsive
+and no other host to follow is found in time. A host only ever follows one that
+ranks before it, so there are no cycles.
 """
 
 import asyncio
@@ -17,12 +17,12 @@
 from nutmegroad.fleet.announcements import HostRow
 from nutmegroad.fleet.news import (
     LINK_ENDS,
-    Alive,
     Frame,
-    Known,
-    News,
-    StoreLost,
-    Whole,
+    KeepAlive,
+    KnownVersions,
+    StoreUnavailable,
+    TableSnapshot,
+    TableUpdate,
     encode,
     receive,
 )
@@ -33,98 +33,102 @@
 
 _LOG: Final = part_logger('news')
 
-#: Seconds for a connection within the failure domain.
+#: Seconds for a connection attempt within the failure domain.
 CONNECT_TIMEOUT: Final = 0.3
 
-#: Seconds without a frame after which the link counts as lost: three signs of
-#: life.
+#: Seconds without a frame after which the link counts as lost: three keep-alive
+#: intervals.
 SILENCE: Final = 1.2
 
-#: Seconds for which a host that was lost is not followed; doubles up to the
-#: second with each further loss.
+#: Seconds for which a host is not followed after its link was lost. The time
+#: doubles with each further loss, up to the maximum.
 FIRST_ASIDE: Final = 2.0
 LONGEST_ASIDE: Final = 30.0
 
-#: Seconds between looks whether there is somebody to follow.
+#: Seconds between checks for a host to follow.
 LOOK: Final = 1.0
 
 
 @dataclass(slots=True)
-class _Aside:
-    """A host that is not followed for a while.
+class _Exclusion:
+    """Period during which a host is not followed.
 
     Attributes:
-        until: Clock seconds.
-        pause: Seconds of the last pause.
+        until: Clock time in seconds at which the period ends.
+        pause: Length of the period in seconds.
     """
 
     until: float
     pause: float
 
 
-class _Table:
-    """What has been heard of one table and not been taken yet."""
+class _PendingUpdates:
+    """Received updates of one table that have not been read yet."""
 
     def __init__(self) -> None:
-        self.news: News | None = None
-        self.heard = asyncio.Event()
-        self._whole: Whole | None = None
+        self.update: TableUpdate | None = None
+        self.received = asyncio.Event()
+        self._snapshot: TableSnapshot | None = None
 
     @property
-    def is_whole(self) -> bool:
-        """Tell whether all rows were heard and not taken yet."""
-        return self._whole is not None
-
-    def put(self, news: News | None) -> None:
-        """Add what was heard; None if the one who tells has lost the store."""
-        known = self.news
-        if known is None and news is None:
+    def has_snapshot(self) -> bool:
+        """Whether a snapshot was received and not read yet."""
+        return self._snapshot is not None
+
+    def put(self, update: TableUpdate | None) -> None:
+        """Add a received update.
+
+        Args:
+            update: The update; None if the sender has lost the store.
+        """
+        known = self.update
+        if known is None and update is None:
             return
-        if known is not None and news is not None:
-            news = known.joined(news)
-        if news is None:
-            self._whole = None
-        self.news = news
-        self.heard.set()
-
-    def put_whole(self, whole: Whole) -> None:
-        """Take all rows in; what was heard before is in them."""
-        self._whole = whole
-        self.news = whole.marker()
-        self.heard.set()
-
-    def take_whole(self) -> RowsRead | None:
-        """Return all rows, once, if they were heard."""
-        whole = self._whole
-        self._whole = None
-        return None if whole is None else whole.read()
+        if known is not None and update is not None:
+            update = known.joined(update)
+        if update is None:
+            self._snapshot = None
+        self.update = update
+        self.received.set()
+
+    def put_snapshot(self, snapshot: TableSnapshot) -> None:
+        """Store a received snapshot; it contains all earlier updates."""
+        self._snapshot = snapshot
+        self.update = snapshot.marker()
+        self.received.set()
+
+    def take_snapshot(self) -> RowsRead | None:
+        """Return and remove the received snapshot, if there is one."""
+        snapshot = self._snapshot
+        self._snapshot = None
+        return None if snapshot is None else snapshot.read()
 
     def after(self, version: int) -> RowsRead | None:
-        """Return what was heard beyond a version, once, or None."""
-        self.heard.clear()
-        whole = self.take_whole()
-        news = self._take()
-        if whole is not None and whole.version > version:
-            return whole
-        if news is None or news.version < version:
+        """Return and remove what was received beyond a version, or None."""
+        self.received.clear()
+        snapshot = self.take_snapshot()
+        update = self._take_update()
+        if snapshot is not None and snapshot.version > version:
+            return snapshot
+        if update is None or update.version < version:
             return None
-        return news.after(version)
+        return update.after(version)
 
-    def _take(self) -> News | None:
-        """Return what was heard, once."""
-        found = self.news
+    def _take_update(self) -> TableUpdate | None:
+        """Return and remove the received update."""
+        found = self.update
         if found is not None:
-            self.news = found.marker()
+            self.update = found.marker()
         return found
 
 
 class NewsLink:
-    """Follows the news of one host before this one, if there is any.
+    """Follows the table updates of one host that ranks before this one.
 
     Args:
         host: This host.
-        own: This host, as the others see it.
-        near: Returns the other hosts of the failure domain.
+        own: This host's row in the fleet table.
+        local_hosts: Returns the other hosts of the failure domain.
         clock: The host's clock.
     """
 
@@ -132,67 +136,83 @@
         self,
         host: HostId,
         own: HostRow,
-        near: Callable[[], Mapping[HostId, HostRow]],
+        local_hosts: Callable[[], Mapping[HostId, HostRow]],
         clock: Clock,
     ) -> None:
         self._host = host
         self._own = own
-        self._near = near
+        self._local_hosts = local_hosts
         self._clock = clock
-        self._aside: dict[HostId, _Aside] = {}
-        self._tables: dict[str, _Table] = {}
-        self._known: dict[str, int] = {}
-        # Set once the other hosts are known, and while it is decided whether
-        # one of them is followed.
-        self._begun = asyncio.Event()
-        self._settled = asyncio.Event()
+        self._exclusions: dict[HostId, _Exclusion] = {}
+        self._tables: dict[str, _PendingUpdates] = {}
+        self._known_versions: dict[str, int] = {}
+        # Set once the other hosts are known.
+        self._started = asyncio.Event()
+        # Set as long as it is settled which host is followed, if any.
+        self._decided = asyncio.Event()
         #: The host that is followed; None if there is none.
         self.source: HostId | None = None
 
     def begin(self) -> None:
-        """Note that the other hosts are known now."""
-        self._begun.set()
+        """Record that the other hosts are known now."""
+        self._started.set()
 
     async def settle(self, seconds: float) -> None:
-        """Wait until it is decided whether a host is followed."""
+        """Wait until it is decided whether a host is followed.
+
+        Args:
+            seconds: Maximum time to wait.
+        """
         try:
             async with asyncio.timeout(seconds):
-                await self._settled.wait()
+                await self._decided.wait()
         except TimeoutError:
             return
 
     async def whole(self, table: str, seconds: float) -> RowsRead | None:
-        """Return all rows of a table as another host tells them.
+        """Return the full snapshot of a table as another host sends it.
+
+        Args:
+            table: The table.
+            seconds: Maximum time to wait.
 
         Returns:
             None if the store has to be asked.
         """
-        self._known.pop(table, None)
-        known = self._tables.setdefault(table, _Table())
+        self._known_versions.pop(table, None)
+        pending = self._tables.setdefault(table, _PendingUpdates())
         try:
             async with asyncio.timeout(seconds):
-                await self._settled.wait()
-                while self.source is not None and not known.is_whole:
-                    known.heard.clear()
-                    await known.heard.wait()
+                await self._decided.wait()
+                while self.source is not None and not pending.has_snapshot:
+                    pending.received.clear()
+                    await pending.received.wait()
         except TimeoutError:
             return None
-        return known.take_whole()
+        return pending.take_snapshot()
 
     def serves(self, table: str) -> bool:
-        """Tell whether news of a table can be waited for."""
-        known = self._tables.get(table)
-        return self.source is not None and bool(known and known.news)
+        """Return whether updates of a table can be awaited on this link."""
+        pending = self._tables.get(table)
+        return self.source is not None and bool(pending and pending.update)
 
     async def wait(self, table: str, seconds: float) -> bool:
-        """Wait for news of a table; tell whether anything was heard."""
-        known = self._tables.setdefault(table, _Table())
-        if known.news is None:
-            # That it was lost is known; only its return is news.
-            known.heard.clear()
+        """Wait for an update of a table.
+
+        Args:
+            table: The table.
+            seconds: Maximum time to wait.
+
+        Returns:
+            Whether anything was received.
+        """
+        pending = self._tables.setdefault(table, _PendingUpdates())
+        if pending.update is None:
+            # The loss of the store is known already; wait for its return.
+            pending.received.clear()
         try:
             async with asyncio.timeout(seconds):
-                await known.heard.wait()
+                await pending.received.wait()
         except TimeoutError:
             return False
         return True
@@ -203,19 +223,19 @@
         after: int,
         until: float,
     ) -> RowsRead | None:
-        """Return what has changed since a version, or wait for it.
+        """Return the changes after a version, or wait for one.
 
         Args:
             table: The table.
             after: The version that is known.
-            until: Clock seconds until which news are waited for; what was heard
-                before is taken also later.
+            until: Clock time in seconds until which updates are awaited.
+                Updates received before are returned later, too.
 
         Returns:
             None if the store has to be asked: nothing came in time, the link
-            was lost, or this host has missed something.
+            was lost, or this host has missed a change.
         """
-        self._known[table] = after
+        self._known_versions[table] = after
         while self.serves(table) and not self._has_missed(table, after):
             left = max(0, until - self._clock.now())
             if not await self.wait(table, left):
@@ -226,59 +246,63 @@
         return None
 
     async def run(self) -> None:
-        """Follow somebody, if there is anybody, until cancelled."""
-        await self._begun.wait()
+        """Follow a host whenever there is one to follow, until cancelled."""
+        await self._started.wait()
         while True:
-            source = self._choose()
+            source = self._select_source()
             if source is None:
-                self._settled.set()
+                self._decided.set()
                 await self._clock.sleep(LOOK)
                 continue
-            self._settled.clear()
+            self._decided.clear()
             reason = await self._follow(source)
-            self._put_aside(source, reason)
+            self._exclude(source, reason)
 
     def _has_missed(self, table: str, after: int) -> bool:
-        """Tell whether a host that knows a version needs more than news."""
-        known = self._tables[table]
-        if known.is_whole or known.news is None:
+        """Return whether the updates leave a gap after a known version."""
+        pending = self._tables[table]
+        if pending.has_snapshot or pending.update is None:
             return False
-        return known.news.base > after
+        return pending.update.base > after
 
-    def _choose(self) -> HostId | None:
-        """Return whom to follow, or None to read the store."""
+    def _select_source(self) -> HostId | None:
+        """Return the host to follow, or None to read the store."""
         now = self._clock.now()
-        ranks = {
+        by_rank = {
             _rank(host, each): host
-            for host, each in self._near().items()
-            if self._is_followed(host, now)
+            for host, each in self._local_hosts().items()
+            if self._may_follow(host, now)
         }
-        first = min(ranks, default=None)
+        first = min(by_rank, default=None)
         if first is None or first >= _rank(self._host, self._own):
             return None
-        return ranks[first]
+        return by_rank[first]
 
-    def _is_followed(self, host: HostId, now: float) -> bool:
-        """Tell whether a host was not lost a short while ago."""
-        aside = self._aside.get(host)
-        return aside is None or now >= aside.until
+    def _may_follow(self, host: HostId, now: float) -> bool:
+        """Return whether a host may be followed, not having failed recently."""
+        exclusion = self._exclusions.get(host)
+        return exclusion is None or now >= exclusion.until
 
     async def _follow(self, source: HostId) -> str:
-        """Follow a host until it is lost, and return why."""
-        row = self._near()[source]
+        """Follow a host until the link is lost.
+
+        Returns:
+            The reason for the loss.
+        """
+        row = self._local_hosts()[source]
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 reader, writer = await asyncio.open_connection(
                     row.ip,
                     row.port,
                 )
-        except (OSError, TimeoutError) as problem:
-            return f'no connection: {problem!r}'
+        except (OSError, TimeoutError) as error:
+            return f'connection attempt failed: {error!r}'
         try:
-            writer.write(encode(Known(self._known)) or b'')
+            writer.write(encode(KnownVersions(self._known_versions)) or b'')
             return await self._read(source, reader)
         finally:
-            self._lose()
+            self._record_loss()
             writer.transport.abort()
 
     async def _read(
@@ -286,31 +310,35 @@
         source: HostId,
         reader: asyncio.StreamReader,
     ) -> str:
-        """Take frames in until there are no more, and return why."""
+        """Handle frames until the link is lost.
+
+        Returns:
+            The reason for the loss.
+        """
         while True:
             try:
                 async with asyncio.timeout(SILENCE):
                     frame = await receive(reader)
-            except LINK_ENDS as problem:
-                return repr(problem)
+            except LINK_ENDS as error:
+                return repr(error)
             if self.source is None:
                 self.source = source
-                self._settled.set()
-                self._aside.pop(source, None)
-                _LOG.decision('following', host=source)
-            self._take(frame)
-
-    def _take(self, frame: Frame) -> None:
-        """Take a frame in."""
-        if isinstance(frame, (Alive, Known)):
+                self._decided.set()
+                self._exclusions.pop(source, None)
+                _LOG.decision('following table updates of host', host=source)
+            self._handle(frame)
+
+    def _handle(self, frame: Frame) -> None:
+        """Handle a frame."""
+        if isinstance(frame, (KeepAlive, KnownVersions)):
             return
-        table = self._tables.setdefault(frame.table, _Table())
-        if isinstance(frame, Whole):
-            table.put_whole(frame)
-        elif isinstance(frame, StoreLost):
-            if table.news is not None:
+        table = self._tables.setdefault(frame.table, _PendingUpdates())
+        if isinstance(frame, TableSnapshot):
+            table.put_snapshot(frame)
+        elif isinstance(frame, StoreUnavailable):
+            if table.update is not None:
                 _LOG.decision(
-                    'store lost by another',
+                    'followed host lost the store',
                     host=self.source,
                     table=frame.table,
                 )
@@ -318,27 +346,28 @@
         else:
             table.put(frame)
 
-    def _lose(self) -> None:
-        """Wake all who wait: the store has to be asked."""
+    def _record_loss(self) -> None:
+        """Record the loss of the link and wake all who wait on it."""
         self.source = None
-        self._settled.clear()
+        self._decided.clear()
         for table in self._tables.values():
             table.put(None)
 
-    def _put_aside(self, host: HostId, reason: str) -> None:
-        """Follow a host no more for a while."""
-        known = self._aside.get(host)
+    def _exclude(self, host: HostId, reason: str) -> None:
+        """Exclude a host from being followed for a while."""
+        previous = self._exclusions.get(host)
         pause = FIRST_ASIDE
-        if known is not None:
-            pause = min(LONGEST_ASIDE, known.pause * 2)
-        self._aside[host] = _Aside(self._clock.now() + pause, pause)
-        _LOG.decision('not following', host=host, reason=reason, pause=pause)
+        if previous is not None:
+            pause = min(LONGEST_ASIDE, previous.pause * 2)
+        self._exclusions[host] = _Exclusion(self._clock.now() + pause, pause)
+        _LOG.decision('host excluded', host=host, reason=reason, pause=pause)
 
 
-def _rank(host: HostId, near: HostRow) -> tuple[float, int]:
-    """Return a host's place among those that read for others.
+def _rank(host: HostId, row: HostRow) -> tuple[float, int]:
+    """Return the sort key by which hosts are chosen to read for others.
 
-    Fast links first: whoever tells many sends the same to each. Else by a
-    hash of the name, the same on every host.
+    Hosts with fast links come first, since a host with many followers sends
+    each of them the same. Ties are broken by a hash of the name, which is equal
+    on every host.
     """
-    return -near.link, xxh3_64_intdigest(host.encode())
+    return -row.link, xxh3_64_intdigest(host.encode())
--- a/src/nutmegroad/fleet/news_server.py
+++ b/src/nutmegroad/fleet/news_server.py
@@ -1,4 +1,7 @@
-"""Tells other hosts of the failure domain what this one has read."""
+"""Sends the tables that this host reads to its followers.
+
+Followers are hosts of the same failure domain.
+"""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -6,10 +9,10 @@
 
 from nutmegroad.fleet.news import (
     LINK_ENDS,
-    Alive,
-    Known,
-    News,
-    StoreLost,
+    KeepAlive,
+    KnownVersions,
+    StoreUnavailable,
+    TableUpdate,
     encode,
     encode_or_mark,
     receive,
@@ -22,19 +25,20 @@
 
 _LOG: Final = part_logger('news')
 
-#: Seconds between two signs of life: a follower may wait for three of them
-#: and still ask the store within the shortest bound of today (2 s).
+#: Seconds between keep-alives: a follower can wait for three of them and still
+#: ask the store within today's shortest bound on changes (2 s).
 ALIVE: Final = 0.4
 
-#: Seconds within which one who connects has to say what it knows.
+#: Seconds within which a follower has to send its handshake.
 GREETING: Final = 1.0
 
-#: Bytes that may wait for a follower who does not read; then it is left.
+#: Maximum bytes buffered for a follower that does not read; beyond, it is
+#: disconnected.
 MOST_WAITING: Final = 1_048_576
 
 
 class NewsServer:
-    """Tells whoever connects.
+    """Sends table updates to all hosts that connect.
 
     Args:
         clock: The host's clock.
@@ -42,86 +46,95 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._copies = TableCopies()
+        self._cache = TableCopies()
         self._followers: set[asyncio.StreamWriter] = set()
 
     async def open(self, address: Address, stack: AsyncExitStack) -> None:
-        """Listen at an address until a stack closes."""
+        """Listen at an address until a stack closes.
+
+        Args:
+            address: The address.
+            stack: Closes the server and the connections.
+        """
         try:
             server = await asyncio.start_server(
-                self._take,
+                self._serve,
                 address.ip,
                 address.port,
             )
-        except OSError as problem:
-            # The others read the store themselves then.
-            _LOG.decision('not telling', reason=str(problem))
+        except OSError as error:
+            # The other hosts read the store themselves in that case.
+            _LOG.decision('update server not started', reason=str(error))
             return
         stack.callback(self._close)
         stack.callback(server.close)
 
     async def run(self) -> None:
-        """Give signs of life until cancelled."""
-        sign = encode(Alive())
+        """Send keep-alives until cancelled."""
+        keep_alive = encode(KeepAlive())
         while True:
             await self._clock.sleep(ALIVE)
-            self._send(sign)
+            self._send(keep_alive)
 
-    def tell(self, news: News) -> None:
-        """Tell what has changed in a table."""
-        self._copies.apply(news)
+    def tell(self, update: TableUpdate) -> None:
+        """Send the changes of a table."""
+        self._cache.apply(update)
         if self._followers:
-            self._send(encode_or_mark(news))
+            self._send(encode_or_mark(update))
 
     def tell_whole(self, table: str, read: RowsRead) -> None:
-        """Tell a table that was read whole."""
-        copy = self._copies.replace(table, read)
+        """Send a table of which this host has read a full snapshot."""
+        cached = self._cache.replace(table, read)
         if self._followers:
-            self._send(encode_or_mark(copy.whole()))
+            self._send(encode_or_mark(cached.whole()))
 
     def tell_lost(self, table: str) -> None:
-        """Tell that the store does not answer."""
-        self._copies.forget(table)
-        self._send(encode(StoreLost(table)))
+        """Report that the store does not answer."""
+        self._cache.forget(table)
+        self._send(encode(StoreUnavailable(table)))
 
-    async def _take(
+    async def _serve(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Tell one follower until it leaves."""
+        """Serve one follower until it disconnects."""
         try:
             async with asyncio.timeout(GREETING):
                 known = await receive(reader)
-            if isinstance(known, Known):
-                self._greet(writer, known)
+            if isinstance(known, KnownVersions):
+                self._add_follower(writer, known)
                 await reader.read()
-        except LINK_ENDS as problem:
-            _LOG.decision('follower lost', reason=repr(problem))
+        except LINK_ENDS as error:
+            _LOG.decision('follower lost', reason=repr(error))
         finally:
             self._followers.discard(writer)
             writer.transport.abort()
 
-    def _greet(self, writer: asyncio.StreamWriter, known: Known) -> None:
-        """Tell a new follower what it does not know, and all from now on."""
-        for told in self._copies.beyond(known.versions):
-            text = encode_or_mark(told)
-            if text is not None:
-                writer.write(text)
+    def _add_follower(
+        self, writer: asyncio.StreamWriter, known: KnownVersions
+    ) -> None:
+        """Send a new follower what it lacks, and all later updates."""
+        for message in self._cache.beyond(known.versions):
+            payload = encode_or_mark(message)
+            if payload is not None:
+                writer.write(payload)
         self._followers.add(writer)
 
-    def _send(self, text: bytes | None) -> None:
+    def _send(self, payload: bytes | None) -> None:
         """Send a frame to all followers."""
         for writer in tuple(self._followers):
-            if text is None or writer.transport.is_closing():
+            if payload is None or writer.transport.is_closing():
                 continue
             if writer.transport.get_write_buffer_size() > MOST_WAITING:
-                _LOG.decision('follower left', reason='it does not read')
+                _LOG.decision(
+                    'follower disconnected', reason='it does not read'
+                )
                 writer.transport.abort()
                 continue
-            writer.write(text)
+            writer.write(payload)
 
     def _close(self) -> None:
-        """Leave all followers."""
+        """Disconnect all followers."""
         for writer in tuple(self._followers):
             writer.transport.abort()
--- a/src/nutmegroad/fleet/paces.py
+++ b/src/nutmegroad/fleet/paces.py
@@ -1,11 +1,12 @@
-"""How often each table of the platform's store is asked for.
-
-Each answer costs, and each change wakes every host. So a host waits at the
-store, and rests between answers: what comes meanwhile shares an answer. All of
-it is a part of the time in which a change has to be in force on every host,
-also where the one that reads for others loses the store without a sign. The
-wait and the rest together are less than the time for which its word is relied
-on, and that leaves the others a quarter to ask the store themselves.
+"""Timing of the calls by which hosts follow tables of the platform's store.
+
+Each answer has a cost, and each change wakes every host. A host therefore waits
+at the store and pauses between answers, so that changes that come meanwhile
+share an answer. Both take up a part of the time within which a change has to be
+in force on every host, even if the host that reads for others loses the store
+without notice. Wait and pause together are shorter than the time for which that
+host's updates are valid, and this validity leaves its followers a quarter of
+the bound to ask the store themselves.
 """
 
 from dataclasses import replace
@@ -13,37 +14,40 @@
 
 from nutmegroad.fleet.followers import FeedPace
 
-#: Part of the keys' trust for which the store is asked to wait at most: an
-#: answer is a moment old when it comes; a lost one is noticed after a second.
+#: Maximum fraction of the keys' validity for which the store is asked to wait:
+#: an answer is slightly old when it arrives, and a lost answer is noticed after
+#: a second.
 TRUST_PART: Final = 0.6
 
-#: Parts of a bound for which the store is asked to wait for a change, for which
-#: a host rests after an answer, and for which another host's word is relied on.
-#: The first two leave a fifth of the bound for an answer's way to those who are
-#: told; the last leaves a quarter for a call, of which a slow store takes half.
+#: Fractions of a bound for which the store is asked to wait for a change, for
+#: which a host pauses after an answer, and for which updates from another host
+#: are valid. The first two leave a fifth of the bound for forwarding an answer
+#: to the followers; the last leaves a quarter for a call, of which a slow store
+#: takes half.
 WAIT_PART: Final = 0.35
 REST_PART: Final = 0.2
 RELIANCE_PART: Final = 0.75
 
 
-def operator_pace(trust: float | None, bound: float) -> FeedPace:
-    """Return how often the operator's table is asked for.
+def operator_pace(key_validity: float | None, bound: float) -> FeedPace:
+    """Return the timing for the operator's table.
 
     Args:
-        trust: Seconds for which keys hold unconfirmed; None for ever.
-        bound: Seconds in which a configuration has to be in force.
+        key_validity: Seconds for which unconfirmed keys are valid; None if they
+            are valid forever.
+        bound: Seconds within which a configuration has to be in force.
     """
-    pace = bounded_pace(bound)
-    if trust is None:
-        return pace
-    return replace(pace, wait=min(pace.wait, trust * TRUST_PART))
+    timing = bounded_pace(bound)
+    if key_validity is None:
+        return timing
+    return replace(timing, wait=min(timing.wait, key_validity * TRUST_PART))
 
 
 def bounded_pace(bound: float) -> FeedPace:
-    """Return how often a table is asked for.
+    """Return the timing for a table with a bound on changes.
 
     Args:
-        bound: Seconds in which a change has to be in force.
+        bound: Seconds within which a change has to be in force.
     """
     return FeedPace(
         bound * WAIT_PART,
--- a/src/nutmegroad/fleet/shared_store.py
+++ b/src/nutmegroad/fleet/shared_store.py
@@ -1,14 +1,14 @@
-"""The platform's store, read by one host of a failure domain for all.
+"""Store access in which one host of a failure domain reads for all.
 
-Each answer of the store costs, and each change would wake every host. So a
-host that follows another waits for its news, and asks the store only for what
-these can't tell. What is written always goes to the store itself.
+Each answer of the store has a cost, and each change would wake every host. A
+host that follows another one therefore waits for its updates, and asks the
+store only for what these do not provide. Writes always go to the store itself.
 """
 
 from collections.abc import Awaitable, Callable
 from typing import Final
 
-from nutmegroad.fleet.news import News
+from nutmegroad.fleet.news import TableUpdate
 from nutmegroad.fleet.news_link import NewsLink
 from nutmegroad.fleet.news_server import NewsServer
 from nutmegroad.fleet.store_clock import StoreClock
@@ -28,19 +28,21 @@
 
 _LOG: Final = part_logger('news')
 
-#: Seconds for which a host that starts waits to be told a table whole, and one
-#: that has lost whom it followed waits for another: a connection within the
-#: failure domain and the table's way; the store is asked then.
+#: Seconds for which a host that starts waits for a snapshot from another host,
+#: and for which a host that has lost its source waits for another one: the time
+#: of a connection within the failure domain and of the transfer of the table.
+#: After that it asks the store.
 WHOLE_WAIT: Final = 0.5
 RELINK_WAIT: Final = 0.4
 
-#: Seconds after which a host asks the store itself to set its clock by it:
-#: two steady clocks have drifted by hundredths of a second by then.
+#: Seconds after which a host asks the store itself, to calibrate its store
+#: clock: by then two steady clocks have drifted by hundredths of a second.
 RESYNC: Final = 60.0
 
-#: Seconds between own tries while the store is away and another host tells as
-#: soon as it is back: the store may turn just that host away. With a call that
-#: hangs for a second, a change is known within the bound after an outage.
+#: Seconds between a host's own attempts while the store is unavailable and
+#: another host reports when it is available again: the store may refuse just
+#: this host. Together with a call that hangs for a second, a change is still
+#: known within the bound after an outage.
 LINKED_RETRY: Final = 1.5
 
 
@@ -50,12 +52,13 @@
     Args:
         store: The platform's store.
         link: Follows another host.
-        server: Tells those who follow this one.
+        server: Sends updates to the followers of this host.
         store_clock: The store's clock.
         clock: The host's clock.
-        gathered: Waits, where all hosts start for the first time, until those
-            that start together have made themselves known.
-        heard: Told of each position in the store that another host tells.
+        wait_for_startup: Waits, where all hosts of the fleet start for the
+            first time, until those that start together have registered.
+        on_position: Called with each position in the store that another host
+            sends.
     """
 
     def __init__(
@@ -65,12 +68,12 @@
         server: NewsServer,
         store_clock: StoreClock,
         clock: Clock,
-        gathered: Callable[[], Awaitable[None]],
-        heard: Callable[[int], None],
+        wait_for_startup: Callable[[], Awaitable[None]],
+        on_position: Callable[[int], None],
     ) -> None:
-        self._heard = heard
-        self._gathered = gathered
-        self._waited: set[str] = set()
+        self._on_position = on_position
+        self._wait_for_startup = wait_for_startup
+        self._awaited_tables: set[str] = set()
         self._store = store
         self._link = link
         self._server = server
@@ -78,18 +81,18 @@
         self._clock = clock
 
     async def snapshot(self, table: str) -> RowsRead | Refusal:
-        """Return all rows of a table as of one moment.
+        """Return all rows of a table as of one point in time.
 
-        The table of hosts a host reads itself when it starts: by it, it finds
-        whom to follow, and what time it is at the store.
+        A host that starts reads the table of hosts from the store itself: from
+        it, the host learns which host to follow, and the store's time.
         """
-        await self._gathered()
+        await self._wait_for_startup()
         if table != FLEET_TABLE or self._store_clock.age < RESYNC:
-            told = await self._whole_told(table)
-            if told is not None:
-                self._heard(told.version)
-                self._server.tell_whole(table, told)
-                return told
+            received = await self._snapshot_from_peer(table)
+            if received is not None:
+                self._on_position(received.version)
+                self._server.tell_whole(table, received)
+                return received
         asked = self._clock.now()
         found = await self._store.snapshot(table)
         if isinstance(found, Refusal):
@@ -106,23 +109,31 @@
         wait: float,
         told_until: float,
     ) -> RowsRead | HistoryLost | Refusal:
-        """Return what has changed, or wait for a change, as a follower asks.
-
-        Another host's signs of life say nothing of its way to the store, which
-        it may have lost without knowing. So its news are waited for only as
-        long as the last ones are young enough, by the store's own time; a
-        change is then known in time whatever becomes of that host.
+        """Return the changes after a version, or wait for one.
+
+        Keep-alives of another host say nothing about its connection to the
+        store, which it may have lost without noticing. Its updates are
+        therefore awaited only as long as the last ones are recent enough by the
+        store's own time. A change is then known in time, whatever happens to
+        that host.
+
+        Args:
+            table: The table.
+            after: The version that is known.
+            wait: Seconds that the store is asked to wait.
+            told_until: Clock time in seconds until which updates from another
+                host are awaited.
         """
         left = max(0, told_until - self._clock.now())
         await self._link.settle(min(left, RELINK_WAIT))
         if self._link.serves(table):
-            told = await self._changes_told(table, after, told_until)
-            if told is not None:
-                self._heard(told.version)
-                self._pass_on(table, after, told)
-                return told
-            # What was missed is there to be read; and only an answer that
-            # was not held back shows what time it is at the store.
+            received = await self._changes_from_peer(table, after, told_until)
+            if received is not None:
+                self._on_position(received.version)
+                self._forward(table, after, received)
+                return received
+            # The missed changes can be read at once, and only an answer that
+            # the store does not hold back calibrates the clock.
             wait = 0
         asked = self._clock.now()
         found = await self._store.changes(table, after, wait)
@@ -130,16 +141,22 @@
             self._server.tell_lost(table)
         elif isinstance(found, RowsRead):
             self._store_clock.answered(asked, found.store_time)
-            self._tell(table, after, found)
+            self._send_update(table, after, found)
         return found
 
     async def rest(self, table: str, seconds: float) -> None:
-        """Wait before the store is asked again after a failure.
+        """Wait after a failure before the store is asked again.
+
+        The wait ends early when another host reports that the store is
+        available again.
 
-        News from another host, that the store is back, end it sooner.
+        Args:
+            table: The table that could not be read.
+            seconds: Time to wait where no other host can report the return.
         """
         if self._link.source is None or self._link.serves(table):
-            # Nobody tells, or one who does not know of the failure.
+            # No host can report it, or the one followed has not seen the
+            # failure.
             await self._clock.sleep(seconds)
         else:
             await self._link.wait(table, max(seconds, LINKED_RETRY))
@@ -149,48 +166,49 @@
         expected: tuple[RowExpected, ...],
         puts: tuple[RowPut, ...],
     ) -> Committed | RowsMoved | Refusal:
-        """Write all rows if all expectations hold, else none."""
+        """Write all rows if all conditions hold, otherwise none."""
         return await self._store.commit(expected, puts)
 
-    async def _whole_told(self, table: str) -> RowsRead | None:
-        """Return a table as another host tells it, or None to ask the store.
+    async def _snapshot_from_peer(self, table: str) -> RowsRead | None:
+        """Return a snapshot from another host, or None to ask the store.
 
-        A table is waited for once: a host that starts while the store is away
-        must not find it back later for that.
+        Only the first snapshot of a table is awaited: a host that starts while
+        the store is unavailable must not notice its return later because of the
+        wait.
         """
-        if table in self._waited and self._link.source is None:
+        if table in self._awaited_tables and self._link.source is None:
             return None
-        self._waited.add(table)
+        self._awaited_tables.add(table)
         return await self._link.whole(table, WHOLE_WAIT)
 
-    async def _changes_told(
+    async def _changes_from_peer(
         self,
         table: str,
         after: int,
         until: float,
     ) -> RowsRead | None:
-        """Return what another host tells, or None to ask the store."""
+        """Return changes from another host, or None to ask the store."""
         if self._store_clock.age > RESYNC:
             return None
-        told = await self._link.changes(table, after, until)
-        if told is None and self._clock.now() >= until:
+        received = await self._link.changes(table, after, until)
+        if received is None and self._clock.now() >= until:
             _LOG.decision(
-                'news too old',
+                'table updates too old',
                 host=self._link.source,
                 table=table,
                 after=after,
             )
-        return told
+        return received
 
-    def _pass_on(self, table: str, base: int, read: RowsRead) -> None:
-        """Tell on what another host has told."""
+    def _forward(self, table: str, base: int, read: RowsRead) -> None:
+        """Forward to the followers what another host has sent."""
         if read.whole:
             self._server.tell_whole(table, read)
         else:
-            self._tell(table, base, read)
+            self._send_update(table, base, read)
 
-    def _tell(self, table: str, base: int, read: RowsRead) -> None:
-        """Tell those who follow this host what it has learnt."""
+    def _send_update(self, table: str, base: int, read: RowsRead) -> None:
+        """Send changes to the followers of this host."""
         self._server.tell(
-            News(table, base, read.version, read.store_time, read.rows),
+            TableUpdate(table, base, read.version, read.store_time, read.rows),
         )
--- a/src/nutmegroad/fleet/store_clock.py
+++ b/src/nutmegroad/fleet/store_clock.py
@@ -1,21 +1,22 @@
-"""The platform store's steady clock, seen from this host.
+"""The steady clock of the platform's store, seen from this host.
 
-Each answer of the store carries its time. The answer was made after its
-question was sent, so it shows how far the store's clock is ahead of ours at
-most; of all answers the one that came back soonest shows it best. With that,
-an answer that the store held back for seconds still tells when it was made.
+Each answer of the store carries its time. The answer was made after its request
+was sent, which bounds how far the store's clock can be ahead of the host's; of
+all answers, the one with the shortest round trip gives the best bound. With it,
+the time of an answer is known even if the store held the answer back for
+seconds.
 """
 
 from typing import Final
 
 from nutmegroad.foundations.clocks import Clock
 
-#: Seconds that two steady clocks may drift apart in a second.
+#: Maximum drift between two steady clocks, in seconds per second.
 DRIFT: Final = 0.0002
 
 
 class StoreClock:
-    """Turns the store's times into ours, never later than they were.
+    """Converts the store's times to the host's clock, never to a later time.
 
     Args:
         clock: The host's clock.
@@ -23,56 +24,58 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        # Ours less the store's, at least; and when that was found.
-        self._behind: float | None = None
-        self._found = float('-inf')
+        # Lower bound of the host's clock minus the store's, and the time at
+        # which it was measured.
+        self._lead: float | None = None
+        self._calibrated_at = float('-inf')
 
     @property
     def age(self) -> float:
-        """Return the seconds since an answer last set it."""
-        return self._clock.now() - self._found
+        """Return the seconds since an answer last calibrated the clock."""
+        return self._clock.now() - self._calibrated_at
 
     def now(self) -> float:
-        """Return the store's seconds, or ours before its first answer."""
+        """Return the store's seconds, or the host's before the first answer."""
         now = self._clock.now()
-        return now if self._behind is None else now - self._behind
+        return now if self._lead is None else now - self._lead
 
     def forget(self) -> None:
-        """Begin anew: the store's clock may have been set."""
-        self._behind = None
-        self._found = float('-inf')
+        """Discard the calibration: the store's clock may have been set."""
+        self._lead = None
+        self._calibrated_at = float('-inf')
 
     def answered(self, asked: float, store_time: float) -> None:
-        """Learn from an answer how far our clock is ahead.
+        """Calibrate the clock by an answer of the store.
 
         Args:
-            asked: Clock seconds right before the question was sent; what has
-                passed since makes the answer's moment look older than it is.
+            asked: Clock time in seconds right before the request was sent. The
+                time that has passed since makes the answer look older than it
+                is.
             store_time: The store's seconds in the answer.
         """
         least = asked - store_time
-        known = self._known()
+        known = self._current_lead()
         if known is None or least >= known:
-            self._behind = least
-            self._found = self._clock.now()
+            self._lead = least
+            self._calibrated_at = self._clock.now()
 
     def moment(self, store_time: float) -> float:
-        """Return our time of a moment of the store's, whoever tells of it.
+        """Convert a time of the store, whichever host has read it.
 
         Args:
-            store_time: The store's seconds at that moment.
+            store_time: Seconds on the store's clock.
 
         Returns:
-            The earliest that it can have been; endlessly long ago if the
-            store has not answered this host yet.
+            The earliest possible clock time in seconds; negative infinity if
+            the store has not answered this host yet.
         """
-        known = self._known()
+        known = self._current_lead()
         if known is None:
             return float('-inf')
         return min(self._clock.now(), store_time + known)
 
-    def _known(self) -> float | None:
-        """Return how far ours is ahead at least, None if not known."""
-        if self._behind is None:
+    def _current_lead(self) -> float | None:
+        """Return the lower bound of the host's lead, or None if unknown."""
+        if self._lead is None:
             return None
-        return self._behind - DRIFT * (self._clock.now() - self._found)
+        return self._lead - DRIFT * (self._clock.now() - self._calibrated_at)
--- a/src/nutmegroad/fleet/stored.py
+++ b/src/nutmegroad/fleet/stored.py
@@ -1,11 +1,11 @@
-"""The platform's store of rows, as far as the relay needs it."""
+"""Interface of the platform's store of versioned rows."""
 
 from dataclasses import dataclass
 from typing import Final, Protocol
 
 from nutmegroad.foundations.results import Refusal
 
-#: The table in which the hosts keep what they share.
+#: Name of the table that holds the state shared by the hosts.
 FLEET_TABLE: Final = 'nutmegroad'
 
 
@@ -16,8 +16,8 @@
     Attributes:
         key: Its name within the table.
         content: Its value; empty for a row that was removed.
-        version: Grows with every transaction, also over eras of the store.
-        removed: Whether the row is gone.
+        version: Grows with every transaction, also across eras of the store.
+        removed: Whether the row was removed.
     """
 
     key: str
@@ -28,14 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsRead:
-    """Rows of one table at one moment, or what has changed since another.
+    """Rows of one table at one time, or the changes since another.
 
     Attributes:
         rows: The rows.
-        version: The store's version at that moment.
+        version: The store's version at that time.
         store_time: Seconds on the store's steady clock.
         relayed: Whether another host has read them.
-        whole: Whether they are all rows, though only changes were asked for.
+        whole: Whether they are a full snapshot, though only changes were
+            requested.
         era: The store's era; None if it names none.
     """
 
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """The store does not know any more what has changed since.
+    """The store no longer knows the changes since a version.
 
     Attributes:
         era: The store's era; None if it names none.
@@ -64,7 +65,7 @@
 
     Attributes:
         table: Its table.
-        key: Its name.
+        key: Its name within the table.
         content: Its new value.
     """
 
@@ -75,11 +76,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RowExpected:
-    """A version that a row must have for a transaction to take effect.
+    """Condition of a transaction: the version that a row must have.
 
     Attributes:
         table: Its table.
-        key: Its name.
+        key: Its name within the table.
         version: The version; 0 if the row must not exist.
     """
 
@@ -90,10 +91,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """A transaction took effect.
+    """Outcome of a transaction that took effect.
 
     Attributes:
-        version: The store's version since.
+        version: The store's version after it.
         store_time: Seconds on the store's steady clock.
         era: The store's era; None if it names none.
     """
@@ -105,18 +106,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsMoved:
-    """A transaction did nothing, since a row had another version."""
+    """Outcome of a transaction without effect: a row had another version."""
 
 
 class Store(Protocol):
-    """The calls that the relay makes.
+    """Calls on the platform's store.
 
-    A refusal whose ``ran`` is ``UNKNOWN`` may hide a write that took effect,
-    now or seconds later.
+    A refusal whose ``ran`` is ``UNKNOWN`` may hide a write that took effect or
+    takes effect seconds later.
     """
 
     async def snapshot(self, table: str) -> RowsRead | Refusal:
-        """Return all rows of a table as of one moment."""
+        """Return all rows of a table as of one point in time."""
 
     async def changes(
         self,
@@ -124,11 +125,17 @@
         after: int,
         wait: float,
     ) -> RowsRead | HistoryLost | Refusal:
-        """Return what has changed, or wait so many seconds for a change."""
+        """Return the changes after a version, or wait for one.
+
+        Args:
+            table: The table.
+            after: The version that is known.
+            wait: Seconds to wait for a change.
+        """
 
     async def commit(
         self,
         expected: tuple[RowExpected, ...],
         puts: tuple[RowPut, ...],
     ) -> Committed | RowsMoved | Refusal:
-        """Write all rows if all expectations hold, else none."""
+        """Write all rows if all conditions hold, otherwise none."""
--- a/src/nutmegroad/fleet/table_copies.py
+++ b/src/nutmegroad/fleet/table_copies.py
@@ -1,6 +1,6 @@
-"""Copies of the platform's tables, to tell them whole to those who follow."""
+"""Cached tables of the platform's store, from which followers get snapshots."""
 
-from nutmegroad.fleet.news import News, Whole
+from nutmegroad.fleet.news import TableSnapshot, TableUpdate
 from nutmegroad.fleet.stored import RowsRead, StoredRow
 
 
@@ -9,7 +9,7 @@
 
     Args:
         table: Its name.
-        read: What was read.
+        read: The full snapshot.
     """
 
     def __init__(self, table: str, read: RowsRead) -> None:
@@ -18,33 +18,37 @@
         self.version = read.version
         self._store_time = read.store_time
 
-    def apply(self, news: News) -> bool:
-        """Take changes in; tell whether they follow on what is here."""
-        if news.base > self.version:
+    def apply(self, update: TableUpdate) -> bool:
+        """Apply an update and return whether no change before it is missing."""
+        if update.base > self.version:
             return False
-        for row in news.rows:
+        for row in update.rows:
             self._put(row)
-        self.version = max(self.version, news.version)
-        self._store_time = max(self._store_time, news.store_time)
+        self.version = max(self.version, update.version)
+        self._store_time = max(self._store_time, update.store_time)
         return True
 
-    def whole(self) -> Whole:
-        """Return all rows."""
-        return Whole(
+    def whole(self) -> TableSnapshot:
+        """Return a snapshot of all rows."""
+        return TableSnapshot(
             self._table,
             self.version,
             self._store_time,
             tuple(self._rows.values()),
         )
 
-    def beyond(self, version: int | None) -> News | Whole:
-        """Return what one has to be told who knows a version, or none."""
+    def beyond(self, version: int | None) -> TableUpdate | TableSnapshot:
+        """Return the update for a follower that knows a version.
+
+        Args:
+            version: The version that it knows; None if it knows none.
+        """
         if version != self.version:
             return self.whole()
-        return News(self._table, version, version, self._store_time)
+        return TableUpdate(self._table, version, version, self._store_time)
 
     def _put(self, row: StoredRow) -> None:
-        """Take one row in, unless a later state of it is here."""
+        """Store one row, unless a newer state of it is cached."""
         known = self._rows.get(row.key)
         if known is not None and known.version > row.version:
             return
@@ -55,30 +59,36 @@
 
 
 class TableCopies:
-    """Copies of all tables that are followed."""
+    """Caches all tables that are followed."""
 
     def __init__(self) -> None:
-        self._copies: dict[str, TableCopy] = {}
+        self._tables: dict[str, TableCopy] = {}
 
     def replace(self, table: str, read: RowsRead) -> TableCopy:
-        """Take a whole table in, and return its copy."""
-        copy = TableCopy(table, read)
-        self._copies[table] = copy
-        return copy
+        """Cache a full snapshot, and return the cached table."""
+        replaced = TableCopy(table, read)
+        self._tables[table] = replaced
+        return replaced
 
-    def apply(self, news: News) -> None:
-        """Take changes in; a copy that has missed some is forgotten."""
-        copy = self._copies.get(news.table)
-        if copy is not None and not copy.apply(news):
-            self.forget(news.table)
+    def apply(self, update: TableUpdate) -> None:
+        """Apply an update, and drop the cached table if it misses a change."""
+        cached = self._tables.get(update.table)
+        if cached is not None and not cached.apply(update):
+            self.forget(update.table)
 
     def forget(self, table: str) -> None:
-        """Forget a table: nobody knows how old its copy is."""
-        self._copies.pop(table, None)
+        """Drop a table, since its age is not known any more."""
+        self._tables.pop(table, None)
+
+    def beyond(
+        self, versions: dict[str, int]
+    ) -> list[TableUpdate | TableSnapshot]:
+        """Return the updates for a follower that knows some versions.
 
-    def beyond(self, versions: dict[str, int]) -> list[News | Whole]:
-        """Return what one has to be told who knows some versions."""
+        Args:
+            versions: Known version by table.
+        """
         return [
-            copy.beyond(versions.get(table))
-            for table, copy in self._copies.items()
+            cached.beyond(versions.get(table))
+            for table, cached in self._tables.items()
         ]
--- a/tests/test_shared_store.py
+++ b/tests/test_shared_store.py
@@ -1,4 +1,4 @@
-"""Hosts that read the store for others, and those that follow them."""
+"""Tests of hosts that read the store for others, and of their followers."""
 
 import asyncio
 import random
@@ -31,17 +31,17 @@
 )
 
 TABLE = 'op'
-#: What a host was told is never too old.
+#: Updates from another host never expire.
 FOREVER = float('inf')
 
 
 class CountingStore(AwayStore):
-    """A store with one table, whose calls are counted.
+    """A store with one table that counts its calls.
 
     Attributes:
         version: Its version; a row has the version that it was written at.
-        away: Whether it answers nothing.
-        calls: Calls that were made.
+        away: Whether it does not answer.
+        calls: Number of calls.
         waits: Seconds that it was asked to wait, by call for changes.
     """
 
@@ -52,7 +52,7 @@
         self.waits: list[float] = []
 
     def read(self, after: int) -> RowsRead | Refusal:
-        """Return what has changed since a version."""
+        """Return the changes after a version."""
         self.calls += 1
         if self.away:
             return AWAY
@@ -72,18 +72,19 @@
         after: int,
         wait: float,
     ) -> RowsRead | HistoryLost | Refusal:
-        """Return what has changed, at once."""
+        """Return the changes at once."""
         self.waits.append(wait)
         return self.read(after)
 
 
 class RelayedClockTest(unittest.TestCase):
-    """How old what another host has read is."""
+    """Age of what another host has read."""
 
-    def test_moment_is_the_stores_own(self) -> None:
-        """Pattern: a host is paused, and then tells what it read before.
+    def test_time_is_the_stores_own(self) -> None:
+        """Pattern: a host is paused, and then sends what it has read before.
 
-        The moment comes from the store's clock, so it is no newer for that.
+        The time comes from the store's clock, so the delay does not make it
+        newer.
         """
         clock = ManualClock(start=50)
         store_clock = StoreClock(clock)
@@ -93,12 +94,12 @@
         moment = store_clock.moment(9)
         self.assertLessEqual(moment, 52)
         self.assertGreater(moment, 51.9)
-        # A clock of ours that runs fast must not make it newer than now.
+        # A host clock that runs fast must not make it newer than now.
         self.assertLessEqual(store_clock.moment(99), clock.now())
 
 
 class Host:
-    """A host's part in reading the store.
+    """The part of a host that reads the store.
 
     Args:
         name: Its name.
@@ -118,7 +119,7 @@
         host = HostId(name)
         hosts[host] = self
 
-        def near() -> dict[HostId, HostRow]:
+        def local_hosts() -> dict[HostId, HostRow]:
             """Return the other hosts."""
             return {
                 other: found.row
@@ -126,7 +127,7 @@
                 if other != host
             }
 
-        self.link = NewsLink(host, self.row, near, clock)
+        self.link = NewsLink(host, self.row, local_hosts, clock)
         store_clock = StoreClock(clock)
         store_clock.answered(clock.now(), 100)
         self.store_clock = store_clock
@@ -145,7 +146,7 @@
     """Five hosts with one store."""
 
     async def asyncSetUp(self) -> None:
-        """Start all hosts, and wait until those that may follow do."""
+        """Start all hosts, and wait until four of them follow another one."""
         self.stack = await self.enterAsyncContext(AsyncExitStack())
         self.platform = CountingStore()
         self.hosts: dict[HostId, Host] = {}
@@ -162,18 +163,18 @@
         )
 
     def run_host(self, host: Host) -> None:
-        """Let a host tell and follow."""
+        """Run the server and the link of a host."""
         host.link.begin()
         for work in (host.server.run(), host.link.run()):
             task = asyncio.create_task(work)
             self.stack.callback(task.cancel)
 
     def followers(self) -> list[Host]:
-        """Return the hosts that follow another."""
+        """Return the hosts that follow another one."""
         return [host for host in self.hosts.values() if host.link.source]
 
     def followers_of(self, reader: Host) -> list[Host]:
-        """Return the hosts that follow one."""
+        """Return the hosts that follow a reader."""
         return [
             host
             for host in self.hosts.values()
@@ -194,7 +195,7 @@
         follower = self.followers_of(readers[0])[0]
         self.reader = readers[0]
         await self.until(lambda: follower.link.serves(TABLE))
-        # What the reader knew already is heard first.
+        # The rows that the reader had before are received first.
         await follower.store.changes(TABLE, self.platform.version, 60, FOREVER)
         return follower
 
@@ -215,7 +216,7 @@
         self.assertEqual(self.platform.calls, before + 1)
 
     async def test_what_was_missed_is_read(self) -> None:
-        """A host that knows less than its reader did asks the store."""
+        """A host that knows less than its reader had read asks the store."""
         self.platform.version = 5
         follower = await self.served()
         found = await follower.store.changes(TABLE, 2, 60, FOREVER)
@@ -235,10 +236,10 @@
         assert isinstance(found, RowsRead)
         self.assertFalse(found.relayed)
 
-    async def test_followers_of_a_lost_reader_are_told_by_the_next(
+    async def test_followers_of_a_lost_reader_are_served_by_the_next(
         self,
     ) -> None:
-        """Pattern: the reader is killed; forty hosts asked for three tables."""
+        """Pattern: the reader is killed; forty hosts requested three tables."""
         await self.served()
         first = self.reader
         self.stack.callback(self.hosts.update, dict(self.hosts))
@@ -257,11 +258,11 @@
         self.assertTrue(all(isinstance(each, RowsRead) for each in found))
         self.assertEqual(self.platform.calls, before + 1)
 
-    async def test_host_that_starts_is_told_tables_whole(self) -> None:
+    async def test_host_that_starts_receives_full_snapshots(self) -> None:
         """Pattern: power returns everywhere; each host read three tables.
 
-        Seen at 195 hosts as two calls of three and a half thousand in a calm
-        day, and as many again when all started at once.
+        Seen at 195 hosts as two of three and a half thousand calls on a calm
+        day, and as many again when all hosts started at once.
         """
         self.platform.version = 7
         await self.served()
@@ -279,15 +280,15 @@
         self.assertEqual(self.platform.calls, before)
 
     async def test_host_that_starts_alone_asks_the_store_in_time(self) -> None:
-        """Pattern: nobody else is there, or the table of hosts is not read."""
+        """Pattern: there is no other host, or the host table is not read."""
         lonely = Host('z', self.platform, {})
         lonely.row = HostRow('127.0.0.1', lonely.row.port, 'south')
         found = await lonely.store.snapshot(TABLE)
         assert isinstance(found, RowsRead)
         self.assertFalse(found.relayed)
 
-    async def test_whole_table_replaces_what_a_follower_knew(self) -> None:
-        """Pattern: a row was removed while a host was cut from its reader."""
+    async def test_snapshot_replaces_what_a_follower_knew(self) -> None:
+        """Pattern: a row was removed while a host had lost its reader."""
         told: list[str] = []
         sink = Mock(
             replace=lambda read: told.append('replace'),
@@ -317,8 +318,8 @@
             await follower.step()
         self.assertEqual(told, ['replace', 'replace', 'apply'])
 
-    async def test_reader_without_the_store_says_so(self) -> None:
-        """Pattern: the store turns away the host that reads for others."""
+    async def test_reader_reports_the_loss_of_the_store(self) -> None:
+        """Pattern: the store refuses the host that reads for others."""
         follower = await self.served()
         asked = asyncio.create_task(
             follower.store.changes(TABLE, 1, 60, FOREVER)
@@ -329,8 +330,8 @@
         self.assertEqual(await asked, AWAY)
         self.assertFalse(follower.link.serves(TABLE))
 
-    async def test_return_of_the_store_is_told(self) -> None:
-        """Pattern: the store is back; who waits to try again is woken."""
+    async def test_return_of_the_store_is_reported(self) -> None:
+        """Pattern: the store is back; a host that waits to retry is woken."""
         follower = await self.served()
         self.platform.away = True
         await self.reader.store.changes(TABLE, 1, 0, FOREVER)
@@ -342,27 +343,29 @@
         await resting
         self.assertTrue(follower.link.serves(TABLE))
 
-    async def test_clock_is_set_by_an_answer_that_was_not_held_back(
+    async def test_clock_is_calibrated_by_an_immediate_answer(
         self,
     ) -> None:
         """Pattern: a calm table; each answer is held back for seconds.
 
-        Found by reading: a host whose clock was a minute old asked the store
-        to wait, learnt nothing from the answer, and followed nobody any more.
+        Found by reading: a host whose clock calibration was a minute old asked
+        the store to wait, could not calibrate by the answer, and followed no
+        host any more.
         """
         follower = await self.served()
-        follower.store_clock._found -= 100
+        follower.store_clock._calibrated_at -= 100
         await follower.store.changes(TABLE, 1, 60, FOREVER)
         self.assertEqual(self.platform.waits[-1], 0)
 
-    async def test_clock_is_set_by_the_call_itself(self) -> None:
+    async def test_clock_is_calibrated_from_the_start_of_the_call(self) -> None:
         """Pattern: a host was busy when the store first answered it.
 
-        It took all news for older than they were. A call that it made once it
-        had waited for news did not help: it was dated from before the wait.
+        It took all updates for older than they were. A call that it made after
+        waiting for updates did not help, since it was dated from before the
+        wait.
         """
         follower = await self.served()
-        follower.store_clock._behind -= 10
+        follower.store_clock._lead -= 10
         until = follower.store._clock.now() + 0.1
         found = await follower.store.changes(TABLE, 1, 60, until)
         assert isinstance(found, RowsRead)
@@ -371,17 +374,17 @@
 
     async def test_fast_links_read_for_the_others(self) -> None:
         """Pattern: links of 5 and of 100 Mbit/s in one failure domain."""
-        near = {
+        local_hosts = {
             HostId('slow'): HostRow('127.0.0.1', 1, 'north', 5),
             HostId('fast'): HostRow('127.0.0.1', 2, 'north', 100),
             HostId('also'): HostRow('127.0.0.1', 3, 'north', 100),
         }
         own = HostRow('127.0.0.1', 4, 'north', 20)
-        link = NewsLink(HostId('me'), own, lambda: near, ManualClock())
-        self.assertIn(link._choose(), ('fast', 'also'))
+        link = NewsLink(HostId('me'), own, lambda: local_hosts, ManualClock())
+        self.assertIn(link._select_source(), ('fast', 'also'))
         best = HostRow('127.0.0.1', 4, 'north', 1000)
-        link = NewsLink(HostId('me'), best, lambda: near, ManualClock())
-        self.assertIsNone(link._choose())
+        link = NewsLink(HostId('me'), best, lambda: local_hosts, ManualClock())
+        self.assertIsNone(link._select_source())
 
 
 if __name__ == '__main__':
--- a/tests/test_silent_reader.py
+++ b/tests/test_silent_reader.py
@@ -1,13 +1,13 @@
-"""A host that reads the store for others loses it without a sign.
-
-Seen: routes that a confirmed configuration had added were refused as unknown,
-by two hosts of one failure domain, later than the bound. How it came about: the
-host that both followed was cut off from the platform's store alone. It went on
-giving them signs of life, waited for an answer for some three seconds, and they
-waited for its news. Cause: a follower took the life of the link for the age of
-what it had been told. What proved it: readers cut off from just the store while
-the configuration changes; their followers, and no other hosts, were late. The
-same holds for the list of upstreams, which had waited for twenty seconds.
+"""A host that reads the store for others loses it without notice.
+
+Routes that a confirmed configuration had added were refused as unknown by two
+hosts of one failure domain, later than the bound. The host that both followed
+was cut off from the platform's store only: it went on sending keep-alives and
+waited some three seconds for an answer, while they waited for its updates.
+Cause: a follower took the life of the link for the age of its updates.
+Evidence: with readers cut off from just the store while the configuration
+changes, their followers were late, and no other hosts. The list of upstreams
+was affected too; it had waited for twenty seconds.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 from nutmegroad.fleet.announcements import HostRow
 from nutmegroad.fleet.followers import FeedPace, TableFollower
-from nutmegroad.fleet.news import Known
+from nutmegroad.fleet.news import KnownVersions
 from nutmegroad.fleet.news_link import NewsLink
 from nutmegroad.fleet.news_server import NewsServer
 from nutmegroad.fleet.paces import bounded_pace, operator_pace
@@ -39,30 +39,30 @@
 )
 
 TABLE: Final = 'op'
-#: Seconds within which a change has to be in force: the shortest of today.
+#: Seconds within which a change has to be in force: today's shortest bound.
 BOUND: Final = 2.0
-#: Seconds for which keys hold unconfirmed.
+#: Seconds for which unconfirmed keys are valid.
 TRUST: Final = 5.0
-#: Seconds that a call on the store lasts that is not answered, beside those
-#: that the store was asked to wait.
+#: Seconds until an unanswered call on the store fails, in addition to the
+#: seconds that the store was asked to wait.
 ANSWER: Final = 1.0
-#: Seconds from a moment of calm until the fault, and from the fault until the
-#: configuration changes: all phases of a reader's questions.
+#: Seconds from a calm state until the fault, and from the fault until the
+#: configuration changes: covers all phases of a reader's calls.
 PHASES: Final = tuple(
     (step / 3, more / 3) for step in range(10) for more in range(10)
 )
-#: Seconds of calm in which calls are counted: less than the minute after which
-#: a host sets its clock by a call.
+#: Seconds without faults in which calls are counted: less than the minute after
+#: which a host calibrates its clock by a call.
 CALM: Final = 30.0
 
 
 class ChangingStore:
-    """A platform's store that may leave single hosts without an answer.
+    """A store that may leave single hosts without an answer.
 
     Attributes:
-        version: The version of its one row.
+        version: Version of its one row.
         silent: Hosts whose calls are not answered.
-        calls: How many calls each host has made.
+        calls: Number of calls by host.
     """
 
     def __init__(self) -> None:
@@ -72,17 +72,17 @@
         self._changed = asyncio.Event()
 
     def change(self) -> None:
-        """Write the row anew."""
+        """Write the row again."""
         self.version += 1
         self._changed.set()
         self._changed = asyncio.Event()
 
     def seen_by(self, host: str) -> 'HostStore':
-        """Return the store as one host has it."""
+        """Return the store as one host sees it."""
         return HostStore(self, host)
 
     async def next_change(self, seconds: float) -> None:
-        """Wait for a change, so many seconds at most."""
+        """Wait for a change, at most for some seconds."""
         try:
             async with asyncio.timeout(seconds):
                 await self._changed.wait()
@@ -91,7 +91,7 @@
 
 
 class HostStore(AwayStore):
-    """The store as one host has it.
+    """The store as one host sees it.
 
     Args:
         store: The store.
@@ -129,12 +129,12 @@
 
     @property
     def _is_silent(self) -> bool:
-        """Tell whether this host gets no answer."""
+        """Whether this host gets no answer."""
         return self._host in self._store.silent
 
 
 class MemoryLink:
-    """Carries what a host tells to one that follows it.
+    """Delivers the frames of a host to its follower.
 
     Attributes:
         stream: Where the follower reads.
@@ -147,12 +147,12 @@
         self.transport.get_write_buffer_size.return_value = 0
 
     def write(self, text: bytes) -> None:
-        """Carry bytes."""
+        """Deliver bytes."""
         self.stream.feed_data(text)
 
 
 class Host:
-    """A host that keeps one table.
+    """A host that follows one table.
 
     Args:
         name: Its name.
@@ -160,7 +160,7 @@
         pace: How it follows the table.
 
     Attributes:
-        taken: When each version was taken in.
+        taken: When each version was applied.
     """
 
     def __init__(
@@ -196,24 +196,26 @@
         )
 
     def follow(self, other: Self) -> Awaitable[str]:
-        """Return the work of following another host."""
+        """Return the coroutine that follows another host."""
         link = MemoryLink()
-        other.server._greet(cast(asyncio.StreamWriter, link), Known({}))
+        other.server._add_follower(
+            cast(asyncio.StreamWriter, link), KnownVersions({})
+        )
         return self.link._read(HostId('reader'), link.stream)
 
     def _take(self, read: RowsRead) -> None:
-        """Note when a version came."""
+        """Record when a version was received."""
         now = asyncio.get_running_loop().time()
         for row in read.rows:
             self.taken.setdefault(row.version, now)
 
 
-#: What befalls two hosts; returns seconds, or what else is asserted of them.
-Play = Callable[['Pair'], Awaitable[float]]
+#: A scenario for two hosts; returns seconds, or another value to check.
+Scenario = Callable[['Pair'], Awaitable[float]]
 
 
 class Pair:
-    """A host that reads the store, and one that follows it.
+    """A host that reads the store, and its follower.
 
     Args:
         pace: How both follow the table.
@@ -223,7 +225,7 @@
         self.platform = ChangingStore()
         self.reader = Host('reader', self.platform, pace)
         self.follower = Host('follower', self.platform, pace)
-        self.reader.link._settled.set()
+        self.reader.link._decided.set()
         self._tasks = [
             asyncio.create_task(work)
             for work in (
@@ -241,54 +243,55 @@
         await asyncio.sleep(10)
 
     def close(self) -> None:
-        """End all work."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
 
 
 class SilentReaderTest(unittest.TestCase):
-    """Changes come to a host whose reader has lost the store."""
+    """Changes reach a host whose reader has lost the store."""
 
     def test_configuration_is_in_force_in_time(self) -> None:
         """Pattern: only the host that reads for others loses the store.
 
-        Also where keys hold for ever, and only the bound on changes makes a
-        host ask.
+        Covers keys that are valid forever, too, where only the bound on changes
+        makes a host call the store.
         """
         for trust in (TRUST, None):
             self.assert_in_time(operator_pace(trust, BOUND), change_in_silence)
 
-    def test_leaving_upstreams_are_known_in_time(self) -> None:
-        """Pattern: the same, and an upstream leaves."""
+    def test_draining_upstreams_are_known_in_time(self) -> None:
+        """Pattern: only the reader loses the store, and an upstream drains."""
         self.assert_in_time(bounded_pace(BOUND), change_in_silence)
 
     def test_change_is_in_time_once_the_store_is_back(self) -> None:
-        """Pattern: the store answered nobody, then all but the reader.
+        """Pattern: the store answered no host, then all but the reader.
 
-        A call that hangs for a second and the pause after it have to be over
-        before the bound is, counted from when the outage excuses nothing more.
+        A call that hangs for a second and the pause after it have to end before
+        the bound does, counted from when the outage is no excuse any more.
         """
         self.assert_in_time(operator_pace(TRUST, BOUND), change_after_outage)
 
-    def test_host_that_only_its_reader_can_serve_is_told(self) -> None:
-        """Pattern: the store answered nobody, then all but one follower.
+    def test_host_that_only_its_reader_can_serve_is_updated(self) -> None:
+        """Pattern: the store answered no host, then all but one follower.
 
-        Its own calls go on failing; what its reader tells is young again.
+        The follower's own calls go on failing; its reader's updates are recent
+        again.
         """
         self.assert_in_time(operator_pace(TRUST, BOUND), change_by_the_reader)
 
-    def test_followers_of_a_sound_reader_ask_nothing(self) -> None:
+    def test_followers_of_a_healthy_reader_ask_nothing(self) -> None:
         """Pattern: each host asks for itself, and calls cost a tenth."""
         for pace in (operator_pace(TRUST, BOUND), bounded_pace(BOUND)):
             calls = self.run_pair(pace, calls_in_calm)
             self.assertEqual(calls, 0)
 
-    def assert_in_time(self, pace: FeedPace, play: Play) -> None:
-        """Assert that a change comes within the bound, in all phases."""
+    def assert_in_time(self, pace: FeedPace, scenario: Scenario) -> None:
+        """Assert that a change arrives within the bound, in all phases."""
         late = {
             phase: found
             for phase in PHASES
-            if (found := self.run_pair(pace, partial(play, phase=phase)))
+            if (found := self.run_pair(pace, partial(scenario, phase=phase)))
             > BOUND
         }
         self.assertEqual(late, {})
@@ -296,16 +299,16 @@
     def run_pair(
         self,
         pace: FeedPace,
-        play: Play,
+        scenario: Scenario,
     ) -> float:
-        """Play something with two hosts, on virtual time."""
+        """Run a scenario with two hosts, on virtual time."""
 
         async def whole() -> float:
-            """Make the hosts, play, and end them."""
+            """Create the hosts, run the scenario, and stop them."""
             pair = Pair(pace)
             try:
                 await pair.settle()
-                return await play(pair)
+                return await scenario(pair)
             finally:
                 pair.close()
 
@@ -313,20 +316,20 @@
 
 
 async def change_in_silence(pair: Pair, phase: tuple[float, float]) -> float:
-    """Return how late a change comes that follows on the reader's silence."""
+    """Return the delay of a change after the reader has lost the store."""
     await asyncio.sleep(phase[0])
     pair.platform.silent.add('reader')
     await asyncio.sleep(phase[1])
-    return await lateness(pair)
+    return await delay_of_change(pair)
 
 
 async def change_after_outage(pair: Pair, phase: tuple[float, float]) -> float:
-    """Return how late a change comes once the store serves the follower."""
+    """Return the delay of a change once the store serves the follower."""
     return await change_after_return(pair, phase, 'follower')
 
 
 async def change_by_the_reader(pair: Pair, phase: tuple[float, float]) -> float:
-    """Return how late a change comes once the store serves the reader."""
+    """Return the delay of a change once the store serves the reader."""
     return await change_after_return(pair, phase, 'reader')
 
 
@@ -335,18 +338,18 @@
     phase: tuple[float, float],
     served: str,
 ) -> float:
-    """Return how late a change comes after an outage, as one host is served."""
+    """Return the delay of a change after an outage, as one host is served."""
     await asyncio.sleep(phase[0])
     pair.platform.silent.update(('reader', 'follower'))
     await asyncio.sleep(4 + phase[1])
     pair.platform.silent.discard(served)
-    # What excuses a host lasts three seconds longer than the outage; with it,
-    # this change has to be in force three seconds after the outage.
+    # The excuse of a host ends three seconds after the outage; with it, this
+    # change has to be in force three seconds after the outage.
     await asyncio.sleep(1)
-    return await lateness(pair)
+    return await delay_of_change(pair)
 
 
-async def lateness(pair: Pair) -> float:
+async def delay_of_change(pair: Pair) -> float:
     """Change the table; return the seconds until the follower has it."""
     loop = asyncio.get_running_loop()
     began = loop.time()
@@ -360,7 +363,7 @@
 
 
 async def calls_in_calm(pair: Pair) -> float:
-    """Return how often the follower asks the store while all is well."""
+    """Return how often the follower calls the store without any fault."""
     before = pair.platform.calls.get('follower', 0)
     await asyncio.sleep(CALM)
     return pair.platform.calls.get('follower', 0) - before
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -1,8 +1,8 @@
-"""A store that comes back from a copy which is some seconds old.
+"""A store that is restored from a backup which is some seconds old.
 
-Its versions go back and are given out again, so a reader that stands at one of
-them would go on past what it has missed, with no sign but the era; what was
-added is missing, and what was taken away is there again.
+Its versions go back and are assigned again, so a reader that continues from one
+of them would skip what it has missed; only the era shows the restore. Rows that
+were added are missing, and rows that were removed are there again.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 from tests.relay_samples import entry_row
 
 TABLE: Final = 'op'
-#: Seconds for which keys hold unconfirmed.
+#: Seconds for which unconfirmed keys are valid.
 TRUST: Final = 5.0
 UNAUTHENTICATED: Final = 401
 UNAVAILABLE: Final = 503
@@ -43,14 +43,14 @@
 
 @dataclass
 class NumberedStore:
-    """A store with versions and eras of its own.
+    """A store with its own versions and eras.
 
     Attributes:
-        era: What its answers name.
+        era: The era that its answers name.
         version: Its newest version.
-        asked: Versions after which changes were asked for.
-        expected: Conditions that came.
-        meanwhile: What happens while a call is under way.
+        asked: Versions after which changes were requested.
+        expected: Versions in the conditions that were received.
+        meanwhile: Called while a call is under way.
     """
 
     era: int | None = 1
@@ -80,7 +80,7 @@
         expected: tuple[RowExpected, ...],
         puts: tuple[RowPut, ...],
     ) -> Committed | RowsMoved | Refusal:
-        """Do it."""
+        """Accept the transaction."""
         self.expected.extend(row.version for row in expected)
         self.version += 1
         return Committed(self.version, 0, self.era)
@@ -95,24 +95,24 @@
     """Versions of a store that goes back."""
 
     def setUp(self) -> None:
-        """Make a store."""
+        """Create a store."""
         self.inner = NumberedStore()
         self.store = EraStore(self.inner)
-        self.rises = 0
-        self.store.tell_of_rises(self._count)
+        self.restores = 0
+        self.store.tell_of_rises(self._count_restore)
 
-    def _count(self) -> None:
-        """Count a rise."""
-        self.rises += 1
+    def _count_restore(self) -> None:
+        """Count a restore."""
+        self.restores += 1
 
     async def read(self) -> RowsRead:
-        """Read the table whole."""
+        """Read the full table."""
         found = await self.store.snapshot(TABLE)
         assert isinstance(found, RowsRead)
         return found
 
     async def test_a_later_era_is_later_whatever_its_versions(self) -> None:
-        """Positions grow, and name both."""
+        """Positions grow, and name era and version."""
         before = await self.read()
         self.inner.era, self.inner.version = 2, 3
         after = await self.read()
@@ -121,10 +121,10 @@
         self.assertEqual(
             (era_of(after.version), version_of(after.version)), (2, 3)
         )
-        self.assertEqual(self.rises, 1)
+        self.assertEqual(self.restores, 1)
 
-    async def test_a_feed_does_not_go_on_over_a_return(self) -> None:
-        """Though the store answers as if nothing had happened."""
+    async def test_a_feed_does_not_continue_past_a_restore(self) -> None:
+        """The store answers as if nothing had happened."""
         before = await self.read()
         self.inner.era, self.inner.version = 2, 12
         found = await self.store.changes(TABLE, before.version, 1)
@@ -133,8 +133,8 @@
         self.assertIsInstance(again, HistoryLost)
         self.assertEqual(self.inner.asked, [10])
 
-    async def test_a_condition_of_the_era_before_is_none(self) -> None:
-        """The version may have been given out again to another content."""
+    async def test_a_condition_of_the_previous_era_never_holds(self) -> None:
+        """The version may have been assigned again to another content."""
         before = await self.read()
         self.inner.era, self.inner.version = 2, 9
         await self.read()
@@ -146,8 +146,8 @@
         assert isinstance(fresh, Committed)
         self.assertEqual(era_of(fresh.version), 2)
 
-    async def test_an_answer_from_before_does_not_lead_back(self) -> None:
-        """It was on its way as another one told of the return."""
+    async def test_an_answer_from_before_the_restore_is_refused(self) -> None:
+        """It was on its way when another answer showed the restore."""
         before = await self.read()
         self.inner.meanwhile = lambda: self.store.heard(2 << 43)
         found = await self.store.changes(TABLE, before.version, 1)
@@ -155,7 +155,7 @@
         self.assertEqual(self.store.era, 2)
 
     async def test_eras_that_mean_nothing_change_nothing(self) -> None:
-        """None, or one that is lower than before."""
+        """No era, or one that is lower than before."""
         before = await self.read()
         for era in (None, 0):
             self.inner.era = era
@@ -163,10 +163,10 @@
                 found = await self.store.changes(TABLE, before.version, 1)
                 assert isinstance(found, RowsRead)
                 self.assertEqual(era_of(found.version), 1)
-        self.assertEqual(self.rises, 0)
+        self.assertEqual(self.restores, 0)
 
-    async def test_a_store_without_eras_is_as_ever(self) -> None:
-        """Positions are its versions."""
+    async def test_a_store_without_eras_keeps_its_versions(self) -> None:
+        """Positions are equal to its versions."""
         self.inner.era = None
         self.assertEqual((await self.read()).version, self.inner.version)
 
@@ -175,7 +175,7 @@
     """The list of upstreams as it was some seconds ago."""
 
     def setUp(self) -> None:
-        """Know one that serves, one that leaves and one that has left."""
+        """List an upstream that serves, one that drains, one that has left."""
         self.clock = ManualClock(100)
         self.directory = Directory(self.clock)
         self.sink = UpstreamSink(Rows(), self.directory, self.clock, notice=2)
@@ -192,7 +192,7 @@
         return RowsRead(found, version, 0)
 
     def go_back(self) -> None:
-        """Let the list be as it was first."""
+        """Restore the list to its first state."""
         self.sink.went_back()
         self.sink.replace(self.rows('abc', 5))
 
@@ -202,23 +202,23 @@
         found = self.directory.of_service('s')  # type: ignore[arg-type]
         return ''.join(sorted(each.entry.upstream for each in found))
 
-    async def test_what_has_left_gets_no_work_again(self) -> None:
-        """And what is missing stays until it should have written again."""
+    async def test_removed_upstream_gets_no_work_again(self) -> None:
+        """A missing upstream stays until its next write would have been due."""
         self.go_back()
         self.assertEqual(self.taking, 'ad')
         await self.clock.advance(RETURN_TIME)
         self.directory.remove_missing()
         self.assertEqual(self.taking, 'a')
 
-    def test_what_writes_again_is_believed(self) -> None:
-        """Whatever this host knew of it."""
+    def test_upstream_that_writes_again_is_listed(self) -> None:
+        """Its new entry counts, whatever this host knew of it."""
         self.go_back()
         self.sink.apply(self.rows('c', 6))
         self.sink.apply(self.rows('d', 7))
         self.assertEqual(self.taking, 'acd')
 
-    async def test_what_the_store_keeps_is_believed_in_the_end(self) -> None:
-        """It drops those that do not write."""
+    async def test_rows_that_the_store_keeps_are_used_in_the_end(self) -> None:
+        """The store drops upstreams that do not write."""
         self.go_back()
         gone = StoredRow('c', b'', 6, removed=True)
         self.sink.apply(RowsRead((gone,), 6, 0))
@@ -236,7 +236,7 @@
     async def test_an_older_copy_confirms_nothing_until_it_has_settled(
         self,
     ) -> None:
-        """Keys lapse by the last word from before, and no later."""
+        """Keys expire by the last confirmation from before, and no later."""
         clock = ManualClock(100)
         belief = ConfigurationBelief(clock, TRUST)
         belief.confirm(100)
@@ -250,11 +250,11 @@
         self.assertTrue(belief.trusted)
 
 
-class HeardVersionsTest(unittest.IsolatedAsyncioTestCase):
-    """A host that has just started and knows only the copy."""
+class ReceivedVersionsTest(unittest.IsolatedAsyncioTestCase):
+    """A host that has just started and knows only the backup."""
 
     async def test_a_copy_is_not_confirmed_while_others_have_more(self) -> None:
-        """Nor for ever, should nobody tell of it any more."""
+        """The newer version expires once no host sends it any more."""
         clock = ManualClock(100)
         heard = HeardVersions(clock)
         heard.own = 9
@@ -266,8 +266,8 @@
         self.assertEqual(heard.newest, 9)
 
 
-class ReturnTest(unittest.IsolatedAsyncioTestCase):
-    """Hosts on loopback whose store comes back from a copy."""
+class RestoreTest(unittest.IsolatedAsyncioTestCase):
+    """Hosts on loopback whose store is restored from a backup."""
 
     async def asyncSetUp(self) -> None:
         """Start two hosts with a store that names its era."""
@@ -284,7 +284,7 @@
         )
 
     async def test_a_configuration_never_goes_back(self) -> None:
-        """And the next one is in force though its version is an old one."""
+        """The next one is in force though its version was assigned before."""
         copy = self.rig.store.copy()
         self.rig.configure(version=2, tenants=[])
         await self.until_version(2)
@@ -300,22 +300,22 @@
             self.assertEqual(status, 200)
 
     async def test_a_host_that_starts_takes_no_key_by_the_copy(self) -> None:
-        """It hears of a newer configuration from those that hold it."""
+        """It receives the newer version from hosts that have it in force."""
         copy = self.rig.store.copy()
         self.rig.configure(version=2, tenants=[])
         await self.until_version(2)
         self.rig.store.come_back(copy)
-        # So that whoever is asked for tables has the copy's.
+        # By then the hosts that it reads tables from have those of the backup.
         await asyncio.sleep(1)
         number = await self.rig.add_host()
-        # Longer than any key holds unconfirmed; idle hosts have to tell it.
+        # Longer than an unconfirmed key is valid; idle hosts have to send, too.
         await asyncio.sleep(TRUST + 1)
         self.assertFalse(self.rig.hosts[number].trusted)
         status, _, _ = await self.rig.ask('/look/1', host=number)
         self.assertEqual(status, UNAVAILABLE)
 
     async def test_a_change_at_a_version_given_out_again_is_seen(self) -> None:
-        """A feed that went on from there would never tell of it."""
+        """A feed that continued from that version would never return it."""
         copy = self.rig.store.copy()
         for version in (2, 3, 4):
             self.rig.configure(version=version)
@@ -327,8 +327,8 @@
             self.rig.store.put('other', 'row', b'')
         await self.until_version(9)
 
-    async def test_a_host_whose_row_is_lost_makes_itself_known(self) -> None:
-        """Others that start later find it."""
+    async def test_a_host_whose_row_is_lost_registers_again(self) -> None:
+        """Hosts that start later find it."""
         copy = self.rig.store.copy()
         number = await self.rig.add_host()
         key = f'host/host-{number + 1}'
