--- a/src/nutmegroad/fleet/content_marks.py
+++ b/src/nutmegroad/fleet/content_marks.py
@@ -1,35 +1,39 @@
-"""Marks of what requests contain, by which hosts know one that comes again."""
+"""Fingerprints of request contents.
+
+Hosts use them to recognize a request that arrives again under another id.
+"""
 
 from hashlib import blake2b
 from typing import Final, NewType
 
-#: 63 bits that stand for a request's caller, path and body, whatever its id.
-#: Callers can't make one that is another caller's, so nobody can get a
-#: stranger's requests refused.
+#: 63-bit fingerprint of a request's caller, path and body; the request id is
+#: not part of it. A caller can't produce the fingerprint of another caller's
+#: request, so nobody can get somebody else's requests refused.
 ContentMark = NewType('ContentMark', int)
 
 _BYTES: Final = 8
-#: One bit less than they have, so that a signed integer can hold it.
+#: Drops the top bit, so that the fingerprint fits a signed 64-bit integer.
 _POSITIVE: Final = 0x7FFFFFFFFFFFFFFF
 
 
 def mark_content(caller: str, target: bytes, body: bytes) -> ContentMark:
-    """Return the mark of a request.
+    """Return the fingerprint of a request.
 
     Args:
-        caller: Whose it is, and of which host; unlike for each caller.
+        caller: Caller and workspace of the request; differs between callers.
         target: Path and query.
-        body: The whole body.
+        body: The complete body.
     """
     digest = blake2b(digest_size=_BYTES)
     for part in (caller.encode(), target):
-        # Its length first, so that no part can look like the end of another.
+        # The length prefix keeps the end of one part from being read as the
+        # start of the next.
         digest.update(len(part).to_bytes(_BYTES, 'big'))
         digest.update(part)
     digest.update(body)
     return ContentMark(int.from_bytes(digest.digest(), 'big') & _POSITIVE)
 
 
-def spell_mark(mark: ContentMark) -> str:
-    """Return a mark as logs show it."""
-    return f'{mark:016x}'
+def spell_mark(fingerprint: ContentMark) -> str:
+    """Return a fingerprint as 16 hexadecimal digits, as logs show it."""
+    return f'{fingerprint:016x}'
--- a/src/nutmegroad/fleet/crash_book.py
+++ b/src/nutmegroad/fleet/crash_book.py
@@ -1,14 +1,16 @@
-"""Which requests were under way as upstreams ended, as far as hosts know.
-
-A request may end each upstream that begins to run it, and it comes again under
-other ids, at any host. So what is remembered is its content, and hosts tell
-each other. Whoever ran beside it is remembered too, and can't be told from it
-by that alone: three ends make a request harmful until it is tried once more, by
-one host at a time; an answer clears it, a further end keeps it out for long.
+"""Tracks the requests that were running when upstreams crashed.
+
+A request may crash each upstream that executes it, and it is sent again under
+other ids to any host. Requests are therefore tracked by content, and hosts
+exchange what they have recorded. Requests that merely ran beside it are tracked
+too and can't be distinguished from it by one crash: three crashes in series
+make a request harmful. One host at a time may then execute it once more as a
+probe; an answer clears the request, and another crash blocks it for much
+longer.
 """
 
 from dataclasses import dataclass, field
-from typing import Final, NewType
+from typing import Final, NewType, Self
 
 from msgspec import Struct
 from xxhash import xxh32_intdigest
@@ -17,65 +19,67 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import UpstreamIncarnation
 
-#: 32 bits that stand for an incarnation of an upstream.
+#: 32-bit fingerprint of an incarnation of an upstream.
 UpstreamMark = NewType('UpstreamMark', int)
 
-#: Ends, one after the other, from which a request counts as harmful: fewer may
-#: meet any request by chance where many run at each upstream.
+#: Crashes in series from which a request counts as harmful. Any request may see
+#: fewer than that by chance where many requests run at each upstream.
 HARMFUL: Final = 3
 
-#: Seconds after its last end in which a harmful request is not tried: hosts
-#: have told each other by then, and the upstreams it has ended are still away.
+#: Seconds after its last crash for which a harmful request is not executed. By
+#: then all hosts have received the report of the crash, and the upstreams that
+#: it crashed are still down.
 FIRST_PAUSE: Final = 1.0
 
-#: The same once a trial has ended an upstream as well: it takes a person to
-#: mend the upstream. Doubles with each further end.
+#: Seconds for which the request is blocked once a probe execution has crashed
+#: an upstream as well: somebody has to repair the upstream by hand. Doubles
+#: with each further crash.
 LONG_PAUSE: Final = 600.0
 
-#: Longest such pause in seconds: a day.
+#: Maximum pause in seconds: one day.
 LONGEST_PAUSE: Final = 86_400.0
 
-#: Seconds for which a request that is not harmful yet is remembered.
+#: Seconds for which a request that is not harmful yet is tracked.
 MEMORY: Final = 600.0
 
-#: Seconds by which a run may seem to have begun before the end of the one
-#: before it: hosts tell each other of both by datagrams that take a moment.
+#: Seconds by which an execution may seem to have started before the crash that
+#: preceded it: hosts report both by datagrams, whose delay distorts the times.
 SLACK: Final = 0.05
 
-#: Requests remembered at most: as many as run on all upstreams of the largest
-#: deployment in view when a failure domain of it loses power.
+#: Maximum number of tracked requests: as many as run on all upstreams of the
+#: largest planned deployment when one of its failure domains loses power.
 MOST_REQUESTS: Final = 4000
 
-#: Requests that are left when there are more.
+#: Requests that remain after an eviction.
 KEPT_REQUESTS: Final = 3500
 
-#: Ends told at most in one datagram, of the requests with most ends first:
-#: with some twenty bytes each, they fit into an Ethernet frame.
+#: Maximum number of crashes per datagram, requests with most crashes first. At
+#: about twenty bytes each, they fit into an Ethernet frame.
 MOST_TOLD: Final = 40
 
-#: Seconds for which an end or an answer is told: twenty turns, in which all
-#: hosts hear of it from one another.
+#: Seconds for which a crash or an answer is reported: twenty gossip rounds,
+#: within which all hosts receive it from one another.
 TOLD_SPAN: Final = 3.0
 
 _MILLISECONDS: Final = 1000
 
-#: Clock seconds of what has not happened.
+#: Clock time of an event that has not happened.
 NEVER: Final = float('-inf')
 
 
 def mark_upstream(upstream: UpstreamIncarnation) -> UpstreamMark:
-    """Return the mark of an incarnation."""
+    """Return the fingerprint of an upstream's incarnation."""
     return UpstreamMark(xxh32_intdigest(upstream.encode()))
 
 
 class ToldEnd(Struct, frozen=True, array_like=True):
-    """An end as hosts tell it.
+    """A crash as hosts report it to each other.
 
     Attributes:
-        content: The request that was under way.
-        upstream: What has ended.
-        began: Milliseconds since the request was sent there.
-        ended: Milliseconds since the end.
+        content: Fingerprint of the request that was running.
+        upstream: Fingerprint of the upstream that crashed.
+        began: Milliseconds since the request was sent to the upstream.
+        ended: Milliseconds since the crash.
     """
 
     content: ContentMark
@@ -85,10 +89,10 @@
 
 
 class ToldAnswer(Struct, frozen=True, array_like=True):
-    """A whole answer to a request under which upstreams had ended.
+    """A complete answer to a request under which upstreams had crashed.
 
     Attributes:
-        content: The request.
+        content: Fingerprint of the request.
         age: Milliseconds since the answer.
     """
 
@@ -97,11 +101,11 @@
 
 
 class ToldCrashes(Struct, frozen=True, array_like=True):
-    """What a host has seen or heard within the last seconds.
+    """Crashes and answers of the last seconds that a host knows of.
 
     Attributes:
-        ends: Ends of upstreams.
-        answers: Whole answers.
+        ends: Crashes of upstreams.
+        answers: Complete answers.
     """
 
     ends: tuple[ToldEnd, ...] = ()
@@ -110,20 +114,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EndUnder:
-    """An upstream's end while a request was under way there.
+    """Crash of an upstream while it was executing a request.
 
     Attributes:
-        upstream: The upstream.
-        began: Clock seconds at which the request was sent there.
-        ended: Clock seconds of the end.
+        upstream: Fingerprint of the upstream.
+        began: Clock time in seconds at which the request was sent there.
+        ended: Clock time in seconds of the crash.
     """
 
     upstream: UpstreamMark
     began: float
     ended: float
 
-    def earlier(self, other: 'EndUnder') -> 'EndUnder':
-        """Return the same end as the quicker of two tellings shows it."""
+    def earlier(self, other: Self) -> Self:
+        """Return the earlier-dated of two reports of the same crash."""
         return other if other.ended < self.ended else self
 
 
@@ -132,38 +136,39 @@
     """What is known of one request.
 
     Attributes:
-        ends: Ends under it, by upstream.
-        answered: Clock seconds of its last whole answer.
+        ends: Crashes under it, by upstream.
+        answered: Clock time in seconds of its last complete answer.
     """
 
     ends: dict[UpstreamMark, EndUnder] = field(default_factory=dict)
     answered: float = NEVER
 
     @property
-    def latest(self) -> float:
-        """Return the moment of the last that is known."""
+    def latest_time(self) -> float:
+        """Return the time of the last crash, else of the last answer."""
         return max(
             (end.ended for end in self.ends.values()),
             default=self.answered,
         )
 
     @property
-    def in_series(self) -> int:
-        """Return how many ends came one after the other.
+    def series_length(self) -> int:
+        """Return how many crashes followed one another.
 
-        Upstreams that end at one moment end by what they have in common, and
-        a request that is asked for often runs at several of them.
+        Upstreams that crash at the same time have a common cause, and a request
+        that is sent often runs at several of them at once. Such crashes count
+        once.
         """
         count = 0
         last = NEVER
-        for end in sorted(self.ends.values(), key=_ended):
+        for end in sorted(self.ends.values(), key=_crash_time):
             if end.began >= last - SLACK:
                 count += 1
                 last = end.ended
         return count
 
-    def take(self, end: EndUnder) -> None:
-        """Take in an end, unless an answer came after it."""
+    def record_crash(self, end: EndUnder) -> None:
+        """Record a crash, unless a later answer is known."""
         if end.ended <= self.answered:
             return
         if len(self.ends) < HARMFUL:
@@ -171,31 +176,31 @@
         known = self.ends.get(end.upstream)
         self.ends[end.upstream] = end if known is None else known.earlier(end)
 
-    def answer(self, moment: float) -> bool:
-        """Take in a whole answer; tell whether it cleared anything."""
-        if moment <= self.answered:
+    def record_answer(self, time: float) -> bool:
+        """Record a complete answer and return whether it cleared a crash."""
+        if time <= self.answered:
             return False
-        self.answered = moment
+        self.answered = time
         before = len(self.ends)
-        self._forget_before(moment)
+        self._forget_before(time)
         return len(self.ends) < before
 
-    def _forget_before(self, moment: float) -> None:
-        """Forget the ends up to a moment."""
+    def _forget_before(self, time: float) -> None:
+        """Forget the crashes up to a time."""
         self.ends = {
             upstream: end
             for upstream, end in self.ends.items()
-            if end.ended > moment
+            if end.ended > time
         }
 
 
 @dataclass(frozen=True, slots=True)
 class Harmful:
-    """A request that is kept from upstreams.
+    """A request that is blocked because it crashes upstreams.
 
     Attributes:
-        ends: How many upstreams have ended under it, one after the other.
-        pause: Seconds until it may be tried once more; 0 for now.
+        ends: Number of crashes in series.
+        pause: Seconds until a probe execution is allowed; 0 if it is now.
     """
 
     ends: int
@@ -203,7 +208,7 @@
 
 
 class CrashBook:
-    """Remembers under which requests upstreams have ended.
+    """Tracks the requests under which upstreams have crashed.
 
     Args:
         clock: The host's clock.
@@ -211,62 +216,66 @@
 
     @property
     def has_news(self) -> bool:
-        """Tell whether there is anything to tell."""
-        return self._clock.now() <= self._news_until
+        """Whether a crash or an answer is recent enough to be reported."""
+        return self._clock.now() <= self._report_until
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        # The one that was heard of last at the end.
+        # Ordered by last update, oldest first.
         self._records: dict[ContentMark, _Record] = {}
-        # Clock seconds until which there is something to tell.
-        self._news_until = NEVER
+        # Clock time until which there is something to report.
+        self._report_until = NEVER
 
     def __contains__(self, content: ContentMark) -> bool:
-        """Tell whether anything is known of a request."""
+        """Return whether anything is recorded of a request."""
         return content in self._records
 
     def harmful(self, content: ContentMark) -> Harmful | None:
-        """Return why a request is kept from upstreams, or None."""
+        """Return why a request is blocked, or None if it is not."""
         record = self._records.get(content)
         if record is None or len(record.ends) < HARMFUL:
             return None
-        count = record.in_series
+        count = record.series_length
         if count < HARMFUL:
             return None
-        over = record.latest + _pause(count) - self._clock.now()
+        over = record.latest_time + _pause(count) - self._clock.now()
         return Harmful(count, max(0, over))
 
     def count_harmful(self) -> int:
-        """Return how many requests are kept from upstreams."""
+        """Return how many requests count as harmful."""
         return sum(
-            record.in_series >= HARMFUL
+            record.series_length >= HARMFUL
             for record in self._records.values()
             if len(record.ends) >= HARMFUL
         )
 
     def ended(self, content: ContentMark, end: EndUnder) -> None:
-        """Take in an upstream's end under a request."""
+        """Record the crash of an upstream under a request."""
         record = self._records.pop(content, None) or _Record()
         self._records[content] = record
-        record.take(end)
-        self._news_until = max(self._news_until, end.ended + TOLD_SPAN)
+        record.record_crash(end)
+        self._report_until = max(self._report_until, end.ended + TOLD_SPAN)
         if len(self._records) > MOST_REQUESTS:
-            self._forget()
+            self._evict()
 
-    def answered(self, content: ContentMark, moment: float) -> bool:
-        """Take in a whole answer to a request.
+    def answered(self, content: ContentMark, time: float) -> bool:
+        """Record a complete answer to a request.
 
         Returns:
-            Whether it has cleared the request of an end.
+            Whether it has cleared the request of a crash.
         """
         record = self._records.get(content)
-        if record is None or not record.answer(moment):
+        if record is None or not record.record_answer(time):
             return False
-        self._news_until = max(self._news_until, moment + TOLD_SPAN)
+        self._report_until = max(self._report_until, time + TOLD_SPAN)
         return True
 
     def ends(self, least: int) -> dict[ContentMark, tuple[EndUnder, ...]]:
-        """Return the requests under which so many upstreams have ended."""
+        """Return the requests with at least so many crashes, and the crashes.
+
+        Args:
+            least: Minimum number of crashes.
+        """
         return {
             content: tuple(record.ends.values())
             for content, record in self._records.items()
@@ -274,21 +283,26 @@
         }
 
     def ends_of(self, content: ContentMark) -> tuple[EndUnder, ...]:
-        """Return the ends of upstreams under a request."""
+        """Return the recorded crashes under a request."""
         record = self._records.get(content)
         return () if record is None else tuple(record.ends.values())
 
     def answer_of(self, content: ContentMark) -> float | None:
-        """Return when a request had its last whole answer; None if unknown."""
+        """Return when a request was last answered completely, or None.
+
+        Returns:
+            Clock time in seconds; None if no answer is known.
+        """
         record = self._records.get(content)
         if record is None or record.answered == NEVER:
             return None
         return record.answered
 
     def telling(self) -> ToldCrashes:
-        """Return what this host tells of the last seconds."""
+        """Return the report of the last seconds for the other hosts."""
         if not self.has_news:
-            # Asked for at each turn, and nearly always so.
+            # Called in each gossip round; there is almost never anything to
+            # report.
             return ToldCrashes()
         now = self._clock.now()
         oldest = now - TOLD_SPAN
@@ -297,20 +311,20 @@
         for content, record in self._records.items():
             count = len(record.ends)
             ends.extend(
-                (-count, _tell(content, end, now))
+                (-count, _report_of(content, end, now))
                 for end in record.ends.values()
                 if end.ended >= oldest
             )
             if record.answered >= oldest:
                 answers.append(ToldAnswer(content, _age(now, record.answered)))
-        ends.sort(key=_first)
+        ends.sort(key=_report_order)
         return ToldCrashes(
             tuple(end for _, end in ends[:MOST_TOLD]),
             tuple(answers[:MOST_TOLD]),
         )
 
     def told(self, crashes: ToldCrashes) -> None:
-        """Take in what another host tells."""
+        """Merge a report from another host."""
         now = self._clock.now()
         for told in crashes.ends:
             end = EndUnder(
@@ -322,32 +336,37 @@
         for answer in crashes.answers:
             self.answered(answer.content, now - answer.age / _MILLISECONDS)
 
-    def _forget(self) -> None:
-        """Forget what is old; then the oldest that is not harmful."""
+    def _evict(self) -> None:
+        """Evict old requests, then the oldest ones that are not harmful."""
         oldest = self._clock.now() - MEMORY
         for content, record in tuple(self._records.items()):
             harmful = len(record.ends) >= HARMFUL
-            if not harmful and record.latest < oldest:
+            if not harmful and record.latest_time < oldest:
                 self._records.pop(content)
         by_weight = sorted(
             self._records.items(),
             key=lambda entry: len(entry[1].ends) >= HARMFUL,
         )
-        # More than one, so that this is not done for each.
+        # Evicts many at once, so that the eviction does not run for each
+        # request.
         for content, _ in by_weight[: len(self._records) - KEPT_REQUESTS]:
             self._records.pop(content)
 
 
 def _pause(ends: int) -> float:
-    """Return the seconds for which a request is kept from upstreams."""
+    """Return the seconds for which a request is blocked.
+
+    Args:
+        ends: Number of crashes in series.
+    """
     if ends <= HARMFUL:
         return FIRST_PAUSE
     doubled = LONG_PAUSE * float(2 ** (ends - HARMFUL - 1))
     return min(LONGEST_PAUSE, doubled)
 
 
-def _tell(content: ContentMark, end: EndUnder, now: float) -> ToldEnd:
-    """Return an end as it is told."""
+def _report_of(content: ContentMark, end: EndUnder, now: float) -> ToldEnd:
+    """Return a crash as it is reported."""
     return ToldEnd(
         content,
         end.upstream,
@@ -356,16 +375,16 @@
     )
 
 
-def _age(now: float, moment: float) -> int:
-    """Return the whole milliseconds since a moment."""
-    return max(0, int((now - moment) * _MILLISECONDS))
+def _age(now: float, time: float) -> int:
+    """Return the whole milliseconds since a time, never less than 0."""
+    return max(0, int((now - time) * _MILLISECONDS))
 
 
-def _ended(end: EndUnder) -> float:
-    """Return when an upstream ended."""
+def _crash_time(end: EndUnder) -> float:
+    """Return when an upstream crashed; a sort key."""
     return end.ended
 
 
-def _first(pair: tuple[int, ToldEnd]) -> int:
-    """Return what told ends are ordered by."""
+def _report_order(pair: tuple[int, ToldEnd]) -> int:
+    """Return the sort key of a crash that is to be reported."""
     return pair[0]
--- a/src/nutmegroad/fleet/crash_rows.py
+++ b/src/nutmegroad/fleet/crash_rows.py
@@ -1,8 +1,9 @@
-"""What hosts write into the platform's store of requests that end upstreams.
+"""Crash reports and probe executions in the platform's store.
 
-Hosts tell each other by datagrams; the rows are for those that can't hear them,
-and for hosts that start when nobody is left who knows. One row holds all that
-lasts, so there is nothing to tidy up; another one holds who tries what.
+Hosts exchange crash reports by datagrams. The rows are for hosts that do not
+receive these, and for hosts that start when no host that knows them is left.
+One row holds all lasting reports, so nothing has to be cleaned up; a second row
+holds which request was claimed for a probe execution, and when.
 """
 
 from collections.abc import Callable
@@ -39,42 +40,43 @@
 _ENDS: Final = 'ends'
 _TRIALS: Final = 'trials'
 
-#: Ends under a request from which it is written down: most requests that a
-#: crash meets are answered elsewhere, and are never written.
+#: Crashes under a request from which it is written to the store. Most requests
+#: that are hit by a crash are answered elsewhere and never written.
 FEWEST_WRITTEN: Final = 2
 
-#: Ends that the row holds at most, so that it stays below half of what the
-#: platform takes; when it is full, just harmful requests are added.
+#: Maximum number of crashes in the row, so that it stays below half of the
+#: platform's size limit. Once the row is full, only harmful requests are added.
 MOST_ENDS: Final = 400
 
-#: Answers that the row holds at most.
+#: Maximum number of answers in the row.
 MOST_ANSWERS: Final = 200
 
-#: Seconds between looks at what is to be written.
+#: Seconds between checks for something to write.
 LOOK: Final = 0.25
 
-#: Seconds by which the second host waits behind the first with what any of
-#: them may write.
+#: Seconds by which the second host delays a write that any host may make.
 SPREAD: Final = 0.4
 
-#: Seconds after a write that the store has not done before the next: while it
-#: is away, datagrams have told all hosts that can be told.
+#: Seconds after a failed write before the next one. While the store is
+#: unavailable, datagrams have informed all hosts that can be reached.
 AGAIN: Final = 2.0
 
-#: Seconds between writes that only clear requests: nobody is refused for what
-#: they clear, since hosts tell each other of answers.
+#: Seconds between writes that only clear requests. Nobody is refused in the
+#: meantime, since hosts report answers to each other.
 CLEARING: Final = 5.0
 
-#: Seconds between trials of any two requests: one that ends upstreams does so
-#: within a moment, so only one of them is under way at that moment.
+#: Seconds between probe executions of any two requests. A request that crashes
+#: upstreams does so at once, so only one probe is running at the time of a
+#: crash.
 BETWEEN_TRIALS: Final = 1.0
 
-#: Seconds after which a request may be tried again of whose trial nothing came.
+#: Seconds after which a request may be probed again if the last probe had no
+#: result.
 TRIAL_TIME: Final = 10.0
 
 
 class _EndRow(Struct, frozen=True, array_like=True):
-    """An end; times are the store's seconds."""
+    """A crash in the store; times are seconds of the store's clock."""
 
     content: ContentMark
     upstream: UpstreamMark
@@ -83,41 +85,41 @@
 
 
 class _AnswerRow(Struct, frozen=True, array_like=True):
-    """A whole answer; its time is the store's."""
+    """A complete answer in the store, timed by the store's clock."""
 
     content: ContentMark
     moment: float
 
 
 class _CrashRow(Struct, frozen=True):
-    """All that lasts."""
+    """The row of crashes and of answers that cleared requests."""
 
     ends: tuple[_EndRow, ...] = ()
     answers: tuple[_AnswerRow, ...] = ()
 
 
-class _TrialRow(Struct, frozen=True, array_like=True):
-    """A trial; its time is the store's."""
+class _ProbeRow(Struct, frozen=True, array_like=True):
+    """A probe execution; its time is the store's."""
 
     content: ContentMark
     began: float
 
 
-class _TrialsRow(Struct, frozen=True):
-    """The last trials."""
+class _ProbesRow(Struct, frozen=True):
+    """The row of the last probe executions."""
 
-    trials: tuple[_TrialRow, ...] = ()
+    trials: tuple[_ProbeRow, ...] = ()
 
 
 class CrashRows:
-    """Keeps what lasts in step with the platform's store.
+    """Synchronizes the crash tracker with the platform's store.
 
     Args:
-        book: What this host knows.
+        book: Crashes that this host knows of.
         store: The platform's store.
-        store_clock: Its clock.
+        store_clock: The store's clock.
         clock: The host's clock.
-        turn: Returns this host's place among all for something one has to do.
+        rank: Returns this host's rank among all hosts for a duty.
     """
 
     def __init__(
@@ -126,124 +128,127 @@
         store: Store,
         store_clock: StoreClock,
         clock: Clock,
-        turn: Callable[[str], int],
+        rank: Callable[[str], int],
     ) -> None:
         self._book = book
         self._store = store
         self._store_clock = store_clock
         self._clock = clock
-        self._turn = turn
+        self._rank = rank
         self._row = _CrashRow()
         self._version = 0
-        self._trials = _TrialsRow()
-        self._trials_version = 0
-        self._refused = NEVER
-        self._written = NEVER
+        self._probes = _ProbesRow()
+        self._probes_version = 0
+        self._failed_at = NEVER
+        self._written_at = NEVER
 
     def take(self, name: str, row: StoredRow, store_time: float) -> None:
-        """Take in a row of the store.
+        """Apply a row that was read from the store.
 
         Args:
-            name: Which one.
+            name: Name of the row, without the key prefix.
             row: The row.
-            store_time: The store's seconds as it was read.
+            store_time: The store's time in seconds when it was read.
 
         Raises:
-            DecodeError: If it can't be read.
+            DecodeError: If the row can't be decoded.
         """
         if name == _ENDS:
             self._row = msgspec.json.decode(row.content, type=_CrashRow)
             self._version = row.version
-            self._take_ends(store_time)
+            self._merge_row(store_time)
         elif name == _TRIALS:
-            self._trials = msgspec.json.decode(row.content, type=_TrialsRow)
-            self._trials_version = row.version
+            self._probes = msgspec.json.decode(row.content, type=_ProbesRow)
+            self._probes_version = row.version
 
     def went_back(self) -> None:
-        """Forget the rows; those that the store still has are read next."""
+        """Forget the rows, since the store was restored from a backup.
+
+        The rows that the store still has are read next.
+        """
         self._row = _CrashRow()
         self._version = 0
-        self._trials_version = 0
+        self._probes_version = 0
 
     async def run(self) -> None:
-        """Write what is missing in the row, until cancelled."""
+        """Write what the row lacks, until cancelled."""
         while True:
             await self._clock.sleep(LOOK)
             if not self._is_due():
                 continue
-            delay = delay_of_turn(self._turn(CRASHES_KEY), SPREAD)
+            delay = delay_of_turn(self._rank(CRASHES_KEY), SPREAD)
             await self._clock.sleep(delay)
             await self.write()
 
     async def write(self) -> None:
-        """Write what is missing at once, if anything is.
+        """Write at once what the row lacks, if anything.
 
-        For the host that has seen a request become harmful: nobody else may
-        know of it yet, and it may be lost itself.
+        Called by the host that has seen a request become harmful: no other host
+        may know of it yet, and this host may crash itself.
         """
         if self._is_due():
             await self._write()
 
     async def claim(self, content: ContentMark) -> bool:
-        """Tell whether this host may try a harmful request now.
+        """Return whether this host may execute a harmful request now.
 
-        Of all hosts one may; without the store none.
+        At most one of all hosts may; without the store none may.
         """
         now = self._store_clock.now()
         recent = tuple(
-            trial
-            for trial in self._trials.trials
-            if now - trial.began < TRIAL_TIME
+            probe
+            for probe in self._probes.trials
+            if now - probe.began < TRIAL_TIME
         )
         if any(
-            trial.content == content or now - trial.began < BETWEEN_TRIALS
-            for trial in recent
+            probe.content == content or now - probe.began < BETWEEN_TRIALS
+            for probe in recent
         ):
             return False
-        trials = _TrialsRow((*recent, _TrialRow(content, now)))
+        probes = _ProbesRow((*recent, _ProbeRow(content, now)))
         key = f'{CRASHES_KEY}{_TRIALS}'
         outcome = await self._store.commit(
-            (RowExpected(FLEET_TABLE, key, self._trials_version),),
-            (RowPut(FLEET_TABLE, key, msgspec.json.encode(trials)),),
+            (RowExpected(FLEET_TABLE, key, self._probes_version),),
+            (RowPut(FLEET_TABLE, key, msgspec.json.encode(probes)),),
         )
         if isinstance(outcome, Committed):
-            self._trials = trials
-            self._trials_version = outcome.version
+            self._probes = probes
+            self._probes_version = outcome.version
             return True
         return False
 
-    def _take_ends(self, store_time: float) -> None:
-        """Take in what the row holds."""
+    def _merge_row(self, store_time: float) -> None:
+        """Merge the crashes and answers of the row."""
         for row in self._row.ends:
             end = EndUnder(
                 row.upstream,
-                self._moment(row.began, store_time),
-                self._moment(row.ended, store_time),
+                self._to_local_time(row.began, store_time),
+                self._to_local_time(row.ended, store_time),
             )
             self._book.ended(row.content, end)
         for answer in self._row.answers:
-            moment = self._moment(answer.moment, store_time)
+            moment = self._to_local_time(answer.moment, store_time)
             self._book.answered(answer.content, moment)
 
-    def _moment(self, stored: float, store_time: float) -> float:
-        """Return the host's time of a moment of the store's."""
-        since_read = self._clock.now() - max(0, store_time - stored)
-        known = self._store_clock.moment(stored)
+    def _to_local_time(self, store_seconds: float, store_time: float) -> float:
+        """Convert a time of the store to this host's clock."""
+        since_read = self._clock.now() - max(0, store_time - store_seconds)
+        known = self._store_clock.moment(store_seconds)
         return since_read if known == NEVER else min(known, since_read)
 
     def _is_due(self) -> bool:
-        """Tell whether the row lacks something that it should have."""
+        """Return whether the row should be written now."""
         if self._store_clock.age == float('inf'):
             return False
-        if self._clock.now() - self._refused < AGAIN:
+        if self._clock.now() - self._failed_at < AGAIN:
             return False
         if self._missing():
             return True
-        waited = self._clock.now() - self._written
+        waited = self._clock.now() - self._written_at
         return waited >= CLEARING and bool(self._cleared())
 
     def _missing(self) -> dict[ContentMark, tuple[EndUnder, ...]]:
-        """Return the requests of which the row lacks an end."""
+        """Return the requests with a crash that the row lacks."""
         known = {(row.content, row.upstream) for row in self._row.ends}
         is_full = len(known) >= MOST_ENDS
         least = HARMFUL if is_full else FEWEST_WRITTEN
@@ -254,15 +259,15 @@
         }
 
     def _cleared(self) -> set[ContentMark]:
-        """Return the requests of the row that were answered since."""
+        """Return the requests in the row that have been answered since."""
         listed = {row.content for row in self._row.ends}
         return {each for each in listed if not self._book.ends_of(each)}
 
     async def _write(self) -> None:
-        """Write the row, unless another host is first."""
-        row = self._make()
+        """Write the row, unless another host has written it first."""
+        row = self._build_row()
         key = f'{CRASHES_KEY}{_ENDS}'
-        self._written = self._clock.now()
+        self._written_at = self._clock.now()
         outcome = await self._store.commit(
             (RowExpected(FLEET_TABLE, key, self._version),),
             (RowPut(FLEET_TABLE, key, msgspec.json.encode(row)),),
@@ -279,63 +284,63 @@
                 ],
             )
             return
-        why = 'another host was first'
+        why = 'another host wrote the row first'
         if isinstance(outcome, Refusal):
             why = outcome.reason
-            self._refused = self._clock.now()
+            self._failed_at = self._clock.now()
         _LOG.decision('crashes not written', why=why)
 
-    def _make(self) -> _CrashRow:
-        """Return the row as it should be: what this host knows."""
+    def _build_row(self) -> _CrashRow:
+        """Return the row with all that this host knows."""
         ends = self._book.ends(FEWEST_WRITTEN)
         for row in self._row.ends:
             known = self._book.ends_of(row.content)
             if known:
                 ends[row.content] = known
-        heaviest = sorted(ends.items(), key=_weight, reverse=True)
+        heaviest = sorted(ends.items(), key=_severity, reverse=True)
         rows = [
-            self._row_of(content, end)
+            self._end_row(content, end)
             for content, under in heaviest
             for end in under
         ]
         return _CrashRow(tuple(rows[:MOST_ENDS]), self._answers())
 
-    def _row_of(self, content: ContentMark, end: EndUnder) -> _EndRow:
-        """Return an end as it is written."""
+    def _end_row(self, content: ContentMark, end: EndUnder) -> _EndRow:
+        """Return a crash as it is stored."""
         return _EndRow(
             content,
             end.upstream,
-            self._stored(end.began),
-            self._stored(end.ended),
+            self._to_store_time(end.began),
+            self._to_store_time(end.ended),
         )
 
     def _answers(self) -> tuple[_AnswerRow, ...]:
         """Return the answers that cleared requests of the row."""
-        moments = {row.content: row.moment for row in self._row.answers}
+        times = {row.content: row.moment for row in self._row.answers}
         for cleared in self._cleared():
             answered = self._book.answer_of(cleared)
             if answered is not None:
-                moments[cleared] = self._stored(answered)
-        newest = sorted(moments.items(), key=_second, reverse=True)
+                times[cleared] = self._to_store_time(answered)
+        newest = sorted(times.items(), key=_answer_time, reverse=True)
         return tuple(
             _AnswerRow(content, moment)
             for content, moment in newest[:MOST_ANSWERS]
         )
 
-    def _stored(self, moment: float) -> float:
-        """Return a moment of the host's as the store's seconds."""
+    def _to_store_time(self, time: float) -> float:
+        """Convert a time of this host's clock to the store's seconds."""
         behind = self._clock.now() - self._store_clock.now()
-        return round(moment - behind, 3)
+        return round(time - behind, 3)
 
 
-def _weight(
+def _severity(
     entry: tuple[ContentMark, tuple[EndUnder, ...]],
 ) -> tuple[int, float]:
-    """Return what requests are ordered by: ends, then the latest of them."""
+    """Return the sort key of a request: crashes, then time of the latest."""
     ends = entry[1]
     return len(ends), max((end.ended for end in ends), default=0)
 
 
-def _second(entry: tuple[ContentMark, float]) -> float:
-    """Return when a request was answered."""
+def _answer_time(entry: tuple[ContentMark, float]) -> float:
+    """Return when a request was answered; a sort key."""
     return entry[1]
--- a/src/nutmegroad/fleet/turns.py
+++ b/src/nutmegroad/fleet/turns.py
@@ -1,16 +1,16 @@
-"""Turns of hosts at something that one of them has to do."""
+"""Staggered delays for a duty that any host may perform."""
 
 import math
 
 
-def delay_of_turn(place: int, spread: float) -> float:
-    """Return the seconds for which a host waits behind the first.
+def delay_of_turn(rank: int, spread: float) -> float:
+    """Return the seconds a host waits before it performs a duty.
 
-    Those further behind wait for ever less more: with many hosts lost, the next
-    one that lives is still soon.
+    The delay grows with the logarithm of the rank: when many hosts are down,
+    the next live one still takes over soon.
 
     Args:
-        place: Its place among all; 0 for the first.
-        spread: Seconds by which the second waits.
+        rank: The host's rank among all hosts for the duty; 0 for the first.
+        spread: Seconds for which the second host waits.
     """
-    return spread * math.log2(1 + place)
+    return spread * math.log2(1 + rank)
--- a/tests/test_crash_book.py
+++ b/tests/test_crash_book.py
@@ -1,4 +1,4 @@
-"""What hosts know of requests under which upstreams have ended."""
+"""Tests of the tracking of requests under which upstreams crash."""
 
 import unittest
 from typing import Final
@@ -40,25 +40,25 @@
 from nutmegroad.testing.virtual import ManualClock
 from tests.relay_samples import AWAY, AwayStore
 
-#: Seconds that a run lasts before it ends its upstream.
+#: Seconds that an execution lasts before it crashes its upstream.
 RUN: Final = 0.1
 BEGIN: Final = 1000.0
-#: Bytes of an Ethernet frame that a datagram of ours may fill.
+#: Bytes of an Ethernet frame that a datagram may fill.
 FRAME: Final = 1400
 
 BAD, OTHER = ContentMark(1), ContentMark(2)
 
 
-def end_at(upstream: int, ended: float, run: float = RUN) -> EndUnder:
-    """Return an upstream's end."""
+def crash_at(upstream: int, ended: float, run: float = RUN) -> EndUnder:
+    """Return the crash of an upstream."""
     return EndUnder(UpstreamMark(upstream), ended - run, ended)
 
 
-class ContentMarkTest(unittest.TestCase):
+class ContentFingerprintTest(unittest.TestCase):
     """What makes two requests the same."""
 
     def test_caller_path_and_body_tell_requests_apart(self) -> None:
-        """And no part can pass for the end of another."""
+        """No part can be taken for the end of another one."""
         marks = {
             mark_content('a', b'/p', b'body'),
             mark_content('b', b'/p', b'body'),
@@ -71,100 +71,100 @@
         self.assertIn(mark_content('a', b'/p', b'body'), marks)
 
 
-class CrashBookTest(unittest.IsolatedAsyncioTestCase):
-    """One host's book."""
+class CrashTrackerTest(unittest.IsolatedAsyncioTestCase):
+    """Crashes recorded by one host."""
 
     def setUp(self) -> None:
-        """Open a book."""
+        """Create a tracker."""
         self.clock = ManualClock(BEGIN)
-        self.book = CrashBook(self.clock)
+        self.tracker = CrashBook(self.clock)
 
     async def crash(self, content: ContentMark, *upstreams: int) -> None:
-        """Let a request end upstreams, one after the other."""
+        """Let a request crash upstreams, one after the other."""
         for upstream in upstreams:
             await self.clock.advance(2 * RUN)
-            self.book.ended(content, end_at(upstream, self.clock.now()))
+            self.tracker.ended(content, crash_at(upstream, self.clock.now()))
 
-    async def test_three_ends_in_series_are_harmful(self) -> None:
-        """Two are not; the same one told twice counts once."""
+    async def test_three_crashes_in_series_are_harmful(self) -> None:
+        """Two crashes are not; a crash that is reported twice counts once."""
         await self.crash(BAD, 1, 2, 2)
-        self.assertIsNone(self.book.harmful(BAD))
+        self.assertIsNone(self.tracker.harmful(BAD))
         await self.crash(BAD, 3)
-        found = self.book.harmful(BAD)
+        found = self.tracker.harmful(BAD)
         assert found is not None
         self.assertEqual((found.ends, found.pause), (HARMFUL, FIRST_PAUSE))
-        self.assertIsNone(self.book.harmful(OTHER))
-        self.assertEqual(self.book.count_harmful(), 1)
+        self.assertIsNone(self.tracker.harmful(OTHER))
+        self.assertEqual(self.tracker.count_harmful(), 1)
 
-    async def test_ends_at_one_moment_count_once(self) -> None:
-        """A request that is asked for often runs at many upstreams at once."""
+    async def test_simultaneous_crashes_count_once(self) -> None:
+        """A request that is sent often runs at many upstreams at once."""
         for upstream in range(9):
-            self.book.ended(BAD, end_at(upstream, BEGIN, run=1))
-        self.assertIsNone(self.book.harmful(BAD))
+            self.tracker.ended(BAD, crash_at(upstream, BEGIN, run=1))
+        self.assertIsNone(self.tracker.harmful(BAD))
 
-    async def test_pauses_grow_with_each_further_end(self) -> None:
-        """The first is over in a moment, the second in minutes."""
+    async def test_pauses_grow_with_each_further_crash(self) -> None:
+        """The first pause lasts a second, the next ones last minutes."""
         await self.crash(BAD, 1, 2, 3)
         await self.clock.advance(FIRST_PAUSE)
-        found = self.book.harmful(BAD)
+        found = self.tracker.harmful(BAD)
         assert found is not None
         self.assertEqual(found.pause, 0)
         for upstream, pause in ((4, LONG_PAUSE), (5, 2 * LONG_PAUSE)):
             await self.crash(BAD, upstream)
-            found = self.book.harmful(BAD)
+            found = self.tracker.harmful(BAD)
             assert found is not None
             self.assertAlmostEqual(found.pause, pause)
 
     async def test_an_answer_clears_what_was_before_it(self) -> None:
-        """Also what is heard of later, but not what happens later."""
+        """Also earlier crashes that are reported late, but not later ones."""
         await self.crash(BAD, 1, 2)
-        self.book.answered(BAD, self.clock.now())
-        self.book.ended(BAD, end_at(3, BEGIN))
+        self.tracker.answered(BAD, self.clock.now())
+        self.tracker.ended(BAD, crash_at(3, BEGIN))
         await self.crash(BAD, 4)
-        self.assertIsNone(self.book.harmful(BAD))
-        self.assertEqual(len(self.book.ends(1)[BAD]), 1)
+        self.assertIsNone(self.tracker.harmful(BAD))
+        self.assertEqual(len(self.tracker.ends(1)[BAD]), 1)
 
-    async def test_old_ends_are_forgotten_unless_harmful(self) -> None:
-        """Chance ends any request's upstream once in a while."""
+    async def test_old_crashes_are_forgotten_unless_harmful(self) -> None:
+        """Any request meets a crash by chance once in a while."""
         await self.crash(OTHER, 1, 2)
         await self.crash(BAD, 1, 2, 3)
         await self.clock.advance(MEMORY)
         await self.crash(OTHER, 4)
-        self.assertIsNone(self.book.harmful(OTHER))
-        self.assertIsNotNone(self.book.harmful(BAD))
+        self.assertIsNone(self.tracker.harmful(OTHER))
+        self.assertIsNotNone(self.tracker.harmful(BAD))
 
-    async def test_another_host_learns_it_by_what_is_told(self) -> None:
-        """Ages keep the order, however long the datagram took."""
+    async def test_another_host_receives_the_report(self) -> None:
+        """Ages keep the order of events, however long the datagram takes."""
         await self.crash(BAD, 1, 2, 3)
         other = CrashBook(self.clock)
-        text = msgspec.msgpack.encode(self.book.telling())
+        text = msgspec.msgpack.encode(self.tracker.telling())
         await self.clock.advance(RUN)
         other.told(msgspec.msgpack.decode(text, type=ToldCrashes))
         self.assertIsNotNone(other.harmful(BAD))
         other.answered(BAD, self.clock.now())
-        self.book.told(other.telling())
-        self.assertIsNone(self.book.harmful(BAD))
+        self.tracker.told(other.telling())
+        self.assertIsNone(self.tracker.harmful(BAD))
 
-    async def test_nothing_is_told_for_long(self) -> None:
-        """What lasts is in the store."""
+    async def test_reports_are_sent_for_seconds_only(self) -> None:
+        """Lasting reports are in the store."""
         await self.crash(BAD, 1)
-        self.assertTrue(self.book.has_news)
+        self.assertTrue(self.tracker.has_news)
         await self.clock.advance(TOLD_SPAN + RUN)
-        self.assertFalse(self.book.has_news)
-        self.assertEqual(self.book.telling(), ToldCrashes())
+        self.assertFalse(self.tracker.has_news)
+        self.assertEqual(self.tracker.telling(), ToldCrashes())
 
-    async def test_a_storm_of_ends_fits_into_a_frame(self) -> None:
-        """The requests with most ends go first, and are never forgotten."""
+    async def test_a_storm_of_crashes_fits_into_a_frame(self) -> None:
+        """Requests with most crashes are sent first and are never evicted."""
         await self.crash(BAD, 1, 2, 3)
         for content in range(10, 10 + MOST_REQUESTS):
-            end = end_at(9, self.clock.now())
-            self.book.ended(ContentMark(content), end)
-        told = self.book.telling()
+            end = crash_at(9, self.clock.now())
+            self.tracker.ended(ContentMark(content), end)
+        told = self.tracker.telling()
         self.assertEqual(len(told.ends), MOST_TOLD)
         self.assertEqual({end.content for end in told.ends[:HARMFUL]}, {BAD})
         self.assertLess(len(msgspec.msgpack.encode(told)), FRAME)
-        self.assertIsNotNone(self.book.harmful(BAD))
-        self.assertLessEqual(len(self.book.ends(1)), MOST_REQUESTS)
+        self.assertIsNotNone(self.tracker.harmful(BAD))
+        self.assertLessEqual(len(self.tracker.ends(1)), MOST_REQUESTS)
 
 
 class OneTableStore(AwayStore):
@@ -172,9 +172,9 @@
 
     Attributes:
         rows: Content and version by key.
-        writes: How many have taken effect.
-        calls: How many there were.
-        away: Whether it does not answer.
+        writes: Number of writes that took effect.
+        calls: Number of calls.
+        away: Whether the store does not answer.
     """
 
     def __init__(self) -> None:
@@ -188,7 +188,7 @@
         expected: tuple[RowExpected, ...],
         puts: tuple[RowPut, ...],
     ) -> Committed | RowsMoved | Refusal:
-        """Write all rows if all expectations hold, else none."""
+        """Write all rows if all conditions hold, otherwise none."""
         self.calls += 1
         if self.away:
             return AWAY
@@ -202,32 +202,32 @@
 
 
 class CrashRowsTest(unittest.IsolatedAsyncioTestCase):
-    """Two hosts that can't hear each other."""
+    """Two hosts that receive no datagrams from each other."""
 
     def setUp(self) -> None:
-        """Make the hosts."""
+        """Create the hosts."""
         self.clock = ManualClock(BEGIN)
         self.store = OneTableStore()
-        self.books = [CrashBook(self.clock) for _ in range(2)]
+        self.trackers = [CrashBook(self.clock) for _ in range(2)]
         store_clock = StoreClock(self.clock)
-        # The store's seconds are others than ours.
+        # The store's clock differs from the hosts' clock.
         store_clock.answered(BEGIN, 5)
         self.rows = [
             CrashRows(
-                book,
+                tracker,
                 self.store,
                 store_clock,
                 self.clock,
                 lambda _duty: 0,
             )
-            for book in self.books
+            for tracker in self.trackers
         ]
 
     def crash(self, host: int, content: ContentMark, *upstreams: int) -> None:
-        """Let a request end upstreams at a host, in its last seconds."""
+        """Let a request crash upstreams at a host within the last seconds."""
         for number, upstream in enumerate(reversed(upstreams)):
             ended = self.clock.now() - 2 * RUN * number
-            self.books[host].ended(content, end_at(upstream, ended))
+            self.trackers[host].ended(content, crash_at(upstream, ended))
 
     def read(self, host: int) -> None:
         """Let a host read the rows."""
@@ -236,27 +236,27 @@
             name = key.partition('/')[2]
             self.rows[host].take(name, row, self.clock.now() - BEGIN + 5)
 
-    async def test_ends_add_up_over_hosts_by_the_row(self) -> None:
-        """Two here and one there; whoever reads knows of all."""
+    async def test_crashes_add_up_over_hosts_by_the_row(self) -> None:
+        """Two crashes here and one there; readers of the row know all."""
         self.crash(0, BAD, 1, 2)
         await self.rows[0].write()
         await self.clock.advance(1)
         self.read(1)
         self.crash(1, BAD, 3)
-        self.assertIsNotNone(self.books[1].harmful(BAD))
+        self.assertIsNotNone(self.trackers[1].harmful(BAD))
         await self.rows[1].write()
         self.read(0)
-        self.assertIsNotNone(self.books[0].harmful(BAD))
+        self.assertIsNotNone(self.trackers[0].harmful(BAD))
         self.assertEqual(self.store.writes, 2)
 
-    async def test_a_single_end_is_not_written(self) -> None:
-        """Most requests that a crash meets are answered elsewhere."""
+    async def test_a_single_crash_is_not_written(self) -> None:
+        """Most requests that are hit by a crash are answered elsewhere."""
         self.crash(0, BAD, 1)
         await self.rows[0].write()
         self.assertEqual(self.store.writes, 0)
 
-    async def test_a_store_that_is_away_is_asked_seldom(self) -> None:
-        """Seen: each host tried four times a second while it was."""
+    async def test_an_unavailable_store_is_asked_seldom(self) -> None:
+        """Seen: each host tried four times a second during an outage."""
         self.store.away = True
         self.crash(0, BAD, 1, 2, 3)
         for _ in range(9):
@@ -268,16 +268,16 @@
         await self.rows[0].write()
         self.assertEqual(self.store.writes, 1)
 
-    async def test_an_answer_reaches_who_can_not_hear_it(self) -> None:
-        """And nobody writes the request again for ever."""
+    async def test_an_answer_reaches_hosts_without_datagrams(self) -> None:
+        """The request is not written again and again after that."""
         self.crash(0, BAD, 1, 2, 3)
         await self.rows[0].write()
         self.read(1)
         await self.clock.advance(CLEARING)
-        self.books[1].answered(BAD, self.clock.now())
+        self.trackers[1].answered(BAD, self.clock.now())
         await self.rows[1].write()
         self.read(0)
-        self.assertIsNone(self.books[0].harmful(BAD))
+        self.assertIsNone(self.trackers[0].harmful(BAD))
         writes = self.store.writes
         for _ in range(3):
             await self.clock.advance(CLEARING)
@@ -286,8 +286,8 @@
                 self.read(1 - host)
         self.assertEqual(self.store.writes, writes)
 
-    async def test_one_host_tries_a_request(self) -> None:
-        """The other is refused, and both are without the store."""
+    async def test_one_host_probes_a_request(self) -> None:
+        """The other host is refused; without the store both are."""
         self.assertTrue(await self.rows[0].claim(BAD))
         self.assertFalse(await self.rows[1].claim(BAD))
         self.read(1)
@@ -302,7 +302,7 @@
         self.assertTrue(await self.rows[0].claim(BAD))
 
     async def test_a_full_row_takes_harmful_requests_only(self) -> None:
-        """And hosts do not write in turns what has no room."""
+        """Hosts do not alternate in writing requests that do not fit."""
         for content in range(10, 10 + MOST_ENDS):
             self.crash(0, ContentMark(content), 1, 2)
         await self.rows[0].write()
@@ -311,10 +311,10 @@
         self.crash(0, BAD, 1, 2, 3)
         await self.rows[0].write()
         self.read(1)
-        self.assertIsNotNone(self.books[1].harmful(BAD))
+        self.assertIsNotNone(self.trackers[1].harmful(BAD))
 
     async def test_a_row_that_the_store_has_lost_is_written_again(self) -> None:
-        """Pattern: it came back from a copy."""
+        """Pattern: the store was restored from a backup."""
         self.crash(0, BAD, 1, 2, 3)
         await self.rows[0].write()
         self.store.rows.clear()
@@ -322,4 +322,4 @@
         await self.clock.advance(LOOK)
         await self.rows[0].write()
         self.read(1)
-        self.assertIsNotNone(self.books[1].harmful(BAD))
+        self.assertIsNotNone(self.trackers[1].harmful(BAD))
