--- a/src/nutmegroad/fleet/evidence.py
+++ b/src/nutmegroad/fleet/evidence.py
@@ -1,8 +1,10 @@
-"""What hosts have seen of a new version: how many of its answers are poor.
+"""Counts of a rollout's answers: how many there were and how many were poor.
 
-Each start of a host counts for itself, by kind of request, and its counts only
-grow. So of two states of a count the larger one holds, whatever way it came,
-and what a host has counted outlives it at those whom it has told.
+A poor answer is one that failed, was cut off or was far too slow. Each
+incarnation of a host counts separately, by kind of request, and its counts only
+grow. Of two states of a count the larger one is therefore the newer, whichever
+way it was received. The counts of a terminated host survive on the hosts that
+have received them.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,7 +15,7 @@
 #: Number of a kind of request, the same on every host.
 KindNumber = NewType('KindNumber', int)
 
-#: Number that tells one start of a host from another.
+#: Number that distinguishes the incarnations of one host.
 RunNumber = NewType('RunNumber', int)
 
 
@@ -22,9 +24,11 @@
 
     Attributes:
         new: Answers of the new version.
-        new_poor: Those that failed, broke or came far too slowly.
+        new_poor: Answers of the new version that failed, were cut off or were
+            far too slow.
         old: Answers of other versions.
-        old_poor: Those that failed, broke or came far too slowly.
+        old_poor: Answers of other versions that failed, were cut off or were
+            far too slow.
     """
 
     new: int = 0
@@ -34,11 +38,16 @@
 
     @property
     def count(self) -> int:
-        """Return how many answers there were."""
+        """Return the number of all answers."""
         return self.new + self.old
 
     def plus(self, other: 'Answers', times: int = 1) -> 'Answers':
-        """Return the sum of both, the other one so many times."""
+        """Return the sum of these counts and a multiple of others.
+
+        Args:
+            other: The counts to add.
+            times: Factor of the added counts; -1 subtracts them.
+        """
         return Answers(
             self.new + times * other.new,
             self.new_poor + times * other.new_poor,
@@ -51,11 +60,11 @@
 
 
 class Evidence(Struct, frozen=True):
-    """What one start of a host has seen during one roll-out.
+    """Counts of one incarnation of a host during one rollout.
 
     Attributes:
-        order: Number of the order.
-        run: Which start of the host counts.
+        order: Number of the rollout order.
+        run: The incarnation of the host that counted.
         kinds: Its answers by kind of request.
     """
 
@@ -70,7 +79,7 @@
 
     @property
     def count(self) -> int:
-        """Return how many answers there were of all kinds."""
+        """Return the number of answers of all kinds."""
         return sum(answers.count for answers in self.kinds.values())
 
     def adding(
@@ -80,7 +89,13 @@
         of_new: bool,
         poor: bool,
     ) -> 'Evidence':
-        """Return the counts with one more answer."""
+        """Return the counts with one more answer.
+
+        Args:
+            kind: Kind of the request.
+            of_new: Whether the new version answered.
+            poor: Whether the answer was poor.
+        """
         known = self.kinds.get(kind, NO_ANSWERS)
         if of_new:
             grown = known.plus(Answers(new=1, new_poor=int(poor)))
@@ -102,6 +117,12 @@
     kinds: Mapping[KindNumber, Answers],
     times: int = 1,
 ) -> None:
-    """Add counts by kind to sums, so many times."""
+    """Add a multiple of counts by kind to sums, in place.
+
+    Args:
+        sums: The sums to change.
+        kinds: The counts to add.
+        times: Factor of the added counts; -1 subtracts them.
+    """
     for kind, answers in kinds.items():
         sums[kind] = sums.get(kind, NO_ANSWERS).plus(answers, times)
--- a/src/nutmegroad/fleet/evidence_book.py
+++ b/src/nutmegroad/fleet/evidence_book.py
@@ -1,9 +1,9 @@
-"""What all hosts have seen of roll-outs, as far as this one knows.
+"""Tracks the rollout evidence of all hosts.
 
-Hosts tell each other their counts, also when there is nothing poor to tell:
-counts that came only with poor answers would make any version look poor. What
-they have heard they tell on, so it reaches all hosts, and outlives those that
-have counted it.
+Hosts exchange their counts even when none of the answers was poor: if counts
+were sent with poor answers only, any version would look poor. Hosts also
+forward the counts that they have received, so the counts reach all hosts and
+survive the hosts that made them.
 """
 
 from collections.abc import Mapping
@@ -21,40 +21,41 @@
 from nutmegroad.fleet.told_counts import CountsTeller, RunName, ToldCounts
 from nutmegroad.foundations.types import HostId, ServiceName
 
-#: Orders of a service whose counts are kept: after the store has come back, a
-#: host that has just started may know the present one by another number.
+#: Orders of a service whose counts are retained. After a restore of the store,
+#: a host that has just started may know the current order by another number.
 MOST_ORDERS: Final = 2
 
-#: Services for which counts are kept at most: their names come from others.
+#: Maximum number of services with counts: service names come from other hosts.
 MOST_SERVICES: Final = 100
 
-#: Below any order's number.
+#: Lower than the number of any order.
 _NO_ORDER: Final = -1
 
-#: Runs of hosts that are remembered for one service at most: those of a day of
-#: the letter's fleet, 400 hosts and 140 that start again.
+#: Maximum number of host incarnations tracked per service: those of one day in
+#: the reference fleet, 400 hosts of which 140 restart.
 MOST_RUNS: Final = 540
 
 
 @dataclass(slots=True)
 class _Counts:
-    """What is known of one order.
+    """Counts of one order.
 
     Attributes:
         order: Its number.
-        runs: Counts by host and run.
-        sums: The sum of them by kind of request.
+        runs: Counts by host and incarnation.
+        sums: Their sum by kind of request.
     """
 
     order: int
     runs: dict[tuple[HostId, RunNumber], Evidence] = field(default_factory=dict)
     sums: dict[KindNumber, Answers] = field(default_factory=dict)
 
-    def take(self, host: HostId, evidence: Evidence) -> Evidence | None:
-        """Take in a run's counts, unless as much is known.
+    def merge(self, host: HostId, evidence: Evidence) -> Evidence | None:
+        """Merge the counts of an incarnation, unless as many are known.
 
         Returns:
-            What was known of that run before; None if nothing was taken in.
+            The counts known of that incarnation before; None if nothing was
+            merged.
         """
         name = (host, evidence.run)
         known = self.runs.get(name)
@@ -70,37 +71,37 @@
 
 
 class EvidenceBook:
-    """Counts of this host, and of the others, by service.
+    """Rollout counts of this host and of all others, by service.
 
     Args:
         host: This host.
-        run: Which start of it this is.
+        run: The current incarnation of this host.
     """
 
     @property
     def under_way(self) -> bool:
-        """Tell whether there are counts of a roll-out that has not ended."""
-        return bool(self._teller)
+        """Whether there are counts of a rollout that has not ended."""
+        return bool(self._gossip)
 
     @property
     def has_news(self) -> bool:
-        """Tell whether other failure domains may not know of some counts."""
-        return self._teller.has_far_news
+        """Whether other failure domains may lack some counts."""
+        return self._gossip.has_far_news
 
     def __init__(self, host: HostId, run: RunNumber) -> None:
         self._host = host
         self._run = run
         self._own: dict[ServiceName, Evidence] = {}
-        # Of the last orders; the latest one at the end.
+        # Only of the last orders, in ascending order of their numbers.
         self._counts: dict[ServiceName, list[_Counts]] = {}
-        #: Grows whenever there is news.
+        #: Incremented whenever counts were merged.
         self.changes = 0
-        self._teller = CountsTeller(self._look_up, run)
-        # The last order of each service that has ended.
-        self._ended: dict[ServiceName, int] = {}
+        self._gossip = CountsTeller(self._look_up, run)
+        # Number of the last order of each service that has ended.
+        self._ended_orders: dict[ServiceName, int] = {}
 
     def own(self, service: ServiceName, order: int) -> Evidence:
-        """Return what this start of the host has seen of an order."""
+        """Return the counts of this incarnation of the host for an order."""
         known = self._own.get(service)
         if known is None or known.order != order:
             return Evidence(order, self._run)
@@ -115,11 +116,19 @@
         of_new: bool,
         poor: bool,
     ) -> None:
-        """Count an answer that this host has seen."""
+        """Count an answer that this host has seen.
+
+        Args:
+            service: The service that is rolled out.
+            order: Number of the order.
+            kind: Kind of the request.
+            of_new: Whether the new version answered.
+            poor: Whether the answer was poor.
+        """
         known = self.own(service, order)
         grown = known.adding(kind, of_new=of_new, poor=poor)
         self._own[service] = grown
-        self._take(service, self._host, grown, Source.OWN)
+        self._merge(service, self._host, grown, Source.OWN)
 
     def told(
         self,
@@ -128,110 +137,111 @@
         evidence: Evidence,
         source: Source = Source.AWAY,
     ) -> None:
-        """Take in what a host has seen, unless more is known of it.
+        """Merge the counts of a host, unless newer ones are known.
 
         Args:
             service: The service that is rolled out.
-            host: Which host; it may be this one at an earlier start.
-            evidence: What it has seen.
-            source: Who has seen it; whoever reads a row of the store need not
-                know.
+            host: The host that counted; may be an earlier incarnation of this
+                host.
+            evidence: Its counts.
+            source: Where the counts were made, seen from this host. Counts read
+                from a row of the store may use the default.
         """
         if (host, evidence.run) != (self._host, self._run):
-            self._take(service, host, evidence, source)
+            self._merge(service, host, evidence, source)
 
     def tell_near(self) -> ToldCounts:
         """Return counts for one datagram within the failure domain."""
-        return self._teller.tell_near(self._own_names())
+        return self._gossip.tell_near(self._own_keys())
 
     def tell_far(self) -> ToldCounts:
         """Return counts for one datagram to another failure domain."""
-        return self._teller.tell_far(self._own_names())
+        return self._gossip.tell_far(self._own_keys())
 
     def sums(
         self,
         service: ServiceName,
         order: int,
     ) -> Mapping[KindNumber, Answers]:
-        """Return what all hosts have seen of an order, by kind of request."""
-        known = self._of(service, order)
+        """Return the counts of all hosts for an order, by kind of request."""
+        known = self._counts_of(service, order)
         return {} if known is None else known.sums
 
     def tellers(self, service: ServiceName, order: int) -> int:
-        """Return how many hosts are known to have seen anything of an order."""
-        known = self._of(service, order)
+        """Return how many hosts have contributed counts for an order."""
+        known = self._counts_of(service, order)
         if known is None:
             return 0
         return len({host for host, _ in known.runs})
 
     def end(self, service: ServiceName) -> None:
-        """Tell no more of a roll-out that has ended."""
+        """Stop sending the counts of a rollout that has ended."""
         self._own.pop(service, None)
         for counts in self._counts.get(service, ()):
-            self._ended[service] = counts.order
-            self._teller.drop(service, counts.order)
+            self._ended_orders[service] = counts.order
+            self._gossip.drop(service, counts.order)
 
-    def _own_names(self) -> list[RunName]:
-        """Return the names of what this start of the host has seen."""
+    def _own_keys(self) -> list[RunName]:
+        """Return the keys of the counts of this incarnation of the host."""
         return [
             RunName(service, evidence.order, self._host, self._run)
             for service, evidence in self._own.items()
         ]
 
-    def _look_up(self, name: RunName) -> Evidence:
-        """Return what is known of a start of a host."""
-        known = self._of(name.service, name.order)
-        is_own = (name.host, name.run) == (self._host, self._run)
+    def _look_up(self, key: RunName) -> Evidence:
+        """Return the counts with a key."""
+        known = self._counts_of(key.service, key.order)
+        is_own = (key.host, key.run) == (self._host, self._run)
         if known is None or is_own:
-            return self.own(name.service, name.order)
-        return known.runs[name.host, name.run]
+            return self.own(key.service, key.order)
+        return known.runs[key.host, key.run]
 
-    def _of(self, service: ServiceName, order: int) -> _Counts | None:
-        """Return what is known of an order, if it is one of the last."""
+    def _counts_of(self, service: ServiceName, order: int) -> _Counts | None:
+        """Return the counts of an order, or None if it is not a recent one."""
         for known in self._counts.get(service, ()):
             if known.order == order:
                 return known
         return None
 
-    def _take(
+    def _merge(
         self,
         service: ServiceName,
         host: HostId,
         evidence: Evidence,
         source: Source,
     ) -> None:
-        """Take in counts of one of the last orders."""
-        known = self._of(service, evidence.order)
+        """Merge counts of one of the last orders."""
+        known = self._counts_of(service, evidence.order)
         if known is None:
-            known = self._add(service, evidence.order)
-        before = None if known is None else known.take(host, evidence)
+            known = self._add_order(service, evidence.order)
+        before = None if known is None else known.merge(host, evidence)
         if before is None:
             return
         self.changes += 1
-        if evidence.order <= self._ended.get(service, _NO_ORDER):
+        if evidence.order <= self._ended_orders.get(service, _NO_ORDER):
             return
-        self._teller.add(
+        self._gossip.add(
             RunName(service, evidence.order, host, evidence.run),
             source,
-            # The rest comes in turn, early enough for a verdict.
+            # Other changes are sent in rotation, early enough for a verdict.
             news=evidence.whole.new_poor > before.whole.new_poor,
         )
 
-    def _add(self, service: ServiceName, order: int) -> _Counts | None:
-        """Begin to count for an order, if it is one of the last."""
+    def _add_order(self, service: ServiceName, order: int) -> _Counts | None:
+        """Start counting for an order, if it is one of the last."""
         orders = self._counts.get(service, [])
         if not orders and len(self._counts) >= MOST_SERVICES:
             return None
         added = _Counts(order)
-        self._counts[service] = sorted((*orders, added), key=_number)[
+        self._counts[service] = sorted((*orders, added), key=_order_number)[
             -MOST_ORDERS:
         ]
         for dropped in (*orders, added):
             if dropped not in self._counts[service]:
-                self._teller.drop(service, dropped.order)
-        return self._of(service, order)
+                self._gossip.drop(service, dropped.order)
+        return self._counts_of(service, order)
 
 
-def _number(counts: _Counts) -> int:
-    """Return the number of the order that counts are of."""
+def _order_number(counts: _Counts) -> int:
+    """Return the order number of counts; a sort key."""
     return counts.order
--- a/src/nutmegroad/fleet/prefix_marks.py
+++ b/src/nutmegroad/fleet/prefix_marks.py
@@ -1,8 +1,9 @@
-"""Which parts of prompts each upstream holds, told from host to host.
+"""Tracks which prompt parts each upstream has cached, across all hosts.
 
-An upstream keeps what it has read until newer parts push it out. Each host
-knows what it has sent itself, and hears from the others what they have sent a
-moment ago; so all hosts know of nearly all parts without asking any upstream.
+An upstream caches the parts that it has processed until newer ones evict them.
+Each host knows what it has sent itself and receives from its peers what they
+have sent recently, so all hosts know of nearly all parts without asking any
+upstream.
 """
 
 from collections import OrderedDict
@@ -12,32 +13,34 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import UpstreamIncarnation
 
-#: 32 bits that stand for a part as one model reads it. Two of 10,000 parts
-#: share a mark with a probability of one in 86; it costs a wrong estimate.
+#: 32-bit fingerprint of a prompt part, as one model tokenizes it. Two of 10,000
+#: parts share a fingerprint with a probability of one in 86; that costs a wrong
+#: estimate.
 PrefixMark = NewType('PrefixMark', int)
 
-#: Parts told at most in one datagram, the newest: with some eight bytes each,
-#: they fit beside the loads into an Ethernet frame.
+#: Maximum number of parts per datagram, the newest ones. At about eight bytes
+#: each, they fit into an Ethernet frame together with the loads.
 MOST_TOLD: Final = 100
 
-#: Parts remembered for one upstream at most, where its memory is not known.
+#: Maximum number of parts tracked per upstream; applies where the size of its
+#: cache is unknown.
 MOST_HELD: Final = 400
 
-#: Upstreams remembered at most: more than the largest deployment in view has
-#: (890); others may go on telling of one that is gone.
+#: Maximum number of tracked upstreams, above that of the largest planned
+#: deployment (890). Peers may go on reporting an upstream that has terminated.
 MOST_UPSTREAMS: Final = 1000
 
-#: Parts by upstream, as they are told: a mark and its tokens, in turn.
+#: Parts by upstream as hosts report them: fingerprint and tokens alternate.
 ToldPrefixes = dict[UpstreamIncarnation, list[int]]
 
 
 @dataclass(frozen=True, slots=True)
 class MarkedPart:
-    """A part of a prompt as one model reads it.
+    """A prompt part as one model tokenizes it.
 
     Attributes:
-        mark: Its mark.
-        tokens: Its size.
+        mark: Its fingerprint.
+        tokens: Its size in tokens.
     """
 
     mark: PrefixMark
@@ -45,46 +48,46 @@
 
 
 @dataclass(slots=True)
-class _Held:
-    """What one upstream holds.
+class _CachedParts:
+    """Parts that one upstream has cached.
 
     Attributes:
-        parts: Tokens by mark, the part that was used last at the end.
-        tokens: Their sum.
+        parts: Tokens by fingerprint, least recently used first.
+        tokens: Sum of the tokens.
     """
 
     parts: OrderedDict[PrefixMark, int] = field(default_factory=OrderedDict)
     tokens: int = 0
 
     def use(self, part: MarkedPart) -> None:
-        """Note that a part is used just now."""
+        """Record that a part is used just now."""
         before = self.parts.pop(part.mark, 0)
         self.parts[part.mark] = part.tokens
         self.tokens += part.tokens - before
 
-    def push_out(self) -> None:
-        """Drop the part that was not used for longest."""
+    def evict_oldest(self) -> None:
+        """Evict the least recently used part."""
         _, tokens = self.parts.popitem(last=False)
         self.tokens -= tokens
 
 
 @dataclass(frozen=True, slots=True)
-class _Sent:
+class _SentPart:
     """A part that this host has sent.
 
     Attributes:
-        upstream: Where to.
+        upstream: Where it was sent.
         part: The part.
-        moment: Clock seconds.
+        sent_at: Clock time in seconds.
     """
 
     upstream: UpstreamIncarnation
     part: MarkedPart
-    moment: float
+    sent_at: float
 
 
 class HeldPrefixes:
-    """Remembers which parts were sent where, by this host and by others.
+    """Tracks the parts that this host and its peers have sent to upstreams.
 
     Args:
         clock: The host's clock.
@@ -92,12 +95,14 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        # The one that was used last at the end.
-        self._upstreams: OrderedDict[UpstreamIncarnation, _Held] = OrderedDict()
-        self._sent: list[_Sent] = []
+        # Ordered by last use, oldest first.
+        self._upstreams: OrderedDict[UpstreamIncarnation, _CachedParts] = (
+            OrderedDict()
+        )
+        self._sent: list[_SentPart] = []
 
     def holds(self, upstream: UpstreamIncarnation, mark: PrefixMark) -> bool:
-        """Tell whether an upstream likely holds a part."""
+        """Return whether an upstream has probably cached a part."""
         known = self._upstreams.get(upstream)
         return known is not None and mark in known.parts
 
@@ -107,49 +112,53 @@
         parts: tuple[MarkedPart, ...],
         memory: int,
     ) -> None:
-        """Remember what this host sends to an upstream.
+        """Record the parts that this host sends to an upstream.
 
         Args:
-            upstream: Where to.
-            parts: The prompt's parts.
-            memory: Tokens that the upstream keeps; 0 if that is not known.
+            upstream: The upstream.
+            parts: Parts of the prompt.
+            memory: Size of the upstream's cache in tokens; 0 if unknown.
         """
         now = self._clock.now()
         for part in parts:
             self._use(upstream, part)
-            self._sent.append(_Sent(upstream, part, now))
-        held = self._upstreams.get(upstream)
-        while held and memory and held.tokens > memory:
-            held.push_out()
+            self._sent.append(_SentPart(upstream, part, now))
+        cached = self._upstreams.get(upstream)
+        while cached and memory and cached.tokens > memory:
+            cached.evict_oldest()
 
     def told(self, prefixes: ToldPrefixes) -> None:
-        """Take in what another host has sent."""
+        """Merge the parts that another host has sent."""
         for upstream, numbers in prefixes.items():
             for mark, tokens in zip(numbers[::2], numbers[1::2], strict=False):
                 self._use(upstream, MarkedPart(PrefixMark(mark), tokens))
 
     def recent(self, span: float) -> ToldPrefixes:
-        """Return what this host has sent within some seconds."""
+        """Return the parts that this host has sent recently.
+
+        Args:
+            span: Age limit in seconds.
+        """
         oldest = self._clock.now() - span
         self._sent = [
-            each for each in self._sent[-MOST_TOLD:] if each.moment >= oldest
+            each for each in self._sent[-MOST_TOLD:] if each.sent_at >= oldest
         ]
         found: ToldPrefixes = {}
         for each in self._sent:
-            told = found.setdefault(each.upstream, [])
-            told.extend((each.part.mark, each.part.tokens))
+            reported = found.setdefault(each.upstream, [])
+            reported.extend((each.part.mark, each.part.tokens))
         return found
 
     def forget(self, upstream: UpstreamIncarnation) -> None:
-        """Forget an upstream that is gone."""
+        """Remove an upstream that has terminated."""
         self._upstreams.pop(upstream, None)
 
     def _use(self, upstream: UpstreamIncarnation, part: MarkedPart) -> None:
-        """Remember that an upstream has used a part just now."""
-        held = self._upstreams.setdefault(upstream, _Held())
+        """Record that an upstream uses a part just now."""
+        cached = self._upstreams.setdefault(upstream, _CachedParts())
         self._upstreams.move_to_end(upstream)
         if len(self._upstreams) > MOST_UPSTREAMS:
             self._upstreams.popitem(last=False)
-        held.use(part)
-        if len(held.parts) > MOST_HELD:
-            held.push_out()
+        cached.use(part)
+        if len(cached.parts) > MOST_HELD:
+            cached.evict_oldest()
--- a/src/nutmegroad/fleet/session_marks.py
+++ b/src/nutmegroad/fleet/session_marks.py
@@ -1,8 +1,9 @@
-"""Sessions that a roll-out must leave where they are, told from host to host.
+"""Tracks sessions that a rollout must leave on their old version.
 
-A session comes to any host, and each must know if another has seen it on the
-old version a moment ago. Hosts tell each other small marks of such sessions,
-with their ages, and tell on what they have heard.
+The requests of a session arrive at any host, and each host must know whether
+another one has recently seen the session on the old version. Hosts exchange
+small fingerprints of such sessions with their ages, and forward the ones that
+they have received.
 """
 
 import math
@@ -16,39 +17,41 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import ServiceName
 
-#: 32 bits that stand for a session at a service; two sessions that share a
-#: mark cost no more than one request that stays on the old version.
+#: 32-bit fingerprint of a session at a service. Two sessions that share a
+#: fingerprint cost no more than one request that stays on the old version.
 SessionMark = NewType('SessionMark', int)
 
-#: Marks in one datagram: with some eight bytes each, an Ethernet frame.
-_NEAR_NEWS: Final = 100
-_NEAR_OTHERS: Final = 30
+#: Fingerprints per datagram: at about eight bytes each, an Ethernet frame.
+_LOCAL_NEW: Final = 100
+_LOCAL_OTHERS: Final = 30
 
-#: The same between failure domains, where bytes are dear.
-_FAR_NEWS: Final = 50
-_FAR_OTHERS: Final = 20
+#: Fingerprints per datagram between failure domains, where traffic is
+#: expensive.
+_REMOTE_NEW: Final = 50
+_REMOTE_OTHERS: Final = 20
 
-#: Marks that are remembered at most, beside those of this host's own sessions:
-#: twice those of the letter's fleet, 3,500 requests a second.
+#: Maximum number of tracked sessions besides those of this host: twice those of
+#: the reference fleet, at 3,500 requests per second.
 MOST_MARKS: Final = 20_000
 
-#: Seconds by which a session must have been seen later than was known to be
-#: told as news again: it lives on elsewhere for longer than that.
+#: Seconds by which a session must have been seen later than was known for it to
+#: be sent as new again. A session stays live on other hosts for longer than
+#: that.
 NEWS_STEP: Final = 0.5
 
-#: Ages are told in hundredths of a second.
+#: Ages are reported in hundredths of a second.
 _HUNDREDTHS: Final = 100
 
-#: Clock seconds of what has not happened.
+#: Clock time of an event that has not happened.
 _NEVER: Final = float('-inf')
 
 
 class ToldMarks(Struct, frozen=True, array_like=True):
-    """Marks as hosts tell them, with ages in hundredths of a second.
+    """Sessions as hosts report them, with ages in hundredths of a second.
 
     Attributes:
-        home: Of sessions that the sender's failure domain has served.
-        others: Of sessions that others have served.
+        home: Sessions that the sender's failure domain has served.
+        others: Sessions that other failure domains have served.
     """
 
     home: dict[int, int] = {}
@@ -56,118 +59,125 @@
 
 
 def mark(service: ServiceName, session: str) -> SessionMark:
-    """Return the mark of a session at a service."""
+    """Return the fingerprint of a session at a service."""
     return SessionMark(xxh32_intdigest(f'{service}/{session}'.encode()))
 
 
 class SessionMarks:
-    """Remembers marks for as long as their sessions live.
+    """Tracks sessions on an old version for as long as they are live.
 
     Args:
         clock: The host's clock.
-        span: Seconds after which requests don't belong together any more.
-        begin: Where the turns of marks begin.
+        span: Seconds after which a session without requests has ended.
+        begin: Offset at which the rotation of fingerprints starts.
     """
 
     @property
     def any_alive(self) -> bool:
-        """Tell whether any session is known that was alive at the last turn."""
-        return bool(self._seen)
+        """Whether any session is known that was live at the last round."""
+        return bool(self._last_seen)
 
     @property
     def has_news(self) -> bool:
-        """Tell whether other failure domains may not know of a session."""
-        return self._rumors.has_far_news
+        """Whether other failure domains may lack a session."""
+        return self._gossip.has_far_news
 
     def __init__(self, clock: Clock, span: float, begin: int = 0) -> None:
         self._clock = clock
         self._span = span
-        self._seen: dict[SessionMark, float] = {}
-        self._rumors: Rumors[SessionMark] = Rumors(
-            Portion(_NEAR_NEWS, _NEAR_OTHERS),
-            Portion(_FAR_NEWS, _FAR_OTHERS),
+        self._last_seen: dict[SessionMark, float] = {}
+        self._gossip: Rumors[SessionMark] = Rumors(
+            Portion(_LOCAL_NEW, _LOCAL_OTHERS),
+            Portion(_REMOTE_NEW, _REMOTE_OTHERS),
             begin,
         )
 
     def __len__(self) -> int:
-        """Return how many marks are remembered."""
-        return len(self._seen)
+        """Return how many sessions are tracked."""
+        return len(self._last_seen)
 
-    def saw(self, mark: SessionMark, moment: float | None = None) -> None:
-        """Note that a session ran on the old version.
+    def saw(
+        self, fingerprint: SessionMark, moment: float | None = None
+    ) -> None:
+        """Record that a session ran on the old version.
 
-        Args:
-            mark: The session's mark.
-            moment: Clock seconds at which it did; None for just now.
+        ``moment`` is the clock time in seconds at which it did, or None for
+        now.
         """
         seen = self._clock.now() if moment is None else moment
-        self._take(mark, seen, Source.OWN)
+        self._record(fingerprint, seen, Source.OWN)
 
-    def age(self, mark: SessionMark) -> float | None:
+    def age(self, fingerprint: SessionMark) -> float | None:
         """Return the seconds since a session ran on the old version.
 
-        None if it is not known that it ever did.
+        Returns:
+            None if it is not known to have run on it.
         """
-        seen = self._seen.get(mark)
+        seen = self._last_seen.get(fingerprint)
         return None if seen is None else self._clock.now() - seen
 
-    def alive(self, mark: SessionMark) -> bool:
-        """Tell whether a session ran on the old version a moment ago."""
-        age = self.age(mark)
+    def alive(self, fingerprint: SessionMark) -> bool:
+        """Return whether a session on the old version is still live."""
+        age = self.age(fingerprint)
         return age is not None and age <= self._span
 
-    def told(self, told: ToldMarks, *, near: bool) -> None:
-        """Take in what another host knows.
+    def told(self, report: ToldMarks, *, near: bool) -> None:
+        """Merge a report of sessions from another host.
 
-        Args:
-            told: What it tells.
-            near: Whether it is of the own failure domain.
+        ``near`` states whether the sender is in this host's failure domain.
         """
         now = self._clock.now()
         source = Source.HOME if near else Source.AWAY
-        for ages, seen_by in ((told.home, source), (told.others, Source.AWAY)):
+        for ages, seen_by in (
+            (report.home, source),
+            (report.others, Source.AWAY),
+        ):
             for number, age in ages.items():
                 moment = now - max(0, age) / _HUNDREDTHS
                 if now - moment <= self._span:
-                    self._take(SessionMark(number), moment, seen_by)
+                    self._record(SessionMark(number), moment, seen_by)
 
     def tell_near(self) -> ToldMarks:
-        """Return marks for one datagram within the failure domain."""
-        self._forget_dead()
-        return self._spell(self._rumors.choose_near(self._seen))
+        """Return sessions for one datagram within the failure domain."""
+        self._remove_expired()
+        return self._report_of(self._gossip.choose_near(self._last_seen))
 
     def tell_far(self) -> ToldMarks:
-        """Return marks for one datagram to another failure domain."""
-        self._forget_dead()
-        return self._spell(self._rumors.choose_far(self._seen))
+        """Return sessions for one datagram to another failure domain."""
+        self._remove_expired()
+        return self._report_of(self._gossip.choose_far(self._last_seen))
 
-    def _forget_dead(self) -> None:
-        """Forget the marks of sessions that live no longer."""
+    def _remove_expired(self) -> None:
+        """Remove sessions that are not live any more."""
         oldest = self._clock.now() - self._span
-        self._seen = {
+        self._last_seen = {
             known: moment
-            for known, moment in self._seen.items()
+            for known, moment in self._last_seen.items()
             if moment >= oldest
         }
-        self._rumors.keep(self._seen.keys())
+        self._gossip.keep(self._last_seen.keys())
 
-    def _spell(self, marks: Iterable[SessionMark]) -> ToldMarks:
-        """Return marks with their ages."""
+    def _report_of(self, keys: Iterable[SessionMark]) -> ToldMarks:
+        """Return a report of sessions with their ages."""
         now = self._clock.now()
-        told = ToldMarks({}, {})
-        for known in marks:
-            ages = told.home if self._rumors.is_home(known) else told.others
-            # Rounded up: else a mark would grow younger with each host on its
-            # way.
-            ages[known] = math.ceil((now - self._seen[known]) * _HUNDREDTHS)
-        return told
-
-    def _take(self, mark: SessionMark, moment: float, source: Source) -> None:
-        """Remember the latest moment at which a session was seen."""
-        known = self._seen.get(mark, _NEVER)
-        is_full = len(self._seen) >= MOST_MARKS and known == _NEVER
-        if moment <= known or (is_full and source is not Source.OWN):
+        report = ToldMarks({}, {})
+        for known in keys:
+            ages = report.home if self._gossip.is_home(known) else report.others
+            # Rounded up; otherwise an age would shrink with each host that
+            # forwards it.
+            ages[known] = math.ceil(
+                (now - self._last_seen[known]) * _HUNDREDTHS
+            )
+        return report
+
+    def _record(
+        self, fingerprint: SessionMark, time: float, source: Source
+    ) -> None:
+        """Record the latest time at which a session was seen."""
+        known = self._last_seen.get(fingerprint, _NEVER)
+        is_full = len(self._last_seen) >= MOST_MARKS and known == _NEVER
+        if time <= known or (is_full and source is not Source.OWN):
             return
-        self._seen[mark] = moment
-        if moment - known >= NEWS_STEP:
-            self._rumors.learnt(mark, source)
+        self._last_seen[fingerprint] = time
+        if time - known >= NEWS_STEP:
+            self._gossip.learnt(fingerprint, source)
--- a/src/nutmegroad/fleet/told_counts.py
+++ b/src/nutmegroad/fleet/told_counts.py
@@ -1,4 +1,4 @@
-"""Which counts of roll-outs a host tells the others, its own and theirs."""
+"""Gossip of rollout counts: selects the counts for each datagram."""
 
 from collections.abc import Callable
 from typing import Final, NamedTuple
@@ -9,23 +9,24 @@
 from nutmegroad.fleet.rumors import Portion, Rumors, Source
 from nutmegroad.foundations.types import HostId, ServiceName
 
-#: Counts of hosts in one datagram, some 60 bytes each.
-_NEAR_NEWS: Final = 15
-_NEAR_OTHERS: Final = 10
+#: Counts per datagram within a failure domain, some 60 bytes each.
+_LOCAL_NEW: Final = 15
+_LOCAL_OTHERS: Final = 10
 
-#: The same between failure domains: a datagram speaks for a whole domain.
-_FAR_NEWS: Final = 25
-_FAR_OTHERS: Final = 8
+#: Counts per datagram between failure domains. There are more of them, since
+#: such a datagram stands for a whole domain.
+_REMOTE_NEW: Final = 25
+_REMOTE_OTHERS: Final = 8
 
 
 class RunCounts(Struct, frozen=True, array_like=True):
-    """What one start of a host has seen of a roll-out, as hosts tell it.
+    """Counts of one incarnation of a host during a rollout, as hosts send them.
 
     Attributes:
         service: The service that is rolled out.
         host: The host.
-        order: Number of the order.
-        run: Which start of the host counts.
+        order: Number of the rollout order.
+        run: The incarnation of the host that counted.
         kinds: Its answers by kind of request.
     """
 
@@ -37,16 +38,16 @@
 
     @property
     def evidence(self) -> Evidence:
-        """Return what it has seen."""
+        """Return the counts without service and host."""
         return Evidence(self.order, self.run, self.kinds)
 
 
 class ToldCounts(Struct, frozen=True, array_like=True):
-    """Counts as hosts tell them.
+    """Rollout counts of a datagram.
 
     Attributes:
-        home: Of hosts of the sender's failure domain.
-        others: Of other hosts.
+        home: Counts of hosts in the sender's failure domain.
+        others: Counts of other hosts.
     """
 
     home: tuple[RunCounts, ...] = ()
@@ -54,13 +55,13 @@
 
 
 class RunName(NamedTuple):
-    """Names the counts of one start of a host.
+    """Key of the counts of one incarnation of a host.
 
     Attributes:
         service: The service that is rolled out.
-        order: Number of the order.
+        order: Number of the rollout order.
         host: The host.
-        run: Which start of it.
+        run: Its incarnation.
     """
 
     service: ServiceName
@@ -70,80 +71,84 @@
 
 
 class CountsTeller:
-    """Chooses the counts for each datagram.
+    """Selects the counts for each datagram.
 
     Args:
-        look_up: Returns what is known of a start of a host.
-        begin: Where the turns of counts begin.
+        look_up: Returns the counts with a key.
+        offset: Offset at which the rotation of counts starts.
     """
 
     @property
     def has_far_news(self) -> bool:
-        """Tell whether other failure domains may not know of some counts."""
-        return self._rumors.has_far_news
+        """Whether other failure domains may lack some counts."""
+        return self._gossip.has_far_news
 
     def __init__(
         self,
         look_up: Callable[[RunName], Evidence],
-        begin: int,
+        offset: int,
     ) -> None:
         self._look_up = look_up
         self._known: dict[RunName, None] = {}
-        self._rumors: Rumors[RunName] = Rumors(
-            Portion(_NEAR_NEWS, _NEAR_OTHERS),
-            Portion(_FAR_NEWS, _FAR_OTHERS),
-            begin,
+        self._gossip: Rumors[RunName] = Rumors(
+            Portion(_LOCAL_NEW, _LOCAL_OTHERS),
+            Portion(_REMOTE_NEW, _REMOTE_OTHERS),
+            offset,
         )
 
     def __len__(self) -> int:
-        """Return how many counts are told."""
+        """Return the number of counts that are sent."""
         return len(self._known)
 
-    def add(self, name: RunName, source: Source, *, news: bool) -> None:
-        """Tell of counts that have grown.
+    def add(self, key: RunName, source: Source, *, news: bool) -> None:
+        """Send counts that have grown.
 
         Args:
-            name: Whose they are.
-            source: Who has counted.
-            news: Whether all have to know in time.
+            key: Key of the counts.
+            source: Where the counts were made.
+            news: Whether all hosts need them in time.
         """
-        self._known[name] = None
+        self._known[key] = None
         if news:
-            self._rumors.learnt(name, source)
+            self._gossip.learnt(key, source)
         else:
-            self._rumors.seen(name, source)
+            self._gossip.seen(key, source)
 
     def drop(self, service: ServiceName, order: int) -> None:
-        """Tell no more of an order."""
+        """Stop sending the counts of an order."""
         self._known = {
-            name: None
-            for name in self._known
-            if (name.service, name.order) != (service, order)
+            key: None
+            for key in self._known
+            if (key.service, key.order) != (service, order)
         }
-        self._rumors.keep(self._known.keys())
+        self._gossip.keep(self._known.keys())
 
     def tell_near(self, own: list[RunName]) -> ToldCounts:
         """Return counts for one datagram within the failure domain.
 
         Args:
-            own: What is told in any case.
+            own: Keys of counts that are always included.
         """
-        return self._spell(own, self._rumors.choose_near(self._known))
+        return self._report_of(own, self._gossip.choose_near(self._known))
 
     def tell_far(self, own: list[RunName]) -> ToldCounts:
-        """Return the same for a datagram to another failure domain."""
-        return self._spell(own, self._rumors.choose_far(self._known))
+        """Return counts for one datagram to another failure domain.
 
-    def _spell(self, own: list[RunName], names: list[RunName]) -> ToldCounts:
-        """Return counts by their names."""
-        home = [name for name in names if self._rumors.is_home(name)]
-        others = [name for name in names if not self._rumors.is_home(name)]
+        Args:
+            own: Keys of counts that are always included.
+        """
+        return self._report_of(own, self._gossip.choose_far(self._known))
+
+    def _report_of(self, own: list[RunName], keys: list[RunName]) -> ToldCounts:
+        """Return a report of the counts with some keys."""
+        home = [key for key in keys if self._gossip.is_home(key)]
+        others = [key for key in keys if not self._gossip.is_home(key)]
         return ToldCounts(
             tuple(map(self._counts_of, dict.fromkeys((*own, *home)))),
             tuple(map(self._counts_of, dict.fromkeys(others))),
         )
 
-    def _counts_of(self, name: RunName) -> RunCounts:
-        """Return counts by their name."""
-        kinds = self._look_up(name).kinds
-        return RunCounts(name.service, name.host, name.order, name.run, kinds)
+    def _counts_of(self, key: RunName) -> RunCounts:
+        """Return the counts with a key."""
+        kinds = self._look_up(key).kinds
+        return RunCounts(key.service, key.host, key.order, key.run, kinds)
