--- a/src/nutmegroad/fleet/__init__.py
+++ b/src/nutmegroad/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""What hosts share: tables they follow, loads and evidence they tell."""
+"""State that hosts share: store tables, upstream loads, rollout evidence.
+
+Hosts follow tables of the platform's store and exchange gossip by datagram.
+"""
--- a/src/nutmegroad/fleet/announcements.py
+++ b/src/nutmegroad/fleet/announcements.py
@@ -1,4 +1,4 @@
-"""How a host makes itself known to the others, in the platform's store."""
+"""Registration of a host in the platform's store, where its peers find it."""
 
 import asyncio
 from typing import Final
@@ -13,22 +13,23 @@
 
 HOST_KEY: Final = 'host/'
 
-#: Seconds between tries to make this host known.
+#: Seconds between attempts to write this host's row.
 AGAIN: Final = 1.0
 
-#: Seconds for which the first hosts of all wait for each other's rows: they
-#: start within a third of a second, slow ones a little later.
+#: Seconds for which hosts of a fleet that starts for the first time wait for
+#: each other's rows: they start within a third of a second of each other, slow
+#: ones a little later.
 GATHERING: Final = 0.6
 
 
 class HostRow(Struct, frozen=True):
-    """A host as it makes itself known.
+    """A host's row in the fleet table.
 
     Attributes:
-        ip: Where it listens to its neighbours.
-        port: The same.
+        ip: Address at which it listens for its peers.
+        port: Port at which it listens for its peers.
         domain: Its failure domain.
-        link: Its link's Mbit/s; 0 if that is not known.
+        link: Bandwidth of its link in Mbit/s; 0 if unknown.
     """
 
     ip: str
@@ -38,11 +39,11 @@
 
 
 class Announcement:
-    """Makes a host known, unless its row is there already.
+    """Registers a host in the store and keeps its row there.
 
     Args:
         host: The host.
-        own: As what it makes itself known.
+        own: The row to write for this host.
         store: The platform's store.
         clock: The host's clock.
     """
@@ -58,71 +59,75 @@
         self._own = own
         self._store = store
         self._clock = clock
-        # Set once all hosts were read from the store, and once those that start
-        # together with this one may be found there.
-        self._listed = asyncio.Event()
-        self._gathered = asyncio.Event()
-        self._went_back = asyncio.Event()
-        self._is_known = False
+        # Set once the full list of hosts was read from the store.
+        self._hosts_loaded = asyncio.Event()
+        # Set once hosts that start together with this one had time to register.
+        self._startup_done = asyncio.Event()
+        self._restored = asyncio.Event()
+        self._is_registered = False
 
     def found(self, host: HostId, row: HostRow) -> None:
-        """Take in a row that the store has."""
+        """Record whether a row of the store is this host's current one."""
         if host == self._host:
-            self._is_known = row == self._own
+            self._is_registered = row == self._own
 
     def listed(self) -> None:
-        """Note that all hosts were read from the store."""
-        self._listed.set()
+        """Record that the full list of hosts was read from the store."""
+        self._hosts_loaded.set()
 
     async def gathered(self) -> None:
-        """Wait until hosts that start together have made themselves known."""
-        await self._gathered.wait()
+        """Wait until hosts that start at the same time have registered."""
+        await self._startup_done.wait()
 
     def went_back(self) -> None:
-        """Note that the store came back from a copy, which is read next."""
-        self._is_known = False
-        self._listed.clear()
-        self._went_back.set()
+        """Record that the store was restored from a backup.
+
+        The list of hosts is read again next; this host's row may be missing in
+        it.
+        """
+        self._is_registered = False
+        self._hosts_loaded.clear()
+        self._restored.set()
 
     async def run(self, *, first: bool) -> None:
-        """Make this host known, and keep it so, until cancelled.
+        """Register this host and keep it registered, until cancelled.
 
         Args:
-            first: Whether all hosts start for the first time.
+            first: Whether all hosts of the fleet start for the first time.
         """
         await self.make(first=first)
         await self.keep()
 
     async def make(self, *, first: bool) -> None:
-        """Make this host known, until that has worked.
+        """Register this host, retrying until the write succeeds.
 
         Args:
-            first: Whether all hosts start for the first time. Else a row of an
-                earlier start is mostly there.
+            first: Whether all hosts of the fleet start for the first time.
+                Otherwise the row of an earlier start is usually still there.
         """
         done = False
         if first:
-            done = await self._put()
+            done = await self._write_row()
             await self._clock.sleep(GATHERING)
-        self._gathered.set()
+        self._startup_done.set()
         if not done:
-            await self._make_listed()
+            await self._register_if_missing()
 
     async def keep(self) -> None:
-        """Make this host known again whenever the store has lost its row."""
+        """Register this host again whenever the store has lost its row."""
         while True:
-            await self._went_back.wait()
-            self._went_back.clear()
-            await self._make_listed()
-
-    async def _make_listed(self) -> None:
-        """Write this host's row, unless the store has it."""
-        await self._listed.wait()
-        while not (self._is_known or await self._put()):
+            await self._restored.wait()
+            self._restored.clear()
+            await self._register_if_missing()
+
+    async def _register_if_missing(self) -> None:
+        """Write this host's row unless the store already has it."""
+        await self._hosts_loaded.wait()
+        while not (self._is_registered or await self._write_row()):
             await self._clock.sleep(AGAIN)
 
-    async def _put(self) -> bool:
-        """Write this host's row; tell whether that has worked."""
+    async def _write_row(self) -> bool:
+        """Write this host's row and return whether the write succeeded."""
         content = msgspec.json.encode(self._own)
         put = RowPut(FLEET_TABLE, f'{HOST_KEY}{self._host}', content)
         outcome = await self._store.commit((), (put,))
--- a/src/nutmegroad/fleet/domain_silence.py
+++ b/src/nutmegroad/fleet/domain_silence.py
@@ -1,13 +1,14 @@
-"""Failure domains from which nothing is heard any more.
+"""Detects failure domains that have become unreachable.
 
 Where a domain is cut off, each host would find that out for each upstream by
-itself, and lose a request and seconds for each. But whatever comes from a
-domain, datagrams of its hosts or answers of its upstreams, shows that it is
-there; the hosts of one domain tell each other how long ago that was. Where
-much was heard and then nothing, the domain is likely cut off.
-
-It is a suspicion and no more: other upstreams are preferred, and what waits
-for an answer from there goes on elsewhere if it may.
+itself, at the cost of a request and several seconds each. But any message from
+a domain, a datagram of one of its hosts or an answer of one of its upstreams,
+shows that the domain is reachable; the hosts of one domain report to each other
+how long ago they received one. A domain from which messages came frequently and
+then stopped is likely cut off.
+
+This is only a suspicion: other upstreams are preferred, and requests that wait
+for an answer from there are executed elsewhere if that is allowed.
 """
 
 from collections.abc import Mapping
@@ -19,34 +20,38 @@
 
 _LOG: Final = part_logger('domains')
 
-#: Seconds of silence before a domain is suspected: what one lost round of
-#: telling and a slow link delay.
+#: Minimum seconds without messages before a domain is suspected: the delay that
+#: one lost gossip round and a slow link cause.
 LEAST: Final = 0.8
 
-#: Times the usual interval between two signs: by chance alone so long a
-#: silence comes once in three thousand intervals.
+#: Multiple of the mean interval between messages after which a domain is
+#: suspected. By chance alone so long a gap occurs once in three thousand
+#: intervals.
 TIMES: Final = 8.0
 
-#: Weight of the newest interval in the usual one: about the last ten decide.
+#: Weight of the newest interval in the moving average: about the last ten
+#: intervals determine it.
 RECENT: Final = 0.1
 
-#: Longest interval that is averaged, in seconds: a silence is no interval.
+#: Longest interval that enters the average, in seconds: an outage is not an
+#: interval.
 LONGEST: Final = 1.0
 
-#: Failure domains that are remembered at most: seven times those of the letter;
-#: names come from other hosts.
+#: Maximum number of failure domains that are tracked: seven times those of the
+#: reference fleet. Names of domains come from other hosts.
 MOST: Final = 64
 
-#: Ages are told in milliseconds, and none above these.
+#: Ages are reported in milliseconds.
 _MILLISECONDS: Final = 1000
+#: Seconds; older ages are not reported.
 _OLDEST: Final = 5.0
 
-#: Milliseconds since the last sign, by domain.
+#: Milliseconds since the last message, by domain.
 ToldAges = dict[DomainId, int]
 
 
 class DomainSilence:
-    """Remembers when each failure domain was heard last.
+    """Tracks when the last message from each failure domain was received.
 
     Args:
         clock: The host's clock.
@@ -54,36 +59,40 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._heard: dict[DomainId, float] = {}
+        self._last_received: dict[DomainId, float] = {}
         self._intervals: dict[DomainId, float] = {}
         self._suspected: set[DomainId] = set()
 
     def heard(self, domain: DomainId) -> None:
-        """Note a sign from a domain just now."""
-        self._sign(domain, self._clock.now())
+        """Record that a message from a domain was received just now."""
+        self._record(domain, self._clock.now())
 
     def told(self, ages: Mapping[DomainId, int]) -> None:
-        """Take in when another host has heard domains."""
+        """Merge the ages that another host of this domain reported.
+
+        Args:
+            ages: Milliseconds since that host received a message, by domain.
+        """
         now = self._clock.now()
         for domain, age in ages.items():
-            self._sign(domain, now - max(0, age) / _MILLISECONDS)
+            self._record(domain, now - max(0, age) / _MILLISECONDS)
 
     def ages(self) -> ToldAges:
-        """Return what is told to other hosts."""
+        """Return the ages that are reported to other hosts."""
         now = self._clock.now()
         return {
             domain: int((now - moment) * _MILLISECONDS)
-            for domain, moment in self._heard.items()
+            for domain, moment in self._last_received.items()
             if now - moment < _OLDEST
         }
 
     def suspected(self, domain: DomainId) -> bool:
-        """Tell whether a domain is likely cut off from here."""
-        heard = self._heard.get(domain)
-        if heard is None:
+        """Return whether a domain is likely cut off from this host."""
+        last_received = self._last_received.get(domain)
+        if last_received is None:
             return False
         usual = self._intervals.get(domain, LONGEST)
-        silent = self._clock.now() - heard
+        silent = self._clock.now() - last_received
         if silent <= max(LEAST, TIMES * usual):
             return False
         if domain not in self._suspected:
@@ -96,12 +105,17 @@
             )
         return True
 
-    def _sign(self, domain: DomainId, moment: float) -> None:
-        """Take in a sign of a moment, unless a later one is known."""
-        known = self._heard.get(domain)
+    def _record(self, domain: DomainId, moment: float) -> None:
+        """Record a message from a domain, unless a later one is known.
+
+        Args:
+            domain: The domain.
+            moment: Clock time in seconds at which the message was received.
+        """
+        known = self._last_received.get(domain)
         if known is None:
-            if len(self._heard) < MOST:
-                self._heard[domain] = moment
+            if len(self._last_received) < MOST:
+                self._last_received[domain] = moment
             return
         if moment <= known:
             return
@@ -115,4 +129,4 @@
         usual = self._intervals.get(domain, LONGEST)
         interval = min(LONGEST, moment - known)
         self._intervals[domain] = usual + RECENT * (interval - usual)
-        self._heard[domain] = moment
+        self._last_received[domain] = moment
--- a/src/nutmegroad/fleet/far_turns.py
+++ b/src/nutmegroad/fleet/far_turns.py
@@ -1,8 +1,9 @@
-"""Who tells the hosts of other failure domains, and whom, at a turn.
+"""Selects which hosts send to other failure domains in a gossip round.
 
-Bytes between domains are dear, and what must be known in all of them is soon
-known to each host of one. So the hosts of a domain take turns: each other
-domain is told by so many of them at a turn, however large both are.
+Traffic between domains is expensive, and what one host of a domain receives
+soon reaches all others there. The hosts of a domain therefore take turns: each
+remote domain receives datagrams from a fixed number of hosts per round, however
+large both domains are.
 """
 
 import math
@@ -13,17 +14,17 @@
 from nutmegroad.fleet.announcements import HostRow
 from nutmegroad.foundations.types import DomainId, HostId
 
-#: Hosts of a domain that tell another one at a turn while there is news: the
-#: other one makes up for one that is paused, or for a datagram that is lost.
+#: Hosts of a domain that send to each remote domain per round while there are
+#: updates. The second one compensates for a paused host or a lost datagram.
 TELLERS: Final = 2
 
-#: Times as rare as that where nothing is news: only for what was lost, and as
-#: a sign that the domain is there.
+#: Factor by which rounds are rarer when there are no updates. These only
+#: replace lost datagrams and show that the domain is reachable.
 CALM: Final = 4
 
 
 class FarTurns:
-    """Knows the hosts of the other domains, and this host's turns.
+    """Knows the remote hosts, and the rounds in which this host sends to them.
 
     Args:
         host: This host.
@@ -33,35 +34,42 @@
         self._host = host
         self._domains: dict[DomainId, list[HostId]] = {}
         self._rows: dict[HostId, HostRow] = {}
-        # Whom of each domain this host tells next.
+        # Index of the next receiver in each domain.
         self._next: dict[DomainId, int] = {}
 
     def found(self, host: HostId, row: HostRow) -> None:
-        """Take in a host of another domain."""
+        """Add a host of another failure domain."""
         domain = DomainId(row.domain)
         if host not in self._rows:
             self._domains.setdefault(domain, []).append(host)
-            # Hosts that start together begin at different ones.
+            # Hosts that start together begin at different receivers.
             start = xxh32_intdigest(f'{self._host}/{domain}'.encode())
             self._next.setdefault(domain, start)
         self._rows[host] = row
 
-    def due(self, turn: int, place: int, near: int, *, news: bool) -> bool:
-        """Tell whether it is this host's turn.
+    def due(
+        self,
+        round_number: int,
+        rank: int,
+        domain_size: int,
+        *,
+        has_updates: bool,
+    ) -> bool:
+        """Return whether this host sends in a round.
 
         Args:
-            turn: Number of the turn.
-            place: This host's place among those of its domain.
-            near: How many hosts its domain has, this one included.
-            news: Whether there is news.
+            round_number: Number of the round.
+            rank: This host's rank among those of its domain.
+            domain_size: Number of hosts in its domain, including this one.
+            has_updates: Whether there are updates to send.
         """
-        pause = 1 if news else CALM
-        interval = math.ceil(near / TELLERS) * pause
-        # Evenly over the interval, whatever its length.
-        return (turn + place * pause) % interval == 0
+        pause = 1 if has_updates else CALM
+        interval = math.ceil(domain_size / TELLERS) * pause
+        # Spreads the senders evenly over the interval, whatever its length.
+        return (round_number + rank * pause) % interval == 0
 
     def receivers(self) -> list[HostRow]:
-        """Return one host of each other domain, each time the next one."""
+        """Return the next receiver in each remote domain, in rotation."""
         chosen = []
         for domain, hosts in self._domains.items():
             self._next[domain] += 1
--- a/src/nutmegroad/fleet/hosts.py
+++ b/src/nutmegroad/fleet/hosts.py
@@ -1,4 +1,4 @@
-"""The other hosts of the fleet, and what this one shares with them."""
+"""A host's view of the fleet: its peers, and the state it shares with them."""
 
 import asyncio
 import random
@@ -22,22 +22,24 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import Address, HostId
 
-#: Bits of the number of a host's start: two of one host's starts during one
-#: roll-out are never taken for one another.
-_RUN_BITS: Final = 32
+#: Bits of a host's incarnation number: two incarnations of one host during one
+#: rollout never get the same number in practice.
+_INCARNATION_BITS: Final = 32
 
 
 class FleetHosts:
-    """Loads and sessions told to all hosts, and tables read with the near ones.
+    """Shares loads and sessions with all hosts and store reads with local ones.
+
+    Local hosts are those of the same failure domain.
 
     Args:
         host: This host.
-        own: As what it makes itself known.
+        own: This host's row in the fleet table.
         store: The platform's store.
-        session_span: Seconds within which requests belong together.
+        session_span: Seconds within which requests belong to one session.
         clock: The host's clock.
-        randomness: Spreads retries of many hosts.
-        first: Whether all hosts start for the first time.
+        randomness: Randomizes the retries of many hosts.
+        first: Whether all hosts of the fleet start for the first time.
     """
 
     def __init__(
@@ -58,10 +60,10 @@
         #: The platform's store, with positions for versions.
         self.store = EraStore(store)
         self.store.tell_of_rises(self.store_clock.forget)
-        run = RunNumber(randomness.getrandbits(_RUN_BITS))
+        run = RunNumber(randomness.getrandbits(_INCARNATION_BITS))
         self.told = nothing_told(host, run, clock, session_span)
         self.neighbours = Neighbours(host, own, self.told, clock)
-        #: What is written of requests that end upstreams.
+        #: Crash reports in the store.
         self.crash_rows = CrashRows(
             self.told.crashes,
             self.store,
@@ -70,9 +72,11 @@
             self.turn,
         )
         self._announcement = Announcement(host, own, self.store, clock)
-        self._link = NewsLink(host, own, lambda: self.neighbours.near, clock)
+        self._link = NewsLink(
+            host, own, lambda: self.neighbours.local_hosts, clock
+        )
         self._server = NewsServer(clock)
-        #: Where tables are followed.
+        #: Creates followers of the store's tables.
         self.tables = FollowedStore(
             SharedStore(
                 self.store,
@@ -89,11 +93,15 @@
         )
 
     def count(self) -> int:
-        """Return how many hosts are known, this one included."""
+        """Return how many hosts are known, including this one."""
         return self.neighbours.count + 1
 
     async def open(self, stack: AsyncExitStack) -> None:
-        """Hear the others until a stack closes."""
+        """Listen for peers until a stack closes.
+
+        Args:
+            stack: Closes the sockets.
+        """
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
             lambda: self.neighbours,
@@ -103,31 +111,34 @@
         await self._server.open(Address(self._own.ip, self._own.port), stack)
 
     def found(self, host: HostId, row: HostRow) -> None:
-        """Take in where a host listens."""
+        """Add a host that was found in the store."""
         self._announcement.found(host, row)
         self.neighbours.found(host, row)
 
     def went_back(self) -> None:
-        """Note that the store may have lost this host's row, and others."""
+        """Record that the store may have lost this host's row and others."""
         self._announcement.went_back()
         self.crash_rows.went_back()
 
     def listed(self) -> None:
-        """Note that the fleet's own table was read whole."""
+        """Record that the full fleet table was read."""
         self._announcement.listed()
         self._link.begin()
 
     def turn(self, duty: str) -> int:
-        """Return this host's place among all for something one has to do.
+        """Return this host's rank among all hosts for a duty.
+
+        Every host that knows the same peers computes the same ranking.
 
-        The same on every host that knows the same others.
+        Args:
+            duty: Name of a task that one host has to perform.
         """
-        mine = _place(duty, self._host)
-        others = (*self.neighbours.near, *self.neighbours.far)
-        return sum(_place(duty, other) < mine for other in others)
+        mine = _duty_hash(duty, self._host)
+        others = (*self.neighbours.local_hosts, *self.neighbours.remote_hosts)
+        return sum(_duty_hash(duty, other) < mine for other in others)
 
     def work(self) -> tuple[Coroutine[Any, Any, None], ...]:
-        """Return what runs as long as the host does."""
+        """Return the coroutines that run as long as the host does."""
         return (
             self._announcement.run(first=self._first),
             self.neighbours.run(),
@@ -137,6 +148,6 @@
         )
 
 
-def _place(duty: str, host: HostId) -> int:
-    """Return a host's place for a duty, by rendezvous hashing."""
+def _duty_hash(duty: str, host: HostId) -> int:
+    """Return the rendezvous hash by which hosts are ranked for a duty."""
     return xxh3_64_intdigest(f'{duty}/{host}'.encode())
--- a/src/nutmegroad/fleet/loads.py
+++ b/src/nutmegroad/fleet/loads.py
@@ -1,7 +1,8 @@
-"""What upstreams are busy with, as far as the hosts tell each other.
+"""Current load of upstreams, as reported by all hosts.
 
-Each host knows what it has sent itself, and hears from the others what they
-have: several times a second within a failure domain, less often beyond.
+Each host counts the requests that it has sent itself and receives the counts of
+its peers: several times a second within a failure domain, less often from other
+domains.
 """
 
 from collections.abc import Callable
@@ -13,18 +14,19 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import HostId, UpstreamIncarnation
 
-#: Seconds after which what another host told is not believed any more: even
-#: one in another failure domain has missed a turn, so it is likely gone.
+#: Seconds after which the loads that another host reported expire: by then even
+#: a host in another failure domain has missed a round, so it has likely
+#: terminated.
 STALE: Final = 2.5
 
 
 class Load(Struct, frozen=True, array_like=True):
-    """What one upstream is busy with.
+    """Load of one upstream.
 
     Attributes:
-        running: Requests at it.
-        reading: Seconds of work in prompts that it has yet to read.
-        tokens: Tokens that its requests hold in memory.
+        running: Number of requests that were sent to it.
+        reading: Seconds of prompt processing (prefill) still to be done.
+        tokens: Tokens that its requests occupy in memory.
     """
 
     running: int = 0
@@ -32,7 +34,7 @@
     tokens: int = 0
 
     def times(self, factor: int) -> 'Load':
-        """Return so many times the load."""
+        """Return a multiple of the load."""
         return Load(
             self.running * factor,
             self.reading * factor,
@@ -52,25 +54,25 @@
 
 Loads = dict[UpstreamIncarnation, Load]
 
-#: Told of a request that goes to an upstream, and what it adds there.
+#: Called for each request that is sent: the upstream, and the added load.
 TellOfRequest = Callable[[UpstreamIncarnation, Load], None]
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
-    """What a neighbour has told.
+class _PeerLoads:
+    """Loads that a peer has reported.
 
     Attributes:
         loads: The loads.
-        moment: Clock seconds.
+        received_at: Clock time in seconds at which they were received.
     """
 
     loads: Loads
-    moment: float
+    received_at: float
 
 
 class LoadLedger:
-    """Counts own requests, and remembers what neighbours told.
+    """Counts the host's own requests and stores the loads that peers report.
 
     Args:
         clock: The host's clock.
@@ -79,85 +81,98 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._own: Loads = {}
-        self._told: dict[HostId, _Told] = {}
-        # The sum of what neighbours told: there may be many of them, and each
-        # choice of an upstream asks for it.
-        self._others: Loads = {}
-        self._told_of_requests: list[TellOfRequest] = []
+        self._by_peer: dict[HostId, _PeerLoads] = {}
+        # Sum of the peers' loads. There may be many peers, and each selection
+        # of an upstream reads the sum.
+        self._peer_sum: Loads = {}
+        self._request_callbacks: list[TellOfRequest] = []
 
     @property
     def own(self) -> Loads:
-        """Return what this host has sent."""
+        """Return the load of the requests that this host has sent."""
         return self._own
 
-    def tell_of_requests(self, tell: TellOfRequest) -> None:
-        """Let somebody hear of each request that this host sends."""
-        self._told_of_requests.append(tell)
+    def tell_of_requests(self, callback: TellOfRequest) -> None:
+        """Register a callback for each request that this host sends."""
+        self._request_callbacks.append(callback)
 
     def load(self, upstream: UpstreamIncarnation) -> Load:
-        """Return what an upstream is busy with, as far as is known."""
-        self._forget_stale()
+        """Return the known load of an upstream."""
+        self._remove_expired()
         own = self._own.get(upstream, NO_LOAD)
-        return own.plus(self._others.get(upstream, NO_LOAD))
+        return own.plus(self._peer_sum.get(upstream, NO_LOAD))
 
     def begin(
         self, upstream: UpstreamIncarnation, load: Load
     ) -> Callable[[], None]:
-        """Count a request, and return what counts its prompt as read."""
-        self._add(upstream, load)
-        for tell in self._told_of_requests:
-            tell(upstream, load)
-        left = [load.reading]
+        """Count a request, and return the function that ends its prompt part.
 
-        def read() -> None:
-            """Count the prompt off, once."""
-            if left:
-                self._add(upstream, Load(0, -left.pop(), 0))
+        Args:
+            upstream: Where the request is sent.
+            load: The load that it adds.
 
-        return read
+        Returns:
+            A function to call once the upstream has processed the prompt.
+        """
+        self._add_own(upstream, load)
+        for callback in self._request_callbacks:
+            callback(upstream, load)
+        pending = [load.reading]
+
+        def prompt_done() -> None:
+            """Subtract the load of the prompt; later calls do nothing."""
+            if pending:
+                self._add_own(upstream, Load(0, -pending.pop(), 0))
+
+        return prompt_done
 
     def end(self, upstream: UpstreamIncarnation, load: Load) -> None:
-        """Count a request off whose prompt has been counted off."""
-        self._add(upstream, Load(-load.running, 0, -load.tokens))
+        """Subtract a request whose prompt has been subtracted before."""
+        self._add_own(upstream, Load(-load.running, 0, -load.tokens))
 
     def told(self, host: HostId, loads: Loads) -> None:
-        """Take in what a neighbour has sent."""
+        """Replace the loads that a peer has reported."""
         now = self._clock.now()
-        before = self._told.pop(host, None)
-        # The newest is last, so what is stale is found at the beginning.
-        self._told[host] = _Told(loads, now)
+        before = self._by_peer.pop(host, None)
+        # The newest entry is last, so expired ones are found at the beginning.
+        self._by_peer[host] = _PeerLoads(loads, now)
         if before is not None:
-            self._change(before.loads, -1)
-        self._change(loads, 1)
+            self._add_to_sum(before.loads, -1)
+        self._add_to_sum(loads, 1)
 
     def told_part(self, host: HostId, loads: Loads) -> None:
-        """Take in what a neighbour has at some upstreams."""
-        known = self._told.get(host)
+        """Update the loads that a peer has reported for some upstreams."""
+        known = self._by_peer.get(host)
         whole = loads if known is None else {**known.loads, **loads}
         self.told(host, whole)
 
-    def _forget_stale(self) -> None:
-        """Forget what neighbours told too long ago."""
+    def _remove_expired(self) -> None:
+        """Remove the expired loads of peers."""
         oldest = self._clock.now() - STALE
-        while self._told:
-            host, told = next(iter(self._told.items()))
-            if told.moment >= oldest:
+        while self._by_peer:
+            host, reported = next(iter(self._by_peer.items()))
+            if reported.received_at >= oldest:
                 break
-            self._told.pop(host)
-            self._change(told.loads, -1)
+            self._by_peer.pop(host)
+            self._add_to_sum(reported.loads, -1)
+
+    def _add_to_sum(self, loads: Loads, sign: int) -> None:
+        """Add the loads of a peer to the sum, or subtract them.
 
-    def _change(self, loads: Loads, sign: int) -> None:
-        """Add what a neighbour has to the sum, or take it off."""
+        Args:
+            loads: The loads of the peer.
+            sign: 1 to add, -1 to subtract.
+        """
         for upstream, load in loads.items():
-            present = self._others.get(upstream, NO_LOAD)
+            present = self._peer_sum.get(upstream, NO_LOAD)
             changed = present.plus(load.times(sign))
             if changed.running > 0:
-                self._others[upstream] = changed
+                self._peer_sum[upstream] = changed
             else:
-                self._others.pop(upstream, None)
+                self._peer_sum.pop(upstream, None)
 
-    def _add(self, upstream: UpstreamIncarnation, change: Load) -> None:
-        """Change what this host has at an upstream."""
+    def _add_own(self, upstream: UpstreamIncarnation, change: Load) -> None:
+        """Change this host's own load at an upstream."""
         present = self._own.get(upstream, NO_LOAD).plus(change)
         if present.running:
             self._own[upstream] = present
--- a/src/nutmegroad/fleet/messages.py
+++ b/src/nutmegroad/fleet/messages.py
@@ -1,6 +1,7 @@
-"""The datagrams that hosts send each other.
+"""Gossip datagrams that hosts send each other.
 
-What is in them is true for a moment, or told again: a lost one does no harm.
+Their content is either valid for a short time or sent repeatedly, so the loss
+of a datagram does no harm.
 """
 
 from msgspec import Struct
@@ -17,13 +18,14 @@
 
 
 class Digest(Struct, frozen=True, array_like=True):
-    """What all hosts of all failure domains have to know in time.
+    """State that all hosts of all failure domains need in time.
 
     Attributes:
-        sessions: Marks of sessions on an old version, with their ages.
-        counts: What hosts have seen of roll-outs under way.
-        crashes: Under which requests upstreams have ended a moment ago.
-        configuration: The version that the sender has in force.
+        sessions: Fingerprints of sessions on an old version, with their ages.
+        counts: Counts of rollouts in progress.
+        crashes: Recent crashes of upstreams, by request.
+        configuration: Version of the configuration that the sender has in
+            force.
     """
 
     sessions: ToldMarks = ToldMarks()
@@ -33,11 +35,11 @@
 
 
 class DigestMessage(Struct, frozen=True, array_like=True, tag=1):
-    """A digest alone.
+    """A datagram with only a digest.
 
     Attributes:
-        host: Who sends it.
-        digest: What all have to know.
+        host: The sender.
+        digest: State that all hosts need.
     """
 
     host: str
@@ -45,14 +47,15 @@
 
 
 class ReportMessage(Struct, frozen=True, array_like=True, tag=2):
-    """What a host does, for those that choose among the same upstreams.
+    """Report to hosts that select among the same upstreams.
 
     Attributes:
-        host: Who sends it.
-        digest: What all have to know.
-        loads: What it has sent, by upstream.
-        prefixes: Parts of prompts that it has sent a moment ago.
-        heard: How long ago it has heard other failure domains.
+        host: The sender.
+        digest: State that all hosts need.
+        loads: Load of the sender's requests, by upstream.
+        prefixes: Parts of prompts that the sender has sent recently.
+        heard: Milliseconds since the sender received a message, by failure
+            domain.
     """
 
     host: str
@@ -63,11 +66,11 @@
 
 
 class RequestMessage(Struct, frozen=True, array_like=True, tag=3):
-    """A request that a host has just sent.
+    """Report of a request that was sent just now.
 
     Attributes:
-        host: Who sends it.
-        loads: What it has at that request's upstream now.
+        host: The sender.
+        loads: The sender's current load at the upstream of the request.
     """
 
     host: str
@@ -78,22 +81,22 @@
 
 
 class Digests:
-    """Makes digests of what a host knows, and takes in those of others.
+    """Creates digests of this host's state and merges those of other hosts.
 
     Args:
-        marks: Sessions that a roll-out must leave where they are.
-        book: What was seen of roll-outs.
-        crashes: Under which requests upstreams have ended.
-        versions: Which configurations hosts have in force.
+        marks: Sessions that a rollout must leave on their version.
+        book: Rollout counts.
+        crashes: Requests under which upstreams have crashed.
+        versions: Configuration versions that hosts have in force.
     """
 
     @property
     def has_news(self) -> bool:
-        """Tell whether there is anything that others may not know."""
+        """Whether there is anything that other failure domains may lack."""
         return any(
             (
                 self._marks.has_news,
-                self._book.has_news,
+                self._evidence.has_news,
                 self._crashes.has_news,
                 self._versions.store_lacks,
             ),
@@ -101,9 +104,9 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether there is nothing that others have to be told."""
+        """Whether there is nothing that other hosts have to receive."""
         return not (
-            self.has_news or self._marks.any_alive or self._book.under_way
+            self.has_news or self._marks.any_alive or self._evidence.under_way
         )
 
     def __init__(
@@ -114,24 +117,22 @@
         versions: HeardVersions,
     ) -> None:
         self._marks = marks
-        self._book = book
+        self._evidence = book
         self._crashes = crashes
         self._versions = versions
 
     def for_near(self) -> Digest:
         """Return a digest for a datagram within the failure domain."""
-        return self._make(self._marks.tell_near(), self._book.tell_near())
+        return self._build(self._marks.tell_near(), self._evidence.tell_near())
 
     def for_far(self) -> Digest:
         """Return a digest for a datagram to another failure domain."""
-        return self._make(self._marks.tell_far(), self._book.tell_far())
+        return self._build(self._marks.tell_far(), self._evidence.tell_far())
 
     def take(self, digest: Digest, *, near: bool) -> None:
-        """Take in what another host knows.
+        """Merge a digest from another host.
 
-        Args:
-            digest: What it tells.
-            near: Whether it is of the own failure domain.
+        ``near`` states whether the sender is in this host's failure domain.
         """
         self._marks.told(digest.sessions, near=near)
         source = Source.HOME if near else Source.AWAY
@@ -140,12 +141,14 @@
             (digest.counts.others, Source.AWAY),
         ):
             for each in counts:
-                self._book.told(each.service, each.host, each.evidence, seen_by)
+                self._evidence.told(
+                    each.service, each.host, each.evidence, seen_by
+                )
         self._crashes.told(digest.crashes)
         self._versions.told(digest.configuration)
 
-    def _make(self, sessions: ToldMarks, counts: ToldCounts) -> Digest:
-        """Return a digest with what else it has."""
+    def _build(self, sessions: ToldMarks, counts: ToldCounts) -> Digest:
+        """Return a digest, adding the parts that all receivers get."""
         return Digest(
             sessions,
             counts,
--- a/src/nutmegroad/fleet/neighbours.py
+++ b/src/nutmegroad/fleet/neighbours.py
@@ -1,9 +1,9 @@
-"""What hosts tell each other of their work, by datagrams.
+"""Gossip between hosts by datagrams: loads, prefixes and digests.
 
-The hosts of a failure domain report to each other at every turn. Those of other
-domains get the same only in a small fleet, where they hear it often enough to
-go by it; in a larger one they get digests, from a few hosts of a domain at a
-time.
+Hosts of a failure domain send each other reports in each gossip round. Hosts of
+other domains receive reports only in a small fleet, where these arrive often
+enough to be useful; in a larger fleet they receive digests, from a few hosts of
+a domain at a time.
 Hosts find each other in the platform's store.
 """
 
@@ -38,56 +38,58 @@
 
 _LOG: Final = part_logger('neighbours')
 
-#: Seconds between two tellings. A prompt takes about as long to read, and
-#: requests that are sent within one turn don't see each other.
+#: Seconds between gossip rounds. A prompt takes about as long to process, and
+#: hosts don't see each other's requests of the same round.
 TURN: Final = 0.15
 
-#: Seconds that a session counts as alive beyond its span where other hosts
-#: have seen it: their word is a moment old.
+#: Seconds beyond its span for which a session counts as live where other hosts
+#: have seen it: their reports arrive with a delay.
 MARK_SLACK: Final = 1.0
 
-#: Hosts of the own failure domain that are told at each turn: all of today's,
-#: and a bound on what telling costs where there are many; at forty-four, each
-#: hears from each about once a second.
+#: Hosts of this failure domain that receive a report per round: all of them in
+#: today's fleets, and a bound on the cost of gossip in larger ones. At
+#: forty-four hosts, each receives a report from each about once a second.
 NEAR_PER_TURN: Final = 8
 
-#: Hosts of other failure domains that get reports at each turn.
+#: Hosts of other failure domains that receive a report per round.
 FAR_PER_TURN: Final = 1
 
-#: Most hosts of other failure domains that get reports at all: with more of
-#: them, a load is no longer believed when the next report comes.
+#: Maximum number of hosts in other failure domains for which reports are sent
+#: at all: with more hosts, a load expires before the next report arrives.
 FAR_WITH_REPORTS: Final = int(STALE / TURN) * FAR_PER_TURN
 
-#: Seconds of reading from which a request is heavy: whatever is sent to the
-#: same engine before its host has heard of it waits behind it.
+#: Seconds of prompt processing from which a request is heavy: a request that
+#: another host sends to the same engine before it receives the report waits
+#: behind it.
 HEAVY: Final = 0.1
 
-#: Hosts that are told at once of each request, of the own failure domain, whose
-#: hosts use the same upstreams first: requests come in clumps, and those of one
-#: clump don't see each other until the next turn.
+#: Hosts of this failure domain that are informed of each request immediately.
+#: They prefer the same upstreams, and requests arrive in bursts; without these
+#: messages the requests of one burst would be invisible to other hosts until
+#: the next round.
 NEAR_AT_ONCE: Final = 8
 
-#: Hosts that are told at once of a heavy request, near and far. Bytes between
-#: failure domains are dear.
+#: Hosts that are informed of a heavy request immediately, in this failure
+#: domain and in others. Traffic between failure domains is expensive.
 NEAR_OF_HEAVY: Final = 30
 FAR_OF_HEAVY: Final = 8
 
-#: Seconds after which a host does not count as heard any more.
+#: Seconds after its last message for which a host counts as responsive.
 HEARD_SPAN: Final = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """What a host knows of the others' work.
+    """State that a host receives from its peers and shares with them.
 
     Attributes:
-        ledger: What upstreams are busy with.
-        marks: Sessions that a roll-out must leave where they are.
-        book: What was seen of roll-outs.
-        prefixes: What upstreams hold of prompts.
-        silence: When other failure domains were heard.
-        crashes: Under which requests upstreams have ended.
-        versions: Which configurations hosts have in force.
+        ledger: Loads of upstreams.
+        marks: Sessions that a rollout must leave on their version.
+        book: Rollout counts.
+        prefixes: Parts of prompts that upstreams have cached.
+        silence: When messages from other failure domains were received.
+        crashes: Requests under which upstreams have crashed.
+        versions: Configuration versions that hosts have in force.
     """
 
     ledger: LoadLedger
@@ -105,13 +107,13 @@
     clock: Clock,
     session_span: float,
 ) -> Told:
-    """Return what a host knows at first.
+    """Return the empty shared state of a host that has just started.
 
     Args:
         host: The host.
-        run: Which start of it this is.
+        run: Its current incarnation.
         clock: The host's clock.
-        session_span: Seconds within which requests belong together.
+        session_span: Seconds within which requests belong to one session.
     """
     marks = SessionMarks(clock, session_span + MARK_SLACK, run)
     return Told(
@@ -126,34 +128,34 @@
 
 
 class Neighbours(asyncio.DatagramProtocol):
-    """Tells neighbours what this host does, and hears them.
+    """Exchanges this host's state with its peers.
 
     Args:
         host: This host.
-        own: As what it makes itself known.
-        told: What is told and heard.
+        own: This host's row in the fleet table.
+        told: State that is sent and received.
         clock: The host's clock.
     """
 
     @property
     def count(self) -> int:
-        """Return how many other hosts are known, near and far."""
-        return len(self._near) + len(self._far)
+        """Return how many other hosts are known, in all failure domains."""
+        return len(self._local) + len(self._remote)
 
     @property
-    def near(self) -> Mapping[HostId, HostRow]:
-        """Return the other hosts of the failure domain."""
-        return self._near
+    def local_hosts(self) -> Mapping[HostId, HostRow]:
+        """Return the other hosts of this failure domain."""
+        return self._local
 
     @property
-    def far(self) -> Mapping[HostId, HostRow]:
+    def remote_hosts(self) -> Mapping[HostId, HostRow]:
         """Return the hosts of the other failure domains."""
-        return self._far
+        return self._remote
 
     @property
-    def _reports_far(self) -> bool:
-        """Tell whether hosts of other failure domains get reports."""
-        return len(self._far) <= FAR_WITH_REPORTS
+    def _sends_remote_reports(self) -> bool:
+        """Whether hosts of other failure domains receive reports."""
+        return len(self._remote) <= FAR_WITH_REPORTS
 
     def __init__(
         self,
@@ -166,7 +168,7 @@
         self._own = own
         self._ledger = told.ledger
         self._prefixes = told.prefixes
-        self._silence = told.silence
+        self._domains = told.silence
         self._digests = Digests(
             told.marks,
             told.book,
@@ -174,58 +176,58 @@
             told.versions,
         )
         self._clock = clock
-        self._near: dict[HostId, HostRow] = {}
-        self._far: dict[HostId, HostRow] = {}
-        self._far_turns = FarTurns(host)
-        # This host's place among those of its failure domain.
-        self._place = 0
-        self._heard: dict[HostId, float] = {}
+        self._local: dict[HostId, HostRow] = {}
+        self._remote: dict[HostId, HostRow] = {}
+        self._remote_rounds = FarTurns(host)
+        # This host's rank among those of its failure domain.
+        self._rank = 0
+        self._last_received: dict[HostId, float] = {}
         self._transport: asyncio.DatagramTransport | None = None
         self._decoder: msgspec.msgpack.Decoder[Message] = (
             msgspec.msgpack.Decoder(Message)
         )
-        self._silent = True
-        self._at_once = 0
-        self._ledger.tell_of_requests(self._tell_at_once)
+        self._was_empty = True
+        self._immediate_count = 0
+        self._ledger.tell_of_requests(self._send_immediately)
 
     def count_heard(self) -> int:
-        """Return how many other hosts were heard a moment ago."""
+        """Return how many other hosts have sent a message recently."""
         oldest = self._clock.now() - HEARD_SPAN
-        return sum(heard >= oldest for heard in self._heard.values())
+        return sum(heard >= oldest for heard in self._last_received.values())
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket to send on."""
+        """Store the transport for sending."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
-    def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take in what another host tells."""
+    def datagram_received(self, datagram: bytes, addr: tuple[str, int]) -> None:
+        """Merge a datagram from another host; ignore it if it is malformed."""
         try:
-            message = self._decoder.decode(data)
+            message = self._decoder.decode(datagram)
         except msgspec.DecodeError:
-            _LOG.decision('datagram not understood', sender=addr[0])
+            _LOG.decision('malformed datagram ignored', sender=addr[0])
             return
         host = HostId(message.host)
-        self._heard[host] = self._clock.now()
-        far = self._far.get(host)
-        if far is not None:
-            self._silence.heard(DomainId(far.domain))
+        self._last_received[host] = self._clock.now()
+        remote = self._remote.get(host)
+        if remote is not None:
+            self._domains.heard(DomainId(remote.domain))
         if isinstance(message, RequestMessage):
             self._ledger.told_part(host, message.loads)
             return
-        self._digests.take(message.digest, near=far is None)
+        self._digests.take(message.digest, near=remote is None)
         if isinstance(message, ReportMessage):
-            self._take(host, message)
+            self._merge_report(host, message)
 
     def found(self, host: HostId, row: HostRow) -> None:
-        """Take in where a host listens."""
+        """Add a host that was found in the store."""
         if host == self._host:
             return
         if row.domain == self._own.domain:
-            self._near[host] = row
-            self._place = sum(other < self._host for other in self._near)
+            self._local[host] = row
+            self._rank = sum(other < self._host for other in self._local)
         else:
-            self._far[host] = row
-            self._far_turns.found(host, row)
+            self._remote[host] = row
+            self._remote_rounds.found(host, row)
         _LOG.decision(
             'host found',
             host=host,
@@ -234,103 +236,117 @@
         )
 
     def telling(self) -> bytes:
-        """Return what this host reports now."""
-        far = len(self._far) if self._reports_far else 0
+        """Return this host's current report, encoded."""
+        remote = len(self._remote) if self._sends_remote_reports else 0
         return msgspec.msgpack.encode(
             ReportMessage(
                 self._host,
                 self._digests.for_near(),
                 self._ledger.own,
-                self._prefixes.recent(_round(len(self._near), far)),
-                self._silence.ages(),
+                self._prefixes.recent(
+                    _two_reports_span(len(self._local), remote)
+                ),
+                self._domains.ages(),
             ),
         )
 
     async def run(self) -> None:
-        """Tell the neighbours at every turn, until cancelled."""
+        """Send to the peers in each round, until cancelled."""
         turn = 0
         while True:
             await self._clock.sleep(TURN)
             turn += 1
-            self._tell(turn)
+            self._send_round(turn)
 
-    def _take(self, host: HostId, report: ReportMessage) -> None:
-        """Take in what a host does."""
+    def _merge_report(self, host: HostId, report: ReportMessage) -> None:
+        """Merge the report of a host."""
         self._ledger.told(host, report.loads)
         self._prefixes.told(report.prefixes)
-        if host not in self._far:
-            # Only those on this side of a cut hear what this host would hear.
-            self._silence.told(report.heard)
-
-    def _tell(self, turn: int) -> None:
-        """Tell what this host has sent, unless it is nothing as before."""
+        if host not in self._remote:
+            # Only hosts of this failure domain are on the same side of a
+            # network partition as this host; ages reported by remote hosts say
+            # nothing about it.
+            self._domains.told(report.heard)
+
+    def _send_round(self, turn: int) -> None:
+        """Send this host's state, unless it is empty and was empty before."""
         empty = self._digests.is_empty and not self._ledger.own
-        if self._transport is None or (self._silent and empty):
+        if self._transport is None or (self._was_empty and empty):
             return
-        self._silent = empty
-        # Asked first: what is told counts as news for some datagrams only.
+        self._was_empty = empty
+        # Must be read before the report is built: building it uses up the
+        # datagrams for which an entry counts as an update.
         news = self._digests.has_news
         report = self.telling()
-        near = _turn_of(self._near, turn, NEAR_PER_TURN, self._place)
-        self._send(report, near)
-        if self._reports_far:
-            far = _turn_of(self._far, turn, FAR_PER_TURN, self._place)
-            self._send(report, far)
+        local = _receivers_of(self._local, turn, NEAR_PER_TURN, self._rank)
+        self._send(report, local)
+        if self._sends_remote_reports:
+            remote = _receivers_of(self._remote, turn, FAR_PER_TURN, self._rank)
+            self._send(report, remote)
         else:
-            self._tell_far(turn, news=news)
+            self._send_remote(turn, news=news)
 
-    def _tell_far(self, turn: int, *, news: bool) -> None:
-        """Tell other failure domains what all have to know, in its turn."""
-        hosts = len(self._near) + 1
-        if self._far_turns.due(turn, self._place, hosts, news=news):
+    def _send_remote(self, turn: int, *, news: bool) -> None:
+        """Send a digest to other failure domains if it is this host's round."""
+        hosts = len(self._local) + 1
+        if self._remote_rounds.due(turn, self._rank, hosts, has_updates=news):
             digest = DigestMessage(self._host, self._digests.for_far())
-            text = msgspec.msgpack.encode(digest)
-            self._send(text, self._far_turns.receivers())
+            payload = msgspec.msgpack.encode(digest)
+            self._send(payload, self._remote_rounds.receivers())
 
-    def _tell_at_once(self, upstream: UpstreamIncarnation, load: Load) -> None:
-        """Tell what this host has at one upstream, before the next turn."""
-        self._at_once += 1
+    def _send_immediately(
+        self, upstream: UpstreamIncarnation, load: Load
+    ) -> None:
+        """Send this host's load at one upstream before the next round."""
+        self._immediate_count += 1
         heavy = load.reading >= HEAVY
         loads = {upstream: self._ledger.own[upstream]}
-        text = msgspec.msgpack.encode(RequestMessage(self._host, loads))
-        near = NEAR_OF_HEAVY if heavy else NEAR_AT_ONCE
-        self._send(text, _turn_of(self._near, self._at_once, near, self._place))
-        if heavy and self._reports_far:
-            far = _turn_of(self._far, self._at_once, FAR_OF_HEAVY, self._place)
-            self._send(text, far)
-
-    def _send(self, text: bytes, receivers: Iterable[HostRow]) -> None:
+        payload = msgspec.msgpack.encode(RequestMessage(self._host, loads))
+        local = NEAR_OF_HEAVY if heavy else NEAR_AT_ONCE
+        self._send(
+            payload,
+            _receivers_of(
+                self._local, self._immediate_count, local, self._rank
+            ),
+        )
+        if heavy and self._sends_remote_reports:
+            remote = _receivers_of(
+                self._remote, self._immediate_count, FAR_OF_HEAVY, self._rank
+            )
+            self._send(payload, remote)
+
+    def _send(self, payload: bytes, receivers: Iterable[HostRow]) -> None:
         """Send a datagram to some hosts."""
         if self._transport is None:
             return
         for row in receivers:
-            self._transport.sendto(text, (row.ip, row.port))
+            self._transport.sendto(payload, (row.ip, row.port))
 
 
-def _round(near: int, far: int) -> float:
-    """Return the seconds in which each host that gets reports gets two.
+def _two_reports_span(local: int, remote: int) -> float:
+    """Return the seconds in which each receiver of reports gets two of them.
 
     Args:
-        near: How many of them there are in the failure domain.
-        far: How many in others.
+        local: Number of receivers in this failure domain.
+        remote: Number of receivers in other domains.
     """
-    turns = max(near / NEAR_PER_TURN, far / FAR_PER_TURN, 1)
+    turns = max(local / NEAR_PER_TURN, remote / FAR_PER_TURN, 1)
     return 2 * turns * TURN
 
 
-def _turn_of(
+def _receivers_of(
     hosts: Mapping[HostId, HostRow],
-    turn: int,
+    round_number: int,
     count: int,
-    place: int,
+    offset: int,
 ) -> tuple[HostRow, ...]:
-    """Return the hosts whose turn it is: so many, or all if they are few.
+    """Return the hosts that are sent to in a round, or all if they are few.
 
     Args:
         hosts: All hosts.
-        turn: Number of the turn.
-        count: How many are told at a turn.
-        place: Where this host begins. Hosts that start together, and know the
-            same others, would all tell the same ones else.
+        round_number: Number of the round.
+        count: Number of hosts per round.
+        offset: Offset at which this host begins. Without it, hosts that start
+            together and know the same peers would all send to the same ones.
     """
-    return take(tuple(hosts.values()), turn * count + place, count)
+    return take(tuple(hosts.values()), round_number * count + offset, count)
--- a/src/nutmegroad/fleet/rumors.py
+++ b/src/nutmegroad/fleet/rumors.py
@@ -1,13 +1,14 @@
-"""Which of many facts a datagram tells, as epidemic protocols do it.
+"""Gossip queue: selects the entries of each datagram by epidemic dissemination.
 
-A fact that a host has just learnt is told in its next datagrams, and so by each
-host that learns it: all know of it after a few turns, whatever their number.
-The other facts are told in turn, which mends what datagrams lost, and lets a
-host that has started catch up.
+A new entry is part of the next few datagrams of the host that received it, and
+so of each further host that receives it: after a few rounds all hosts have it,
+however many there are. All other entries are sent in rotation, which makes up
+for lost datagrams and lets a host that has just started catch up.
 
-Between failure domains only what a domain has seen itself is news: each domain
-tells all others, so nothing has to pass through a third one. What a host has
-heard near by it tells on to other domains while it is news here; so do others.
+Between failure domains, only entries that originate in the sender's own domain
+count as new: each domain informs all others directly, so nothing has to pass
+through a third one. Entries received from local peers are forwarded to remote
+domains as long as they are new here; several hosts of the domain do so.
 """
 
 from collections.abc import Collection, Hashable
@@ -15,12 +16,13 @@
 from enum import Enum, unique
 from typing import Final, Generic, TypeVar
 
-#: Datagrams in which a host tells its failure domain what it has just learnt.
-#: With eight hosts told at a turn, four turns reach all in a domain of a
-#: thousand.
+#: Datagrams to its own failure domain in which a host sends an entry that it
+#: has received. With eight receivers per round, four rounds reach all hosts of
+#: a domain of a thousand.
 TELLINGS: Final = 4
 
-#: The same for what it has seen itself: nobody else may know it yet.
+#: Datagrams in which a host sends an entry of its own; no other host may have
+#: it yet.
 OWN_TELLINGS: Final = 8
 
 Key = TypeVar('Key', bound=Hashable)
@@ -29,11 +31,11 @@
 
 @unique
 class Source(Enum):
-    """Who has seen a fact, as far as a host knows."""
+    """Where an entry originates, seen from this host."""
 
     #: This host.
     OWN = 'own'
-    #: Another host of its failure domain.
+    #: Another host of this failure domain.
     HOME = 'home'
     #: A host of another failure domain.
     AWAY = 'away'
@@ -41,120 +43,142 @@
 
 @dataclass(frozen=True, slots=True)
 class Portion:
-    """How many facts of one kind a datagram has room for.
+    """Number of entries of one kind that fit into a datagram.
 
     Attributes:
-        news: Facts that were learnt just now.
-        others: Others, in turn.
+        new: New entries.
+        others: Other entries, sent in rotation.
     """
 
-    news: int
+    new: int
     others: int
 
 
 class Rumors(Generic[Key]):
-    """Remembers which facts are news to whom, and whose turn it is.
+    """Tracks which entries are new to which receivers, and the rotation.
 
     Args:
-        near: Room in a datagram to a host of the own failure domain.
-        far: The same to a host of another one.
-        begin: Where the turns begin; hosts that begin at the same place would
-            all tell the same facts first.
+        local: Capacity of a datagram within the failure domain.
+        remote: Capacity of a datagram to another failure domain.
+        offset: Offset at which the rotation starts; hosts that start at the
+            same offset would all send the same entries first.
     """
 
     @property
     def has_far_news(self) -> bool:
-        """Tell whether there is news for other failure domains."""
-        return bool(self._own_news) or not self._home.isdisjoint(
-            self._near_news,
+        """Whether there are new entries for other failure domains."""
+        return bool(self._own_unsent) or not self._local_keys.isdisjoint(
+            self._pending_sends,
         )
 
-    def __init__(self, near: Portion, far: Portion, begin: int) -> None:
-        self._near = near
-        self._far = far
-        # Datagrams that are still to tell it.
-        self._near_news: dict[Key, int] = {}
-        # What this host has seen itself and not told other domains yet.
-        self._own_news: dict[Key, None] = {}
-        self._home: set[Key] = set()
-        self._near_begin = begin
-        self._far_begin = begin
+    def __init__(self, local: Portion, remote: Portion, offset: int) -> None:
+        self._local_capacity = local
+        self._remote_capacity = remote
+        # Number of further datagrams in which each entry is sent as new.
+        self._pending_sends: dict[Key, int] = {}
+        # Own entries that have not been sent to other domains yet.
+        self._own_unsent: dict[Key, None] = {}
+        self._local_keys: set[Key] = set()
+        self._local_offset = offset
+        self._remote_offset = offset
 
     def is_home(self, key: Key) -> bool:
-        """Tell whether the own failure domain has seen a fact itself."""
-        return key in self._home
+        """Return whether an entry originates in this failure domain."""
+        return key in self._local_keys
 
     def seen(self, key: Key, source: Source) -> None:
-        """Note who has seen a fact that is no news."""
+        """Record the source of an entry that is not sent as new."""
         if source is not Source.AWAY:
-            self._home.add(key)
+            self._local_keys.add(key)
 
     def learnt(self, key: Key, source: Source) -> None:
-        """Note that a fact was learnt just now."""
+        """Record an entry that is to be sent as new."""
         self.seen(key, source)
         if source is Source.OWN:
-            self._near_news[key] = OWN_TELLINGS
-            self._own_news[key] = None
+            self._pending_sends[key] = OWN_TELLINGS
+            self._own_unsent[key] = None
         else:
-            self._near_news[key] = TELLINGS
+            self._pending_sends[key] = TELLINGS
 
     def keep(self, known: Collection[Key]) -> None:
-        """Forget all facts but some."""
-        self._home.intersection_update(known)
-        for key in self._near_news.keys() - known:
-            self._near_news.pop(key)
-        for key in self._own_news.keys() - known:
-            self._own_news.pop(key)
+        """Forget all entries except some.
+
+        Args:
+            known: The entries to retain.
+        """
+        self._local_keys.intersection_update(known)
+        for key in self._pending_sends.keys() - known:
+            self._pending_sends.pop(key)
+        for key in self._own_unsent.keys() - known:
+            self._own_unsent.pop(key)
 
     def choose_near(self, known: Collection[Key]) -> list[Key]:
-        """Return the known facts for one datagram, and count them as told."""
-        news = _tell(self._near_news, self._near.news, self._near_begin)
-        others = take(tuple(known), self._near_begin, self._near.others)
-        self._near_begin += self._near.others
-        return list(dict.fromkeys((*news, *others)))
+        """Return the entries for a local datagram, and count them as sent.
+
+        Args:
+            known: All known entries, for the rotation.
+        """
+        new = _select_new(
+            self._pending_sends, self._local_capacity.new, self._local_offset
+        )
+        others = take(
+            tuple(known), self._local_offset, self._local_capacity.others
+        )
+        self._local_offset += self._local_capacity.others
+        return list(dict.fromkeys((*new, *others)))
 
     def choose_far(self, known: Collection[Key]) -> list[Key]:
-        """Return the same for a datagram to another failure domain."""
-        home = self._home.intersection(self._near_news)
-        heard = take(tuple(home), self._far_begin, self._far.news)
-        news = tuple(dict.fromkeys((*self._own_news, *heard)))[: self._far.news]
-        for key in news:
-            self._own_news.pop(key, None)
-        others = take(tuple(known), self._far_begin, self._far.others)
-        self._far_begin += self._far.others
-        return list(dict.fromkeys((*news, *others)))
+        """Return the entries for a remote datagram, and count them as sent.
+
+        Args:
+            known: All known entries, for the rotation.
+        """
+        local_new = self._local_keys.intersection(self._pending_sends)
+        received = take(
+            tuple(local_new), self._remote_offset, self._remote_capacity.new
+        )
+        new = tuple(dict.fromkeys((*self._own_unsent, *received)))[
+            : self._remote_capacity.new
+        ]
+        for key in new:
+            self._own_unsent.pop(key, None)
+        others = take(
+            tuple(known), self._remote_offset, self._remote_capacity.others
+        )
+        self._remote_offset += self._remote_capacity.others
+        return list(dict.fromkeys((*new, *others)))
 
 
 def take(
     entries: tuple[Entry, ...],
-    begin: int,
+    offset: int,
     count: int,
 ) -> tuple[Entry, ...]:
-    """Return so many entries from a place on, or all if they are few.
+    """Return a number of entries from a position on, or all if they are few.
 
     Args:
-        entries: The entries; the first follows on the last.
-        begin: The place, which may be beyond the last one.
-        count: How many.
+        entries: The entries; the first one follows the last one.
+        offset: The position, which may be beyond the last entry.
+        count: The number.
     """
     if len(entries) <= count:
         return entries
     return tuple(
-        entries[(begin + each) % len(entries)] for each in range(count)
+        entries[(offset + each) % len(entries)] for each in range(count)
     )
 
 
-def _tell(news: dict[Key, int], count: int, begin: int) -> list[Key]:
-    """Return some news, and count them as told.
+def _select_new(pending: dict[Key, int], count: int, offset: int) -> list[Key]:
+    """Return some new entries, and count them as sent.
 
-    What was told least goes first, so that nothing waits behind what is newer;
-    among the rest it differs from host to host.
+    Entries that were sent least come first, so that none waits behind newer
+    ones; the order of the rest differs between hosts.
     """
-    keys = tuple(news)
-    turned = (keys[(begin + each) % len(keys)] for each in range(len(keys)))
-    chosen = sorted(turned, key=news.__getitem__, reverse=True)[:count]
+    keys = tuple(pending)
+    rotated = (keys[(offset + each) % len(keys)] for each in range(len(keys)))
+    chosen = sorted(rotated, key=pending.__getitem__, reverse=True)[:count]
     for key in chosen:
-        news[key] -= 1
-        if not news[key]:
-            news.pop(key)
+        pending[key] -= 1
+        if not pending[key]:
+            pending.pop(key)
     return chosen
--- a/tests/gossip_rig.py
+++ b/tests/gossip_rig.py
@@ -1,7 +1,7 @@
-"""A fleet of hosts that tell each other by datagrams, on virtual time.
+"""A fleet of hosts that exchange gossip datagrams, on virtual time.
 
-No network: a datagram comes a moment later, or is lost. Hosts start at moments
-of their own, so their turns don't fall together.
+There is no network: a datagram is delivered with a delay, or lost. Hosts start
+at different times, so their rounds do not coincide.
 """
 
 import asyncio
@@ -18,14 +18,14 @@
 from nutmegroad.fleet.neighbours import TURN, Neighbours, Told, nothing_told
 from nutmegroad.foundations.types import HostId
 
-#: Seconds in which the life of a session ends.
+#: Seconds after which a session without requests has ended.
 SPAN: Final = 8.5
 
 #: Seconds that a datagram takes within a failure domain, and between two.
-NEAR_WAY: Final = 0.001
-FAR_WAY: Final = 0.003
+LOCAL_DELAY: Final = 0.001
+REMOTE_DELAY: Final = 0.003
 
-#: Part of the datagrams that is lost.
+#: Fraction of the datagrams that is lost.
 LOSS: Final = 0.01
 
 
@@ -35,11 +35,11 @@
 
     Attributes:
         name: Its name.
-        row: As what it makes itself known.
-        told: What it knows of the others.
-        neighbours: What tells and hears.
+        row: Its row in the fleet table.
+        told: Its shared state.
+        neighbours: Sends and receives its datagrams.
         clock: Its clock.
-        work: The task that tells.
+        work: The task that sends.
     """
 
     name: HostId
@@ -51,13 +51,13 @@
 
 
 class GossipFleet:
-    """Hosts that tell each other.
+    """Hosts that exchange gossip.
 
     Args:
-        hosts: How many.
-        domains: In how many failure domains.
-        clock: The clock of all.
-        seed: Seed of starts, ways and losses.
+        hosts: Number of hosts.
+        domains: Number of failure domains.
+        clock: Clock of all hosts.
+        seed: Seed of start times, delays and losses.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self.far_bytes = 0
         #: Bytes sent by all hosts.
         self.sent_bytes = 0
-        self._is_lost: Callable[[HostRow, HostRow], bool] = _passes
+        self._is_lost: Callable[[HostRow, HostRow], bool] = _never_lost
         self._rows = {
             HostId(f'host-{number}'): HostRow(
                 f'10.0.0.{number}',
@@ -88,7 +88,7 @@
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """Return the hosts that are up."""
+        """Return the hosts that are running."""
         return tuple(self._at.values())
 
     def member(self, number: int) -> Member:
@@ -96,7 +96,7 @@
         return self._at[f'10.0.0.{number}']
 
     def start(self, name: HostId) -> Member:
-        """Start a host that knows of nothing but the others."""
+        """Start a host that only knows the addresses of the others."""
         row = self._rows[name]
         run = RunNumber(self.randomness.getrandbits(32))
         told = nothing_told(name, run, self.clock, SPAN)
@@ -128,65 +128,65 @@
         """Lose some datagrams for a while.
 
         Args:
-            is_lost: Tells it by sender and receiver.
+            is_lost: Returns it for a sender and a receiver.
         """
         self._is_lost = is_lost
         try:
             yield
         finally:
-            self._is_lost = _passes
+            self._is_lost = _never_lost
 
-    def carry(self, text: bytes, sender: HostRow, address: str) -> None:
-        """Carry a datagram."""
+    def carry(self, payload: bytes, sender: HostRow, address: str) -> None:
+        """Deliver a datagram later, or lose it."""
         receiver = self._at.get(address)
         row = receiver.row if receiver else None
-        self.sent_bytes += len(text)
-        is_far = row is None or row.domain != sender.domain
-        if is_far:
-            self.far_bytes += len(text)
+        self.sent_bytes += len(payload)
+        is_remote = row is None or row.domain != sender.domain
+        if is_remote:
+            self.far_bytes += len(payload)
         if row is None or self._is_lost(sender, row):
             return
         if self.randomness.random() < LOSS:
             return
-        way = FAR_WAY if is_far else NEAR_WAY
+        delay = REMOTE_DELAY if is_remote else LOCAL_DELAY
         asyncio.get_running_loop().call_later(
-            way * self.randomness.uniform(0.7, 1.5),
+            delay * self.randomness.uniform(0.7, 1.5),
             self._deliver,
-            text,
+            payload,
             sender,
             address,
         )
 
-    def _deliver(self, text: bytes, sender: HostRow, address: str) -> None:
-        """Let a host hear a datagram, if it is up."""
+    def _deliver(self, payload: bytes, sender: HostRow, address: str) -> None:
+        """Pass a datagram to a host if it is running."""
         receiver = self._at.get(address)
         if receiver is not None:
             source = (sender.ip, sender.port)
-            receiver.neighbours.datagram_received(text, source)
+            receiver.neighbours.datagram_received(payload, source)
 
     async def _run(self, neighbours: Neighbours) -> None:
-        """Let a host tell, from a moment of its own on."""
+        """Start the gossip rounds of a host after a random delay."""
         await self.clock.sleep(self.randomness.uniform(0, TURN))
         await neighbours.run()
 
 
 class _Wire:
-    """Stands for a datagram socket.
+    """Stands in for a datagram socket.
 
     Args:
-        fleet: Carries what is sent.
-        row: Whose socket it is.
+        fleet: Delivers what is sent.
+        row: Row of the host that owns the socket.
     """
 
     def __init__(self, fleet: GossipFleet, row: HostRow) -> None:
         self._fleet = fleet
         self._row = row
 
-    def sendto(self, text: bytes, address: tuple[str, int]) -> None:
+    def sendto(self, payload: bytes, address: tuple[str, int]) -> None:
         """Send a datagram."""
-        self._fleet.carry(text, self._row, address[0])
+        self._fleet.carry(payload, self._row, address[0])
 
 
-def _passes(sender: HostRow, receiver: HostRow) -> bool:
+def _never_lost(sender: HostRow, receiver: HostRow) -> bool:
     """Lose nothing."""
     return False
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""How hosts make themselves known."""
+"""Tests of the registration of hosts in the store."""
 
 import asyncio
 import unittest
@@ -9,51 +9,51 @@
 from nutmegroad.foundations.types import HostId
 from nutmegroad.testing.virtual import ManualClock
 
-#: Where a host of the tests listens.
+#: Row of the host under test.
 ROW = HostRow('127.0.0.1', 7, 'north')
 
 
-class AnnounceTest(unittest.IsolatedAsyncioTestCase):
-    """How a host makes itself known."""
+class RegistrationTest(unittest.IsolatedAsyncioTestCase):
+    """When a host writes its row."""
 
-    def announcement(self, store: Mock) -> Announcement:
-        """Return a host that has not made itself known yet."""
+    def registration(self, store: Mock) -> Announcement:
+        """Return a host that has not registered yet."""
         self.clock = ManualClock()
         return Announcement(HostId('me'), ROW, store, self.clock)
 
     async def test_host_that_starts_again_writes_nothing(self) -> None:
-        """Pattern: power returns everywhere; its row is still there."""
+        """Pattern: power returns everywhere; the host's row is still there."""
         store = Mock(commit=AsyncMock())
-        announcement = self.announcement(store)
-        announcement.found(HostId('me'), ROW)
-        announcement.listed()
-        await announcement.make(first=False)
-        await announcement.gathered()
+        registration = self.registration(store)
+        registration.found(HostId('me'), ROW)
+        registration.listed()
+        await registration.make(first=False)
+        await registration.gathered()
         store.commit.assert_not_called()
 
     async def test_row_of_another_address_is_written_anew(self) -> None:
-        """Pattern: a host is replaced under its name."""
+        """Pattern: a host is replaced by another one with its name."""
         store = Mock(commit=AsyncMock(return_value=Committed(3, 1)))
-        announcement = self.announcement(store)
-        announcement.found(HostId('me'), HostRow('127.0.0.9', 7, 'north'))
-        announcement.listed()
-        await announcement.make(first=False)
+        registration = self.registration(store)
+        registration.found(HostId('me'), HostRow('127.0.0.9', 7, 'north'))
+        registration.listed()
+        await registration.make(first=False)
         store.commit.assert_called_once()
 
-    async def test_first_hosts_make_themselves_known_before_they_look(
+    async def test_first_hosts_register_before_they_select_a_source(
         self,
     ) -> None:
-        """Pattern: all hosts start at once, and find nobody to follow."""
+        """Pattern: all hosts start at once and find no host to follow."""
         store = Mock(commit=AsyncMock(return_value=Committed(3, 1)))
-        announcement = self.announcement(store)
-        announcing = asyncio.create_task(announcement.make(first=True))
-        looking = asyncio.create_task(announcement.gathered())
+        registration = self.registration(store)
+        registering = asyncio.create_task(registration.make(first=True))
+        waiting = asyncio.create_task(registration.gathered())
         await self.clock.settle()
         store.commit.assert_called_once()
-        self.assertFalse(looking.done())
+        self.assertFalse(waiting.done())
         await self.clock.advance(GATHERING)
-        self.assertTrue(looking.done())
-        await announcing
+        self.assertTrue(waiting.done())
+        await registering
 
 
 if __name__ == '__main__':
--- a/tests/test_domain_silence.py
+++ b/tests/test_domain_silence.py
@@ -1,4 +1,4 @@
-"""Failure domains that fall silent, and what follows from it."""
+"""Tests of the detection of unreachable failure domains."""
 
 import random
 import unittest
@@ -14,99 +14,99 @@
 
 SOUTH = DomainId('south')
 
-#: Seconds between two datagrams of a domain where ten hosts are in each.
-OFTEN = 0.1
+#: Seconds between two datagrams of a domain where each domain has ten hosts.
+FREQUENT = 0.1
 
 
-class SilenceTest(unittest.TestCase):
+class SuspicionTest(unittest.TestCase):
     """When a domain is suspected."""
 
     def setUp(self) -> None:
-        """Begin with a host that has heard nothing."""
+        """Start with a host that has received nothing."""
         self.clock = ManualClock(start=100)
-        self.silence = DomainSilence(self.clock)
+        self.monitor = DomainSilence(self.clock)
 
-    def hear(self, seconds: float, interval: float) -> None:
-        """Hear a domain for some time."""
+    def receive(self, seconds: float, interval: float) -> None:
+        """Receive messages from a domain for some time."""
         for _ in range(round(seconds / interval)):
             self.clock._now += interval
-            self.silence.heard(SOUTH)
+            self.monitor.heard(SOUTH)
 
-    def test_domain_that_was_never_heard_is_not_suspected(self) -> None:
+    def test_domain_without_any_message_is_not_suspected(self) -> None:
         """Pattern: a host has just started."""
-        self.assertFalse(self.silence.suspected(SOUTH))
-        self.silence.heard(SOUTH)
+        self.assertFalse(self.monitor.suspected(SOUTH))
+        self.monitor.heard(SOUTH)
         self.clock._now += 3
-        self.assertFalse(self.silence.suspected(SOUTH))
+        self.assertFalse(self.monitor.suspected(SOUTH))
 
     def test_busy_domain_is_suspected_within_a_second(self) -> None:
         """Pattern: a failure domain is cut off for six seconds (inc-590c)."""
-        self.hear(5, OFTEN)
+        self.receive(5, FREQUENT)
         self.clock._now += LEAST - 0.05
-        self.assertFalse(self.silence.suspected(SOUTH))
+        self.assertFalse(self.monitor.suspected(SOUTH))
         self.clock._now += 0.2
-        self.assertTrue(self.silence.suspected(SOUTH))
-        self.silence.heard(SOUTH)
-        self.assertFalse(self.silence.suspected(SOUTH))
+        self.assertTrue(self.monitor.suspected(SOUTH))
+        self.monitor.heard(SOUTH)
+        self.assertFalse(self.monitor.suspected(SOUTH))
 
-    def test_rare_signs_take_longer(self) -> None:
-        """Pattern: a night on which hosts have little to tell."""
-        self.hear(30, 0.6)
+    def test_rare_messages_take_longer(self) -> None:
+        """Pattern: at night hosts have little to send."""
+        self.receive(30, 0.6)
         self.clock._now += 4
-        self.assertFalse(self.silence.suspected(SOUTH))
+        self.assertFalse(self.monitor.suspected(SOUTH))
 
     def test_chance_alone_raises_few_suspicions(self) -> None:
-        """Three signs a second, as three hosts of today hear, for an hour."""
+        """Three messages a second, as from three of today's hosts, for 1 h."""
         randomness = random.Random(3)
         suspicions = 0
         for _ in range(3 * 3600):
             self.clock._now += randomness.expovariate(3)
-            suspicions += self.silence.suspected(SOUTH)
-            self.silence.heard(SOUTH)
+            suspicions += self.monitor.suspected(SOUTH)
+            self.monitor.heard(SOUTH)
         self.assertLess(suspicions, 3 * 3600 / 300)
 
-    def test_hosts_of_a_domain_hear_for_each_other(self) -> None:
-        """Pattern: in a large fleet one host hears a far domain rarely."""
-        self.hear(5, OFTEN)
+    def test_hosts_of_a_domain_share_their_ages(self) -> None:
+        """Pattern: in a large fleet a host rarely hears a remote domain."""
+        self.receive(5, FREQUENT)
         self.clock._now += 0.7
         other = DomainSilence(self.clock)
         other.heard(SOUTH)
         self.clock._now += 0.2
-        self.silence.told(other.ages())
+        self.monitor.told(other.ages())
         self.clock._now += 0.5
-        self.assertFalse(self.silence.suspected(SOUTH))
+        self.assertFalse(self.monitor.suspected(SOUTH))
 
-    def test_old_word_changes_nothing(self) -> None:
-        """A datagram of before the cut, held up on its way."""
-        self.hear(5, OFTEN)
+    def test_delayed_report_changes_nothing(self) -> None:
+        """A datagram from before the partition that was delayed."""
+        self.receive(5, FREQUENT)
         self.clock._now += 2
-        self.silence.told({SOUTH: 1900})
-        self.assertTrue(self.silence.suspected(SOUTH))
+        self.monitor.told({SOUTH: 1900})
+        self.assertTrue(self.monitor.suspected(SOUTH))
 
-    def test_words_of_a_broken_host_are_bounded(self) -> None:
-        """Ages from the future, and names that nobody has."""
-        self.hear(5, OFTEN)
-        self.silence.told({SOUTH: -90_000})
+    def test_reports_of_a_broken_host_are_bounded(self) -> None:
+        """Ages from the future, and names of domains that do not exist."""
+        self.receive(5, FREQUENT)
+        self.monitor.told({SOUTH: -90_000})
         self.clock._now += 2
-        self.assertTrue(self.silence.suspected(SOUTH))
-        self.silence.told({DomainId(f'd{number}'): 0 for number in range(999)})
-        self.assertLessEqual(len(self.silence.ages()), MOST)
+        self.assertTrue(self.monitor.suspected(SOUTH))
+        self.monitor.told({DomainId(f'd{number}'): 0 for number in range(999)})
+        self.assertLessEqual(len(self.monitor.ages()), MOST)
 
-    def test_changes_of_belief_are_logged_once(self) -> None:
-        """An operator sees in the log when a cut began and ended."""
-        self.hear(5, OFTEN)
+    def test_changes_of_suspicion_are_logged_once(self) -> None:
+        """An operator sees in the log when a partition began and ended."""
+        self.receive(5, FREQUENT)
         self.clock._now += 2
         with patch.object(domain_silence, '_LOG') as log:
-            self.silence.suspected(SOUTH)
-            self.silence.suspected(SOUTH)
-            self.silence.heard(SOUTH)
-            self.silence.heard(SOUTH)
+            self.monitor.suspected(SOUTH)
+            self.monitor.suspected(SOUTH)
+            self.monitor.heard(SOUTH)
+            self.monitor.heard(SOUTH)
         events = [call.args[0] for call in log.decision.call_args_list]
         self.assertEqual(events, ['domain fell silent', 'domain heard again'])
 
 
-class HearingTest(unittest.TestCase):
-    """What counts as a sign of a domain."""
+class MessageTest(unittest.TestCase):
+    """What counts as a message from a domain."""
 
     def host(self, name: str, domain: str) -> Neighbours:
         """Return a host that knows two others."""
@@ -117,19 +117,19 @@
         host.found(HostId('far'), HostRow('127.0.0.1', 3, 'south'))
         return host
 
-    def test_datagrams_of_far_hosts_and_words_of_near_ones_count(self) -> None:
-        """What a far host says of its own side says nothing of ours."""
+    def test_remote_datagrams_and_local_reports_count(self) -> None:
+        """Ages from a remote host say nothing about this host's connection."""
         self.clock = ManualClock(start=100)
         me = self.host('me', 'north')
         far = self.host('far', 'south')
         me.datagram_received(far.telling(), ('127.0.0.1', 3))
-        self.assertEqual(me._silence.ages(), {SOUTH: 0})
+        self.assertEqual(me._domains.ages(), {SOUTH: 0})
         self.clock._now += 2
         near = self.host('near', 'north')
         near.datagram_received(far.telling(), ('127.0.0.1', 3))
         self.clock._now += 1
         me.datagram_received(near.telling(), ('127.0.0.1', 2))
-        self.assertEqual(me._silence.ages(), {SOUTH: 1000})
+        self.assertEqual(me._domains.ages(), {SOUTH: 1000})
 
 
 if __name__ == '__main__':
--- a/tests/test_fuzz_datagrams.py
+++ b/tests/test_fuzz_datagrams.py
@@ -1,6 +1,6 @@
-"""Whatever comes as a datagram, a host goes on: bytes of any kind.
+"""Fuzz tests: a host survives datagrams with any content.
 
-Another host may be broken, or of another release, or no host at all.
+The sender may be broken, of another release, or not a host at all.
 """
 
 import math
@@ -27,10 +27,10 @@
 from nutmegroad.testing.virtual import ManualClock
 from tests.relay_samples import KIND
 
-#: Marks in one datagram of a broken host.
+#: Fingerprints in one datagram of a broken host.
 BATCH = 5000
 
-#: Values that any field may have, also where they make no sense.
+#: Values that any field may have, including ones that make no sense.
 LEAVES = (
     st.none()
     | st.booleans()
@@ -92,7 +92,7 @@
 
 
 def a_host() -> tuple[Neighbours, ManualClock]:
-    """Return a host that knows one near and seventeen far ones."""
+    """Return a host that knows one local and seventeen remote hosts."""
     clock = ManualClock(start=100)
     told = nothing_told(HostId('me'), RunNumber(1), clock, 5)
     host = Neighbours(HostId('me'), row('north'), told, clock)
@@ -108,12 +108,12 @@
 
 
 def row(domain: str) -> HostRow:
-    """Return where a host listens."""
+    """Return the row of a host."""
     return HostRow('127.0.0.1', 1, domain)
 
 
 def encode(content: Any) -> bytes:
-    """Return content as hosts send it; nothing that they can't spell."""
+    """Return content encoded as a datagram, or b'' if it can't be encoded."""
     try:
         return msgspec.msgpack.encode(content)
     except (OverflowError, ValueError):
@@ -121,32 +121,32 @@
 
 
 class DatagramTest(unittest.TestCase):
-    """A host that hears anything at all."""
+    """A host that receives arbitrary datagrams."""
 
-    def hear(self, *texts: bytes) -> Neighbours:
-        """Let a host hear datagrams, and go on for some turns."""
+    def receive(self, *texts: bytes) -> Neighbours:
+        """Let a host receive datagrams and run for some rounds."""
         host, clock = a_host()
         for text in texts:
             host.datagram_received(text, ('127.0.0.9', 9))
             host.datagram_received(text, ('127.0.0.9', 9))
         for turn in range(12):
             clock._now += 1
-            host._tell(turn)
+            host._send_round(turn)
             self.assertLess(len(host.telling()), 65_000)
-        host._silence.suspected(DomainId('south'))
+        host._domains.suspected(DomainId('south'))
         return host
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(st.binary(max_size=200))
     def test_bytes(self, text: bytes) -> None:
-        """Noise."""
-        self.hear(text)
+        """Random bytes."""
+        self.receive(text)
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(ANYTHING)
     def test_other_shapes(self, content: Any) -> None:
         """Another program, or another release."""
-        self.hear(encode(content))
+        self.receive(encode(content))
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.lists(MESSAGES, min_size=1, max_size=4), st.integers(0, 400))
@@ -155,14 +155,14 @@
         messages: list[Any],
         cut: int,
     ) -> None:
-        """A broken host: whole datagrams, and one that is cut short."""
+        """A broken host: complete datagrams, and one that is cut short."""
         texts = [encode(message) for message in messages]
-        host = self.hear(*texts, texts[0][:cut])
+        host = self.receive(*texts, texts[0][:cut])
         load = host._ledger.load(UpstreamIncarnation('near'))
         self.assertFalse(math.isnan(load.running))
 
-    def test_marks_that_are_made_up_are_bounded(self) -> None:
-        """Guards: a broken host fills the others' memory with marks."""
+    def test_made_up_fingerprints_are_bounded(self) -> None:
+        """Guards: a broken host fills its peers' memory with fingerprints."""
         texts = []
         for begin in range(0, MOST_MARKS * 2, BATCH):
             ages = dict.fromkeys(range(begin, begin + BATCH), 1)
@@ -175,8 +175,8 @@
         marks.saw(SessionMark(2**31))
         self.assertTrue(marks.alive(SessionMark(2**31)))
 
-    def test_messages_are_understood(self) -> None:
-        """Else the tests above would try nothing."""
+    def test_messages_are_decoded(self) -> None:
+        """Otherwise the tests above would exercise nothing."""
         digest = [[{1: 2}, {}], [[], []], [[], []], 3]
         for message in ([1, 'near', digest], [3, 'near', {'u': [1, 0.5, 2]}]):
             text = msgspec.msgpack.encode(message)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,10 +1,10 @@
-"""What hosts tell each other reaches all of them, at nine and at two hundred.
+"""Gossip reaches all hosts, in fleets of nine and of two hundred.
 
-Callers saw living sessions moved to a new version at 195 hosts: a session had
-run at a host of one failure domain and came to one of another seconds later,
-which had not heard of it. A host told one far host a turn, skipped those that
-it had not heard for five seconds, and so skipped nearly all where there were
-more of them than turns in that time.
+Callers saw live sessions moved to a new version at 195 hosts: a session had run
+at a host of one failure domain, and came seconds later to a host of another one
+that had not received its fingerprint. Each host sent to one remote host per
+round and skipped hosts from which it had received nothing for five seconds.
+With more hosts than rounds in that time, it skipped nearly all of them.
 """
 
 import itertools
@@ -33,21 +33,21 @@
 CONTENT: Final = ContentMark(5)
 POOR: Final = 50
 
-#: Seconds within which a fact comes through a third domain, by turns: before
+#: Seconds within which a fact passes through a third domain by rotation: before
 #: the session's life ends.
-CUT_SPAN: Final = 8.0
+PARTITION_SPAN: Final = 8.0
 
 Scene = Callable[[GossipFleet], Awaitable[int]]
 
 
 @dataclass(frozen=True, slots=True)
 class Fact:
-    """Something that one host sees and all have to know.
+    """State that one host observes and all hosts have to receive.
 
     Attributes:
-        saw: Lets a host see it.
-        knows: Tells whether a host knows of it.
-        seconds: Time until all of them do.
+        saw: Lets a host observe it.
+        knows: Returns whether a host has it.
+        seconds: Time within which all hosts have it.
     """
 
     saw: Callable[[Member], None]
@@ -61,52 +61,52 @@
 
 
 def _knows_session(member: Member) -> bool:
-    """Tell whether a host knows of that session."""
+    """Return whether a host knows that session."""
     return member.told.marks.alive(MARK)
 
 
 def _saw_poor_answers(member: Member) -> None:
-    """Let a host have poor answers of a new version."""
+    """Let a host count poor answers of a new version."""
     for _ in range(POOR):
         member.told.book.count(ENGINES, 3, KIND, of_new=True, poor=True)
 
 
 def _knows_poor_answers(member: Member) -> bool:
-    """Tell whether a host knows of all of them."""
+    """Return whether a host knows all of them."""
     seen = member.told.book.sums(ENGINES, 3).get(KIND, NO_ANSWERS)
     return seen.new_poor == POOR
 
 
-def _saw_end(member: Member) -> None:
-    """Let an upstream end under a request of a host."""
+def _saw_crash(member: Member) -> None:
+    """Let an upstream crash under a request of a host."""
     now = member.clock.now()
     end = EndUnder(UpstreamMark(1), now, now)
     member.told.crashes.ended(CONTENT, end)
 
 
-def _knows_end(member: Member) -> bool:
-    """Tell whether a host knows that an upstream ended under it."""
+def _knows_crash(member: Member) -> bool:
+    """Return whether a host knows that an upstream crashed under it."""
     return CONTENT in member.told.crashes
 
 
 FACTS: Final = MappingProxyType(
     {
-        # A host moves a session that another one has served.
+        # Otherwise a host moves a session that another one has served.
         'session': Fact(_saw_session, _knows_session, 1.0),
-        # Each host halts a bad version only by what it has seen itself; the
-        # rest of the bound is for answers to be weighed and steps written.
+        # Otherwise each host halts a bad version only by its own counts; the
+        # rest of the bound is for the verdict and the writing of steps.
         'poor answers': Fact(_saw_poor_answers, _knows_poor_answers, 2.0),
-        # A harmful request is tried again by a host that has not heard of it.
-        'end of an upstream': Fact(_saw_end, _knows_end, FIRST_PAUSE),
+        # Otherwise a host without the report executes a harmful request again.
+        'end of an upstream': Fact(_saw_crash, _knows_crash, FIRST_PAUSE),
     },
 )
 
 
-class SpreadTest(unittest.TestCase):
-    """Whatever one host has seen, all hosts know in time."""
+class PropagationTest(unittest.TestCase):
+    """All hosts receive in time what one host has observed."""
 
     def test_whatever_one_host_has_seen_reaches_all(self) -> None:
-        """Guards: hosts of other failure domains are told next to nothing."""
+        """Guards: hosts of other failure domains receive next to nothing."""
         for name, fact in FACTS.items():
             for size, busy in itertools.product(SIZES, (True, False)):
                 scene = _after(fact, busy=busy)
@@ -114,23 +114,23 @@
                 with self.subTest(fact=name, size=size, busy=busy):
                     self.assertEqual(missing, [0, 0])
 
-    def test_facts_reach_those_that_live_past_those_that_do_not(self) -> None:
-        """Guards: whoever is told next is gone, or would have told the rest."""
+    def test_facts_reach_live_hosts_past_dead_ones(self) -> None:
+        """Guards: the next receiver, which would have forwarded it, is down."""
         for size in SIZES:
-            missing = [play(*size, seed, _half_are_gone) for seed in range(2)]
+            missing = [play(*size, seed, _half_are_down) for seed in range(2)]
             with self.subTest(size=size):
                 self.assertEqual(missing, [0, 0])
 
-    def test_facts_go_round_a_cut(self) -> None:
-        """Guards: two domains are cut from each other, and reach a third."""
+    def test_facts_bypass_a_partition(self) -> None:
+        """Guards: two domains are cut off from each other but reach a third."""
         for size in SIZES:
             missing = [play(*size, seed, _two_are_cut) for seed in range(2)]
             with self.subTest(size=size):
                 self.assertEqual(missing, [0, 0])
 
 
-async def _half_are_gone(fleet: GossipFleet) -> int:
-    """Count living hosts that don't know a session in time."""
+async def _half_are_down(fleet: GossipFleet) -> int:
+    """Count running hosts that don't know a session in time."""
     for member in fleet.members[::2]:
         fleet.stop(member)
     _saw_session(fleet.randomness.choice(fleet.members))
@@ -143,23 +143,24 @@
     cut = {'d0', 'd1'}
     with fleet.losing(lambda sender, to: {sender.domain, to.domain} == cut):
         _saw_session(fleet.member(0))
-        await fleet.clock.sleep(CUT_SPAN)
+        await fleet.clock.sleep(PARTITION_SPAN)
     return sum(not _knows_session(member) for member in fleet.members)
 
 
 def _after(fact: Fact, *, busy: bool) -> Scene:
-    """Return what counts the hosts that don't know a fact in time.
+    """Return a scene that counts the hosts that don't know a fact in time.
 
     Args:
         fact: The fact.
-        busy: Whether all hosts have requests of which they tell.
+        busy: Whether all hosts have requests to report.
     """
 
     async def count(fleet: GossipFleet) -> int:
         if busy:
             for member in fleet.members:
                 member.told.ledger.begin(UPSTREAM, Load(1, 0, 900))
-        # Longer than any host counts as heard, so no start hides a silence.
+        # Longer than a host counts as responsive, so that its start hides no
+        # gap.
         await fleet.clock.sleep(8)
         fact.saw(fleet.randomness.choice(fleet.members))
         await fleet.clock.sleep(fact.seconds)
@@ -169,7 +170,7 @@
 
 
 def play(hosts: int, domains: int, seed: int, scene: Scene) -> int:
-    """Play a scene on a fleet, and return what it counts."""
+    """Run a scene on a fleet, and return its count."""
     loop = VirtualLoop()
 
     async def run() -> int:
--- a/tests/test_load_patterns.py
+++ b/tests/test_load_patterns.py
@@ -1,8 +1,8 @@
-"""Patterns of load: long prompts among short ones, sent by many hosts.
+"""Load patterns: long prompts among short ones, sent by many hosts.
 
-An engine reads one prompt after another. A long one of a slow model stands
-for two seconds before whatever comes behind it, and a host that has not heard
-of it sends the next requests there.
+An engine processes one prompt after another. A long prompt of a slow model
+blocks for two seconds whatever comes behind it, and a host that has not
+received its load sends the next requests there.
 """
 
 import unittest
@@ -29,12 +29,12 @@
 
 
 class Host:
-    """A host whose datagrams are kept.
+    """A host whose datagrams are recorded.
 
     Attributes:
-        told: What hosts tell each other.
-        neighbours: What sends and hears.
-        transport: What it sends on.
+        told: Its shared state.
+        neighbours: Sends and receives its datagrams.
+        transport: Where it sends them.
     """
 
     def __init__(self, name: str, clock: ManualClock) -> None:
@@ -51,29 +51,29 @@
 
     @property
     def datagrams(self) -> list[bytes]:
-        """Return what was sent."""
+        """Return the sent datagrams."""
         return [call.args[0] for call in self.transport.sendto.call_args_list]
 
     def find(self, count: int, domain: str) -> None:
-        """Let it hear of other hosts."""
+        """Let it find other hosts in the store."""
         for number in range(count):
             row = HostRow('127.0.0.1', number, domain)
             self.neighbours.found(HostId(f'{domain}-{number}'), row)
 
 
-class ToldAtOnceTest(unittest.TestCase):
-    """Hosts hear of a long prompt before they send the next request."""
+class ImmediateReportTest(unittest.TestCase):
+    """Hosts receive the load of a long prompt before they send a request."""
 
     def setUp(self) -> None:
-        """Make two hosts, and an engine."""
+        """Create two hosts and an engine."""
         self.clock = ManualClock()
         self.mine = Host('mine', self.clock)
         self.theirs = Host('theirs', self.clock)
         self.engine = UpstreamIncarnation('engine')
         self.other = UpstreamIncarnation('other')
 
-    def test_long_prompt_is_told_at_once_near_and_far(self) -> None:
-        """Pattern: two seconds of reading; the next turn is a second off."""
+    def test_long_prompt_is_reported_at_once_to_all_domains(self) -> None:
+        """Pattern: two seconds of work; the next round is a second away."""
         self.mine.find(2, 'north')
         self.mine.find(3, 'south')
         self.mine.told.ledger.begin(self.engine, LONG)
@@ -84,15 +84,15 @@
         )
         self.assertEqual(self.theirs.told.ledger.load(self.engine), LONG)
 
-    def test_short_prompt_is_told_at_once_near_by(self) -> None:
-        """Pattern: requests come in clumps, at hosts of one domain."""
+    def test_short_prompt_is_reported_at_once_locally(self) -> None:
+        """Pattern: requests come in bursts, at hosts of one domain."""
         self.mine.find(2, 'north')
         self.mine.find(3, 'south')
         self.mine.told.ledger.begin(self.engine, SHORT)
         self.assertEqual(len(self.mine.datagrams), 2)
 
-    def test_rest_of_what_was_told_stands(self) -> None:
-        """One upstream is told of; the others are as they were."""
+    def test_other_reported_loads_stay(self) -> None:
+        """One upstream is reported; the loads of the others stay."""
         self.theirs.told.ledger.told(HostId('mine'), {self.other: SHORT})
         self.mine.find(1, 'north')
         self.mine.told.ledger.begin(self.engine, LONG)
@@ -106,8 +106,8 @@
         ledger.told(HostId('mine'), {})
         self.assertEqual(ledger.load(self.engine).running, 0)
 
-    def test_telling_is_bounded_in_a_large_fleet(self) -> None:
-        """And reaches all of it in turn."""
+    def test_reports_are_bounded_in_a_large_fleet(self) -> None:
+        """All hosts are reached in rotation."""
         self.mine.find(100, 'north')
         self.mine.find(FAR_WITH_REPORTS, 'south')
         for _ in range(20):
@@ -120,8 +120,8 @@
         self.mine.told.ledger.begin(self.engine, SHORT)
         self.assertEqual(len(self.mine.datagrams), NEAR_AT_ONCE)
 
-    def test_too_many_far_hosts_are_told_of_no_request(self) -> None:
-        """What one of them hears then is not half of what goes there."""
+    def test_too_many_remote_hosts_get_no_reports(self) -> None:
+        """Each of them would receive less than half of what is sent there."""
         self.mine.find(100, 'north')
         self.mine.find(FAR_WITH_REPORTS + 1, 'south')
         self.mine.told.ledger.begin(self.engine, LONG)
@@ -129,22 +129,22 @@
 
 
 class RankTest(unittest.TestCase):
-    """Which of the prompts that wait an engine reads first."""
+    """Which of the waiting prompts an engine processes first."""
 
     def test_short_prompts_go_before_long_ones(self) -> None:
-        """Whatever the operator's rank: the long one loses little."""
+        """Whatever the operator's priority: the long prompt loses little."""
         short = engine_rank(0.05, 2, priority=2)
         middle = engine_rank(0.3, 2, priority=0)
         long = engine_rank(1.0, 2, priority=0)
         self.assertLess(short, middle)
         self.assertLess(middle, long)
 
-    def test_operators_rank_decides_among_those_alike(self) -> None:
-        """Urgent ones first; ranks beyond the third are alike."""
+    def test_operators_priority_decides_among_equals(self) -> None:
+        """Urgent ones first; priorities beyond the third are equal."""
         ranks = [engine_rank(0.3, 2, priority) for priority in range(5)]
         self.assertEqual(ranks, [3, 4, 5, 5, 5])
 
     def test_ranks_fit_what_engines_take(self) -> None:
-        """They go from 0 to 9, and 9 is left free."""
+        """Ranks range from 0 to 9, and 9 is left free."""
         self.assertEqual(engine_rank(99, 1, 99), 3 * RANKS - 1)
         self.assertEqual(engine_rank(0, 1, 0), 0)
