--- a/src/nutmegroad/fleet/followers.py
+++ b/src/nutmegroad/fleet/followers.py
@@ -74,8 +74,8 @@
             table: The table.
             after: The version that is known.
             wait: Seconds that the store is asked to wait.
-            told_until: Clock time in seconds until which updates from another
-                host are awaited; after it, the store is asked.
+            told_until: Clock time in seconds until which updates of another
+                host are awaited; after that, the store is asked.
         """
 
     async def rest(self, table: str, seconds: float) -> None:
@@ -90,8 +90,8 @@
         wait: Seconds that the store is asked to wait for a change.
         rest: Seconds between an answer and the next call, so that changes in
             quick succession share one answer.
-        reliance: Seconds for which updates from another host are valid, counted
-            from the store's answer that they come from.
+        reliance: Seconds for which updates from another host are valid,
+            counted from the store's answer that contained them.
     """
 
     wait: float
--- a/src/nutmegroad/fleet/loads.py
+++ b/src/nutmegroad/fleet/loads.py
@@ -25,7 +25,7 @@
 
     Attributes:
         running: Number of requests that were sent to it.
-        reading: Seconds of prompt processing (prefill) still to be done.
+        reading: Seconds of prompt processing that are still to be done.
         tokens: Tokens that its requests occupy in memory.
     """
 
--- a/src/nutmegroad/fleet/messages.py
+++ b/src/nutmegroad/fleet/messages.py
@@ -54,7 +54,7 @@
         digest: State that all hosts need.
         loads: Load of the sender's requests, by upstream.
         prefixes: Parts of prompts that the sender has sent recently.
-        heard: Milliseconds since the sender received a message, by failure
+        heard: Milliseconds since the sender got a message, by failure
             domain.
     """
 
--- a/src/nutmegroad/fleet/shared_store.py
+++ b/src/nutmegroad/fleet/shared_store.py
@@ -121,8 +121,8 @@
             table: The table.
             after: The version that is known.
             wait: Seconds that the store is asked to wait.
-            told_until: Clock time in seconds until which updates from another
-                host are awaited.
+            told_until: Clock time in seconds until which updates from
+                another host are awaited.
         """
         left = max(0, told_until - self._clock.now())
         await self._link.settle(min(left, RELINK_WAIT))
