--- a/src/nutmegroad/fleet/crash_book.py
+++ b/src/nutmegroad/fleet/crash_book.py
@@ -326,13 +326,13 @@
     def told(self, crashes: ToldCrashes) -> None:
         """Merge a report from another host."""
         now = self._clock.now()
-        for told in crashes.ends:
+        for reported in crashes.ends:
             end = EndUnder(
-                told.upstream,
-                now - told.began / _MILLISECONDS,
-                now - told.ended / _MILLISECONDS,
+                reported.upstream,
+                now - reported.began / _MILLISECONDS,
+                now - reported.ended / _MILLISECONDS,
             )
-            self.ended(told.content, end)
+            self.ended(reported.content, end)
         for answer in crashes.answers:
             self.answered(answer.content, now - answer.age / _MILLISECONDS)
 
--- a/src/nutmegroad/fleet/crash_rows.py
+++ b/src/nutmegroad/fleet/crash_rows.py
@@ -115,7 +115,7 @@
     """Synchronizes the crash tracker with the platform's store.
 
     Args:
-        book: Crashes that this host knows of.
+        tracker: Crashes that this host knows of.
         store: The platform's store.
         store_clock: The store's clock.
         clock: The host's clock.
@@ -124,13 +124,13 @@
 
     def __init__(
         self,
-        book: CrashBook,
+        tracker: CrashBook,
         store: Store,
         store_clock: StoreClock,
         clock: Clock,
         rank: Callable[[str], int],
     ) -> None:
-        self._book = book
+        self._tracker = tracker
         self._store = store
         self._store_clock = store_clock
         self._clock = clock
@@ -225,10 +225,10 @@
                 self._to_local_time(row.began, store_time),
                 self._to_local_time(row.ended, store_time),
             )
-            self._book.ended(row.content, end)
+            self._tracker.ended(row.content, end)
         for answer in self._row.answers:
-            moment = self._to_local_time(answer.moment, store_time)
-            self._book.answered(answer.content, moment)
+            answered = self._to_local_time(answer.moment, store_time)
+            self._tracker.answered(answer.content, answered)
 
     def _to_local_time(self, store_seconds: float, store_time: float) -> float:
         """Convert a time of the store to this host's clock."""
@@ -254,14 +254,14 @@
         least = HARMFUL if is_full else FEWEST_WRITTEN
         return {
             content: ends
-            for content, ends in self._book.ends(least).items()
+            for content, ends in self._tracker.ends(least).items()
             if any((content, end.upstream) not in known for end in ends)
         }
 
     def _cleared(self) -> set[ContentMark]:
         """Return the requests in the row that have been answered since."""
         listed = {row.content for row in self._row.ends}
-        return {each for each in listed if not self._book.ends_of(each)}
+        return {each for each in listed if not self._tracker.ends_of(each)}
 
     async def _write(self) -> None:
         """Write the row, unless another host has written it first."""
@@ -280,7 +280,8 @@
                 ends=len(row.ends),
                 answers=len(row.answers),
                 harmful=[
-                    spell_mark(content) for content in self._book.ends(HARMFUL)
+                    spell_mark(content)
+                    for content in self._tracker.ends(HARMFUL)
                 ],
             )
             return
@@ -292,9 +293,9 @@
 
     def _build_row(self) -> _CrashRow:
         """Return the row with all that this host knows."""
-        ends = self._book.ends(FEWEST_WRITTEN)
+        ends = self._tracker.ends(FEWEST_WRITTEN)
         for row in self._row.ends:
-            known = self._book.ends_of(row.content)
+            known = self._tracker.ends_of(row.content)
             if known:
                 ends[row.content] = known
         heaviest = sorted(ends.items(), key=_severity, reverse=True)
@@ -318,7 +319,7 @@
         """Return the answers that cleared requests of the row."""
         times = {row.content: row.moment for row in self._row.answers}
         for cleared in self._cleared():
-            answered = self._book.answer_of(cleared)
+            answered = self._tracker.answer_of(cleared)
             if answered is not None:
                 times[cleared] = self._to_store_time(answered)
         newest = sorted(times.items(), key=_answer_time, reverse=True)
--- a/src/nutmegroad/fleet/domain_silence.py
+++ b/src/nutmegroad/fleet/domain_silence.py
@@ -81,9 +81,9 @@
         """Return the ages that are reported to other hosts."""
         now = self._clock.now()
         return {
-            domain: int((now - moment) * _MILLISECONDS)
-            for domain, moment in self._last_received.items()
-            if now - moment < _OLDEST
+            domain: int((now - received_at) * _MILLISECONDS)
+            for domain, received_at in self._last_received.items()
+            if now - received_at < _OLDEST
         }
 
     def suspected(self, domain: DomainId) -> bool:
@@ -92,41 +92,42 @@
         if last_received is None:
             return False
         usual = self._intervals.get(domain, LONGEST)
-        silent = self._clock.now() - last_received
-        if silent <= max(LEAST, TIMES * usual):
+        elapsed = self._clock.now() - last_received
+        if elapsed <= max(LEAST, TIMES * usual):
             return False
         if domain not in self._suspected:
             self._suspected.add(domain)
             _LOG.decision(
                 'domain fell silent',
                 domain=domain,
-                seconds=round(silent, 3),
+                seconds=round(elapsed, 3),
                 usual=round(usual, 3),
             )
         return True
 
-    def _record(self, domain: DomainId, moment: float) -> None:
+    def _record(self, domain: DomainId, received_at: float) -> None:
         """Record a message from a domain, unless a later one is known.
 
         Args:
             domain: The domain.
-            moment: Clock time in seconds at which the message was received.
+            received_at: Clock time in seconds at which the message was
+                received.
         """
         known = self._last_received.get(domain)
         if known is None:
             if len(self._last_received) < MOST:
-                self._last_received[domain] = moment
+                self._last_received[domain] = received_at
             return
-        if moment <= known:
+        if received_at <= known:
             return
         if domain in self._suspected:
             self._suspected.discard(domain)
             _LOG.decision(
                 'domain heard again',
                 domain=domain,
-                seconds=round(moment - known, 3),
+                seconds=round(received_at - known, 3),
             )
         usual = self._intervals.get(domain, LONGEST)
-        interval = min(LONGEST, moment - known)
+        interval = min(LONGEST, received_at - known)
         self._intervals[domain] = usual + RECENT * (interval - usual)
-        self._last_received[domain] = moment
+        self._last_received[domain] = received_at
--- a/src/nutmegroad/fleet/messages.py
+++ b/src/nutmegroad/fleet/messages.py
@@ -84,8 +84,8 @@
     """Creates digests of this host's state and merges those of other hosts.
 
     Args:
-        marks: Sessions that a rollout must leave on their version.
-        book: Rollout counts.
+        sessions: Sessions that a rollout must leave on their version.
+        evidence: Rollout counts.
         crashes: Requests under which upstreams have crashed.
         versions: Configuration versions that hosts have in force.
     """
@@ -111,13 +111,13 @@
 
     def __init__(
         self,
-        marks: SessionMarks,
-        book: EvidenceBook,
+        sessions: SessionMarks,
+        evidence: EvidenceBook,
         crashes: CrashBook,
         versions: HeardVersions,
     ) -> None:
-        self._marks = marks
-        self._evidence = book
+        self._marks = sessions
+        self._evidence = evidence
         self._crashes = crashes
         self._versions = versions
 
--- a/src/nutmegroad/fleet/neighbours.py
+++ b/src/nutmegroad/fleet/neighbours.py
@@ -133,7 +133,7 @@
     Args:
         host: This host.
         own: This host's row in the fleet table.
-        told: State that is sent and received.
+        state: State that is sent and received.
         clock: The host's clock.
     """
 
@@ -161,19 +161,19 @@
         self,
         host: HostId,
         own: HostRow,
-        told: Told,
+        state: Told,
         clock: Clock,
     ) -> None:
         self._host = host
         self._own = own
-        self._ledger = told.ledger
-        self._prefixes = told.prefixes
-        self._domains = told.silence
+        self._ledger = state.ledger
+        self._prefixes = state.prefixes
+        self._domains = state.silence
         self._digests = Digests(
-            told.marks,
-            told.book,
-            told.crashes,
-            told.versions,
+            state.marks,
+            state.book,
+            state.crashes,
+            state.versions,
         )
         self._clock = clock
         self._local: dict[HostId, HostRow] = {}
@@ -252,11 +252,11 @@
 
     async def run(self) -> None:
         """Send to the peers in each round, until cancelled."""
-        turn = 0
+        round_number = 0
         while True:
             await self._clock.sleep(TURN)
-            turn += 1
-            self._send_round(turn)
+            round_number += 1
+            self._send_round(round_number)
 
     def _merge_report(self, host: HostId, report: ReportMessage) -> None:
         """Merge the report of a host."""
@@ -268,7 +268,7 @@
             # nothing about it.
             self._domains.told(report.heard)
 
-    def _send_round(self, turn: int) -> None:
+    def _send_round(self, round_number: int) -> None:
         """Send this host's state, unless it is empty and was empty before."""
         empty = self._digests.is_empty and not self._ledger.own
         if self._transport is None or (self._was_empty and empty):
@@ -276,20 +276,26 @@
         self._was_empty = empty
         # Must be read before the report is built: building it uses up the
         # datagrams for which an entry counts as an update.
-        news = self._digests.has_news
+        has_updates = self._digests.has_news
         report = self.telling()
-        local = _receivers_of(self._local, turn, NEAR_PER_TURN, self._rank)
+        local = _receivers_of(
+            self._local, round_number, NEAR_PER_TURN, self._rank
+        )
         self._send(report, local)
         if self._sends_remote_reports:
-            remote = _receivers_of(self._remote, turn, FAR_PER_TURN, self._rank)
+            remote = _receivers_of(
+                self._remote, round_number, FAR_PER_TURN, self._rank
+            )
             self._send(report, remote)
         else:
-            self._send_remote(turn, news=news)
+            self._send_remote(round_number, has_updates=has_updates)
 
-    def _send_remote(self, turn: int, *, news: bool) -> None:
+    def _send_remote(self, round_number: int, *, has_updates: bool) -> None:
         """Send a digest to other failure domains if it is this host's round."""
         hosts = len(self._local) + 1
-        if self._remote_rounds.due(turn, self._rank, hosts, has_updates=news):
+        if self._remote_rounds.due(
+            round_number, self._rank, hosts, has_updates=has_updates
+        ):
             digest = DigestMessage(self._host, self._digests.for_far())
             payload = msgspec.msgpack.encode(digest)
             self._send(payload, self._remote_rounds.receivers())
@@ -330,8 +336,8 @@
         local: Number of receivers in this failure domain.
         remote: Number of receivers in other domains.
     """
-    turns = max(local / NEAR_PER_TURN, remote / FAR_PER_TURN, 1)
-    return 2 * turns * TURN
+    rounds = max(local / NEAR_PER_TURN, remote / FAR_PER_TURN, 1)
+    return 2 * rounds * TURN
 
 
 def _receivers_of(
--- a/src/nutmegroad/fleet/session_marks.py
+++ b/src/nutmegroad/fleet/session_marks.py
@@ -133,9 +133,9 @@
             (report.others, Source.AWAY),
         ):
             for number, age in ages.items():
-                moment = now - max(0, age) / _HUNDREDTHS
-                if now - moment <= self._span:
-                    self._record(SessionMark(number), moment, seen_by)
+                seen_at = now - max(0, age) / _HUNDREDTHS
+                if now - seen_at <= self._span:
+                    self._record(SessionMark(number), seen_at, seen_by)
 
     def tell_near(self) -> ToldMarks:
         """Return sessions for one datagram within the failure domain."""
@@ -151,9 +151,9 @@
         """Remove sessions that are not live any more."""
         oldest = self._clock.now() - self._span
         self._last_seen = {
-            known: moment
-            for known, moment in self._last_seen.items()
-            if moment >= oldest
+            known: seen_at
+            for known, seen_at in self._last_seen.items()
+            if seen_at >= oldest
         }
         self._gossip.keep(self._last_seen.keys())
 
