--- a/src/nutmegroad/fleet/followers.py
+++ b/src/nutmegroad/fleet/followers.py
@@ -135,8 +135,8 @@
         # Era of the store at the last full snapshot.
         self._era: int | None = None
         # Clock time up to which the table is known.
-        self._known = float('-inf')
-        self._retry = FIRST_RETRY
+        self._known_until = float('-inf')
+        self._retry_delay = FIRST_RETRY
         self._failing = False
         self._relayed = False
 
@@ -144,8 +144,8 @@
         """Follow the table until cancelled."""
         while True:
             if not await self.step():
-                pause = self._retry * self._randomness.uniform(*SPREAD)
-                self._retry = min(LONGEST_RETRY, self._retry * 2)
+                pause = self._retry_delay * self._randomness.uniform(*SPREAD)
+                self._retry_delay = min(LONGEST_RETRY, self._retry_delay * 2)
                 await self._store.rest(self._table, pause)
             elif not self._relayed:
                 # The host that relayed the answer has paused already.
@@ -156,7 +156,7 @@
         if self._after is None:
             read = await self._store.snapshot(self._table)
             if isinstance(read, Refusal):
-                return self._failed(read)
+                return self._record_failure(read)
             self._replace(read)
             return True
         # A call to an unresponsive store hangs for as long as the store was to
@@ -166,14 +166,14 @@
             self._table,
             self._after,
             wait,
-            self._known + self._update_validity,
+            self._known_until + self._update_validity,
         )
         if isinstance(found, HistoryLost):
             _LOG.decision('history lost', table=self._table, after=self._after)
             self._after = None
             return True
         if isinstance(found, Refusal):
-            return self._failed(found)
+            return self._record_failure(found)
         if found.whole:
             self._replace(found)
             return True
@@ -188,7 +188,7 @@
         if self._era is not None and era > self._era:
             self._sink.went_back()
             # Earlier confirmations apply to the previous era.
-            self._known = float('-inf')
+            self._known_until = float('-inf')
         self._era = era
         self._sink.replace(read)
         self._record_answer(read)
@@ -207,15 +207,15 @@
                 told=read.relayed,
                 age=round(self._clock.now() - as_of, 3),
             )
-        self._known = max(self._known, as_of)
+        self._known_until = max(self._known_until, as_of)
         self._after = max(read.version, self._after or 0)
-        self._retry = FIRST_RETRY
+        self._retry_delay = FIRST_RETRY
         if self._failing:
             self._failing = False
             _LOG.decision('store regained', table=self._table)
         self._sink.confirm(as_of, read)
 
-    def _failed(self, refusal: Refusal) -> bool:
+    def _record_failure(self, refusal: Refusal) -> bool:
         """Record that the store has not answered."""
         if not self._failing:
             self._failing = True
