--- a/experiments/costs/decision_speed.py
+++ b/experiments/costs/decision_speed.py
@@ -45,7 +45,7 @@
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.settings import read_settings
 from nutmegroad.routing.directory import Directory
-from nutmegroad.routing.gates import Gatekeeper, Passage
+from nutmegroad.routing.gates import GateContext, Gatekeeper
 from nutmegroad.routing.steps import Policies
 
 #: Sizes of the brief, between, and of the developers' page.
@@ -137,7 +137,7 @@
         if isinstance(choice, Refusal):
             timing.refused += 1
             return
-        passage = Passage(
+        passage = GateContext(
             request.workspace,
             request.task,
             version,
--- a/experiments/trials/selection_fleet.py
+++ b/experiments/trials/selection_fleet.py
@@ -42,7 +42,6 @@
 from nutmegroad.routing._slots import HostSlots, Identity
 from nutmegroad.routing.admission import FairAdmitter
 from nutmegroad.routing.directory import Directory
-from nutmegroad.routing.exchange import ShareExchange
 from nutmegroad.routing.fleet import FleetLoad
 from nutmegroad.routing.plain_selectors import (
     LeastInFlight,
@@ -50,9 +49,10 @@
     RoundRobin,
 )
 from nutmegroad.routing.policies import CountedRetries, OpenAdmitter
-from nutmegroad.routing.retries import SharedRetries
+from nutmegroad.routing.retries import ProportionalRetries
 from nutmegroad.routing.selection import ExpectedSelector
 from nutmegroad.routing.shares import ShareLedger
+from nutmegroad.routing.slot_exchange import SlotExchange
 from nutmegroad.testing.virtual import MemoryMesh
 
 VERSION: Final = VersionId('drafting@1')
@@ -218,7 +218,7 @@
         )
         self.hosts.append(maker.make())
         if maker.admitter is not None:
-            exchange = ShareExchange(
+            exchange = SlotExchange(
                 mesh.join(identity.host, domain),
                 maker.admitter,
                 maker.fleet,
@@ -226,7 +226,7 @@
                 self._clock,
                 random.Random(self._randomness.random()),
             )
-            exchange.handle()
+            exchange.register_handlers()
             self._spawn(exchange.run())
 
     def _spawn(self, coroutine: Any) -> None:
@@ -344,7 +344,7 @@
         """Make the retry budget."""
         if self._setting.retries == 'unbounded':
             return CountedRetries()
-        budget = SharedRetries(self._clock)
+        budget = ProportionalRetries(self._clock)
         self._observers.add(budget)
         return budget
 
--- a/src/nutmegroad/callers/_caller_requests.py
+++ b/src/nutmegroad/callers/_caller_requests.py
@@ -71,16 +71,16 @@
         """Pass on no more."""
         self._open = False
 
-    def answering(self, version: VersionId) -> None:
+    def begin_version(self, version: VersionId) -> None:
         """Learn which version writes what comes next."""
-        self._inner.answering(version)
+        self._inner.begin_version(version)
 
-    async def piece(self, text: str) -> None:
+    async def write(self, text: str) -> None:
         """Pass a piece on, unless the caller has left."""
         if not self._open:
             return
         try:
-            await self._inner.piece(text)
+            await self._inner.write(text)
         except ConnectionError:
             self._open = False
 
--- a/src/nutmegroad/callers/_request_counts.py
+++ b/src/nutmegroad/callers/_request_counts.py
@@ -6,7 +6,7 @@
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.metrics import Metrics
 from nutmegroad.foundations.results import Refusal, ResultCode
-from nutmegroad.routing.request_progress import Answer, Spent
+from nutmegroad.routing.request_progress import Answer, RequestUsage
 
 _LOG: Final = part_logger('callers')
 
@@ -15,7 +15,7 @@
     metrics: Metrics,
     intake: Intake,
     outcome: Answer | Refusal,
-    spent: Spent,
+    spent: RequestUsage,
 ) -> None:
     """Count a model request that has ended, and log a refusal."""
     model = intake.model
--- a/src/nutmegroad/callers/answer_streams.py
+++ b/src/nutmegroad/callers/answer_streams.py
@@ -69,7 +69,7 @@
         self._adopted: dict[str, str] = {}
         self._before = b''
         self._after = b''
-        self.answering(VersionId(''))
+        self.begin_version(VersionId(''))
         self._response: StreamResponse | None = None
 
     @property
@@ -77,7 +77,7 @@
         """Return the reply, or None if it has not begun."""
         return self._response
 
-    def answering(self, version: VersionId) -> None:
+    def begin_version(self, version: VersionId) -> None:
         """Learn which version writes what comes next."""
         self._version = version
         # All pieces of an answer are alike but for their text.
@@ -104,9 +104,9 @@
         if named is not None:
             self._request = RequestId(named)
             # The events made ready name the request, which is another now.
-            self.answering(self._version)
+            self.begin_version(self._version)
 
-    async def piece(self, text: str) -> None:
+    async def write(self, text: str) -> None:
         """Send a piece."""
         quoted = msgspec.json.encode(text)
         await self._send(b''.join((self._before, quoted, self._after)))
--- a/src/nutmegroad/callers/interface.py
+++ b/src/nutmegroad/callers/interface.py
@@ -40,7 +40,7 @@
 from nutmegroad.records.intents import FirstAnswer
 from nutmegroad.records.once import Elsewhere
 from nutmegroad.records.runs import Ended, Outcome
-from nutmegroad.routing.request_progress import KeptBack
+from nutmegroad.routing.request_progress import NullSink
 
 _OK: Final = 200
 _NONCE_BITS: Final = 64
@@ -85,7 +85,7 @@
         if isinstance(call, Refusal):
             return self._refuse(call, arrived.request)
         if not call.intake.stream:
-            outcome = await self._parts.models.run(call, KeptBack())
+            outcome = await self._parts.models.run(call, NullSink())
             return await self._model_reply(arrived, call, outcome)
         stream = _make_stream(http, call, self._parts)
         with DetachableSink(stream) as sink:
@@ -153,7 +153,7 @@
         call = _model_call(self._parts.models, arrived)
         if isinstance(call, Refusal):
             return forwarded_reply(self._refuse(call, request))
-        outcome = await self._parts.models.run(call, KeptBack())
+        outcome = await self._parts.models.run(call, NullSink())
         return forwarded_reply(self._reply(request, outcome, call))
 
     def _name(self) -> RequestId:
@@ -243,8 +243,8 @@
             return reply
         answer = read_answer(reply.body)
         stream.adopt(reply.headers)
-        stream.answering(answer.version)
-        await stream.piece(answer.text)
+        stream.begin_version(answer.version)
+        await stream.write(answer.text)
         return await stream.finish(answer)
 
     def _reply(
--- a/src/nutmegroad/callers/model_routes.py
+++ b/src/nutmegroad/callers/model_routes.py
@@ -21,7 +21,7 @@
 from nutmegroad.records.runs import Ended, Outcome, Runner
 from nutmegroad.routing.attempts import Sink
 from nutmegroad.routing.dispatch import Dispatcher
-from nutmegroad.routing.request_progress import Answer, Spent
+from nutmegroad.routing.request_progress import Answer, RequestUsage
 
 _OK: Final = 200
 
@@ -62,7 +62,7 @@
 
     intake: Intake
     ticket: str
-    spent: Spent = field(default_factory=Spent)
+    spent: RequestUsage = field(default_factory=RequestUsage)
     answer: Answer | None = None
 
 
--- a/src/nutmegroad/callers/session_pins.py
+++ b/src/nutmegroad/callers/session_pins.py
@@ -67,7 +67,7 @@
         model: ModelRequest,
     ) -> SessionToken | Refusal:
         """Choose a version and begin a session, unless another host did."""
-        version = self._dispatcher.settle_on(model)
+        version = self._dispatcher.choose_session_version(model)
         if isinstance(version, Refusal):
             return version
         return await self._names.begin(
--- a/src/nutmegroad/daemon/part.py
+++ b/src/nutmegroad/daemon/part.py
@@ -14,8 +14,8 @@
 from nutmegroad.kernel.stops import GracefulStop
 from nutmegroad.membership.duties import Duties
 from nutmegroad.membership.members import Members
-from nutmegroad.routing.departures import Departures
 from nutmegroad.routing.directory import Directory
+from nutmegroad.routing.draining_notices import DrainingNotices
 from nutmegroad.routing.gates import Gatekeeper
 
 _PART: Final = 'part'
@@ -29,12 +29,12 @@
 
     async def open(self, kernel: Kernel) -> None:
         """Begin to listen and to tell."""
-        departures = Departures(
+        departures = DrainingNotices(
             kernel.need(Mesh),
             kernel.need(Directory),
             kernel.settings.domain,
         )
-        kernel.provide(Departures, departures)
+        kernel.provide(DrainingNotices, departures)
 
 
 @register(_PART, 'pauses')
@@ -51,7 +51,7 @@
             kernel.settings.lease,
         )
         poller = kernel.need(ConfigurationPoller)
-        kernel.need(Gatekeeper).require(detector.refusal)
+        kernel.need(Gatekeeper).add_condition(detector.refusal)
         kernel.spawn(detector.run(), 'pauses')
         kernel.spawn(detector.confirm_after(poller.poll), 'confirmations')
         kernel.provide(PauseDetector, detector)
@@ -68,7 +68,7 @@
         settings = kernel.settings
         stop = GracefulStop(kernel.clock, settings.lame_duck, settings.drain)
         stop.listen(kernel.need(Members).leave)
-        kernel.need(Gatekeeper).require(stop.gate_refusal)
+        kernel.need(Gatekeeper).add_condition(stop.gate_refusal)
         kernel.provide(GracefulStop, stop)
 
 
--- a/src/nutmegroad/operators/interface.py
+++ b/src/nutmegroad/operators/interface.py
@@ -147,7 +147,7 @@
             return Response(status=_UNAVAILABLE, text='no configuration\n')
         # The host list lags: a host may open before the list names anything,
         # and would refuse for want of capacity that is there.
-        if not self._directory.is_surveyed(self._domain):
+        if not self._directory.knows_engines(self._domain):
             return Response(status=_UNAVAILABLE, text='no upstreams yet\n')
         return Response(text='ready\n')
 
--- a/src/nutmegroad/routing/attempts.py
+++ b/src/nutmegroad/routing/attempts.py
@@ -19,7 +19,7 @@
 from nutmegroad.foundations.timeouts import Watchdog
 from nutmegroad.foundations.types import Ran, VersionId
 from nutmegroad.quality.prices import cost_of
-from nutmegroad.routing.directory import Directory, LeavingSource
+from nutmegroad.routing.directory import Directory, DrainingSource
 
 #: Seconds without a piece after which a stream counts as stalled.
 STALL_TIMEOUT: Final = 10.0
@@ -37,10 +37,10 @@
 class Sink(Protocol):
     """Receives the pieces of an answer on their way to the caller."""
 
-    def answering(self, version: VersionId) -> None:
+    def begin_version(self, version: VersionId) -> None:
         """Record which version writes the pieces that follow."""
 
-    async def piece(self, text: str) -> None:
+    async def write(self, text: str) -> None:
         """Write a piece."""
 
 
@@ -105,7 +105,7 @@
         return check
 
 
-class Attempter:
+class AttemptRunner:
     """Executes attempts and notifies the observers of them.
 
     Args:
@@ -228,7 +228,7 @@
         # Chunks without text also have an index.
         pieces.extend('' for _ in range(piece.index - len(pieces)))
         pieces.append(piece.text)
-        await sink.piece(piece.text)
+        await sink.write(piece.text)
         return None
 
     def _update_directory(self, execution: AttemptExecution) -> None:
@@ -240,10 +240,10 @@
         elif refusal.code is ResultCode.UPSTREAM_UNREACHABLE:
             self._directory.refused(upstream)
         elif refusal.code is ResultCode.UPSTREAM_LEAVING:
-            self._directory.mark_leaving(
+            self._directory.mark_draining(
                 upstream,
                 execution.state.info.address,
-                LeavingSource.REPORT,
+                DrainingSource.REPORT,
             )
 
     def _summarize(
--- a/src/nutmegroad/routing/directory.py
+++ b/src/nutmegroad/routing/directory.py
@@ -45,7 +45,7 @@
 
 
 @unique
-class LeavingSource(Enum):
+class DrainingSource(Enum):
     """The source of the information that an upstream is draining."""
 
     LIST = 'list'
@@ -55,7 +55,7 @@
 
 
 #: Called for each upstream that starts to drain.
-LeavingListener = Callable[[UpstreamInfo, LeavingSource], None]
+DrainingListener = Callable[[UpstreamInfo, DrainingSource], None]
 
 
 class _UnlistedNotices:
@@ -96,9 +96,9 @@
         self._by_service: dict[ServiceName, tuple[UpstreamState, ...]] = {}
         self._stale = False
         self._unlisted = _UnlistedNotices()
-        self._listeners: list[LeavingListener] = []
+        self._listeners: list[DrainingListener] = []
 
-    def listen(self, listener: LeavingListener) -> None:
+    def listen(self, listener: DrainingListener) -> None:
         """Add a listener to call for each upstream that starts to drain."""
         self._listeners.append(listener)
 
@@ -171,7 +171,7 @@
             # still set here, so a new notice is announced again.
             announced_again = previous is not None and not previous.leaving
             self._begin_leaving(
-                state, LeavingSource.REPORT, announced_again=announced_again
+                state, DrainingSource.REPORT, announced_again=announced_again
             )
         elif state.leaving and asked >= state.leaving_since + REPORT_LAG:
             # Only the upstream's own report clears the draining state,
@@ -179,7 +179,7 @@
             state.leaving = False
             self._stale = True
 
-    def told(
+    def reported_by_peer(
         self,
         upstream: UpstreamId,
         report: EngineReport,
@@ -199,7 +199,7 @@
         if state is None:
             return
         if report.leaving:
-            self._begin_leaving(state, LeavingSource.PEER)
+            self._begin_leaving(state, DrainingSource.PEER)
         previous = state.report
         if previous is not None and asked <= state.reported:
             return
@@ -208,11 +208,11 @@
         if previous is None or previous.versions != report.versions:
             self._stale = True
 
-    def mark_leaving(
+    def mark_draining(
         self,
         upstream: UpstreamId,
         address: Address | None = None,
-        source: LeavingSource = LeavingSource.PEER,
+        source: DrainingSource = DrainingSource.PEER,
     ) -> bool:
         """Set an upstream to draining; return whether that is new.
 
@@ -239,7 +239,7 @@
             return
         state.refusals += 1
         if state.refusals >= REFUSALS_UNTIL_DRAINING:
-            self._begin_leaving(state, LeavingSource.REFUSED)
+            self._begin_leaving(state, DrainingSource.REFUSED)
 
     def answered(self, upstream: UpstreamId) -> None:
         """Record that an upstream accepted a request."""
@@ -274,17 +274,17 @@
             known = UpstreamState(info, first_seen=now)
             self._states[info.upstream] = known
             if self._unlisted.take(info):
-                self._begin_leaving(known, LeavingSource.PEER)
+                self._begin_leaving(known, DrainingSource.PEER)
         was_live = known.info.presence is Presence.LIVE
         known.info = info
         if was_live and info.presence is not Presence.LIVE:
-            self._begin_leaving(known, LeavingSource.LIST)
+            self._begin_leaving(known, DrainingSource.LIST)
         _retry_service(known, now)
 
     def _begin_leaving(
         self,
         state: UpstreamState,
-        source: LeavingSource,
+        source: DrainingSource,
         *,
         announced_again: bool = False,
     ) -> bool:
@@ -303,7 +303,7 @@
                 listener(state.info, source)
         return is_new
 
-    def is_surveyed(self, domain: DomainId) -> bool:
+    def knows_engines(self, domain: DomainId) -> bool:
         """Return whether enough engines of a domain are known to serve.
 
         Each engine must have reported, have failed to report, or have been
--- a/src/nutmegroad/routing/dispatch.py
+++ b/src/nutmegroad/routing/dispatch.py
@@ -9,14 +9,14 @@
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Ran, VersionId
 from nutmegroad.records.explanations import Explanation
-from nutmegroad.routing.attempts import Attempter, AttemptExecution, Sink
+from nutmegroad.routing.attempts import AttemptExecution, AttemptRunner, Sink
 from nutmegroad.routing.gates import Gatekeeper
 from nutmegroad.routing.request_progress import (
     Answer,
-    KeptBack,
     MeteredSink,
+    NullSink,
     RequestProgress,
-    Spent,
+    RequestUsage,
 )
 from nutmegroad.routing.steps import (
     VERSION_FALLBACK_CODES,
@@ -44,7 +44,7 @@
         self,
         policies: Policies,
         gatekeeper: Gatekeeper,
-        attempt_runner: Attempter,
+        attempt_runner: AttemptRunner,
         instruments: Instruments,
         clock: Clock,
         randomness: random.Random,
@@ -69,7 +69,7 @@
         request: ModelRequest,
         sink: Sink,
         explanation: Explanation,
-        usage: Spent | None = None,
+        usage: RequestUsage | None = None,
     ) -> Answer | Refusal:
         """Answer a request, writing pieces to the sink as soon as allowed.
 
@@ -83,7 +83,7 @@
             request,
             explanation,
             MeteredSink(sink, request.task, self._clock, self._metrics),
-            Spent() if usage is None else usage,
+            RequestUsage() if usage is None else usage,
             self._randomness.getrandbits(_SEED_BITS),
         )
         ended = self._session_refusal(request)
@@ -102,7 +102,9 @@
         progress.sink.finish()
         return outcome
 
-    def settle_on(self, request: ModelRequest) -> VersionId | Refusal:
+    def choose_session_version(
+        self, request: ModelRequest
+    ) -> VersionId | Refusal:
         """Choose the version that a new session is bound to."""
         available = tuple(
             version
@@ -187,8 +189,8 @@
         last = len(plan.steps) - 1
         for index, version in enumerate(plan.steps):
             final = index == last
-            sink = progress.sink if final else KeptBack()
-            sink.answering(version)
+            sink = progress.sink if final else NullSink()
+            sink.begin_version(version)
             execution = await self._steps.run(progress, version, sink)
             if isinstance(execution, Refusal):
                 return execution, version
@@ -250,9 +252,9 @@
 
 async def _release_answer(sink: Sink, execution: AttemptExecution) -> None:
     """Write an answer that was withheld to the sink."""
-    sink.answering(execution.start.version)
+    sink.begin_version(execution.start.version)
     for text in filter(None, execution.received.pieces):
-        await sink.piece(text)
+        await sink.write(text)
 
 
 def _without_version(request: ModelRequest, version: VersionId) -> ModelRequest:
--- a/src/nutmegroad/routing/departures.py
+++ b/src/nutmegroad/routing/draining_notices.py
@@ -16,10 +16,10 @@
     UpstreamId,
     UpstreamInfo,
 )
-from nutmegroad.routing.directory import Directory, LeavingSource
+from nutmegroad.routing.directory import Directory, DrainingSource
 
 
-class UpstreamLeaving(Message, frozen=True, tag='upstream-leaving'):
+class UpstreamDraining(Message, frozen=True, tag='upstream-leaving'):
     """An upstream is draining, according to itself or to the host list.
 
     Attributes:
@@ -35,7 +35,7 @@
     port: int
 
 
-class Departures:
+class DrainingNotices:
     """Broadcasts and receives notices of draining upstreams.
 
     Args:
@@ -54,21 +54,21 @@
         self._directory = directory
         self._domain = domain
         directory.listen(self._broadcast)
-        mesh.handle(UpstreamLeaving, self._receive)
+        mesh.handle(UpstreamDraining, self._receive)
 
-    def _broadcast(self, info: UpstreamInfo, source: LeavingSource) -> None:
+    def _broadcast(self, info: UpstreamInfo, source: DrainingSource) -> None:
         """Broadcast a notice that this host has found itself."""
         # Connections may be refused because this host's network is cut.
         # Other hosts must not take that for the upstream's own notice.
-        if source in {LeavingSource.REPORT, LeavingSource.LIST}:
+        if source in {DrainingSource.REPORT, DrainingSource.LIST}:
             self._mesh.tell_all(_notice(info.upstream, info.address))
 
-    async def _receive(self, host: HostId, message: UpstreamLeaving) -> None:
+    async def _receive(self, host: HostId, message: UpstreamDraining) -> None:
         """Apply a notice from another host, and forward it if it is new."""
-        is_new = self._directory.mark_leaving(
+        is_new = self._directory.mark_draining(
             UpstreamId(message.upstream),
             Address(message.ip, message.port),
-            LeavingSource.PEER,
+            DrainingSource.PEER,
         )
         if not is_new:
             return
@@ -81,6 +81,6 @@
                 self._mesh.tell(other, message)
 
 
-def _notice(upstream: UpstreamId, address: Address) -> UpstreamLeaving:
+def _notice(upstream: UpstreamId, address: Address) -> UpstreamDraining:
     """Return the notice that is sent to other hosts."""
-    return UpstreamLeaving(upstream, address.ip, address.port)
+    return UpstreamDraining(upstream, address.ip, address.port)
--- a/src/nutmegroad/routing/far_loads.py
+++ b/src/nutmegroad/routing/far_loads.py
@@ -64,7 +64,7 @@
         """Fetch from each remote domain periodically until cancelled."""
         while True:
             spread = self._randomness.uniform(1 - JITTER, 1 + JITTER)
-            await self._clock.sleep(self._sharer.far_period * spread)
+            await self._clock.sleep(self._sharer.remote_fetch_interval * spread)
             await self.fetch()
 
     async def fetch(self) -> None:
--- a/src/nutmegroad/routing/gates.py
+++ b/src/nutmegroad/routing/gates.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passage:
+class GateContext:
     """The attempt that a gate checks.
 
     Attributes:
@@ -74,11 +74,11 @@
         self._quarantine = quarantine
         self._conditions: list[HostCondition] = []
 
-    def require(self, condition: HostCondition) -> None:
+    def add_condition(self, condition: HostCondition) -> None:
         """Add a condition that must hold before this host sends anything."""
         self._conditions.append(condition)
 
-    def gate(self, context: Passage) -> Gate:
+    def gate(self, context: GateContext) -> Gate:
         """Return the gate for one attempt."""
 
         def check() -> Refusal | None:
@@ -90,7 +90,7 @@
 
         return check
 
-    def check(self, context: Passage) -> Refusal | None:
+    def check(self, context: GateContext) -> Refusal | None:
         """Return why the first byte must not be sent, or None."""
         refusal = self.host_refusal()
         if refusal is not None:
@@ -159,7 +159,7 @@
 
     def _check_service(
         self,
-        context: Passage,
+        context: GateContext,
         workspace: WorkspaceEntry,
     ) -> Refusal | None:
         """Check a call to a plain service."""
@@ -173,7 +173,7 @@
 
     def _check_version(
         self,
-        context: Passage,
+        context: GateContext,
         workspace: WorkspaceEntry,
     ) -> Refusal | None:
         """Check a model request."""
--- a/src/nutmegroad/routing/harmful.py
+++ b/src/nutmegroad/routing/harmful.py
@@ -81,18 +81,18 @@
     """
 
     def __init__(self, engines: EngineClient, clock: Clock) -> None:
-        self.book = CrashBook(clock)
+        self.crashes = CrashBook(clock)
         #: Returns whether this host may probe a request that is blocked.
-        self.may_try: Callable[[ContentMark], bool] = _allow_always
+        self.may_probe: Callable[[ContentMark], bool] = _allow_always
         self._engines = engines
         self._clock = clock
         # Clock seconds of the last probe of each request, newest last.
         self._probed: dict[ContentMark, float] = {}
 
-    def keeps_out(self, request: ModelRequest) -> Refusal | None:
+    def refusal_for(self, request: ModelRequest) -> Refusal | None:
         """Return why a request may not go to an engine now, or None."""
         content = content_fingerprint(request)
-        harmful = self.book.harmful(content)
+        harmful = self.crashes.harmful(content)
         if harmful is None:
             return None
         if not harmful.pause and self._claim_probe(content):
@@ -123,7 +123,7 @@
     def _record_answer(self, request: ModelRequest) -> None:
         """Record a complete answer, which clears the request."""
         content = content_fingerprint(request)
-        if self.book.answered(content, self._clock.now()):
+        if self.crashes.answered(content, self._clock.now()):
             _LOG.decision(
                 'cleared by an answer',
                 request=request.request,
@@ -146,7 +146,7 @@
             f'{execution.start.upstream}/{execution.start.attempt}',
         )
         crash = EndUnder(mark_upstream(name), now - seconds, now)
-        self.book.ended(content, crash)
+        self.crashes.ended(content, crash)
         _LOG.decision(
             'engine ended under it',
             request=request.request,
@@ -154,7 +154,7 @@
             upstream=execution.start.upstream,
             version=execution.start.version,
             ran=round(seconds, 3),
-            ends=len(self.book.ends_of(content)),
+            ends=len(self.crashes.ends_of(content)),
         )
 
     async def _is_terminated(self, execution: AttemptExecution) -> bool:
@@ -173,7 +173,7 @@
         now = self._clock.now()
         if now - self._probed.get(content, float('-inf')) < MIN_PROBE_INTERVAL:
             return False
-        if not self.may_try(content):
+        if not self.may_probe(content):
             return False
         self._probed.pop(content, None)
         self._probed[content] = now
--- a/src/nutmegroad/routing/load_part.py
+++ b/src/nutmegroad/routing/load_part.py
@@ -7,10 +7,10 @@
 from nutmegroad.membership.duties import Duties, DutyName
 from nutmegroad.routing.admission import FairAdmitter
 from nutmegroad.routing.dispatch import Dispatcher
-from nutmegroad.routing.exchange import ShareExchange
 from nutmegroad.routing.fleet import FleetLoad
 from nutmegroad.routing.harmful import CrashExchange
 from nutmegroad.routing.shares import ShareLedger
+from nutmegroad.routing.slot_exchange import SlotExchange
 from nutmegroad.routing.steps import Policies
 
 
@@ -41,10 +41,10 @@
             """Return whether this host is the one of its domain that probes."""
             return duties.is_mine(DutyName(f'harmful/{spell_mark(content)}'))
 
-        harmful.may_try = may_try
+        harmful.may_probe = may_try
         exchange = CrashExchange(
             kernel.need(Mesh),
-            harmful.book,
+            harmful.crashes,
             kernel.clock,
         )
         kernel.spawn(exchange.run(), 'crash-exchange')
@@ -60,7 +60,7 @@
         """Start the exchange if the configured admitter shares slots."""
         if kernel.settings.admitter != 'fair':
             return
-        exchange = ShareExchange(
+        exchange = SlotExchange(
             kernel.need(Mesh),
             kernel.need(FairAdmitter),
             kernel.need(FleetLoad),
@@ -68,5 +68,5 @@
             kernel.clock,
             kernel.randomness,
         )
-        exchange.handle()
+        exchange.register_handlers()
         kernel.spawn(exchange.run(), 'share-exchange')
--- a/src/nutmegroad/routing/part.py
+++ b/src/nutmegroad/routing/part.py
@@ -8,7 +8,7 @@
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import lookup, register
 from nutmegroad.quality.estimates import Estimates
-from nutmegroad.routing.attempts import Attempter
+from nutmegroad.routing.attempts import AttemptRunner
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.dispatch import Dispatcher
 from nutmegroad.routing.gates import Gatekeeper
@@ -44,7 +44,7 @@
         kernel.provide(Quarantine, quarantine)
         gatekeeper = Gatekeeper(configuration, kernel.clock, quarantine)
         kernel.provide(Gatekeeper, gatekeeper)
-        attempt_runner = Attempter(
+        attempt_runner = AttemptRunner(
             kernel.need(EngineClient),
             directory,
             observers,
--- a/src/nutmegroad/routing/request_progress.py
+++ b/src/nutmegroad/routing/request_progress.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Spent:
+class RequestUsage:
     """Resources that a request has used so far; valid after cancellation too.
 
     Attributes:
@@ -58,13 +58,13 @@
     output_tokens: int = 0
 
 
-class KeptBack:
+class NullSink:
     """A sink for an answer that is withheld: of a cascade, or not streamed."""
 
-    def answering(self, version: VersionId) -> None:
+    def begin_version(self, version: VersionId) -> None:
         """Ignore the version for now."""
 
-    async def piece(self, text: str) -> None:
+    async def write(self, text: str) -> None:
         """Discard the piece; the attempt stores the text."""
 
 
@@ -98,12 +98,12 @@
         self._started_at = clock.now()
         self._last_piece_at = self._started_at
 
-    def answering(self, version: VersionId) -> None:
+    def begin_version(self, version: VersionId) -> None:
         """Record which version writes the pieces that follow."""
         self.version = version
-        self._inner.answering(version)
+        self._inner.begin_version(version)
 
-    async def piece(self, text: str) -> None:
+    async def write(self, text: str) -> None:
         """Write a piece, recording its latency."""
         now = self._clock.now()
         if self.pieces_written:
@@ -112,7 +112,7 @@
             self._latency.first_token(self._task, now - self._started_at)
         self.pieces_written += 1
         self._last_piece_at = now
-        await self._inner.piece(text)
+        await self._inner.write(text)
 
     def finish(self) -> None:
         """Record the time that the complete answer took."""
@@ -138,7 +138,7 @@
     request: ModelRequest
     explanation: Explanation
     sink: MeteredSink
-    usage: Spent
+    usage: RequestUsage
     seed: int
     excluded: frozenset[UpstreamId] = field(default_factory=frozenset)
 
--- a/src/nutmegroad/routing/retries.py
+++ b/src/nutmegroad/routing/retries.py
@@ -61,7 +61,7 @@
         self.refilled_at = now
 
 
-class SharedRetries:
+class ProportionalRetries:
     """Allows retries for a fraction of the traffic, at a small minimum rate.
 
     Each workspace has its own bucket besides the bucket of the host, so that
@@ -124,17 +124,17 @@
 
 
 @register('retries', 'share')
-def proportional_retries(kernel: Kernel) -> SharedRetries:
+def proportional_retries(kernel: Kernel) -> ProportionalRetries:
     """Create the retry budget for model requests."""
-    budget = SharedRetries(kernel.clock)
+    budget = ProportionalRetries(kernel.clock)
     kernel.need(Observers).add(budget)
     return budget
 
 
 @register('service-retries', 'share')
-def service_retries(kernel: Kernel) -> SharedRetries:
+def service_retries(kernel: Kernel) -> ProportionalRetries:
     """Create the retry budget for calls to plain services.
 
     The caller of these services notifies it; it observes no model requests.
     """
-    return SharedRetries(kernel.clock)
+    return ProportionalRetries(kernel.clock)
--- a/src/nutmegroad/routing/services.py
+++ b/src/nutmegroad/routing/services.py
@@ -29,7 +29,7 @@
 from nutmegroad.records.explanations import Explanation
 from nutmegroad.routing._ejection import Healths
 from nutmegroad.routing.directory import Directory
-from nutmegroad.routing.gates import Gatekeeper, Passage
+from nutmegroad.routing.gates import GateContext, Gatekeeper
 from nutmegroad.routing.service_traffic import ServiceTraffic
 from nutmegroad.routing.steps import HOST_REFUSALS
 
@@ -213,7 +213,7 @@
     ) -> ServiceReply | Refusal:
         """Make one attempt."""
         attempt_fence = request.fence.attempt()
-        context = Passage(
+        context = GateContext(
             request.workspace,
             TaskName(''),
             _NO_VERSION,
--- a/src/nutmegroad/routing/exchange.py
+++ b/src/nutmegroad/routing/slot_exchange.py
@@ -36,7 +36,7 @@
 _RESERVED_SLOTS: Final = 1
 
 
-class ShareExchange:
+class SlotExchange:
     """This host's side of the exchange of slots.
 
     Args:
@@ -70,7 +70,7 @@
         """Return the id and failure domain of this host."""
         return self._admitter.slots.identity
 
-    def handle(self) -> None:
+    def register_handlers(self) -> None:
         """Register the message handlers."""
         self._mesh.handle(LoadDigest, self._receive_digest)
         self._mesh.handle(ShareAsk, self._lend)
--- a/src/nutmegroad/routing/steps.py
+++ b/src/nutmegroad/routing/steps.py
@@ -23,12 +23,12 @@
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import AttemptId, Ran, ServiceName, VersionId
 from nutmegroad.routing.attempts import (
-    Attempter,
     AttemptExecution,
+    AttemptRunner,
     Received,
     Sink,
 )
-from nutmegroad.routing.gates import Gatekeeper, Passage
+from nutmegroad.routing.gates import GateContext, Gatekeeper
 from nutmegroad.routing.harmful import HarmfulRequests
 from nutmegroad.routing.request_progress import RequestProgress, failure_of
 
@@ -135,7 +135,7 @@
         self,
         policies: Policies,
         gatekeeper: Gatekeeper,
-        attempt_runner: Attempter,
+        attempt_runner: AttemptRunner,
         instruments: Instruments,
         clock: Clock,
         randomness: random.Random,
@@ -181,7 +181,7 @@
         received: Received,
     ) -> _AttemptSetup | Refusal:
         """Choose an upstream and create the attempt's id."""
-        refusal = self._policies.harmful.keeps_out(progress.request)
+        refusal = self._policies.harmful.refusal_for(progress.request)
         if refusal is not None:
             progress.note('harmful', refusal.reason)
             return refusal
@@ -366,10 +366,10 @@
     request: ModelRequest,
     version: VersionId,
     setup: _AttemptSetup,
-) -> Passage:
+) -> GateContext:
     """Return what the gate of an attempt checks."""
     session = request.session
-    return Passage(
+    return GateContext(
         request.workspace,
         request.task,
         version,
--- a/src/nutmegroad/routing/watch_sharing.py
+++ b/src/nutmegroad/routing/watch_sharing.py
@@ -117,7 +117,7 @@
         return self._period * max(1, len(self._duties.hosts()))
 
     @property
-    def far_period(self) -> float:
+    def remote_fetch_interval(self) -> float:
         """Return the seconds between two fetches from a remote domain."""
         return max(
             MIN_REMOTE_FETCH_INTERVAL,
@@ -236,7 +236,7 @@
         """Return the seconds after which a report from others is too old."""
         if state.info.domain == self._domain:
             return UNRESPONSIVE_PERIODS * self._period
-        return MAX_MISSED_REMOTE_FETCHES * self.far_period
+        return MAX_MISSED_REMOTE_FETCHES * self.remote_fetch_interval
 
     async def _receive_reports(
         self, host: HostId, message: WatchReports
@@ -272,7 +272,7 @@
             report: Its report.
             asked: Approximate clock seconds at which it was requested.
         """
-        self._directory.told(state.info.upstream, report, asked)
+        self._directory.reported_by_peer(state.info.upstream, report, asked)
         if state.leaving and not report.leaving:
             # Only a report requested by this host clears the draining state.
             self._to_verify.add(state.info.upstream)
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -37,7 +37,7 @@
     WorkspaceId,
 )
 from nutmegroad.records.explanations import Explanation
-from nutmegroad.routing.attempts import Attempter
+from nutmegroad.routing.attempts import AttemptRunner
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.dispatch import Dispatcher
 from nutmegroad.routing.gates import Gatekeeper
@@ -49,7 +49,7 @@
     NoQuarantine,
     OpenAdmitter,
 )
-from nutmegroad.routing.request_progress import Answer, Spent
+from nutmegroad.routing.request_progress import Answer, RequestUsage
 from nutmegroad.routing.steps import Instruments, Policies
 from nutmegroad.testing.virtual import ManualClock
 
@@ -153,11 +153,11 @@
         """Return all of it."""
         return ''.join(self.pieces)
 
-    def answering(self, version: VersionId) -> None:
+    def begin_version(self, version: VersionId) -> None:
         """Note the version."""
         self.versions.append(version)
 
-    async def piece(self, text: str) -> None:
+    async def write(self, text: str) -> None:
         """Note a piece."""
         self.pieces.append(text)
 
@@ -169,7 +169,7 @@
     clock: ManualClock
     planner: Planner | None = None
     engines: ScriptedEngines = field(default_factory=ScriptedEngines)
-    spent: Spent = field(default_factory=Spent)
+    spent: RequestUsage = field(default_factory=RequestUsage)
     caller: Caller = field(default_factory=Caller)
     observers: Observers = field(default_factory=Observers)
     harmful: HarmfulRequests | None = None
@@ -239,7 +239,7 @@
         randomness = random.Random(3)
         if self.harmful is None:
             self.harmful = HarmfulRequests(self.engines, self.clock)
-        attempter = Attempter(
+        attempt_runner = AttemptRunner(
             self.engines,
             self.directory,
             self.observers,
@@ -256,7 +256,7 @@
         return Dispatcher(
             policies,
             self.gatekeeper,
-            attempter,
+            attempt_runner,
             Instruments(self.metrics, StrictInvariants()),
             self.clock,
             randomness,
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -7,7 +7,7 @@
 from nutmegroad.contracts.upstreams import Attempt, Ending, Piece
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Ran
-from nutmegroad.routing.directory import LeavingSource
+from nutmegroad.routing.directory import DrainingSource
 from nutmegroad.routing.request_progress import Answer
 from nutmegroad.testing.virtual import ManualClock
 from tests.rigs import ENDING, WORDS, HostRig, Script, whole
@@ -74,11 +74,11 @@
     async def test_a_draining_engine_gets_no_more_requests(
         self,
     ) -> None:
-        sources: list[LeavingSource] = []
+        sources: list[DrainingSource] = []
         self.rig.directory.listen(lambda _, source: sources.append(source))
         answer = await self.ask(refused(DRAINING), repeatable=False)
         assert isinstance(answer, Answer)
-        self.assertEqual(sources, [LeavingSource.REPORT])
+        self.assertEqual(sources, [DrainingSource.REPORT])
         for _ in range(5):
             await self.rig.ask()
         upstreams = [upstream for upstream, _ in self.sent()]
@@ -182,13 +182,13 @@
         self.rig = HostRig(self.clock)
 
     def show(self, work: Callable[[], Awaitable[None]]) -> None:
-        inner = self.rig.caller.piece
+        inner = self.rig.caller.write
 
         async def piece(text: str) -> None:
             await inner(text)
             await work()
 
-        self.rig.caller.piece = piece  # type: ignore[method-assign]
+        self.rig.caller.write = piece  # type: ignore[method-assign]
 
     async def test_a_slow_caller_does_not_count_as_a_silent_upstream(
         self,
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -349,7 +349,7 @@
             )
             try:
                 while True:
-                    await stream.piece('word ' * 10_000)
+                    await stream.write('word ' * 10_000)
             except ConnectionResetError:
                 cut.set()
                 raise
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -20,8 +20,8 @@
     UpstreamKind,
     VersionId,
 )
-from nutmegroad.routing.departures import Departures
-from nutmegroad.routing.directory import REPORT_LAG, Directory, LeavingSource
+from nutmegroad.routing.directory import REPORT_LAG, Directory, DrainingSource
+from nutmegroad.routing.draining_notices import DrainingNotices
 from nutmegroad.routing.watch import UpstreamWatcher
 from nutmegroad.testing.virtual import ManualClock, MemoryMesh
 from tests.rigs import engine_info, report_of
@@ -58,7 +58,7 @@
                 ONE,
                 report_of(A1, leaving=True),
             ),
-            'peer': lambda: self.directory.mark_leaving(
+            'peer': lambda: self.directory.mark_draining(
                 ONE,
                 engine_info('one').address,
             ),
@@ -86,7 +86,7 @@
         self.assertFalse(state.is_open)
 
     async def test_only_its_own_later_report_clears_draining(self) -> None:
-        self.directory.mark_leaving(ONE)
+        self.directory.mark_draining(ONE)
         self.directory.update((engine_info('one'), engine_info('two', 2)))
         self.assertEqual(self.open_engines(), {'two'})
         self.directory.reported(ONE, report_of(A1))
@@ -99,7 +99,7 @@
 
     async def test_another_address_is_another_incarnation(self) -> None:
         before = self.directory.state(ONE)
-        self.directory.mark_leaving(ONE)
+        self.directory.mark_draining(ONE)
         moved = engine_info('one', 9)
         self.directory.update((moved, engine_info('two', 2)))
         self.directory.reported(ONE, report_of(A1))
@@ -107,13 +107,13 @@
         assert before is not None
         self.assertTrue(before.leaving)
         old = engine_info('one').address
-        self.directory.mark_leaving(ONE, old)
+        self.directory.mark_draining(ONE, old)
         self.assertEqual(self.open_engines(), {'one', 'two'})
 
     async def test_a_notice_for_an_unlisted_incarnation_is_kept(self) -> None:
         address = Address('127.0.0.1', 7)
-        self.assertTrue(self.directory.mark_leaving(UpstreamId('n'), address))
-        self.assertFalse(self.directory.mark_leaving(UpstreamId('n'), address))
+        self.assertTrue(self.directory.mark_draining(UpstreamId('n'), address))
+        self.assertFalse(self.directory.mark_draining(UpstreamId('n'), address))
         self.directory.update((engine_info('n', 7),))
         self.directory.reported(UpstreamId('n'), report_of(A1))
         self.assertEqual(self.open_engines(), set())
@@ -135,7 +135,7 @@
         self.assertEqual(len(self.directory.services(name)), 1)
 
 
-class DeparturesTest(unittest.IsolatedAsyncioTestCase):
+class DrainingNoticesTest(unittest.IsolatedAsyncioTestCase):
     """Draining notices between hosts."""
 
     async def asyncSetUp(self) -> None:
@@ -151,7 +151,7 @@
         directory = Directory(self.clock)
         directory.update((engine_info('one'),))
         peer = self.mesh.join(HostId(name), DomainId(domain))
-        Departures(peer, directory, DomainId(domain))
+        DrainingNotices(peer, directory, DomainId(domain))
         return directory
 
     async def test_a_new_notice_is_broadcast_while_the_last_one_still_holds(
@@ -221,7 +221,7 @@
     async def test_a_frozen_engine_holds_up_no_other(self) -> None:
         clock = ManualClock()
         directory = Directory(clock)
-        notices: list[tuple[str, LeavingSource]] = []
+        notices: list[tuple[str, DrainingSource]] = []
         directory.listen(lambda info, how: notices.append((info.upstream, how)))
         engines = FrozenEngines(clock)
         infos = [engine_info('one')]
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -158,9 +158,13 @@
         self,
     ) -> None:
         request = self.rig.request(versions=(SMALL, MEDIUM))
-        self.assertEqual(self.rig.dispatcher.settle_on(request), SMALL)
+        self.assertEqual(
+            self.rig.dispatcher.choose_session_version(request), SMALL
+        )
         self.rig.configuration.withdraw(WITHDRAWN)
-        self.assertEqual(self.rig.dispatcher.settle_on(request), MEDIUM)
+        self.assertEqual(
+            self.rig.dispatcher.choose_session_version(request), MEDIUM
+        )
 
     async def test_another_epoch_is_another_version(self) -> None:
         self.rig.configuration.withdraw(WITHDRAWN)
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -71,7 +71,7 @@
 
     async def test_a_condition_of_the_host_holds_back_everything(self) -> None:
         stopping = Refusal(ResultCode.HOST_STOPPING, 'stopping')
-        self.rig.gatekeeper.require(lambda: stopping)
+        self.rig.gatekeeper.add_condition(lambda: stopping)
         await self.refused_as(ResultCode.HOST_STOPPING)
 
     async def test_an_upstream_that_leaves_is_passed_over(self) -> None:
@@ -90,7 +90,7 @@
         self.clock = ManualClock()
         self.rig = HostRig(self.clock)
         self.detector = PauseDetector(self.clock, self.rig.configuration, 8)
-        self.rig.gatekeeper.require(self.detector.refusal)
+        self.rig.gatekeeper.add_condition(self.detector.refusal)
 
     async def code(self) -> ResultCode:
         outcome = await self.rig.ask()
--- a/tests/test_harmful_requests.py
+++ b/tests/test_harmful_requests.py
@@ -19,7 +19,7 @@
     CrashExchange,
     HarmfulRequests,
 )
-from nutmegroad.routing.request_progress import Answer, Spent
+from nutmegroad.routing.request_progress import Answer, RequestUsage
 from nutmegroad.testing.virtual import ManualClock, MemoryMesh
 from tests.rigs import HostRig, Script, ScriptedEngines, whole
 from tests.test_attempts import CUT, UNREACHABLE, broken
@@ -60,7 +60,7 @@
     async def send(self, *scripts: Script, **changes: object) -> object:
         """Send the request again under another id."""
         self.engines.scripts = list(scripts)
-        self.rig.spent = Spent()
+        self.rig.spent = RequestUsage()
         name = RequestId(f'r{next(self.numbers)}')
         return await self.rig.ask(request=name, body=BODY, **changes)
 
@@ -88,7 +88,7 @@
         others = ({'body': {}}, {'workspace': 'another'})
         for changes in others:
             content = {'body': BODY, **changes}
-            harmful = self.rig.harmful.keeps_out(self.rig.request(**content))
+            harmful = self.rig.harmful.refusal_for(self.rig.request(**content))
             self.assertIsNone(harmful)
 
     async def test_an_answer_clears_it(self) -> None:
@@ -111,7 +111,7 @@
     async def test_only_the_chosen_host_probes_it(self) -> None:
         """A host that is not chosen for the probe does not execute it."""
         await self.crash_three_engines()
-        self.rig.harmful.may_try = lambda content: False
+        self.rig.harmful.may_probe = lambda content: False
         await self.clock.jump(FIRST_PAUSE)
         self.assertIsInstance(await self.send(whole), Refusal)
 
@@ -135,7 +135,7 @@
         hosts = [HarmfulRequests(engines, clock) for _ in range(2)]
         for number, harmful in enumerate(hosts):
             peer = network.join(HostId(f'h{number}'), DomainId('north'))
-            exchange = CrashExchange(peer, harmful.book, clock)
+            exchange = CrashExchange(peer, harmful.crashes, clock)
             task = asyncio.create_task(exchange.run())
             self.addCleanup(task.cancel)
         rig = HostRig(clock, engines=engines, harmful=hosts[0])
@@ -143,9 +143,9 @@
         for _ in range(HARMFUL):
             engines.scripts = [broken(0) for _ in range(9)]
             await rig.ask(body=BODY)
-        self.assertIsNone(hosts[1].keeps_out(request))
+        self.assertIsNone(hosts[1].refusal_for(request))
         await clock.advance(BROADCAST_INTERVAL * 2)
-        refusal = hosts[1].keeps_out(request)
+        refusal = hosts[1].refusal_for(request)
         assert refusal is not None
         self.assertIs(refusal.code, ResultCode.REQUEST_HARMFUL)
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -10,7 +10,7 @@
     MAX_SAVED_RETRIES,
     MIN_RETRY_RATE,
     RETRY_FRACTION,
-    SharedRetries,
+    ProportionalRetries,
 )
 from nutmegroad.testing.virtual import ManualClock
 from tests.loads import ask, end_of, start_of
@@ -18,10 +18,10 @@
 _OTHER: Final = WorkspaceId('small')
 
 
-class SharedRetriesTest(unittest.IsolatedAsyncioTestCase):
+class ProportionalRetriesTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.clock = ManualClock()
-        self.budget = SharedRetries(self.clock)
+        self.budget = ProportionalRetries(self.clock)
 
     def test_retries_of_an_outage_are_a_share_of_the_traffic(self) -> None:
         requests = 1000
@@ -56,7 +56,7 @@
     def test_a_busy_engine_costs_less_than_an_error(self) -> None:
         counts = []
         for code in (ResultCode.UPSTREAM_BUSY, ResultCode.UPSTREAM_ERROR):
-            self.budget = SharedRetries(self.clock)
+            self.budget = ProportionalRetries(self.clock)
             retried = (self._fail(n, code, traffic=False) for n in range(99))
             counts.append(sum(retried))
         self.assertEqual(counts, [4 * MAX_SAVED_RETRIES, MAX_SAVED_RETRIES])
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -188,7 +188,7 @@
 
     def test_a_draining_engine_gets_no_requests(self) -> None:
         self._send()
-        self.directory.mark_leaving(UpstreamId('e1'))
+        self.directory.mark_draining(UpstreamId('e1'))
         self.assertNotIn('e1', self._chosen(12))
 
     def test_the_reason_names_excluded_engines(self) -> None:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -27,7 +27,7 @@
 from nutmegroad.routing.retries import (
     MAX_SAVED_RETRIES,
     RETRY_FRACTION,
-    SharedRetries,
+    ProportionalRetries,
 )
 from nutmegroad.routing.service_traffic import ServiceTraffic
 from nutmegroad.routing.services import ServiceCaller, ServiceRequest
@@ -62,7 +62,7 @@
         configuration = configure(self.clock, 1)
         directory = Directory(self.clock)
         directory.update(tuple(self.upstream(name) for name in 'abc'))
-        retries = SharedRetries(self.clock)
+        retries = ProportionalRetries(self.clock)
         self.caller = ServiceCaller(
             self.clients,
             directory,
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -17,7 +17,6 @@
     WorkspaceId,
 )
 from nutmegroad.routing.admission import FairAdmitter
-from nutmegroad.routing.exchange import ShareExchange
 from nutmegroad.routing.fleet import DIGEST_LIFETIME, FleetLoad, LoadDigest
 from nutmegroad.routing.shares import (
     LOAN_DURATION,
@@ -25,6 +24,7 @@
     static_part,
     water_fill,
 )
+from nutmegroad.routing.slot_exchange import SlotExchange
 from nutmegroad.testing.virtual import ManualClock, MemoryMesh, NetworkFaults
 from tests.loads import AWAY, HOME, AdmittingHost, ask
 
@@ -102,7 +102,7 @@
         self.assertEqual(self.fleet.demand(AWAY), {'large': 12})
 
 
-class ShareExchangeTest(unittest.IsolatedAsyncioTestCase):
+class SlotExchangeTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
         mesh = MemoryMesh(self.clock, random.Random(5))
@@ -111,7 +111,7 @@
         for name in _HOSTS:
             host = AdmittingHost(self.clock, _SLOTS, name=name, large=1)
             peer = self.mesh.join(HostId(name), HOME)
-            exchange = ShareExchange(
+            exchange = SlotExchange(
                 peer,
                 host.admitter,
                 host.fleet,
@@ -119,11 +119,11 @@
                 self.clock,
                 random.Random(name),
             )
-            exchange.handle()
+            exchange.register_handlers()
             self.hosts[name] = host
             self._start(exchange)
 
-    def _start(self, exchange: ShareExchange) -> None:
+    def _start(self, exchange: SlotExchange) -> None:
         task = asyncio.create_task(exchange.run())
         self.addCleanup(task.cancel)
 
--- a/tests/test_watch_sharing.py
+++ b/tests/test_watch_sharing.py
@@ -20,8 +20,8 @@
     VersionId,
 )
 from nutmegroad.membership.duties import Duties, watch_of
-from nutmegroad.routing.departures import Departures
 from nutmegroad.routing.directory import Directory
+from nutmegroad.routing.draining_notices import DrainingNotices
 from nutmegroad.routing.far_loads import FarLoads
 from nutmegroad.routing.watch import UpstreamWatcher
 from nutmegroad.routing.watch_sharing import UNRESPONSIVE_PERIODS, WatchSharer
@@ -82,7 +82,7 @@
         domain = DomainId(name.partition('-')[0])
         self.peer = mesh.join(HostId(name), domain)
         self.directory = Directory(mesh.clock)
-        Departures(self.peer, self.directory, domain)
+        DrainingNotices(self.peer, self.directory, domain)
         self.sharer = WatchSharer(
             self.peer,
             Duties(self),
@@ -254,7 +254,7 @@
 
     async def test_only_its_own_report_gives_work_back(self) -> None:
         west = self.hosts[-1]
-        west.directory.mark_leaving(ONE)
+        west.directory.mark_draining(ONE)
         await self.clock.advance(DRAINING_BOUND + 1)
         state = west.directory.state(ONE)
         assert state is not None
