--- a/experiments/costs/selection_speed.py
+++ b/experiments/costs/selection_speed.py
@@ -41,7 +41,7 @@
 from nutmegroad.routing._slots import HostSlots, Identity
 from nutmegroad.routing.admission import FairAdmitter
 from nutmegroad.routing.directory import Directory
-from nutmegroad.routing.fleet import FleetLoad
+from nutmegroad.routing.fleet_load import FleetLoad
 from nutmegroad.routing.plain_selectors import LeastInFlight
 from nutmegroad.routing.selection import ExpectedSelector
 from nutmegroad.routing.shares import ShareLedger
--- a/experiments/simulate.py
+++ b/experiments/simulate.py
@@ -46,9 +46,9 @@
 from nutmegroad.escalation.headroom import Expectation
 from nutmegroad.foundations.types import ModelName
 from nutmegroad.routes.requests import CallerRequest
-from nutmegroad.upstreams.prefixes import marked
-from nutmegroad.upstreams.ranks import engine_rank
-from nutmegroad.upstreams.selection import Asked, Choice
+from nutmegroad.upstreams.engine_ranks import engine_rank
+from nutmegroad.upstreams.prefixes import fingerprint_parts
+from nutmegroad.upstreams.selection import Choice, SelectionQuery
 
 #: Seconds within which a few requests come together.
 CLUMP: Final = 0.01
@@ -126,7 +126,7 @@
         Raises:
             RuntimeError: If there is no engine.
         """
-        asked = Asked(request, SERVICE, model, FACTS)
+        asked = SelectionQuery(request, SERVICE, model, FACTS)
         choice = host.selector.choose(asked, self._upstreams[host.name], ())
         if choice is None:
             raise RuntimeError('no engine can be chosen')
@@ -144,16 +144,16 @@
         if generation is None:
             return
         name = choice.upstream.entry.incarnation
-        parts = marked(model, generation.parts)
+        parts = fingerprint_parts(model, generation.parts)
         host.selector.prefixes.sent(name, parts, FACTS.memory)
         load = choice.load
         read = host.told.ledger.begin(name, load)
-        source = choice.reading.source_id
+        source = choice.prefill.source_id
         engine = self._fleet.engine(choice.upstream.entry.upstream)
         began = self._clock.now()
         await engine.read(
             engine_rank(
-                choice.reading.seconds,
+                choice.prefill.seconds,
                 request.route.target_latency,
                 request.priority,
             ),
@@ -162,11 +162,11 @@
             None if source is None else self._fleet.engine(source),
         )
         read()
-        host.selector.paces.observe(
-            Asked(request, SERVICE, model, FACTS).key,
-            choice.reading.tokens,
+        host.selector.latencies.observe(
+            SelectionQuery(request, SERVICE, model, FACTS).key,
+            choice.prefill.tokens,
             self._clock.now() - began,
-            choice.expected,
+            choice.expected_seconds,
         )
         asyncio.get_running_loop().call_later(
             GENERATES * generation.expected_tokens,
@@ -185,9 +185,9 @@
         choice = self._choose(host, request, LARGE)
         now = self._clock.now()
         expected = Expectation(
-            choice.expected,
-            choice.expected + BASE,
-            choice.ahead,
+            choice.expected_seconds,
+            choice.expected_seconds + BASE,
+            choice.queued_seconds,
             choice.running / SLOTS,
         )
         case = EscalationCase(
--- a/experiments/trials/planner_trials.py
+++ b/experiments/trials/planner_trials.py
@@ -38,7 +38,11 @@
 from nutmegroad.quality.prices import cost_of
 from nutmegroad.quality.rating_samples import SampleShares
 from nutmegroad.quality.trials import PresetShares, Trials
-from nutmegroad.routing.baselines import cheapest_only, dearest, static_share
+from nutmegroad.routing.baselines import (
+    cheapest_only,
+    most_expensive,
+    static_share,
+)
 from nutmegroad.routing.policies import CheapestPlanner
 
 #: Requests in one run; one comes each second.
@@ -132,7 +136,7 @@
 
 
 PLANNERS: Final[dict[str, Maker]] = {
-    'dearest': lambda world, _: dearest(world.configuration),
+    'dearest': lambda world, _: most_expensive(world.configuration),
     'cheapest-only': lambda world, _: cheapest_only(world.configuration),
     'static-share': lambda world, draws: static_share(
         world.configuration,
--- a/experiments/trials/selection_fleet.py
+++ b/experiments/trials/selection_fleet.py
@@ -42,13 +42,13 @@
 from nutmegroad.routing._slots import HostSlots, Identity
 from nutmegroad.routing.admission import FairAdmitter
 from nutmegroad.routing.directory import Directory
-from nutmegroad.routing.fleet import FleetLoad
+from nutmegroad.routing.fleet_load import FleetLoad
 from nutmegroad.routing.plain_selectors import (
     LeastInFlight,
     RandomChoice,
     RoundRobin,
 )
-from nutmegroad.routing.policies import CountedRetries, OpenAdmitter
+from nutmegroad.routing.policies import OpenAdmitter, UnboundedRetries
 from nutmegroad.routing.retries import ProportionalRetries
 from nutmegroad.routing.selection import ExpectedSelector
 from nutmegroad.routing.shares import ShareLedger
@@ -343,7 +343,7 @@
     def _retries(self) -> RetryBudget:
         """Make the retry budget."""
         if self._setting.retries == 'unbounded':
-            return CountedRetries()
+            return UnboundedRetries()
         budget = ProportionalRetries(self._clock)
         self._observers.add(budget)
         return budget
--- a/src/nutmegroad/relay/assembly.py
+++ b/src/nutmegroad/relay/assembly.py
@@ -63,7 +63,7 @@
         received_state.silence,
     )
     attempts = Attempts(components.pool, platform.names, selector, clock)
-    components.directory.ended.tell_of_ends(attempts.ended)
+    components.directory.ended.add_listener(attempts.ended)
     crashes = CrashWatch(
         components.pool,
         received_state.crashes,
@@ -71,7 +71,7 @@
         clock,
         platform.counters,
     )
-    components.directory.ended.tell_of_ends(crashes.upstream_ended)
+    components.directory.ended.add_listener(crashes.upstream_ended)
     return RelayParts(
         attempts,
         selector,
--- a/src/nutmegroad/relay/attempts.py
+++ b/src/nutmegroad/relay/attempts.py
@@ -28,8 +28,8 @@
 from nutmegroad.relay.pools import ConnectionPool
 from nutmegroad.routes.headers import HeaderNames
 from nutmegroad.routes.requests import CallerRequest, Generation
-from nutmegroad.upstreams.directory import End, Upstream
-from nutmegroad.upstreams.prefixes import marked
+from nutmegroad.upstreams.directory import IncarnationEnd, Upstream
+from nutmegroad.upstreams.prefixes import fingerprint_parts
 from nutmegroad.upstreams.selection import Selector
 
 _LOG: Final = part_logger('relay')
@@ -66,7 +66,7 @@
         self._heads = Heads(names)
         self._clock = clock
 
-    def ended(self, upstream: UpstreamIncarnation, end: End) -> None:
+    def ended(self, upstream: UpstreamIncarnation, end: IncarnationEnd) -> None:
         """Handle the end of an incarnation.
 
         Its cached prefixes are forgotten and its idle connections closed. If it
@@ -75,7 +75,7 @@
         """
         self._selector.prefixes.forget(upstream)
         self._pool.forget(upstream)
-        if end is End.RESTARTED:
+        if end is IncarnationEnd.RESTARTED:
             _LOG.decision(
                 'exchanges aborted after upstream restart',
                 upstream=upstream,
@@ -92,7 +92,7 @@
         started = self._clock.now()
         async with AsyncExitStack() as stack:
             mark_read = self._register(request, plan, stack)
-            upstream.health.begin()
+            upstream.health.record_attempt()
             outcome = await self._exchange(request, plan, stack)
             if isinstance(outcome, AttemptFailure):
                 self._record_failure(upstream, outcome)
@@ -134,7 +134,7 @@
             self._record_prefixes(request, plan, request.generation)
         stack.callback(ledger.end, name, load)
         stack.callback(mark_read)
-        stack.callback(upstream.health.abandon)
+        stack.callback(upstream.health.record_no_result)
         return mark_read
 
     def _record_prefixes(
@@ -147,7 +147,7 @@
         entry = plan.upstream.entry
         facts = request.table.service_of(entry.service).engine
         memory = 0 if facts is None else int(facts.memory * CACHE_FRACTION)
-        parts = marked(plan.model, generation.parts)
+        parts = fingerprint_parts(plan.model, generation.parts)
         self._selector.prefixes.sent(entry.incarnation, parts, memory)
 
     async def _exchange(
@@ -202,7 +202,7 @@
         )
         if arrived:
             return True
-        plan.upstream.health.silent(self._clock.now())
+        plan.upstream.health.record_overdue(self._clock.now())
         return not plan.leave()
 
     async def _connection(
@@ -234,9 +234,9 @@
         """Update an upstream's health by a failed attempt."""
         now = self._clock.now()
         if failure.end in (AttemptEnd.UNREACHABLE, AttemptEnd.MISDIRECTED):
-            upstream.health.unreachable(now)
+            upstream.health.record_unreachable(now)
         elif failure.end in (AttemptEnd.REJECTED, AttemptEnd.SILENT):
             # The missing answer was recorded when the timeout expired.
-            upstream.health.abandon()
+            upstream.health.record_no_result()
         else:
-            upstream.health.failed(now)
+            upstream.health.record_failure(now)
--- a/src/nutmegroad/relay/crashes.py
+++ b/src/nutmegroad/relay/crashes.py
@@ -25,7 +25,11 @@
 from nutmegroad.relay.ends import EndWatch, Life
 from nutmegroad.relay.pools import ConnectionPool
 from nutmegroad.routes.requests import CallerRequest
-from nutmegroad.upstreams.directory import End, Upstream, UpstreamEntry
+from nutmegroad.upstreams.directory import (
+    IncarnationEnd,
+    Upstream,
+    UpstreamEntry,
+)
 
 _LOG: Final = part_logger('crashes')
 
@@ -138,14 +142,16 @@
             async with asyncio.timeout(CHECK_TIMEOUT):
                 await checked.wait()
 
-    def upstream_ended(self, upstream: UpstreamIncarnation, end: End) -> None:
+    def upstream_ended(
+        self, upstream: UpstreamIncarnation, end: IncarnationEnd
+    ) -> None:
         """Count recent broken exchanges of an upstream that has restarted.
 
         The connection attempt can't show this crash if the supervisor restarts
         the process before it, or if the upstream's machine has no power and
         refuses nothing.
         """
-        if end is not End.RESTARTED:
+        if end is not IncarnationEnd.RESTARTED:
             return
         oldest = self._clock.now() - RESTART_WINDOW
         for broken in self._unconfirmed.pop(upstream, ()):
--- a/src/nutmegroad/relay/heads.py
+++ b/src/nutmegroad/relay/heads.py
@@ -9,7 +9,7 @@
 from nutmegroad.relay.outcomes import AttemptEnd, AttemptFailure, AttemptPlan
 from nutmegroad.routes.headers import HeaderNames
 from nutmegroad.routes.requests import MILLISECONDS, CallerRequest
-from nutmegroad.upstreams.ranks import engine_rank
+from nutmegroad.upstreams.engine_ranks import engine_rank
 
 #: HTTP status codes that decide the outcome of an attempt.
 MISDIRECTED: Final = 421
@@ -49,12 +49,12 @@
             ours[names.workspace] = request.workspace.name
         if request.generation is not None:
             rank = engine_rank(
-                plan.choice.reading.seconds,
+                plan.choice.prefill.seconds,
                 request.route.target_latency,
                 request.priority,
             )
             ours[names.priority] = str(rank)
-        source = plan.choice.reading.source
+        source = plan.choice.prefill.source
         if source is not None:
             ours[names.fetch_from] = str(source.entry.address)
         replaced: set[bytes] = set()
--- a/src/nutmegroad/relay/outlook.py
+++ b/src/nutmegroad/relay/outlook.py
@@ -15,8 +15,8 @@
 from nutmegroad.relay.parts import RelayParts
 from nutmegroad.routes.requests import CallerRequest
 from nutmegroad.upstreams.directory import Upstream
-from nutmegroad.upstreams.estimates import PaceKey
-from nutmegroad.upstreams.selection import Asked, Choice
+from nutmegroad.upstreams.latency_estimates import LatencyKey
+from nutmegroad.upstreams.selection import Choice, SelectionQuery
 
 #: Ratio of an answer's latency to the usual one from which the answer is
 #: evidence against its version.
@@ -75,7 +75,7 @@
         table = self._request.table
         facts = table.service_of(self._service).engine
         return self._parts.selector.choose(
-            Asked(self._request, self._service, model, facts),
+            SelectionQuery(self._request, self._service, model, facts),
             self._parts.versions.permitted(self._request, self._service),
             attempted,
         )
@@ -95,14 +95,14 @@
         choice = self.choose(model, attempted)
         if choice is None or generation is None:
             return None
-        writing = self._parts.selector.paces.generation(
-            PaceKey(self._service, model),
+        writing = self._parts.selector.latencies.generation_seconds(
+            LatencyKey(self._service, model),
             generation.expected_tokens,
         )
         return Expectation(
-            choice.expected,
-            choice.expected + writing,
-            choice.ahead,
+            choice.expected_seconds,
+            choice.expected_seconds + writing,
+            choice.queued_seconds,
             choice.running / max(1, choice.upstream.entry.slots),
         )
 
@@ -117,8 +117,8 @@
         if facts is None:
             return
         now = self._parts.clock.now()
-        self._parts.selector.paces.observe_generation(
-            PaceKey(self._service, answering.model),
+        self._parts.selector.latencies.observe_generation(
+            LatencyKey(self._service, answering.model),
             events * facts.event_tokens,
             now - answering.started - answering.waited,
         )
@@ -139,15 +139,15 @@
             return
         now = self._parts.clock.now()
         if observed is Observed.SOUND:
-            pace = self._parts.selector.paces.observe(
-                PaceKey(self._service, answering.model),
-                answering.choice.reading.tokens,
+            pace = self._parts.selector.latencies.observe(
+                LatencyKey(self._service, answering.model),
+                answering.choice.prefill.tokens,
                 answering.waited,
-                answering.choice.expected,
+                answering.choice.expected_seconds,
             )
-            upstream.health.answered(now, pace)
+            upstream.health.record_answer(now, pace)
             if pace >= SLOW_ANSWER_RATIO:
                 observed = Observed.POOR
         else:
-            upstream.health.failed(now)
+            upstream.health.record_failure(now)
         self._parts.versions.observe(self._request, upstream, observed)
--- a/src/nutmegroad/relay/refusals.py
+++ b/src/nutmegroad/relay/refusals.py
@@ -7,7 +7,7 @@
 from nutmegroad.fleet.crash_book import Harmful
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Ran, ServiceName
-from nutmegroad.upstreams.health import FIRST_PAUSE
+from nutmegroad.upstreams.health import INITIAL_EXCLUSION
 
 #: HTTP status of each refusal of a request that was not executed. A caller
 #: takes 429 and 503 as a guarantee that the request will never be executed.
@@ -87,7 +87,7 @@
         return Refusal(
             ResultCode.UPSTREAM_UNREACHABLE,
             f'None of {known} upstreams of {service!r} is reachable.',
-            retry_after=FIRST_PAUSE,
+            retry_after=INITIAL_EXCLUSION,
         )
     return Refusal(
         ResultCode.NO_UPSTREAM,
--- a/src/nutmegroad/relay/streams.py
+++ b/src/nutmegroad/relay/streams.py
@@ -171,7 +171,7 @@
         )
         timeout = patience_for(
             self._execution.request,
-            answering.choice.expected,
+            answering.choice.expected_seconds,
             self._execution.left,
         )
         while True:
--- a/src/nutmegroad/relay/tables.py
+++ b/src/nutmegroad/relay/tables.py
@@ -221,7 +221,7 @@
         """Apply a full snapshot."""
         after_outage = self._mark_available()
         listed = [self._reader.upstream_key(row) for row in read.rows]
-        for upstream in self._directory.others(listed):
+        for upstream in self._directory.unlisted(listed):
             self._remove_or_keep(upstream, after_outage=after_outage)
         for pending in self._pending_entries.keys() - set(listed):
             self._pending_entries.pop(pending)
@@ -328,8 +328,8 @@
     ) -> None:
         """Remove an upstream, or keep it for a time after an outage."""
         if after_outage:
-            self._directory.missing(upstream, RETURN_TIME)
+            self._directory.mark_missing(upstream, RETURN_TIME)
         elif self._clock.now() - self._available_since < RETURN_TIME:
-            self._directory.missing(upstream, self._removal_delay)
+            self._directory.mark_missing(upstream, self._removal_delay)
         else:
             self._directory.remove(upstream, 'no longer listed')
--- a/src/nutmegroad/routing/_demand.py
+++ b/src/nutmegroad/routing/_demand.py
@@ -5,7 +5,7 @@
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.foundations.types import Revision, WorkspaceId
 from nutmegroad.routing._slots import Identity
-from nutmegroad.routing.fleet import FleetLoad
+from nutmegroad.routing.fleet_load import FleetLoad
 from nutmegroad.routing.shares import water_fill
 
 #: Maximum number of workspaces named in a digest, the largest first.
--- a/src/nutmegroad/routing/_ejection.py
+++ b/src/nutmegroad/routing/_ejection.py
@@ -80,7 +80,7 @@
             return True
         return self._probe is None and now >= self._ejected_until
 
-    def ramp(self, now: float) -> float:
+    def slot_fraction(self, now: float) -> float:
         """Return the fraction of its slots to use, from 0.2 to 1."""
         age = (now - self._since) / SLOW_START_PERIOD
         return min(1.0, max(MIN_START_FRACTION, age))
@@ -138,7 +138,7 @@
         self._score = 0
 
 
-class Healths:
+class HealthRegistry:
     """Registry of the health of each upstream of one kind.
 
     Args:
--- a/src/nutmegroad/routing/_listed.py
+++ b/src/nutmegroad/routing/_peer_entries.py
@@ -56,7 +56,7 @@
         return tuple(_info_of(entry) for entry in self.entries)
 
 
-class ListMemory:
+class PeerEntryCache:
     """Retains entries read by other hosts for a limited time.
 
     Args:
@@ -67,7 +67,7 @@
         self._clock = clock
         self._noted: dict[UpstreamId, tuple[float, UpstreamInfo]] = {}
 
-    def note(self, infos: Iterable[UpstreamInfo]) -> None:
+    def add(self, infos: Iterable[UpstreamInfo]) -> None:
         """Add entries that another host has read."""
         now = self._clock.now()
         for info in infos:
--- a/src/nutmegroad/routing/_permits.py
+++ b/src/nutmegroad/routing/_permits.py
@@ -42,7 +42,7 @@
         """Return whether a request of a lane could run now."""
         return self.running < self.limit and self._lane_has_room(lane)
 
-    def take(self, waiting: QueuedRequest) -> None:
+    def issue(self, waiting: QueuedRequest) -> None:
         """Issue a permit."""
         waiting.granted_at = self._clock.now()
         self.running += 1
@@ -59,9 +59,9 @@
         self._demand.ended(workspace)
         held = self._clock.now() - waiting.granted_at
         self._queue.tags.correct(workspace, held - waiting.cost)
-        self.wake()
+        self.grant_waiting()
 
-    def wake(self) -> None:
+    def grant_waiting(self) -> None:
         """Grant all free permits; called when limits may have increased."""
         while self.running < self.limit:
             waiting = self._queue.pop(self._lane_has_room)
@@ -69,7 +69,7 @@
                 return
             # A request whose caller has just disconnected gets no permit.
             if not waiting.outcome.done():
-                self.take(waiting)
+                self.issue(waiting)
                 waiting.outcome.set_result(None)
 
     @contextmanager
--- a/src/nutmegroad/routing/_slots.py
+++ b/src/nutmegroad/routing/_slots.py
@@ -10,7 +10,7 @@
 from nutmegroad.routing._engine_pools import slots_of
 from nutmegroad.routing._fair_queue import Lane
 from nutmegroad.routing.directory import Directory, is_engine
-from nutmegroad.routing.fleet import FleetLoad
+from nutmegroad.routing.fleet_load import FleetLoad
 from nutmegroad.routing.shares import ShareLedger, static_part
 
 #: Seconds for which counted slots are cached.
@@ -106,7 +106,7 @@
         return int(self.domain_slots(None) * OVERCOMMIT)
 
     @property
-    def holding(self) -> int:
+    def allotment(self) -> int:
         """Return this host's permits before any decrease for full engines."""
         others = self._fleet.hosts(self.identity.domain)
         static = static_part(self.permits, self.identity.host, others)
@@ -118,7 +118,7 @@
         Args:
             running: Number of requests running now.
         """
-        local = self.holding * self.adaptive_limit.factor
+        local = self.allotment * self.adaptive_limit.factor
         held = int(local + self._remote_slots())
         return max(1, held, self._limit_from_reports(running))
 
@@ -203,4 +203,4 @@
         if not others:
             return 0
         # The free slots of a domain are shared by the hosts of all others.
-        return sum(self._fleet.spare(one) for one in others) / len(others)
+        return sum(self._fleet.mean_spare(one) for one in others) / len(others)
--- a/src/nutmegroad/routing/admission.py
+++ b/src/nutmegroad/routing/admission.py
@@ -23,7 +23,7 @@
 from nutmegroad.routing._shedding import LoadShedder
 from nutmegroad.routing._slots import HostSlots, Identity
 from nutmegroad.routing.directory import Directory
-from nutmegroad.routing.fleet import FleetLoad, LoadDigest
+from nutmegroad.routing.fleet_load import FleetLoad, LoadDigest
 from nutmegroad.routing.shares import ShareLedger
 
 
@@ -82,7 +82,7 @@
         waiting = self._waiting(request)
         if self._may_run(waiting):
             self._queue.tags.charge(request.workspace, waiting.cost)
-            self.permits.take(waiting)
+            self.permits.issue(waiting)
             return self.permits.held(waiting)
         refusal = self._refusal(waiting)
         if refusal is None:
@@ -105,7 +105,7 @@
         return LoadDigest(
             host=self.slots.identity.host,
             domain=self.slots.identity.domain,
-            limit=self.slots.holding,
+            limit=self.slots.allotment,
             running=self.permits.running,
             waiting=len(self._queue),
             shedding=self._shedder.shedding,
--- a/src/nutmegroad/routing/baselines.py
+++ b/src/nutmegroad/routing/baselines.py
@@ -65,7 +65,7 @@
         return entry.quality.get(request.task, 0) if entry else 0
 
 
-def dearest(configuration: Configuration) -> FixedPlanner:
+def most_expensive(configuration: Configuration) -> FixedPlanner:
     """Return the planner that always selects the most expensive version."""
     return FixedPlanner(
         configuration,
@@ -96,9 +96,9 @@
 
 
 @register('planner', 'dearest')
-def dearest_planner(kernel: Kernel) -> FixedPlanner:
+def most_expensive_planner(kernel: Kernel) -> FixedPlanner:
     """Create the planner of a host."""
-    return dearest(kernel.need(Configuration))
+    return most_expensive(kernel.need(Configuration))
 
 
 @register('planner', 'cheapest-only')
--- a/src/nutmegroad/routing/fleet.py
+++ b/src/nutmegroad/routing/fleet_load.py
@@ -66,7 +66,7 @@
         self._digests: dict[DomainId, _Digests] = {}
         self._last_seen: dict[DomainId, dict[HostId, float]] = {}
 
-    def count(self, members: Iterable[Member]) -> None:
+    def record_live(self, members: Iterable[Member]) -> None:
         """Record which hosts are live now."""
         now = self._clock.now()
         for member in members:
@@ -82,7 +82,7 @@
         """
         return list(self._last_seen.get(domain, ()))
 
-    def take(self, digest: LoadDigest) -> None:
+    def store(self, digest: LoadDigest) -> None:
         """Store a host's latest digest."""
         domain = self._digests.setdefault(DomainId(digest.domain), {})
         domain[HostId(digest.host)] = (self._clock.now(), digest)
@@ -91,7 +91,7 @@
         """Return the domains from which any digest was received."""
         return tuple(self._digests)
 
-    def fresh(self, domain: DomainId) -> list[LoadDigest]:
+    def valid_digests(self, domain: DomainId) -> list[LoadDigest]:
         """Return the digests of a domain that have not expired."""
         oldest = self._clock.now() - DIGEST_LIFETIME
         received = self._digests.get(domain, {})
@@ -99,16 +99,16 @@
 
     def is_shedding(self, domain: DomainId) -> bool:
         """Return whether a domain is refusing requests for lack of slots."""
-        digests = self.fresh(domain)
+        digests = self.valid_digests(domain)
         shedding = sum(digest.shedding for digest in digests)
         return shedding > _SHEDDING_FRACTION * len(digests)
 
-    def spare(self, domain: DomainId) -> float:
+    def mean_spare(self, domain: DomainId) -> float:
         """Return the average number of unused slots per host of a domain.
 
         0 if no digest is valid or the domain is shedding load.
         """
-        digests = self.fresh(domain)
+        digests = self.valid_digests(domain)
         if not digests or self.is_shedding(domain):
             return 0
         return sum(digest.spare for digest in digests) / len(digests)
@@ -119,7 +119,7 @@
         In a large domain only some hosts' digests are received; they are
         extrapolated to all hosts.
         """
-        digests = self.fresh(domain)
+        digests = self.valid_digests(domain)
         scale = max(1, len(self.hosts(domain)) / max(1, len(digests)))
         summed: dict[WorkspaceId, float] = {}
         for digest in digests:
--- a/src/nutmegroad/routing/load_part.py
+++ b/src/nutmegroad/routing/load_part.py
@@ -7,7 +7,7 @@
 from nutmegroad.membership.duties import Duties, DutyName
 from nutmegroad.routing.admission import FairAdmitter
 from nutmegroad.routing.dispatch import Dispatcher
-from nutmegroad.routing.fleet import FleetLoad
+from nutmegroad.routing.fleet_load import FleetLoad
 from nutmegroad.routing.harmful import CrashExchange
 from nutmegroad.routing.shares import ShareLedger
 from nutmegroad.routing.slot_exchange import SlotExchange
--- a/src/nutmegroad/routing/policies.py
+++ b/src/nutmegroad/routing/policies.py
@@ -67,7 +67,7 @@
         return _permit()
 
 
-class CountedRetries:
+class UnboundedRetries:
     """Allows every retry; the dispatcher's own limit still applies."""
 
     def spend(self, request: Spender) -> bool:
@@ -102,9 +102,9 @@
 
 @register('service-retries', 'unbounded')
 @register('retries', 'unbounded')
-def unbounded_retries(kernel: Kernel) -> CountedRetries:
+def unbounded_retries(kernel: Kernel) -> UnboundedRetries:
     """Create the retry budget of a host."""
-    return CountedRetries()
+    return UnboundedRetries()
 
 
 @register('quarantine', 'none')
--- a/src/nutmegroad/routing/far_loads.py
+++ b/src/nutmegroad/routing/remote_loads.py
@@ -30,7 +30,7 @@
 JITTER: Final = 0.2
 
 
-class FarLoads:
+class RemoteLoads:
     """Requests load reports from remote hosts, and answers their requests.
 
     Args:
--- a/src/nutmegroad/routing/selection.py
+++ b/src/nutmegroad/routing/selection.py
@@ -35,7 +35,7 @@
 from nutmegroad.routing._estimates import EngineView, VersionSpeed
 from nutmegroad.routing._prefixes import PrefixTracker
 from nutmegroad.routing.directory import Directory
-from nutmegroad.routing.fleet import FleetLoad
+from nutmegroad.routing.fleet_load import FleetLoad
 from nutmegroad.routing.plain_selectors import no_engine
 
 #: Engines sampled per choice, besides those with the prefix cached.
@@ -256,7 +256,7 @@
         view = self._view(state)
         speed = search.speed
         load = view.load(state)
-        slots = slots_of(state) * view.health.ramp(search.now)
+        slots = slots_of(state) * view.health.slot_fraction(search.now)
         wait = _queue_length(load, slots) * speed.service_time.at(load) / slots
         cached = state.info.upstream in search.cached
         saved = speed.saved_tokens if cached else 0
--- a/src/nutmegroad/routing/services.py
+++ b/src/nutmegroad/routing/services.py
@@ -27,7 +27,7 @@
     WorkspaceId,
 )
 from nutmegroad.records.explanations import Explanation
-from nutmegroad.routing._ejection import Healths
+from nutmegroad.routing._ejection import HealthRegistry
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.gates import GateContext, Gatekeeper
 from nutmegroad.routing.service_traffic import ServiceTraffic
@@ -106,7 +106,7 @@
         self._traffic = traffic
         self._clock = clock
         self._randomness = randomness
-        self._healths = Healths(randomness)
+        self._healths = HealthRegistry(randomness)
 
     def entry(self, service: ServiceName) -> ServiceEntry | Refusal:
         """Return the service's entry in the configuration."""
--- a/src/nutmegroad/routing/shares.py
+++ b/src/nutmegroad/routing/shares.py
@@ -20,7 +20,7 @@
 _CLOCK_MARGIN: Final = 0.01
 
 
-class ShareAsk(Message, frozen=True, tag='share-ask'):
+class ShareRequest(Message, frozen=True, tag='share-ask'):
     """Requests slots from another host.
 
     Attributes:
@@ -36,7 +36,7 @@
 
 
 class ShareLoan(Message, frozen=True, tag='share-loan'):
-    """Reply to a ``ShareAsk``: the slots that are lent.
+    """Reply to a ``ShareRequest``: the slots that are lent.
 
     Attributes:
         slots: Number of slots; 0 for none.
@@ -88,7 +88,7 @@
         borrowed = sum(loan.slots for loan in self._borrowed)
         return borrowed - sum(loan.slots for loan in self._lent)
 
-    def expiring(self, now: float, within: float) -> int:
+    def expiring_slots(self, now: float, within: float) -> int:
         """Return the borrowed slots whose loan expires soon.
 
         Args:
--- a/src/nutmegroad/routing/slot_exchange.py
+++ b/src/nutmegroad/routing/slot_exchange.py
@@ -9,8 +9,8 @@
 from nutmegroad.foundations.types import DomainId, HostId, Presence
 from nutmegroad.routing._slots import Identity
 from nutmegroad.routing.admission import FairAdmitter
-from nutmegroad.routing.fleet import FleetLoad, LoadDigest
-from nutmegroad.routing.shares import ShareAsk, ShareLedger, ShareLoan
+from nutmegroad.routing.fleet_load import FleetLoad, LoadDigest
+from nutmegroad.routing.shares import ShareLedger, ShareLoan, ShareRequest
 
 #: Minimum seconds between the load digests that a host sends.
 DIGEST_INTERVAL: Final = 2.0
@@ -73,7 +73,7 @@
     def register_handlers(self) -> None:
         """Register the message handlers."""
         self._mesh.handle(LoadDigest, self._receive_digest)
-        self._mesh.handle(ShareAsk, self._lend)
+        self._mesh.handle(ShareRequest, self._lend)
 
     async def run(self) -> None:
         """Run rounds until cancelled."""
@@ -93,7 +93,7 @@
             await self._borrow(wanted)
         # Also needed if nothing was borrowed: loans expire on their own,
         # which changes the limits.
-        self._admitter.permits.wake()
+        self._admitter.permits.grant_waiting()
 
     def _live_members(self) -> list[Member]:
         """Return the other live hosts."""
@@ -106,7 +106,7 @@
 
     def _send_digests(self, members: list[Member]) -> None:
         """Send a digest to some local hosts and to one per remote domain."""
-        self._fleet.count(members)
+        self._fleet.record_live(members)
         digest = self._admitter.digest()
         domains: dict[DomainId, list[HostId]] = {}
         for member in members:
@@ -125,19 +125,19 @@
             + self._admitter.queued
             + _RESERVED_SLOTS
         )
-        ending = self._ledger.expiring(self._clock.now(), _RENEWAL_MARGIN)
-        return needed - slots.holding + ending
+        ending = self._ledger.expiring_slots(self._clock.now(), _RENEWAL_MARGIN)
+        return needed - slots.allotment + ending
 
     async def _borrow(self, wanted: int) -> None:
         """Request slots from the hosts with the most spare ones."""
-        digests = self._fleet.fresh(self._identity.domain)
+        digests = self._fleet.valid_digests(self._identity.domain)
         digests.sort(key=lambda digest: digest.spare, reverse=True)
-        lacking = self._admitter.entitlement - self._admitter.slots.holding
+        lacking = self._admitter.entitlement - self._admitter.slots.allotment
         claim = max(0, ceil(lacking))
         for digest in digests[:MAX_LENDERS_ASKED]:
             if wanted <= 0 or not (digest.spare or claim):
                 return
-            ask = ShareAsk(wanted=wanted, claim=min(claim, wanted))
+            ask = ShareRequest(wanted=wanted, claim=min(claim, wanted))
             requested_at = self._clock.now()
             host = HostId(digest.host)
             reply = await self._mesh.ask(host, ask, _LOAN_TIMEOUT)
@@ -148,12 +148,12 @@
 
     async def _receive_digest(self, host: HostId, digest: LoadDigest) -> None:
         """Store a digest from another host."""
-        self._fleet.take(digest)
+        self._fleet.store(digest)
 
-    async def _lend(self, host: HostId, ask: ShareAsk) -> Message:
+    async def _lend(self, host: HostId, ask: ShareRequest) -> Message:
         """Lend slots that are idle or that other hosts are entitled to."""
         admitter = self._admitter
-        holding = admitter.slots.holding
+        holding = admitter.slots.allotment
         busy = admitter.permits.running + admitter.queued + _RESERVED_SLOTS
         idle = holding - busy
         over = min(ask.claim, int(holding - admitter.entitlement))
--- a/src/nutmegroad/routing/upstreams_part.py
+++ b/src/nutmegroad/routing/upstreams_part.py
@@ -12,7 +12,7 @@
 from nutmegroad.kernel.registry import register
 from nutmegroad.membership.duties import Duties
 from nutmegroad.routing.directory import Directory
-from nutmegroad.routing.far_loads import FarLoads
+from nutmegroad.routing.remote_loads import RemoteLoads
 from nutmegroad.routing.watch import UpstreamWatcher
 from nutmegroad.routing.watch_sharing import WatchSharer
 
@@ -66,7 +66,7 @@
         )
         await watcher.poll_once()
         await kernel.stack.enter_async_context(watcher)
-        remote_loads = FarLoads(
+        remote_loads = RemoteLoads(
             kernel.need(Mesh),
             directory,
             sharer,
--- a/src/nutmegroad/routing/watch_sharing.py
+++ b/src/nutmegroad/routing/watch_sharing.py
@@ -31,7 +31,7 @@
     UpstreamInfo,
 )
 from nutmegroad.membership.duties import Duties
-from nutmegroad.routing._listed import ListedUpstreams, ListMemory
+from nutmegroad.routing._peer_entries import ListedUpstreams, PeerEntryCache
 from nutmegroad.routing.directory import Directory, is_engine
 
 #: Periods after which an unchanged load is broadcast again.
@@ -100,7 +100,7 @@
         self._clock = clock
         self._domain = domain
         self._period = period
-        self._listed = ListMemory(clock)
+        self._listed = PeerEntryCache(clock)
         self._index = RunIndex()
         self._upstream_count = 0
         self._places: dict[UpstreamId, int] = {}
@@ -284,7 +284,7 @@
     ) -> None:
         """Apply entries of the host list that another host has read."""
         infos = message.infos()
-        self._listed.note(infos)
+        self._listed.add(infos)
         self._directory.update(infos, whole=False)
 
 
--- a/src/nutmegroad/upstreams/directory.py
+++ b/src/nutmegroad/upstreams/directory.py
@@ -44,8 +44,8 @@
         domain: Failure domain in which it runs.
         version: Version of its software.
         slots: Number of requests that it executes concurrently.
-        leaving: Whether it is draining and will soon accept no new work.
-        born: Start time of its process in milliseconds since 1970, by its
+        draining: Whether it is draining and will soon accept no new work.
+        started_ms: Start time of its process in milliseconds since 1970, by its
             own clock; 0 if the list does not give it.
     """
 
@@ -55,30 +55,30 @@
     domain: DomainId
     version: SoftwareVersion
     slots: int
-    leaving: bool = False
-    born: int = 0
+    draining: bool = False
+    started_ms: int = 0
 
     @property
     def incarnation(self) -> UpstreamIncarnation:
         """Return an identifier that is unique to this start of the upstream."""
-        if not self.born:
+        if not self.started_ms:
             return UpstreamIncarnation(self.upstream)
-        return UpstreamIncarnation(f'{self.upstream}@{self.born}')
+        return UpstreamIncarnation(f'{self.upstream}@{self.started_ms}')
 
 
 @unique
-class End(Enum):
+class IncarnationEnd(Enum):
     """How an incarnation of an upstream ended, according to the list."""
 
     #: No longer listed. Requests in progress may still complete.
-    GONE = 'gone'
+    REMOVED = 'gone'
     #: Another incarnation has taken over the id, so nothing of this one
     #: remains.
     RESTARTED = 'restarted'
 
 
 #: Called with each incarnation that has ended, and how it ended.
-EndListener = Callable[[UpstreamIncarnation, End], None]
+EndListener = Callable[[UpstreamIncarnation, IncarnationEnd], None]
 
 
 @dataclass(slots=True)
@@ -93,7 +93,7 @@
         restarted: Whether another incarnation has taken over the id. Late
             answers from this incarnation then say nothing about the current
             one.
-        earlier_start: Start time of an earlier incarnation that the list has
+        earlier_start_ms: Start time of an earlier incarnation that the list has
             reported once since, in milliseconds since 1970; 0 for none.
     """
 
@@ -101,7 +101,7 @@
     health: Health = field(default_factory=Health)
     missing_until: float | None = None
     restarted: bool = False
-    earlier_start: int = 0
+    earlier_start_ms: int = 0
 
 
 class EndedIncarnations:
@@ -112,34 +112,34 @@
         # Oldest first. Any of these may return as a new incarnation.
         self._removed: dict[UpstreamId, Upstream] = {}
 
-    def tell_of_ends(self, listener: EndListener) -> None:
+    def add_listener(self, listener: EndListener) -> None:
         """Register a callback for each incarnation that ends."""
         self._listeners.append(listener)
 
-    def gone(self, known: Upstream) -> None:
+    def record_removal(self, known: Upstream) -> None:
         """Record that an upstream is no longer listed."""
         self._removed[known.entry.upstream] = known
         while len(self._removed) > MAX_REMOVED:
             self._removed.pop(next(iter(self._removed)))
-        self._notify(known, End.GONE)
+        self._notify(known, IncarnationEnd.REMOVED)
 
-    def restarted(self, known: Upstream) -> None:
+    def record_restart(self, known: Upstream) -> None:
         """Record that another incarnation has taken over an upstream's id."""
         known.restarted = True
-        self._notify(known, End.RESTARTED)
+        self._notify(known, IncarnationEnd.RESTARTED)
 
-    def has_gone(self, entry: UpstreamEntry) -> bool:
+    def is_removed(self, entry: UpstreamEntry) -> bool:
         """Return whether an entry belongs to an incarnation already removed."""
         known = self._removed.get(entry.upstream)
-        return known is not None and known.entry.born == entry.born
+        return known is not None and known.entry.started_ms == entry.started_ms
 
-    def listed(self, entry: UpstreamEntry) -> None:
+    def record_listed(self, entry: UpstreamEntry) -> None:
         """Record an upstream that is new to the list or listed again."""
         before = self._removed.pop(entry.upstream, None)
-        if before is not None and before.entry.born != entry.born:
-            self.restarted(before)
+        if before is not None and before.entry.started_ms != entry.started_ms:
+            self.record_restart(before)
 
-    def _notify(self, known: Upstream, end: End) -> None:
+    def _notify(self, known: Upstream, end: IncarnationEnd) -> None:
         """Notify all listeners."""
         for listener in self._listeners:
             listener(known.entry.incarnation, end)
@@ -182,7 +182,7 @@
         known = self._known.get(entry.upstream)
         if known is None:
             self._add(entry)
-        elif entry.born and entry.born != known.entry.born:
+        elif entry.started_ms and entry.started_ms != known.entry.started_ms:
             if not _is_later_start(known, entry):
                 self._log_change('rejected: earlier incarnation', entry)
                 return
@@ -206,9 +206,9 @@
             self._log_change(f'removed: {reason}', known.entry)
             self._release_address(known)
             self._services = None
-            self.ended.gone(known)
+            self.ended.record_removal(known)
 
-    def missing(self, upstream: UpstreamId, grace_period: float) -> None:
+    def mark_missing(self, upstream: UpstreamId, grace_period: float) -> None:
         """Record that a known upstream is missing from the list for now.
 
         Args:
@@ -228,7 +228,7 @@
             if until is not None and now >= until:
                 self.remove(upstream, 'missing since the store was restored')
 
-    def others(self, listed: Iterable[UpstreamId]) -> tuple[UpstreamId, ...]:
+    def unlisted(self, listed: Iterable[UpstreamId]) -> tuple[UpstreamId, ...]:
         """Return the ids of known upstreams that are not in ``listed``."""
         present = frozenset(listed)
         return tuple(each for each in self._known if each not in present)
@@ -238,7 +238,7 @@
         self._replace_at(entry)
         self._known[entry.upstream] = Upstream(entry)
         self._log_change('added', entry)
-        self.ended.listed(entry)
+        self.ended.record_listed(entry)
 
     def _release_address(self, known: Upstream) -> None:
         """Clear the address index entry of an upstream."""
@@ -247,17 +247,17 @@
 
     def _change(self, known: Upstream, entry: UpstreamEntry) -> None:
         """Apply changed attributes of the same incarnation."""
-        if entry.leaving and not known.entry.leaving:
+        if entry.draining and not known.entry.draining:
             self._log_change('draining', entry)
-        known.entry = replace(entry, born=known.entry.born)
+        known.entry = replace(entry, started_ms=known.entry.started_ms)
         known.missing_until = None
-        known.earlier_start = 0
+        known.earlier_start_ms = 0
 
     def _restart(self, known: Upstream, entry: UpstreamEntry) -> None:
         """Replace an upstream by its new incarnation."""
         self._known[entry.upstream] = Upstream(entry)
         self._log_change('restarted', entry)
-        self.ended.restarted(known)
+        self.ended.record_restart(known)
 
     def _replace_at(self, entry: UpstreamEntry) -> None:
         """Remove the upstream that used a new upstream's address before."""
@@ -269,7 +269,7 @@
         """Return the upstreams that accept new work, by service."""
         grouped: dict[ServiceName, list[Upstream]] = {}
         for known in self._known.values():
-            if not known.entry.leaving:
+            if not known.entry.draining:
                 grouped.setdefault(known.entry.service, []).append(known)
         return {service: tuple(members) for service, members in grouped.items()}
 
@@ -281,8 +281,8 @@
             service=entry.service,
             address=str(entry.address),
             version=entry.version,
-            leaving=entry.leaving,
-            born=entry.born,
+            leaving=entry.draining,
+            born=entry.started_ms,
         )
 
 
@@ -293,11 +293,11 @@
     If the same earlier time is reported twice, the upstream's clock was set
     back: a terminated process does not report twice.
     """
-    if entry.born > known.entry.born:
+    if entry.started_ms > known.entry.started_ms:
         return True
-    if entry.born == known.earlier_start:
+    if entry.started_ms == known.earlier_start_ms:
         return True
-    known.earlier_start = entry.born
+    known.earlier_start_ms = entry.started_ms
     return False
 
 
@@ -305,5 +305,5 @@
     """Return whether an upstream has left or is draining, unlike ``entry``."""
     known = directory.find(entry.upstream)
     if known is None:
-        return directory.ended.has_gone(entry)
-    return known.entry.leaving and not entry.leaving
+        return directory.ended.is_removed(entry)
+    return known.entry.draining and not entry.draining
--- a/src/nutmegroad/upstreams/ranks.py
+++ b/src/nutmegroad/upstreams/engine_ranks.py
@@ -17,7 +17,7 @@
 
 #: Number of operator priorities that are distinguished among prompts of one
 #: length class.
-RANKS: Final = 3
+PRIORITY_RANKS: Final = 3
 
 
 def engine_rank(reading: float, target: float, priority: int) -> int:
@@ -39,4 +39,4 @@
     length = (reading > target * SHORT_PREFILL_FRACTION) + (
         reading > target * LONG_PREFILL_FRACTION
     )
-    return RANKS * length + min(RANKS - 1, priority)
+    return PRIORITY_RANKS * length + min(PRIORITY_RANKS - 1, priority)
--- a/src/nutmegroad/upstreams/health.py
+++ b/src/nutmegroad/upstreams/health.py
@@ -12,7 +12,7 @@
 #: Seconds for which an upstream is excluded after its first connection failure;
 #: doubles with each further failure. Two round trips in the slowest test
 #: scenario, so that a single lost packet costs little.
-FIRST_PAUSE: Final = 0.5
+INITIAL_EXCLUSION: Final = 0.5
 
 #: Maximum exclusion in seconds; an upstream that restarts is back within
 #: seconds.
@@ -34,63 +34,65 @@
     """What a host knows about one upstream from its own exchanges.
 
     Attributes:
-        failures: Moving average of the fraction of failed exchanges, as
+        failure_average: Moving average of the fraction of failed exchanges, as
             of the last outcome.
-        pace: Moving average of the time until an answer starts,
+        latency_ratio: Moving average of the time until an answer starts,
             relative to the estimate for such a request; 1 is as expected.
         excluded_until: Clock seconds until which the upstream gets no requests.
-        pause: Length in seconds of the last exclusion; 0 if the
+        exclusion_seconds: Length in seconds of the last exclusion; 0 if the
             upstream is reachable.
-        trial: Whether the probe request after an exclusion is in progress.
-        changed: Clock seconds of the last outcome.
+        probing: Whether the probe request after an exclusion is in progress.
+        last_outcome_at: Clock seconds of the last outcome.
     """
 
-    failures: float = 0
-    pace: float = 1
+    failure_average: float = 0
+    latency_ratio: float = 1
     excluded_until: float = 0
-    pause: float = 0
-    trial: bool = False
-    changed: float = 0
+    exclusion_seconds: float = 0
+    probing: bool = False
+    last_outcome_at: float = 0
 
-    def available(self, now: float) -> bool:
+    def is_available(self, now: float) -> bool:
         """Return whether a request may be sent to the upstream."""
         if now < self.excluded_until:
             return False
-        return not (self.pause and self.trial)
+        return not (self.exclusion_seconds and self.probing)
 
-    def hopeless(self, now: float) -> bool:
+    def is_unreachable(self, now: float) -> bool:
         """Return whether a request sent now would almost certainly fail.
 
         True if the upstream was unreachable twice in a row and a probe request
         is in progress or has just failed. A single failure is not enough,
         because it may be a lost packet.
         """
-        if self.pause <= FIRST_PAUSE:
+        if self.exclusion_seconds <= INITIAL_EXCLUSION:
             return False
-        return self.trial or now - self.changed < FIRST_PAUSE
+        return self.probing or now - self.last_outcome_at < INITIAL_EXCLUSION
 
-    def begin(self) -> None:
+    def record_attempt(self) -> None:
         """Record that a request is sent to the upstream."""
-        if self.pause:
-            self.trial = True
+        if self.exclusion_seconds:
+            self.probing = True
 
-    def abandon(self) -> None:
+    def record_no_result(self) -> None:
         """Record that a request ended without saying anything about it."""
-        self.trial = False
+        self.probing = False
 
-    def unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Record that connecting failed or a connection became unresponsive."""
-        self.pause = min(MAX_EXCLUSION, max(FIRST_PAUSE, self.pause * 2))
-        self.excluded_until = now + self.pause
-        self.trial = False
+        self.exclusion_seconds = min(
+            MAX_EXCLUSION, max(INITIAL_EXCLUSION, self.exclusion_seconds * 2)
+        )
+        self.excluded_until = now + self.exclusion_seconds
+        self.probing = False
         self._add_outcome(1, now)
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Record an answer that was a failure or was cut off."""
-        self.trial = False
+        self.probing = False
         self._add_outcome(1, now)
 
-    def silent(self, now: float) -> None:
+    def record_overdue(self, now: float) -> None:
         """Record that an answer is overdue.
 
         The answer may still arrive. Until then other requests prefer other
@@ -98,7 +100,7 @@
         """
         self._add_outcome(1, now)
 
-    def answered(self, now: float, ratio: float | None = None) -> None:
+    def record_answer(self, now: float, ratio: float | None = None) -> None:
         """Record a successful answer.
 
         Args:
@@ -106,19 +108,19 @@
             ratio: Ratio of the time until the answer started to its estimate;
                 None if it could not be measured.
         """
-        self.pause = 0
-        self.trial = False
+        self.exclusion_seconds = 0
+        self.probing = False
         self._add_outcome(0, now)
         if ratio is not None:
-            self.pace += NEWEST_WEIGHT * (ratio - self.pace)
+            self.latency_ratio += NEWEST_WEIGHT * (ratio - self.latency_ratio)
 
-    def failure_share(self, now: float) -> float:
+    def failure_rate(self, now: float) -> float:
         """Return the recent failure rate, decayed to ``now``."""
-        age = max(0, now - self.changed)
-        return self.failures * float(_HALF ** (age / FAILURE_HALF_LIFE))
+        age = max(0, now - self.last_outcome_at)
+        return self.failure_average * float(_HALF ** (age / FAILURE_HALF_LIFE))
 
     def _add_outcome(self, failure: float, now: float) -> None:
         """Add an outcome to the moving average of failures."""
-        present = self.failure_share(now)
-        self.failures = present + NEWEST_WEIGHT * (failure - present)
-        self.changed = now
+        present = self.failure_rate(now)
+        self.failure_average = present + NEWEST_WEIGHT * (failure - present)
+        self.last_outcome_at = now
--- a/src/nutmegroad/upstreams/estimates.py
+++ b/src/nutmegroad/upstreams/latency_estimates.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PaceKey:
+class LatencyKey:
     """Requests that share one latency estimate.
 
     Attributes:
@@ -99,27 +99,27 @@
         return found
 
 
-class Paces:
+class LatencyEstimates:
     """Learns the time until answers start, by service and model."""
 
     def __init__(self) -> None:
-        self._latencies: dict[PaceKey, _Latency] = {}
+        self._latencies: dict[LatencyKey, _Latency] = {}
 
-    def work(self, key: PaceKey, tokens: int) -> float:
+    def prefill_seconds(self, key: LatencyKey, tokens: int) -> float:
         """Return the seconds that an upstream takes to process a prompt."""
         return self._latency(key).token(_size_class(tokens)).level * tokens
 
-    def base(self, key: PaceKey) -> float:
+    def base_seconds(self, key: LatencyKey) -> float:
         """Return the seconds that an answer takes apart from its prompt."""
         return self._latency(key).base.level
 
-    def generation(self, key: PaceKey, tokens: int) -> float:
+    def generation_seconds(self, key: LatencyKey, tokens: int) -> float:
         """Return the seconds to generate tokens, or 0 if unknown."""
         return (self._latency(key).generated or 0) * tokens
 
     def observe_generation(
         self,
-        key: PaceKey,
+        key: LatencyKey,
         tokens: int,
         seconds: float,
     ) -> None:
@@ -139,7 +139,7 @@
 
     def observe(
         self,
-        key: PaceKey,
+        key: LatencyKey,
         tokens: int,
         waited: float,
         expected: float,
@@ -164,7 +164,7 @@
             latency.base.correct(bounded)
         return ratio
 
-    def _latency(self, key: PaceKey) -> _Latency:
+    def _latency(self, key: LatencyKey) -> _Latency:
         """Return the estimates for a service and model; created if new."""
         return self._latencies.setdefault(
             key, _Latency(_Mean(INITIAL_BASE_SECONDS), {})
--- a/src/nutmegroad/upstreams/prefixes.py
+++ b/src/nutmegroad/upstreams/prefixes.py
@@ -16,12 +16,12 @@
 from nutmegroad.routes.deployment import EngineFacts
 from nutmegroad.routes.requests import Generation, PromptPart
 from nutmegroad.upstreams.directory import Upstream
-from nutmegroad.upstreams.estimates import PaceKey, Paces
+from nutmegroad.upstreams.latency_estimates import LatencyEstimates, LatencyKey
 
 #: Fraction of the shared prompt tokens that the preferred upstream of a subject
 #: is assumed to have cached even if no host has reported it. Hosts that choose
 #: at the same time then choose the same upstream.
-LIKELY_KEPT: Final = 0.5
+ASSUMED_CACHED_FRACTION: Final = 0.5
 
 #: Minimum engine time in seconds that a fetch must save. A fetch uses the links
 #: of two engines and costs as much as the bytes it moves, so it has to gain
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class PrefillEstimate:
     """How an upstream would obtain the state for one prompt.
 
     Attributes:
@@ -57,10 +57,10 @@
 
 
 #: The estimate for a call that generates no text and has no prompt.
-NO_PREFILL: Final = Reading(0, 0)
+NO_PREFILL: Final = PrefillEstimate(0, 0)
 
 
-def marked(
+def fingerprint_parts(
     model: ModelName | None,
     parts: Iterable[PromptPart],
 ) -> tuple[MarkedPart, ...]:
@@ -74,7 +74,7 @@
     )
 
 
-class PromptReadings:
+class PrefillEstimator:
     """Estimates for each candidate upstream of one prompt.
 
     Args:
@@ -88,9 +88,9 @@
     def __init__(
         self,
         generation: Generation,
-        key: PaceKey,
+        key: LatencyKey,
         facts: EngineFacts | None,
-        latencies: Paces,
+        latencies: LatencyEstimates,
         held: HeldPrefixes,
     ) -> None:
         self._generation = generation
@@ -98,13 +98,13 @@
         self._facts = facts
         self._latencies = latencies
         self._held = held
-        self._parts = marked(key.model, generation.shared)
+        self._parts = fingerprint_parts(key.model, generation.shared)
         self._shared = sum(part.tokens for part in self._parts)
         self._preferred: UpstreamId | None = None
         self._source: Upstream | None = None
         self._source_missing = self._shared
 
-    def look(
+    def prepare(
         self,
         candidates: Iterable[Upstream],
         domain: DomainId,
@@ -138,14 +138,16 @@
                 self._source = upstream
                 self._source_missing = missing
 
-    def at(self, upstream: Upstream) -> Reading:
+    def estimate(self, upstream: Upstream) -> PrefillEstimate:
         """Return the estimate for one upstream."""
         missing = self._missing_tokens(upstream)
         with_fetch = self._with_fetch(upstream, missing)
         if with_fetch is not None:
             return with_fetch
         if upstream.entry.upstream == self._preferred:
-            missing = min(missing, int(self._shared * (1 - LIKELY_KEPT)))
+            missing = min(
+                missing, int(self._shared * (1 - ASSUMED_CACHED_FRACTION))
+            )
         return self._without_fetch(missing)
 
     def _missing_tokens(self, upstream: Upstream) -> int:
@@ -157,14 +159,17 @@
             missing -= part.tokens
         return missing
 
-    def _without_fetch(self, missing: int) -> Reading:
+    def _without_fetch(self, missing: int) -> PrefillEstimate:
         """Return the estimate without a fetch, for some missing tokens."""
         own = max(0, self._generation.prompt_tokens - self._shared)
-        return Reading(
-            missing + own, self._latencies.work(self._key, missing + own)
+        return PrefillEstimate(
+            missing + own,
+            self._latencies.prefill_seconds(self._key, missing + own),
         )
 
-    def _with_fetch(self, upstream: Upstream, missing: int) -> Reading | None:
+    def _with_fetch(
+        self, upstream: Upstream, missing: int
+    ) -> PrefillEstimate | None:
         """Return the estimate with a fetch, or None if a fetch does not pay."""
         if self._facts is None or self._facts.fetch_time is None:
             return None
@@ -175,15 +180,17 @@
         transfer = (missing - self._source_missing) * self._facts.fetch_time
         if alone.seconds - after.seconds - transfer < MIN_FETCH_SAVING:
             return None
-        return Reading(after.tokens, after.seconds + transfer, self._source)
+        return PrefillEstimate(
+            after.tokens, after.seconds + transfer, self._source
+        )
 
 
 def _may_fetch_from(upstream: Upstream, now: float) -> bool:
     """Return whether cached parts may be fetched from an upstream."""
     health = upstream.health
-    if not health.available(now):
+    if not health.is_available(now):
         return False
-    return health.failure_share(now) < MAX_FETCH_FAILURE_RATE
+    return health.failure_rate(now) < MAX_FETCH_FAILURE_RATE
 
 
 def _rendezvous_hash(subject: str, upstream: Upstream) -> int:
--- a/src/nutmegroad/upstreams/selection.py
+++ b/src/nutmegroad/upstreams/selection.py
@@ -26,8 +26,12 @@
 from nutmegroad.routes.deployment import EngineFacts
 from nutmegroad.routes.requests import CallerRequest
 from nutmegroad.upstreams.directory import Upstream
-from nutmegroad.upstreams.estimates import PaceKey, Paces
-from nutmegroad.upstreams.prefixes import NO_PREFILL, PromptReadings, Reading
+from nutmegroad.upstreams.latency_estimates import LatencyEstimates, LatencyKey
+from nutmegroad.upstreams.prefixes import (
+    NO_PREFILL,
+    PrefillEstimate,
+    PrefillEstimator,
+)
 
 #: Penalty for an upstream in a remote failure domain, as a fraction of the
 #: request's target latency. Traffic between domains is expensive, a remote
@@ -73,32 +77,32 @@
 
     Attributes:
         upstream: The selected upstream.
-        expected: Seconds until its answer should start.
-        reading: How the upstream obtains the state for the request's prompt.
+        expected_seconds: Seconds until its answer should start.
+        prefill: How the upstream obtains the state for the request's prompt.
         tokens: Tokens that the request adds to the upstream's memory.
-        held: Tokens that other requests occupy there.
+        held_tokens: Tokens that other requests occupy there.
         running: Number of requests there, as far as is known.
-        ahead: Seconds of prompt processing queued there.
+        queued_seconds: Seconds of prompt processing queued there.
         candidates: Number of candidates.
     """
 
     upstream: Upstream
-    expected: float
-    reading: Reading
+    expected_seconds: float
+    prefill: PrefillEstimate
     tokens: int
-    held: int
+    held_tokens: int
     running: int
-    ahead: float
+    queued_seconds: float
     candidates: int
 
     @property
     def load(self) -> Load:
         """Return the load that the request adds to the upstream."""
-        return Load(1, self.reading.seconds, self.tokens)
+        return Load(1, self.prefill.seconds, self.tokens)
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class SelectionQuery:
     """A request for which an upstream is to be selected.
 
     Attributes:
@@ -115,9 +119,9 @@
     facts: EngineFacts | None
 
     @property
-    def key(self) -> PaceKey:
+    def key(self) -> LatencyKey:
         """Return the key of the latency estimates that apply."""
-        return PaceKey(self.service, self.model)
+        return LatencyKey(self.service, self.model)
 
 
 class Selector:
@@ -142,7 +146,7 @@
         silence: DomainSilence,
     ) -> None:
         self.silence = silence
-        self.paces = Paces()
+        self.latencies = LatencyEstimates()
         self.prefixes = prefixes
         self.ledger = ledger
         self._clock = clock
@@ -151,7 +155,7 @@
 
     def choose(
         self,
-        query: Asked,
+        query: SelectionQuery,
         upstreams: Collection[Upstream],
         tried: Collection[UpstreamIncarnation],
     ) -> Choice | None:
@@ -171,11 +175,13 @@
         if not candidates:
             return None
         estimator = self._prefill_estimator(query, candidates)
-        best_rate = min(each.health.failure_share(now) for each in candidates)
+        best_rate = min(each.health.failure_rate(now) for each in candidates)
         best: tuple[float, Choice] | None = None
         for upstream in candidates:
             prefill = (
-                NO_PREFILL if estimator is None else estimator.at(upstream)
+                NO_PREFILL
+                if estimator is None
+                else estimator.estimate(upstream)
             )
             choice = self._estimate(query, upstream, prefill, len(candidates))
             cost = self._cost(query, choice, best_rate)
@@ -190,14 +196,14 @@
 
     def _estimate(
         self,
-        query: Asked,
+        query: SelectionQuery,
         upstream: Upstream,
-        prefill: Reading,
+        prefill: PrefillEstimate,
         candidates: int,
     ) -> Choice:
         """Return the estimate for one upstream."""
         load = self.ledger.load(upstream.entry.incarnation)
-        base = self.paces.base(query.key)
+        base = self.latencies.base_seconds(query.key)
         queue = max(0, load.running + 1 - upstream.entry.slots)
         waiting = base * queue / max(1, upstream.entry.slots)
         generation = query.request.generation
@@ -215,7 +221,9 @@
             candidates,
         )
 
-    def _cost(self, query: Asked, choice: Choice, best_rate: float) -> float:
+    def _cost(
+        self, query: SelectionQuery, choice: Choice, best_rate: float
+    ) -> float:
         """Return the expected seconds of a choice plus its penalties.
 
         Args:
@@ -226,15 +234,18 @@
         upstream = choice.upstream
         health = upstream.health
         target = query.request.route.target_latency
-        slowness = health.pace if health.pace > SLOW_RATIO else 1
+        slowness = (
+            health.latency_ratio if health.latency_ratio > SLOW_RATIO else 1
+        )
         cost = (
-            choice.expected * slowness + self._randomness.random() * TIE_SECONDS
+            choice.expected_seconds * slowness
+            + self._randomness.random() * TIE_SECONDS
         )
         if upstream.entry.domain != self._domain:
             cost += target * REMOTE_PENALTY
         if self.is_cut_off(upstream):
             cost += target * CUT_OFF_PENALTY
-        failing = health.failure_share(self._clock.now()) - best_rate
+        failing = health.failure_rate(self._clock.now()) - best_rate
         cost += target * FAILURE_PENALTY * failing
         occupancy = choice.running / max(1, upstream.entry.slots)
         cost += target * FULL_SLOTS_PENALTY * occupancy * occupancy
@@ -244,21 +255,21 @@
 
     def _prefill_estimator(
         self,
-        query: Asked,
+        query: SelectionQuery,
         candidates: list[Upstream],
-    ) -> PromptReadings | None:
+    ) -> PrefillEstimator | None:
         """Return the prompt estimates; None if the request has no prompt."""
         generation = query.request.generation
         if generation is None:
             return None
-        estimator = PromptReadings(
+        estimator = PrefillEstimator(
             generation,
             query.key,
             query.facts,
-            self.paces,
+            self.latencies,
             self.prefixes,
         )
-        estimator.look(candidates, self._domain, self._clock.now())
+        estimator.prepare(candidates, self._domain, self._clock.now())
         return estimator
 
 
@@ -272,9 +283,11 @@
     The categories are: available and not yet tried; available; and those that
     are not known to be unreachable right now.
     """
-    usable = [each for each in upstreams if each.health.available(now)]
+    usable = [each for each in upstreams if each.health.is_available(now)]
     untried = [each for each in usable if each.entry.incarnation not in tried]
-    possible = [each for each in upstreams if not each.health.hopeless(now)]
+    possible = [
+        each for each in upstreams if not each.health.is_unreachable(now)
+    ]
     return untried or usable or possible
 
 
@@ -282,5 +295,5 @@
     """Return the requested memory beyond the limit, in tenths of the total."""
     if facts is None or not facts.memory:
         return 0
-    fraction = (choice.held + choice.tokens) / facts.memory
+    fraction = (choice.held_tokens + choice.tokens) / facts.memory
     return max(0, fraction - MEMORY_FULL_FRACTION) / _TENTH
--- a/tests/relay_samples.py
+++ b/tests/relay_samples.py
@@ -48,7 +48,7 @@
     SoftwareVersion,
     UpstreamEntry,
 )
-from nutmegroad.upstreams.estimates import PaceKey
+from nutmegroad.upstreams.latency_estimates import LatencyKey
 
 NORTH = DomainId('north')
 ENGINES = ServiceName('engines')
@@ -56,7 +56,7 @@
 #: A kind of request in a rollout's evidence.
 KIND = KindNumber(0)
 SMALL, LARGE = ModelName('small'), ModelName('large')
-KEY = PaceKey(ENGINES, SMALL)
+KEY = LatencyKey(ENGINES, SMALL)
 AWAY = Refusal(ResultCode.TABLE_UNAVAILABLE, 'away')
 
 
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -45,9 +45,9 @@
 from nutmegroad.routing.plain_selectors import LeastInFlight
 from nutmegroad.routing.policies import (
     CheapestPlanner,
-    CountedRetries,
     NoQuarantine,
     OpenAdmitter,
+    UnboundedRetries,
 )
 from nutmegroad.routing.request_progress import Answer, RequestUsage
 from nutmegroad.routing.steps import Instruments, Policies
@@ -250,7 +250,7 @@
             OpenAdmitter(),
             self.planner or CheapestPlanner(self.configuration),
             LeastInFlight(self.directory, randomness),
-            CountedRetries(),
+            UnboundedRetries(),
             self.harmful,
         )
         return Dispatcher(
--- a/tests/loads.py
+++ b/tests/routing_samples.py
@@ -28,7 +28,7 @@
 from nutmegroad.routing._slots import HostSlots, Identity
 from nutmegroad.routing.admission import FairAdmitter
 from nutmegroad.routing.directory import Directory
-from nutmegroad.routing.fleet import FleetLoad
+from nutmegroad.routing.fleet_load import FleetLoad
 from nutmegroad.routing.shares import ShareLedger
 from tests.shared_documents import VERSION, configure
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,7 +13,14 @@
 from nutmegroad.foundations.types import Presence, Ran, VersionId, WorkspaceId
 from nutmegroad.routing.directory import REPORT_LAG
 from nutmegroad.testing.virtual import ManualClock
-from tests.loads import AdmittingHost, ask, end_of, engine, report, start_of
+from tests.routing_samples import (
+    AdmittingHost,
+    ask,
+    end_of,
+    engine,
+    report,
+    start_of,
+)
 
 _LARGE: Final = WorkspaceId('large')
 _SMALL: Final = WorkspaceId('small')
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -6,15 +6,15 @@
 from nutmegroad.contracts.upstreams import UpstreamState
 from nutmegroad.foundations.results import ResultCode
 from nutmegroad.foundations.types import AttemptId
-from nutmegroad.routing._ejection import Healths
-from tests.loads import engine
+from nutmegroad.routing._ejection import HealthRegistry
+from tests.routing_samples import engine
 
 _ATTEMPT = AttemptId('a')
 
 
 class EjectionTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.healths = Healths(random.Random(1))
+        self.healths = HealthRegistry(random.Random(1))
         self.state = UpstreamState(engine('s1'))
 
     def test_a_repeatedly_failing_upstream_is_ejected(self) -> None:
--- a/tests/test_load_patterns.py
+++ b/tests/test_load_patterns.py
@@ -22,7 +22,7 @@
 )
 from nutmegroad.foundations.types import HostId, UpstreamIncarnation
 from nutmegroad.testing.virtual import ManualClock
-from nutmegroad.upstreams.ranks import RANKS, engine_rank
+from nutmegroad.upstreams.engine_ranks import PRIORITY_RANKS, engine_rank
 
 LONG = Load(1, HEAVY, 9000)
 SHORT = Load(1, HEAVY / 2, 300)
@@ -146,5 +146,5 @@
 
     def test_ranks_fit_what_engines_take(self) -> None:
         """Ranks range from 0 to 9, and 9 is left free."""
-        self.assertEqual(engine_rank(99, 1, 99), 3 * RANKS - 1)
+        self.assertEqual(engine_rank(99, 1, 99), 3 * PRIORITY_RANKS - 1)
         self.assertEqual(engine_rank(0, 1, 0), 0)
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -40,7 +40,11 @@
 from nutmegroad.quality.estimates import HALF_LIFE, Estimates
 from nutmegroad.quality.plans import AdaptivePlanner
 from nutmegroad.quality.trials import PresetShares, Trials
-from nutmegroad.routing.baselines import cheapest_only, dearest, static_share
+from nutmegroad.routing.baselines import (
+    cheapest_only,
+    most_expensive,
+    static_share,
+)
 from nutmegroad.testing.virtual import ManualClock
 
 
@@ -324,7 +328,7 @@
     def test_baselines_look_at_price_alone(self) -> None:
         request = request_of(DOSSIER)
         for planner, expected in (
-            (dearest(self.configuration), {LARGE}),
+            (most_expensive(self.configuration), {LARGE}),
             (cheapest_only(self.configuration), {SMALL}),
             (static_share(self.configuration, random.Random(1)), set(VERSIONS)),
         ):
--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -25,12 +25,12 @@
 from nutmegroad.routes.requests import Generation, PartId, PromptPart
 from nutmegroad.testing.virtual import ManualClock
 from nutmegroad.upstreams.directory import Upstream
-from nutmegroad.upstreams.estimates import PaceKey, Paces
+from nutmegroad.upstreams.latency_estimates import LatencyEstimates, LatencyKey
 from nutmegroad.upstreams.prefixes import (
-    LIKELY_KEPT,
-    PromptReadings,
-    Reading,
-    marked,
+    ASSUMED_CACHED_FRACTION,
+    PrefillEstimate,
+    PrefillEstimator,
+    fingerprint_parts,
 )
 from tests.relay_samples import ENGINES, LARGE, NORTH, SMALL, an_entry
 
@@ -46,7 +46,7 @@
     def setUp(self) -> None:
         """Create two upstreams without cached prefixes."""
         self.held = HeldPrefixes(ManualClock())
-        self.paces = Paces()
+        self.paces = LatencyEstimates()
         self.both = (Upstream(an_entry('u')), Upstream(an_entry('v')))
         self.first, self.other = sorted(
             self.both,
@@ -59,22 +59,22 @@
         upstream: Upstream,
         facts: EngineFacts | None = None,
         parts: tuple[PromptPart, ...] = (*SHARED, OWN),
-    ) -> Reading:
+    ) -> PrefillEstimate:
         """Return the estimate for one upstream and a prompt."""
         tokens = sum(part.tokens for part in parts)
-        readings = PromptReadings(
+        readings = PrefillEstimator(
             Generation(ModelName('*'), tokens, 10, 10, parts),
-            PaceKey(ENGINES, model),
+            LatencyKey(ENGINES, model),
             facts,
             self.paces,
             self.held,
         )
-        readings.look(self.both, NORTH, 0)
-        return readings.at(upstream)
+        readings.prepare(self.both, NORTH, 0)
+        return readings.estimate(upstream)
 
     def sent(self, upstream: Upstream, model: ModelName, count: int) -> None:
         """Record that an upstream has cached the first parts of the prompt."""
-        parts = marked(model, SHARED[:count])
+        parts = fingerprint_parts(model, SHARED[:count])
         self.held.sent(upstream.entry.incarnation, parts, 0)
 
     def test_part_counts_only_with_all_before_it(self) -> None:
@@ -89,7 +89,7 @@
 
     def test_preferred_upstream_is_assumed_to_have_part_cached(self) -> None:
         """Hosts that choose at the same time then choose the same upstream."""
-        expected = 1000 + int(10_000 * (1 - LIKELY_KEPT))
+        expected = 1000 + int(10_000 * (1 - ASSUMED_CACHED_FRACTION))
         self.assertEqual(self.readings(LARGE, self.first).tokens, expected)
 
     def test_slow_model_fetches_prefix_from_another_engine(self) -> None:
@@ -100,7 +100,7 @@
         self.assertEqual(found.tokens, 1000)
         self.assertAlmostEqual(
             found.seconds,
-            self.paces.work(PaceKey(ENGINES, LARGE), 1000) + 0.01,
+            self.paces.prefill_seconds(LatencyKey(ENGINES, LARGE), 1000) + 0.01,
         )
 
     def test_nothing_is_fetched_if_that_saves_little(self) -> None:
@@ -115,7 +115,7 @@
     def test_nothing_is_fetched_from_an_unhealthy_engine(self) -> None:
         """A fetch would hang if the source is cut off from the network."""
         self.sent(self.first, LARGE, 2)
-        self.first.health.unreachable(0)
+        self.first.health.record_unreachable(0)
         self.assertIsNone(self.readings(LARGE, self.other, LINKED).source)
 
     def test_preferred_upstream_is_in_the_local_domain(self) -> None:
--- a/tests/test_relay_selection.py
+++ b/tests/test_relay_selection.py
@@ -20,9 +20,9 @@
 from nutmegroad.upstreams.directory import (
     Upstream,
 )
-from nutmegroad.upstreams.estimates import Paces
 from nutmegroad.upstreams.health import Health
-from nutmegroad.upstreams.selection import Asked, Selector
+from nutmegroad.upstreams.latency_estimates import LatencyEstimates
+from nutmegroad.upstreams.selection import SelectionQuery, Selector
 from tests.relay_samples import (
     ENGINES,
     KEY,
@@ -39,22 +39,22 @@
     def test_exclusion_of_a_dead_upstream_grows(self) -> None:
         """Each attempt at an unreachable upstream costs a caller time."""
         health = Health()
-        health.unreachable(0)
-        self.assertFalse(health.available(0.4))
-        self.assertTrue(health.available(0.6))
-        health.begin()
-        self.assertFalse(health.available(0.6))
-        health.unreachable(0.6)
-        self.assertFalse(health.available(1.5))
-        health.begin()
-        health.answered(2, 1)
-        self.assertTrue(health.available(2))
+        health.record_unreachable(0)
+        self.assertFalse(health.is_available(0.4))
+        self.assertTrue(health.is_available(0.6))
+        health.record_attempt()
+        self.assertFalse(health.is_available(0.6))
+        health.record_unreachable(0.6)
+        self.assertFalse(health.is_available(1.5))
+        health.record_attempt()
+        health.record_answer(2, 1)
+        self.assertTrue(health.is_available(2))
 
     def test_one_lost_packet_does_not_rule_out_an_upstream(self) -> None:
         """A link may lose packets while the service has only one upstream."""
         health = Health()
-        health.unreachable(0)
-        self.assertFalse(health.hopeless(0.1))
+        health.record_unreachable(0)
+        self.assertFalse(health.is_unreachable(0.1))
 
     def test_unreachable_upstream_is_probed_by_one_request(self) -> None:
         """A failure domain may be cut off from its only upstream.
@@ -63,22 +63,22 @@
         their callers gave up.
         """
         health = Health()
-        health.unreachable(0)
-        health.unreachable(1)
-        self.assertTrue(health.hopeless(1.2))
-        self.assertFalse(health.hopeless(1.6))
-        health.begin()
-        self.assertTrue(health.hopeless(1.6))
-        health.answered(1.7)
-        self.assertFalse(health.hopeless(1.7))
+        health.record_unreachable(0)
+        health.record_unreachable(1)
+        self.assertTrue(health.is_unreachable(1.2))
+        self.assertFalse(health.is_unreachable(1.6))
+        health.record_attempt()
+        self.assertTrue(health.is_unreachable(1.6))
+        health.record_answer(1.7)
+        self.assertFalse(health.is_unreachable(1.7))
 
     def test_failure_rate_decays(self) -> None:
         """An upstream may recover while it gets no requests."""
         health = Health()
         for _ in range(6):
-            health.failed(0)
-        self.assertGreater(health.failure_share(0), 0.8)
-        self.assertLess(health.failure_share(16), 0.1)
+            health.record_failure(0)
+        self.assertGreater(health.failure_rate(0), 0.8)
+        self.assertLess(health.failure_rate(16), 0.1)
 
 
 class SelectionTest(unittest.TestCase):
@@ -105,7 +105,7 @@
     def chosen(self, tried: tuple[str, ...] = ()) -> str:
         """Return the upstream selected for a request."""
         parts = (PromptPart(PartId('s'), 900), PromptPart(PartId('o'), 100))
-        asked = Asked(a_request(parts=parts), ENGINES, SMALL, None)
+        asked = SelectionQuery(a_request(parts=parts), ENGINES, SMALL, None)
         names = [UpstreamId(name) for name in tried]
         choice = self.selector.choose(asked, self.upstreams, names)
         assert choice is not None
@@ -174,10 +174,10 @@
     def test_nothing_is_selected_if_all_are_unreachable(self) -> None:
         """With all upstreams unreachable, the caller is refused immediately."""
         for upstream in self.upstreams:
-            upstream.health.unreachable(0)
-            upstream.health.unreachable(0)
+            upstream.health.record_unreachable(0)
+            upstream.health.record_unreachable(0)
         parts = (PromptPart(PartId('s'), 900),)
-        asked = Asked(a_request(parts=parts), ENGINES, SMALL, None)
+        asked = SelectionQuery(a_request(parts=parts), ENGINES, SMALL, None)
         self.assertIsNone(self.selector.choose(asked, self.upstreams, ()))
 
     def test_overdue_upstream_is_avoided_before_it_fails(self) -> None:
@@ -186,8 +186,8 @@
         silent = next(
             each for each in self.upstreams if each.entry.upstream == first
         )
-        silent.health.silent(0)
-        silent.health.silent(0)
+        silent.health.record_overdue(0)
+        silent.health.record_overdue(0)
         self.assertNotEqual(self.chosen(), first)
 
     def test_failing_upstream_is_avoided(self) -> None:
@@ -197,7 +197,7 @@
             each for each in self.upstreams if each.entry.upstream == first
         )
         for _ in range(5):
-            bad.health.failed(0)
+            bad.health.record_failure(0)
         self.assertNotEqual(self.chosen(), first)
 
     def test_subject_has_the_same_preferred_upstream_on_all_hosts(self) -> None:
@@ -270,11 +270,13 @@
 
     def test_slow_model_is_known_after_few_answers(self) -> None:
         """The model is ten times slower than the initial estimate."""
-        paces = Paces()
+        paces = LatencyEstimates()
         for _ in range(10):
-            expected = paces.work(KEY, 10_000)
+            expected = paces.prefill_seconds(KEY, 10_000)
             paces.observe(KEY, 10_000, 5.0, expected)
-        self.assertAlmostEqual(paces.work(KEY, 10_000), 5.0, delta=1.0)
+        self.assertAlmostEqual(
+            paces.prefill_seconds(KEY, 10_000), 5.0, delta=1.0
+        )
 
     def test_tokens_of_long_prompts_take_longer(self) -> None:
         """A prompt of 60,000 tokens occupies an engine for seconds.
@@ -282,20 +284,26 @@
         In one test scenario 0.9 s were expected for such a prompt and 3.2 s
         were needed, and other requests were sent to wait behind it.
         """
-        paces = Paces()
+        paces = LatencyEstimates()
         for _ in range(20):
             for tokens, seconds in ((1000, 0.01), (60_000, 3.0)):
-                expected = paces.work(KEY, tokens)
+                expected = paces.prefill_seconds(KEY, tokens)
                 paces.observe(KEY, tokens, seconds, expected)
-        self.assertAlmostEqual(paces.work(KEY, 60_000), 3.0, delta=0.3)
-        self.assertAlmostEqual(paces.work(KEY, 1000), 0.01, delta=0.002)
+        self.assertAlmostEqual(
+            paces.prefill_seconds(KEY, 60_000), 3.0, delta=0.3
+        )
+        self.assertAlmostEqual(
+            paces.prefill_seconds(KEY, 1000), 0.01, delta=0.002
+        )
 
     def test_new_size_class_starts_like_the_nearest(self) -> None:
         """The first very long prompt is expected to take at least as long."""
-        paces = Paces()
+        paces = LatencyEstimates()
         for _ in range(20):
-            paces.observe(KEY, 1000, 0.1, paces.work(KEY, 1000))
-        self.assertAlmostEqual(paces.work(KEY, 60_000), 6.0, delta=0.6)
+            paces.observe(KEY, 1000, 0.1, paces.prefill_seconds(KEY, 1000))
+        self.assertAlmostEqual(
+            paces.prefill_seconds(KEY, 60_000), 6.0, delta=0.6
+        )
 
 
 class GenerationEstimatesTest(unittest.TestCase):
@@ -303,8 +311,8 @@
 
     def test_generation_time_is_learned_from_complete_streams(self) -> None:
         """No estimate before the first stream; invalid values are ignored."""
-        paces = Paces()
-        self.assertEqual(paces.generation(KEY, 100), 0)
+        paces = LatencyEstimates()
+        self.assertEqual(paces.generation_seconds(KEY, 100), 0)
         paces.observe_generation(KEY, 0, 5)
         paces.observe_generation(KEY, 200, 2)
-        self.assertAlmostEqual(paces.generation(KEY, 100), 1)
+        self.assertAlmostEqual(paces.generation_seconds(KEY, 100), 1)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -13,7 +13,7 @@
     ProportionalRetries,
 )
 from nutmegroad.testing.virtual import ManualClock
-from tests.loads import ask, end_of, start_of
+from tests.routing_samples import ask, end_of, start_of
 
 _OTHER: Final = WorkspaceId('small')
 
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -10,11 +10,11 @@
 from nutmegroad.foundations.types import UpstreamId
 from nutmegroad.routing._ejection import INITIAL_EJECTION, SLOW_START_PERIOD
 from nutmegroad.routing.directory import Directory
-from nutmegroad.routing.fleet import FleetLoad, LoadDigest
+from nutmegroad.routing.fleet_load import FleetLoad, LoadDigest
 from nutmegroad.routing.plain_selectors import RandomChoice, RoundRobin
 from nutmegroad.routing.selection import ExpectedSelector
 from nutmegroad.testing.virtual import ManualClock
-from tests.loads import (
+from tests.routing_samples import (
     AWAY,
     HOME,
     SLOTS,
@@ -176,7 +176,7 @@
     async def test_nothing_spills_to_a_domain_that_sheds_load(self) -> None:
         await self._add_away()
         await self._fill_home()
-        self.fleet.take(LoadDigest('x', AWAY, 8, 8, 4, shedding=True))
+        self.fleet.store(LoadDigest('x', AWAY, 8, 8, 4, shedding=True))
         choice = self._choose()
         self.assertEqual(choice.state.info.domain, HOME)
         self.assertIn('cyberjaya is shedding load', choice.reason)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -17,7 +17,7 @@
     WorkspaceId,
 )
 from nutmegroad.routing.admission import FairAdmitter
-from nutmegroad.routing.fleet import DIGEST_LIFETIME, FleetLoad, LoadDigest
+from nutmegroad.routing.fleet_load import DIGEST_LIFETIME, FleetLoad, LoadDigest
 from nutmegroad.routing.shares import (
     LOAN_DURATION,
     ShareLedger,
@@ -26,7 +26,7 @@
 )
 from nutmegroad.routing.slot_exchange import SlotExchange
 from nutmegroad.testing.virtual import ManualClock, MemoryMesh, NetworkFaults
-from tests.loads import AWAY, HOME, AdmittingHost, ask
+from tests.routing_samples import AWAY, HOME, AdmittingHost, ask
 
 _HOSTS: Final = ('a', 'b', 'c')
 _SLOTS: Final = 30
@@ -79,26 +79,26 @@
         self.fleet = FleetLoad(self.clock)
 
     def test_a_domain_sheds_if_enough_of_its_hosts_do(self) -> None:
-        self.fleet.take(_digest('x', shedding=True))
+        self.fleet.store(_digest('x', shedding=True))
         self.assertTrue(self.fleet.is_shedding(AWAY))
         for name in 'yzuv':
-            self.fleet.take(_digest(name, shedding=False))
+            self.fleet.store(_digest(name, shedding=False))
         self.assertFalse(self.fleet.is_shedding(AWAY))
 
     def test_a_domain_that_sheds_has_nothing_to_spare(self) -> None:
-        self.fleet.take(_digest('x', shedding=True))
-        self.assertEqual(self.fleet.spare(AWAY), 0)
+        self.fleet.store(_digest('x', shedding=True))
+        self.assertEqual(self.fleet.mean_spare(AWAY), 0)
 
     async def test_old_digests_are_ignored(self) -> None:
-        self.fleet.take(_digest('x', shedding=False))
-        self.assertEqual(self.fleet.spare(AWAY), 6)
+        self.fleet.store(_digest('x', shedding=False))
+        self.assertEqual(self.fleet.mean_spare(AWAY), 6)
         await self.clock.advance(DIGEST_LIFETIME)
-        self.assertEqual(self.fleet.spare(AWAY), 0)
+        self.assertEqual(self.fleet.mean_spare(AWAY), 0)
 
     def test_received_digests_are_extrapolated(self) -> None:
         members = [_member(name) for name in 'wxyz']
-        self.fleet.count(members)
-        self.fleet.take(LoadDigest('w', AWAY, 9, 9, 0, False, {'large': 3}))
+        self.fleet.record_live(members)
+        self.fleet.store(LoadDigest('w', AWAY, 9, 9, 0, False, {'large': 3}))
         self.assertEqual(self.fleet.demand(AWAY), {'large': 12})
 
 
@@ -163,7 +163,7 @@
         await self.clock.settle()
 
     def _holding(self, name: str) -> int:
-        return self.hosts[name].slots.holding
+        return self.hosts[name].slots.allotment
 
     def _settled(self) -> bool:
         known = [len(host.fleet.hosts(HOME)) for host in self.hosts.values()]
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -226,7 +226,7 @@
         self.sink.confirm(self.clock.now(), RowsRead((), 6, 0))
         known = self.directory.find(UpstreamId('b'))
         assert known is not None
-        self.assertFalse(known.entry.leaving)
+        self.assertFalse(known.entry.draining)
         self.assertIsNone(self.directory.find(UpstreamId('c')))
 
 
--- a/tests/test_upstream_restarts.py
+++ b/tests/test_upstream_restarts.py
@@ -18,7 +18,11 @@
 from nutmegroad.foundations.types import HostId, ServiceName, UpstreamId
 from nutmegroad.relay.tables import MOST_ALIKE, Unreadable, UpstreamSink
 from nutmegroad.testing.virtual import ManualClock
-from nutmegroad.upstreams.directory import Directory, End, UpstreamEntry
+from nutmegroad.upstreams.directory import (
+    Directory,
+    IncarnationEnd,
+    UpstreamEntry,
+)
 from nutmegroad_platform.rows import Rows
 from tests.relay_rig import Rig, route
 from tests.relay_samples import entry_row
@@ -43,8 +47,8 @@
     def setUp(self) -> None:
         """Add a worker, and record which incarnations end."""
         self.directory = Directory(ManualClock())
-        self.ended: list[tuple[str, End]] = []
-        self.directory.ended.tell_of_ends(
+        self.ended: list[tuple[str, IncarnationEnd]] = []
+        self.directory.ended.add_listener(
             lambda name, end: self.ended.append((name, end)),
         )
         self.directory.put(entry(FIRST))
@@ -53,16 +57,16 @@
         """Its health is unknown, and observers receive the end."""
         before = self.directory.find(UpstreamId('a'))
         assert before is not None
-        before.health.failed(0)
+        before.health.record_failure(0)
         self.directory.put(entry(SECOND))
         now = self.directory.find(UpstreamId('a'))
         assert now is not None
-        self.assertEqual(now.health.failures, 0)
+        self.assertEqual(now.health.failure_average, 0)
         self.assertTrue(before.restarted)
         self.assertFalse(now.restarted)
         self.assertEqual(
             self.ended,
-            [(before.entry.incarnation, End.RESTARTED)],
+            [(before.entry.incarnation, IncarnationEnd.RESTARTED)],
         )
 
     def test_same_start_is_believed_on(self) -> None:
@@ -95,7 +99,7 @@
         """The list removes an unresponsive worker before it is back."""
         self.directory.remove(UpstreamId('a'), 'silent')
         self.directory.put(entry(SECOND))
-        self.assertEqual([end for _, end in self.ended], list(End))
+        self.assertEqual([end for _, end in self.ended], list(IncarnationEnd))
 
     def test_loads_at_the_start_before_do_not_count(self) -> None:
         """Peers report the old incarnation until they receive the new one."""
@@ -171,7 +175,7 @@
     def _is_second(self) -> bool:
         """Return whether the host knows the second incarnation."""
         found = self.rig.host._directory.find(UpstreamId('w-0'))
-        return found is not None and found.entry.born == SECOND
+        return found is not None and found.entry.started_ms == SECOND
 
 
 class ForeignEntriesTest(unittest.TestCase):
--- a/tests/test_watch_sharing.py
+++ b/tests/test_watch_sharing.py
@@ -22,7 +22,7 @@
 from nutmegroad.membership.duties import Duties, watch_of
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.draining_notices import DrainingNotices
-from nutmegroad.routing.far_loads import FarLoads
+from nutmegroad.routing.remote_loads import RemoteLoads
 from nutmegroad.routing.watch import UpstreamWatcher
 from nutmegroad.routing.watch_sharing import UNRESPONSIVE_PERIODS, WatchSharer
 from nutmegroad.testing.virtual import ManualClock, MemoryMesh
@@ -92,7 +92,7 @@
             1,
         )
         randomness = random.Random(name)
-        self.far = FarLoads(
+        self.far = RemoteLoads(
             self.peer,
             self.directory,
             self.sharer,
