--- a/experiments/trials/exposure_judges.py
+++ b/experiments/trials/exposure_judges.py
@@ -109,13 +109,13 @@
         for score in scores:
             tally = tally.plus(score)
         if tally.count:
-            self.guard.rated(tally)
+            self.guard.add_ratings(tally)
 
     def count(self, version: VersionId, fresh: Tally) -> None:
         """Hand attempts to the guard."""
         self._attempts[version] = self._attempts[version].plus(fresh)
         cell = EvidenceCell(PEER, version, TASK, self._attempts[version])
-        self._evidence.learn((cell,))
+        self._evidence.merge((cell,))
 
     def stops(self) -> bool:
         """Ask the quarantines."""
--- a/experiments/trials/exposure_scenarios.py
+++ b/experiments/trials/exposure_scenarios.py
@@ -145,7 +145,7 @@
         return Tally(
             answers=len(lengths),
             errors=len(attempts) - len(lengths),
-            first=_moments(firsts),
+            first_token=_moments(firsts),
             length=_moments(lengths),
         )
 
--- a/experiments/trials/verdict_trials.py
+++ b/experiments/trials/verdict_trials.py
@@ -27,14 +27,14 @@
 
 from experiments.trials.verdict_cases import Case, cases
 from nutmegroad.canary.rollouts import (
-    LAST_OPEN,
-    LEAD,
-    MEASURED,
-    OPEN_AT,
-    RAMP,
-    TRIAL_PART,
+    CANARY_DELAY,
+    CANARY_SHARE_FACTOR,
+    FULL_FROM,
+    FULL_UNTIL,
+    RAMP_FRACTION,
+    RATE_KNOWN_AFTER,
     Stage,
-    beyond_share,
+    extra_share,
 )
 from nutmegroad.canary.steps import next_stage
 from nutmegroad.canary.verdicts import Judgement
@@ -84,7 +84,7 @@
         elapsed: float,
     ) -> Stage | None:
         """Return the stage that follows now, or None."""
-        self._judgement.take(sums)
+        self._judgement.update(sums)
         return next_stage(stage, self._judgement.verdict(), elapsed)
 
 
@@ -107,10 +107,10 @@
         expected = min(0.5, max(0.08, grown))
         if whole.new_poor >= 3 and _tail(whole, expected) < self.unlikely:
             return Stage.ROLLED_BACK
-        if stage is Stage.TRIAL:
+        if stage is Stage.CANARY:
             good = whole.new_poor <= whole.new * expected
             opens = whole.new >= self.enough and good
-            return Stage.OPEN if opens and elapsed >= OPEN_AT else None
+            return Stage.FULL if opens and elapsed >= FULL_FROM else None
         return Stage.SUCCEEDED if elapsed >= self.close_at else None
 
 
@@ -142,7 +142,7 @@
 
     def run(self, rule: Rule | RuleBefore) -> Ended:
         """Play it until it ends or its time is over."""
-        stage = Stage.TRIAL
+        stage = Stage.CANARY
         now = float(0)
         heard: list[dict[KindNumber, Answers]] = []
         while now < self._case.seconds:
@@ -151,7 +151,7 @@
             heard.append(dict(self._seen))
             late = heard[max(0, len(heard) - 1 - round(HEARD / LOOK))]
             step = rule.next(stage, late, now / self._case.seconds)
-            if step is Stage.OPEN:
+            if step is Stage.FULL:
                 self._opened = now
             stage = stage if step is None else step
             if stage.ended:
@@ -183,15 +183,15 @@
     def _share(self, stage: Stage, now: float) -> float:
         """Return the part of the requests that the new version gets."""
         case = self._case
-        if stage is Stage.TRIAL and now < LEAD:
+        if stage is Stage.CANARY and now < CANARY_DELAY:
             return 0
         trial = EXPOSED * self._part
-        if now > MEASURED:
-            left = case.seconds * LAST_OPEN - MEASURED
-            trial += beyond_share(self._besides, case.rate, left)
+        if now > RATE_KNOWN_AFTER:
+            left = case.seconds * FULL_UNTIL - RATE_KNOWN_AFTER
+            trial += extra_share(self._besides, case.rate, left)
         if self._opened is None:
             return trial
-        ramp = case.seconds * RAMP
+        ramp = case.seconds * RAMP_FRACTION
         return min(1, trial + (1 - trial) * (now - self._opened) / ramp)
 
     def _spared(self, now: float) -> float:
@@ -233,7 +233,7 @@
 #: Rules, the part of the operator's share that each one's trial uses, and what
 #: it uses of the requests besides.
 _RULES: Final[dict[str, _Tried]] = {
-    'now': (Rule, TRIAL_PART, BESIDES),
+    'now': (Rule, CANARY_SHARE_FACTOR, BESIDES),
     'before': (RuleBefore, 0.8, 0),
 }
 
--- a/src/nutmegroad/canary/gate.py
+++ b/src/nutmegroad/canary/gate.py
@@ -11,15 +11,15 @@
 
 from xxhash import xxh3_64_intdigest
 
+from nutmegroad.canary.interrupted_attempts import InterruptedAttempts
 from nutmegroad.canary.rollouts import (
-    MOST_BEYOND,
+    MAX_EXTRA_SHARE,
     Rollout,
     RolloutOrder,
     Stage,
 )
 from nutmegroad.canary.sessions import SessionVersions
 from nutmegroad.canary.state import RolloutState
-from nutmegroad.canary.suspicions import Suspicions
 from nutmegroad.fleet.evidence import KindNumber
 from nutmegroad.fleet.session_marks import SessionMarks, mark
 from nutmegroad.foundations.clocks import Clock
@@ -48,12 +48,12 @@
 
 
 @unique
-class Observed(Enum):
+class AttemptOutcome(Enum):
     """Outcome of an attempt, as evidence on the version that ran it."""
 
-    SOUND = 'sound'
+    ACCEPTABLE = 'sound'
     POOR = 'poor'
-    BROKEN = 'broken'
+    INTERRUPTED = 'broken'
 
 
 class RolloutGate:
@@ -74,7 +74,7 @@
         state: RolloutState,
         sessions: SessionVersions,
         fingerprints: SessionMarks,
-        interruptions: Suspicions,
+        interruptions: InterruptedAttempts,
     ) -> None:
         self._directory = directory
         self._state = state
@@ -82,7 +82,7 @@
         self._fingerprints = fingerprints
         self._interruptions = interruptions
         self._steady: dict[ServiceName, frozenset[SoftwareVersion]] = {}
-        state.orders.tell_of_orders(self._fingerprint_active)
+        state.registry.add_order_listener(self._fingerprint_active)
 
     def permitted(
         self,
@@ -91,7 +91,7 @@
     ) -> tuple[Upstream, ...]:
         """Return the upstreams that may run a request now."""
         upstreams = self._directory.of_service(service)
-        rollout = self._state.orders.rollout(service)
+        rollout = self._state.registry.rollout(service)
         if rollout is None:
             return self._steady_upstreams(service, upstreams)
         to = rollout.order.to
@@ -147,7 +147,7 @@
         self,
         request: CallerRequest,
         upstream: Upstream,
-        observed: Observed,
+        observed: AttemptOutcome,
     ) -> None:
         """Count the outcome of an attempt as evidence on its version.
 
@@ -156,10 +156,10 @@
         """
         entry = upstream.entry
         kind = kind_number(request.route.name)
-        if observed is Observed.BROKEN:
-            self._interruptions.broke(entry.incarnation, kind)
+        if observed is AttemptOutcome.INTERRUPTED:
+            self._interruptions.record(entry.incarnation, kind)
             return
-        for broken in self._interruptions.answered(entry.incarnation):
+        for broken in self._interruptions.pop_interrupted(entry.incarnation):
             self._state.observe(
                 entry.service,
                 entry.version,
@@ -170,7 +170,7 @@
             entry.service,
             entry.version,
             kind,
-            poor=observed is Observed.POOR,
+            poor=observed is AttemptOutcome.POOR,
         )
 
     def _steady_upstreams(
@@ -199,7 +199,7 @@
     def _is_in_share(self, request: CallerRequest, rollout: Rollout) -> bool:
         """Return whether a request is in the new version's traffic share."""
         now = self._state.store_time()
-        share = rollout.share(now, self._state.trial)
+        share = rollout.share(now, self._state.canary_share)
         session = request.session
         if session is None:
             return _hash_fraction(request.request_id) < share
@@ -222,7 +222,7 @@
         version: SoftwareVersion,
     ) -> None:
         """Record the version on which a session is now."""
-        self._sessions.ran(service, session, version)
+        self._sessions.record(service, session, version)
         rollout = self._covering_rollout(service, session)
         if rollout is not None and version != rollout.order.to:
             self._fingerprints.saw(mark(service, session))
@@ -236,7 +236,7 @@
 
         None also if sessions may already be moved.
         """
-        rollout = self._state.orders.rollout(service)
+        rollout = self._state.registry.rollout(service)
         if rollout is None or not self._must_stay(rollout):
             return None
         return rollout if self._can_cover(session) else None
@@ -264,10 +264,10 @@
 
     def _fingerprint_active(self, order: RolloutOrder) -> None:
         """Fingerprint the sessions that were active before an order arrived."""
-        for session, seen in self._sessions.living(order.service):
+        for session, seen in self._sessions.active(order.service):
             if seen.version != order.to and self._can_cover(session):
                 self._fingerprints.saw(
-                    mark(order.service, session), seen.moment
+                    mark(order.service, session), seen.timestamp
                 )
 
     def _can_cover(self, session: SessionName) -> bool:
@@ -275,7 +275,9 @@
 
         Other sessions need no fingerprint.
         """
-        return _hash_fraction(session) < self._state.trial + MOST_BEYOND
+        return (
+            _hash_fraction(session) < self._state.canary_share + MAX_EXTRA_SHARE
+        )
 
     def _must_stay(self, rollout: Rollout) -> bool:
         """Return whether sessions must not be moved to the new version."""
@@ -309,7 +311,7 @@
         state,
         SessionVersions(clock, session_timeout),
         fingerprints,
-        Suspicions(clock),
+        InterruptedAttempts(clock),
     )
 
 
--- a/src/nutmegroad/canary/suspicions.py
+++ b/src/nutmegroad/canary/interrupted_attempts.py
@@ -15,16 +15,16 @@
 
 #: Seconds within which an upstream that was running all the while has answered
 #: another request: it gets at least one or two requests per second.
-SPAN: Final = 3.0
+ANSWER_WINDOW: Final = 3.0
 
 #: Maximum number of attempts remembered for one upstream.
-MOST: Final = 30
+MAX_ATTEMPTS: Final = 30
 
 #: Host clock, in seconds, of each interruption, and the kind of request.
 _Interruptions = deque[tuple[float, KindNumber]]
 
 
-class Suspicions:
+class InterruptedAttempts:
     """Remembers interrupted attempts by upstream.
 
     Args:
@@ -35,13 +35,15 @@
         self._clock = clock
         self._interrupted: dict[UpstreamIncarnation, _Interruptions] = {}
 
-    def broke(self, upstream: UpstreamIncarnation, kind: KindNumber) -> None:
+    def record(self, upstream: UpstreamIncarnation, kind: KindNumber) -> None:
         """Record that an attempt was interrupted."""
         self._remove_expired()
-        known = self._interrupted.setdefault(upstream, deque(maxlen=MOST))
+        known = self._interrupted.setdefault(
+            upstream, deque(maxlen=MAX_ATTEMPTS)
+        )
         known.append((self._clock.now(), kind))
 
-    def answered(
+    def pop_interrupted(
         self,
         upstream: UpstreamIncarnation,
     ) -> tuple[KindNumber, ...]:
@@ -49,7 +51,7 @@
 
         The upstream's interruptions are removed.
         """
-        oldest = self._clock.now() - SPAN
+        oldest = self._clock.now() - ANSWER_WINDOW
         interrupted = self._interrupted.pop(upstream, ())
         return tuple(
             kind for timestamp, kind in interrupted if timestamp >= oldest
@@ -57,7 +59,7 @@
 
     def _remove_expired(self) -> None:
         """Remove upstreams that have not answered in time."""
-        oldest = self._clock.now() - SPAN
+        oldest = self._clock.now() - ANSWER_WINDOW
         for upstream, interrupted in tuple(self._interrupted.items()):
             if interrupted[-1][0] < oldest:
                 self._interrupted.pop(upstream)
--- a/src/nutmegroad/canary/orders.py
+++ b/src/nutmegroad/canary/order_matching.py
@@ -13,20 +13,22 @@
 
 
 @unique
-class Sighting(Enum):
+class OrderMatch(Enum):
     """How a row of the operator's relates to the order that a host knows."""
 
     #: Nothing new.
     KNOWN = 'known'
     #: The known order, at a position of a later era.
-    AGAIN = 'again'
+    SAME_ORDER = 'again'
     #: A later order, or one before the known order, out of the backup.
     DOUBTFUL = 'doubtful'
     #: A later order.
     NEW = 'new'
 
 
-def sight(known: RolloutOrder, written: int, seen: RolloutOrder) -> Sighting:
+def match_order(
+    known: RolloutOrder, written: int, seen: RolloutOrder
+) -> OrderMatch:
     """Compare a row with the order that a host knows of the same service.
 
     Args:
@@ -35,30 +37,30 @@
         seen: Content of the row, with the row's position as its number.
     """
     if seen.number <= written:
-        return Sighting.KNOWN
+        return OrderMatch.KNOWN
     if era_of(seen.number) == era_of(written):
-        return Sighting.NEW
-    if says_the_same(seen, known.to, known.duration):
-        return Sighting.AGAIN
+        return OrderMatch.NEW
+    if asks_for(seen, known.to, known.duration):
+        return OrderMatch.SAME_ORDER
     # The rows that a backup lacks come after its end.
     if version_of(seen.number) < version_of(written):
-        return Sighting.DOUBTFUL
-    return Sighting.NEW
+        return OrderMatch.DOUBTFUL
+    return OrderMatch.NEW
 
 
-def says_the_same(order: RolloutOrder, to: str, duration: float) -> bool:
+def asks_for(order: RolloutOrder, to: str, duration: float) -> bool:
     """Return whether an order asks for a version and a duration."""
     return (order.to, order.duration) == (to, duration)
 
 
-def is_from_before(order: RolloutOrder, row: RolloutRow) -> bool:
+def has_earlier_number(order: RolloutOrder, row: RolloutRow) -> bool:
     """Return whether a row names an order by a number of an earlier era.
 
     This serves hosts that have started after the store was restored.
     """
     if era_of(row.order) >= era_of(order.number):
         return False
-    return says_the_same(order, row.to, row.duration)
+    return asks_for(order, row.to, row.duration)
 
 
 def is_behind(row: RolloutRow, known: RolloutRow) -> bool:
@@ -77,4 +79,4 @@
     stage = Stage(row.stage)
     if stage.ended:
         return 2, -row.since, False, -row.order
-    return int(stage is Stage.OPEN), 0, row.beyond > 0, -row.order
+    return int(stage is Stage.FULL), 0, row.beyond > 0, -row.order
--- a/src/nutmegroad/canary/order_book.py
+++ b/src/nutmegroad/canary/rollout_registry.py
@@ -11,11 +11,11 @@
 
 from msgspec import structs
 
-from nutmegroad.canary.orders import (
-    Sighting,
+from nutmegroad.canary.order_matching import (
+    OrderMatch,
+    has_earlier_number,
     is_behind,
-    is_from_before,
-    sight,
+    match_order,
 )
 from nutmegroad.canary.rollouts import Rollout, RolloutOrder, RolloutRow
 from nutmegroad.foundations.logs import part_logger
@@ -26,11 +26,11 @@
 #: Seconds for which a host leaves it to others to start an order that was in
 #: the store when this host started. The others may know the order by another
 #: number, and may know its progress.
-START_PATIENCE: Final = 3.0
+START_DEFERRAL: Final = 3.0
 
 #: Seconds for which an order is set aside that may come from a backup and
 #: precede the known order. The operator writes the known order again meanwhile.
-DOUBTED: Final = 6.0
+DOUBT_PERIOD: Final = 6.0
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
         past: Numbers of the orders before it.
         adopted: Whether its number is an earlier one by which other hosts know
             it.
-        lacking: Whether the store lacks its progress, or part of it.
+        needs_restore: Whether the store lacks its progress, or part of it.
     """
 
     rollout: Rollout
@@ -53,7 +53,7 @@
     deferred_until: float
     past: frozenset[int]
     adopted: bool = False
-    lacking: bool = False
+    needs_restore: bool = False
 
     def is_ahead_of(self, row: RolloutRow) -> bool:
         """Return whether this host knows more progress than a row states."""
@@ -75,7 +75,7 @@
         if self._is_of_order(row):
             self._renumber(row.order)
         self.rollout = Rollout(self.rollout.order, row, version)
-        self.lacking = False
+        self.needs_restore = False
 
     def retain(self, row: RolloutRow | None, version: int) -> None:
         """Keep the known progress instead of the store's row.
@@ -93,7 +93,7 @@
             self._renumber(row.order)
             known = structs.replace(known, order=row.order)
         self.rollout = Rollout(self.rollout.order, known, version)
-        self.lacking = True
+        self.needs_restore = True
 
     def _is_of_order(self, row: RolloutRow) -> bool:
         """Return whether a row belongs to this order, by any of its numbers."""
@@ -108,7 +108,7 @@
         """
         if row.order in self.past:
             return False
-        return is_from_before(self.rollout.order, row)
+        return has_earlier_number(self.rollout.order, row)
 
     def _renumber(self, number: int) -> None:
         """Know the order by a number from now on."""
@@ -119,7 +119,7 @@
             self.rollout = replace(self.rollout, order=order)
 
 
-class OrderBook:
+class RolloutRegistry:
     """All rollouts that a host knows.
 
     Args:
@@ -137,10 +137,12 @@
         )
 
     @property
-    def lacking(self) -> tuple[Rollout, ...]:
+    def to_restore(self) -> tuple[Rollout, ...]:
         """Rollouts whose progress the store has lost, wholly or in part."""
         return tuple(
-            known.rollout for known in self._known.values() if known.lacking
+            known.rollout
+            for known in self._known.values()
+            if known.needs_restore
         )
 
     def __init__(
@@ -163,11 +165,15 @@
         known = self._known.get(service)
         return None if known is None else known.rollout
 
-    def tell_of_orders(self, listener: Callable[[RolloutOrder], None]) -> None:
+    def add_order_listener(
+        self, listener: Callable[[RolloutOrder], None]
+    ) -> None:
         """Call a function with each order that is accepted from now on."""
         self._order_listeners.append(listener)
 
-    def take(self, order: RolloutOrder, *, at_start: bool = False) -> None:
+    def apply_order(
+        self, order: RolloutOrder, *, at_start: bool = False
+    ) -> None:
         """Apply a row of the operator's unless a later order is known.
 
         Args:
@@ -177,42 +183,42 @@
         service = order.service
         known = self._known.get(service)
         if known is None:
-            self._accept(order, START_PATIENCE if at_start else 0)
+            self._accept(order, START_DEFERRAL if at_start else 0)
             return
         number = known.rollout.order.number
-        sighting = sight(known.rollout.order, known.written, order)
-        if sighting is Sighting.KNOWN:
+        order_match = match_order(known.rollout.order, known.written, order)
+        if order_match is OrderMatch.KNOWN:
             return
         self._doubtful.pop(service, None)
-        if sighting is Sighting.NEW:
+        if order_match is OrderMatch.NEW:
             self._accept(order)
             return
-        if sighting is Sighting.AGAIN:
+        if order_match is OrderMatch.SAME_ORDER:
             known.written = order.number
         else:
-            self._doubtful[service] = (order, self._now() + DOUBTED)
+            self._doubtful[service] = (order, self._now() + DOUBT_PERIOD)
         _LOG.decision(
             'order seen after a store restore',
             service=service,
             version=order.to,
             number=number,
             position=order.number,
-            taken_for=sighting.value,
+            taken_for=order_match.value,
         )
 
-    def settle(self) -> None:
+    def accept_doubtful(self) -> None:
         """Accept doubtful orders that nobody has overwritten in time."""
         for service, (order, accept_at) in tuple(self._doubtful.items()):
             if self._now() >= accept_at:
                 self._doubtful.pop(service)
                 self._accept(order)
 
-    def leaves_beginning(self, service: ServiceName) -> bool:
+    def is_start_deferred(self, service: ServiceName) -> bool:
         """Return whether the start of an order is still left to other hosts."""
         known = self._known.get(service)
         return known is not None and self._now() < known.deferred_until
 
-    def progress(
+    def apply_progress(
         self,
         service: ServiceName,
         row: RolloutRow,
@@ -240,7 +246,9 @@
         if stage is not None and stage.ended:
             self._on_end(service)
 
-    def listed(self, services: Container[ServiceName], version: int) -> None:
+    def apply_snapshot(
+        self, services: Container[ServiceName], version: int
+    ) -> None:
         """Apply a full snapshot of the table, which may lack rows.
 
         Args:
@@ -256,10 +264,10 @@
                 known.retain(None, 0)
                 _log_loss(known, '')
 
-    def restored(self, rollout: Rollout, version: int) -> None:
+    def confirm_restored(self, rollout: Rollout, version: int) -> None:
         """Apply the row of a rollout that was written to the store again."""
         if rollout.row is not None:
-            self.progress(rollout.order.service, rollout.row, version)
+            self.apply_progress(rollout.order.service, rollout.row, version)
 
     def _accept(self, order: RolloutOrder, start_delay: float = 0) -> None:
         """Accept a new order.
--- a/src/nutmegroad/canary/rollouts.py
+++ b/src/nutmegroad/canary/rollouts.py
@@ -19,7 +19,7 @@
 #: the requests of the whole duration, of which the canary stage takes at most
 #: two thirds. A bad version therefore gets three quarters of the bound. The
 #: rest allows for requests that hosts count differently.
-TRIAL_PART: Final = 1.1
+CANARY_SHARE_FACTOR: Final = 1.1
 
 #: Fraction of the exposure slack that a canary stage uses. The slack is the
 #: number of requests that operators allow beyond the exposure bound, so that a
@@ -28,48 +28,48 @@
 SLACK_FRACTION: Final = 0.5
 
 #: Maximum share that the slack may add, and the minimum that is worth a write.
-MOST_BEYOND: Final = 0.15
+MAX_EXTRA_SHARE: Final = 0.15
 MIN_EXTRA_SHARE: Final = 0.01
 
 #: Seconds after the start of a rollout from which the request rate is known:
 #: two seconds of answers, and one second for hosts to exchange their counts.
-MEASURED: Final = 3.0
+RATE_KNOWN_AFTER: Final = 3.0
 
 #: Seconds between the start of a rollout and its first canary requests. By then
 #: all hosts know of the rollout, and have exchanged which sessions are on the
 #: old version.
-LEAD: Final = 2.0
+CANARY_DELAY: Final = 2.0
 
 #: Fraction of the duration after which the new version may get more than the
 #: canary share. Sessions are not moved in the first half.
-OPEN_AT: Final = 0.52
+FULL_FROM: Final = 0.52
 
 #: Fraction of the duration after which it is too late to begin the full
 #: rollout.
-LAST_OPEN: Final = 0.78
+FULL_UNTIL: Final = 0.78
 
 #: Fraction of the duration in which the share then grows to 1; less if less
 #: time is left.
-RAMP: Final = 0.14
+RAMP_FRACTION: Final = 0.14
 
 #: Fractions of the duration after which the rollout ends. After the first it
 #: succeeds if the new version is shown to be good. After the second it is
 #: rolled back if the new version is not. The remaining time covers a write that
 #: has to be repeated.
-CLOSE_AT: Final = 0.88
-GIVE_UP_AT: Final = 0.92
+SUCCEED_FROM: Final = 0.88
+ROLL_BACK_FROM: Final = 0.92
 
 #: Minimum fraction of the duration for which the new version gets all traffic
 #: before the old one is given up.
-SETTLED: Final = 0.01
+MIN_FULL_TRAFFIC: Final = 0.01
 
 
 @unique
 class Stage(Enum):
     """Stage of a rollout."""
 
-    TRIAL = 'trial'
-    OPEN = 'open'
+    CANARY = 'trial'
+    FULL = 'open'
     SUCCEEDED = 'succeeded'
     ROLLED_BACK = 'rolled_back'
 
@@ -165,19 +165,24 @@
         stage, row = self.stage, self.row
         if stage is Stage.SUCCEEDED:
             return 1
-        if row is None or stage not in {Stage.TRIAL, Stage.OPEN}:
+        if row is None or stage not in {Stage.CANARY, Stage.FULL}:
             return 0
         canary_share += row.beyond
-        if stage is Stage.TRIAL:
-            return canary_share if store_time >= row.started + LEAD else 0
+        if stage is Stage.CANARY:
+            return (
+                canary_share if store_time >= row.started + CANARY_DELAY else 0
+            )
         duration = self.order.duration
         opened = (row.opened - row.started) / duration
-        ramp = min(RAMP, max(SETTLED, CLOSE_AT - SETTLED - opened))
+        ramp = min(
+            RAMP_FRACTION,
+            max(MIN_FULL_TRAFFIC, SUCCEED_FROM - MIN_FULL_TRAFFIC - opened),
+        )
         grown = (store_time - row.opened) / (duration * ramp)
         return min(1.0, canary_share + (1 - canary_share) * max(0, grown))
 
 
-def beyond_share(slack: float, rate: float, seconds: float) -> float:
+def extra_share(slack: float, rate: float, seconds: float) -> float:
     """Return the share that a canary stage gets beyond the common share.
 
     Args:
@@ -186,5 +191,5 @@
         seconds: Seconds that are left of the canary stage.
     """
     requests = max(rate * seconds, 1)
-    share = min(MOST_BEYOND, slack * SLACK_FRACTION / requests)
+    share = min(MAX_EXTRA_SHARE, slack * SLACK_FRACTION / requests)
     return share if share >= MIN_EXTRA_SHARE else 0
--- a/src/nutmegroad/canary/sessions.py
+++ b/src/nutmegroad/canary/sessions.py
@@ -20,11 +20,11 @@
 
     Attributes:
         version: Version on which it ran.
-        moment: Host clock in seconds.
+        timestamp: Host clock in seconds.
     """
 
     version: SoftwareVersion
-    moment: float
+    timestamp: float
 
 
 class SessionVersions:
@@ -49,10 +49,10 @@
         session: SessionName,
     ) -> SoftwareVersion | None:
         """Return the version of an active session, or None."""
-        last = self.last(service, session)
+        last = self.last_run(service, session)
         return None if last is None else last.version
 
-    def last(
+    def last_run(
         self,
         service: ServiceName,
         session: SessionName,
@@ -61,24 +61,24 @@
         seen = self._seen.get((service, session))
         if (
             seen is None
-            or self._clock.now() - seen.moment > self._session_timeout
+            or self._clock.now() - seen.timestamp > self._session_timeout
         ):
             return None
         return seen
 
-    def living(
+    def active(
         self,
         service: ServiceName,
     ) -> Iterator[tuple[SessionName, LastRun]]:
         """Yield the active sessions of a service, the latest one first."""
         oldest = self._clock.now() - self._session_timeout
         for (used, session), seen in reversed(self._seen.items()):
-            if seen.moment < oldest:
+            if seen.timestamp < oldest:
                 return
             if used == service:
                 yield session, seen
 
-    def ran(
+    def record(
         self,
         service: ServiceName,
         session: SessionName,
--- a/src/nutmegroad/canary/state.py
+++ b/src/nutmegroad/canary/state.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-from nutmegroad.canary.order_book import OrderBook
-from nutmegroad.canary.rollouts import TRIAL_PART, Rollout, Stage
+from nutmegroad.canary.rollout_registry import RolloutRegistry
+from nutmegroad.canary.rollouts import CANARY_SHARE_FACTOR, Rollout, Stage
 from nutmegroad.canary.verdicts import Judgement, Verdict
 from nutmegroad.fleet.evidence import Evidence, KindNumber
 from nutmegroad.fleet.evidence_book import EvidenceBook
@@ -35,7 +35,7 @@
     order: int
     judgement: Judgement
     seen: tuple[int, int] | None = None
-    verdict: Verdict = Verdict.NOT_SHOWN
+    verdict: Verdict = Verdict.INCONCLUSIVE
 
 
 class RolloutState:
@@ -49,7 +49,7 @@
         host_count: Returns the number of hosts, including this one.
         exposure_slack: Requests that operators allow a bad version beyond its
             share.
-        orders: The orders and their progress.
+        registry: The orders and their progress.
     """
 
     def __init__(
@@ -61,19 +61,19 @@
         host_count: Callable[[], int],
         exposure_slack: float = 0,
         *,
-        orders: OrderBook,
+        registry: RolloutRegistry,
     ) -> None:
         self.host = host
-        self.trial = canary_share
+        self.canary_share = canary_share
         self.store_time = store_time
-        self.orders = orders
-        self.besides = exposure_slack
+        self.registry = registry
+        self.exposure_slack = exposure_slack
         self._host_count = host_count
         self._evidence = evidence
         self._assessments: dict[ServiceName, _Assessment] = {}
         self._halted: set[int] = set()
 
-    def told(
+    def merge_evidence(
         self,
         service: ServiceName,
         host: HostId,
@@ -91,14 +91,14 @@
         poor: bool,
     ) -> None:
         """Count an answer if a rollout of its service is in progress."""
-        rollout = self.orders.rollout(service)
+        rollout = self.registry.rollout(service)
         if rollout is None or rollout.stage is None or rollout.stage.ended:
             return
         of_new = version == rollout.order.to
         number = rollout.order.number
         self._evidence.count(service, number, kind, of_new=of_new, poor=poor)
 
-    def own(self, rollout: Rollout) -> Evidence:
+    def own_evidence(self, rollout: Rollout) -> Evidence:
         """Return what this host has counted of a rollout."""
         return self._evidence.own(rollout.order.service, rollout.order.number)
 
@@ -120,9 +120,9 @@
             return True
         return self._halt_if_bad(rollout)
 
-    def answers(self, rollout: Rollout) -> int:
+    def answer_count(self, rollout: Rollout) -> int:
         """Return the approximate number of answers at all hosts."""
-        whole = self._assess(rollout).judgement.whole
+        whole = self._assess(rollout).judgement.totals
         return whole.count * self._group_count(rollout)
 
     def _halt_if_bad(self, rollout: Rollout) -> bool:
@@ -151,7 +151,7 @@
         seen = (self._evidence.changes, self._host_count())
         if assessment.seen != seen:
             assessment.seen = seen
-            assessment.judgement.take(self._evidence.sums(service, number))
+            assessment.judgement.update(self._evidence.sums(service, number))
             assessment.verdict = assessment.judgement.verdict(
                 self._group_count(rollout)
             )
@@ -168,10 +168,10 @@
         return max(1, round(self._host_count() / max(1, reporting)))
 
 
-def trial_share(exposure: float) -> float:
+def canary_share(exposure: float) -> float:
     """Return the traffic share of a new version in the canary stage.
 
     Args:
         exposure: Share of the requests that the operator allows a bad version.
     """
-    return exposure * TRIAL_PART
+    return exposure * CANARY_SHARE_FACTOR
--- a/src/nutmegroad/canary/steps.py
+++ b/src/nutmegroad/canary/steps.py
@@ -7,16 +7,16 @@
 from msgspec import structs
 
 from nutmegroad.canary.rollouts import (
-    CLOSE_AT,
-    GIVE_UP_AT,
-    LAST_OPEN,
-    MEASURED,
-    OPEN_AT,
+    FULL_FROM,
+    FULL_UNTIL,
+    RATE_KNOWN_AFTER,
+    ROLL_BACK_FROM,
+    SUCCEED_FROM,
     Rollout,
     RolloutOrder,
     RolloutRow,
     Stage,
-    beyond_share,
+    extra_share,
 )
 from nutmegroad.canary.state import RolloutState
 from nutmegroad.canary.verdicts import Verdict
@@ -99,9 +99,9 @@
         """Make due steps until cancelled."""
         while True:
             await self._clock.sleep(STEP_INTERVAL)
-            self._state.orders.settle()
+            self._state.registry.accept_doubtful()
             await self._restore()
-            for rollout in self._state.orders.active:
+            for rollout in self._state.registry.active:
                 await self._write_evidence(rollout)
                 step = self._due_step(rollout)
                 if step is not None:
@@ -122,7 +122,7 @@
         stage = next_stage(rollout.stage, verdict, elapsed)
         if stage is None:
             return self._row_with_extra_share(rollout, row, now)
-        opened = now if stage is Stage.OPEN else row.opened
+        opened = now if stage is Stage.FULL else row.opened
         why = f'{verdict.value}: {self._state.reason(rollout)}'
         return structs.replace(
             row,
@@ -134,11 +134,11 @@
 
     def _first_row(self, order: RolloutOrder, now: float) -> RolloutRow | None:
         """Return the first row of an order, or None if it is left to others."""
-        if self._state.orders.leaves_beginning(order.service):
+        if self._state.registry.is_start_deferred(order.service):
             return None
         return RolloutRow(
             order.number,
-            Stage.TRIAL.value,
+            Stage.CANARY.value,
             now,
             to=order.to,
             duration=order.duration,
@@ -156,11 +156,15 @@
         The additional share is for services with few requests.
         """
         passed = now - row.started
-        if rollout.stage is not Stage.TRIAL or row.beyond or passed < MEASURED:
+        if (
+            rollout.stage is not Stage.CANARY
+            or row.beyond
+            or passed < RATE_KNOWN_AFTER
+        ):
             return None
-        left = rollout.order.duration * LAST_OPEN - passed
-        rate = self._state.answers(rollout) / passed
-        beyond = beyond_share(self._state.besides, rate, left)
+        left = rollout.order.duration * FULL_UNTIL - passed
+        rate = self._state.answer_count(rollout) / passed
+        beyond = extra_share(self._state.exposure_slack, rate, left)
         if not beyond or left <= 0:
             return None
         why = f'few requests: {rate:.1f} a second'
@@ -170,18 +174,18 @@
         """Write a step to the store unless another host has been first."""
         service = rollout.order.service
         await self._wait_for_rank(f'{service}/{step.order}/{step.stage}')
-        current = self._state.orders.rollout(service)
+        current = self._state.registry.rollout(service)
         if current != rollout:
             return
         puts = [_step_row(service, step)]
         stage = Stage(step.stage)
-        if stage is not rollout.stage and stage is not Stage.OPEN:
+        if stage is not rollout.stage and stage is not Stage.FULL:
             puts.append(self._status.status(rollout.order, stage))
         outcome = await self._store.commit(
             (_expect_unchanged(rollout),), tuple(puts)
         )
         if isinstance(outcome, Committed):
-            self._state.orders.progress(service, step, outcome.version)
+            self._state.registry.apply_progress(service, step, outcome.version)
             return
         why = 'another host was first'
         if isinstance(outcome, Refusal):
@@ -199,11 +203,11 @@
         The hosts wait by rank, and the first one writes all rows in one
         transaction.
         """
-        missing = self._state.orders.lacking
+        missing = self._state.registry.to_restore
         if not missing:
             return
         await self._wait_for_rank(RESTORE_TASK)
-        missing = self._state.orders.lacking[:MAX_RESTORED]
+        missing = self._state.registry.to_restore[:MAX_RESTORED]
         if not missing:
             return
         outcome = await self._store.commit(
@@ -219,7 +223,7 @@
         if not isinstance(outcome, Committed):
             return
         for rollout in missing:
-            self._state.orders.restored(rollout, outcome.version)
+            self._state.registry.confirm_restored(rollout, outcome.version)
 
     def _rows_of(self, rollout: Rollout) -> Iterator[RowPut]:
         """Return the rows of a rollout that has reached a stage."""
@@ -237,7 +241,7 @@
         """Write this host's counts to the store if they have grown enough."""
         if rollout.stage is None:
             return
-        own = self._state.own(rollout)
+        own = self._state.own_evidence(rollout)
         service = rollout.order.service
         if not _has_grown(self._written.get(service), own):
             return
@@ -263,13 +267,13 @@
     if verdict is Verdict.BAD:
         return Stage.ROLLED_BACK
     good = verdict is Verdict.GOOD
-    if stage is Stage.TRIAL:
-        if good and OPEN_AT <= elapsed < LAST_OPEN:
-            return Stage.OPEN
-        return Stage.ROLLED_BACK if elapsed >= LAST_OPEN else None
-    if good and elapsed >= CLOSE_AT:
+    if stage is Stage.CANARY:
+        if good and FULL_FROM <= elapsed < FULL_UNTIL:
+            return Stage.FULL
+        return Stage.ROLLED_BACK if elapsed >= FULL_UNTIL else None
+    if good and elapsed >= SUCCEED_FROM:
         return Stage.SUCCEEDED
-    return Stage.ROLLED_BACK if elapsed >= GIVE_UP_AT else None
+    return Stage.ROLLED_BACK if elapsed >= ROLL_BACK_FROM else None
 
 
 def _step_key(service: ServiceName) -> str:
--- a/src/nutmegroad/canary/verdicts.py
+++ b/src/nutmegroad/canary/verdicts.py
@@ -98,7 +98,7 @@
 
     BAD = 'bad'
     GOOD = 'good'
-    NOT_SHOWN = 'not shown'
+    INCONCLUSIVE = 'not shown'
 
 
 class _KindTests:
@@ -131,7 +131,7 @@
         grown = EXPECTED_FACTOR * baseline + EXPECTED_OFFSET
         return max(MIN_EXPECTED, min(grown, baseline + MAX_ABOVE_BASELINE))
 
-    def take(self, seen: Answers) -> Answers:
+    def replace_sums(self, seen: Answers) -> Answers:
         """Replace the sums, and return what is new in them."""
         fresh = seen.plus(self.seen, -1)
         self.seen = seen
@@ -151,16 +151,16 @@
         self._assurance = Assurance(MIN_ASSURANCE, level + MAX_EXCESS)
 
     @property
-    def whole(self) -> Answers:
+    def totals(self) -> Answers:
         """All answers that were counted."""
         return summed(kind.seen for kind in self._kinds.values())
 
-    def take(self, sums: Mapping[KindNumber, Answers]) -> None:
+    def update(self, sums: Mapping[KindNumber, Answers]) -> None:
         """Update the tests with the present sums of all hosts."""
         for number, seen in sums.items():
             kind = self._kinds.setdefault(number, _KindTests())
             if kind.seen != seen:
-                self._update_kind(kind, kind.take(seen))
+                self._update_kind(kind, kind.replace_sums(seen))
 
     def verdict(self, groups: int = 1) -> Verdict:
         """Return what the answers show.
@@ -173,17 +173,17 @@
             return Verdict.BAD
         required = math.log(FALSE_SUCCESS_ODDS * groups)
         if self._assurance.strength < min(required, self._max_assurance):
-            return Verdict.NOT_SHOWN
-        minimum = self.whole.old * COMMON_FRACTION
+            return Verdict.INCONCLUSIVE
+        minimum = self.totals.old * COMMON_FRACTION
         level = math.log(KIND_FALSE_SUCCESS_ODDS)
         for kind in self._kinds.values():
             if kind.seen.old >= minimum and kind.assurance.strength < level:
-                return Verdict.NOT_SHOWN
+                return Verdict.INCONCLUSIVE
         return Verdict.GOOD
 
     def reason(self) -> str:
         """Return one line with the figures behind the verdict."""
-        whole = self.whole
+        whole = self.totals
         weakest = min(
             (kind.assurance.strength for kind in self._kinds.values()),
             default=0,
@@ -221,7 +221,7 @@
 
     def _is_bad(self, groups: int) -> bool:
         """Return whether the answers show that the version is bad."""
-        if self.whole.new_poor < MIN_POOR:
+        if self.totals.new_poor < MIN_POOR:
             return False
         tests = groups * (1 + len(self._kinds))
         return self._strongest_evidence() >= math.log(FALSE_HALT_ODDS * tests)
--- a/src/nutmegroad/operators/operator_rollouts.py
+++ b/src/nutmegroad/operators/operator_rollouts.py
@@ -13,7 +13,7 @@
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
 from nutmegroad.operators.operator_access import Access, refuse_operator, reply
-from nutmegroad.rollouts.order_keeper import OrderKeeper
+from nutmegroad.rollouts.order_controller import OrderController
 from nutmegroad.rollouts.rollout_service import Action, RolloutService
 
 
@@ -51,7 +51,7 @@
     def __init__(self, kernel: Kernel, access: Access) -> None:
         self._access = access
         self._service = kernel.need(RolloutService)
-        self._keeper = kernel.need(OrderKeeper)
+        self._keeper = kernel.need(OrderController)
 
     def add_routes(self, app: Application) -> None:
         """Add the routes to the application."""
--- a/src/nutmegroad/operators/part.py
+++ b/src/nutmegroad/operators/part.py
@@ -24,7 +24,7 @@
 from nutmegroad.operators.interface import OperatorsInterface
 from nutmegroad.operators.operator_access import Access
 from nutmegroad.records.explanations import Explanations
-from nutmegroad.rollouts.order_keeper import OrderKeeper
+from nutmegroad.rollouts.order_controller import OrderController
 from nutmegroad.rollouts.rollout_service import RolloutService
 from nutmegroad.routing.directory import Directory
 
@@ -76,7 +76,7 @@
         Members,
         Mesh,
         Metrics,
-        OrderKeeper,
+        OrderController,
         RolloutService,
     )
 
--- a/src/nutmegroad/relay/context.py
+++ b/src/nutmegroad/relay/context.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from nutmegroad.canary.gate import Observed
+from nutmegroad.canary.gate import AttemptOutcome
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import ServiceName
 from nutmegroad.relay.attempts import AttemptRunner
@@ -45,7 +45,7 @@
         self,
         request: CallerRequest,
         upstream: Upstream,
-        observed: Observed,
+        observed: AttemptOutcome,
     ) -> None:
         """Record how an upstream's version answered a request."""
 
--- a/src/nutmegroad/relay/execution.py
+++ b/src/nutmegroad/relay/execution.py
@@ -10,7 +10,7 @@
 from types import MappingProxyType
 from typing import Final
 
-from nutmegroad.canary.gate import Observed
+from nutmegroad.canary.gate import AttemptOutcome
 from nutmegroad.fleet.content_marks import spell_mark
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal, ResultCode
@@ -55,7 +55,9 @@
 
 #: Evidence of failed attempts on the upstream's version. Failures that are not
 #: listed count as broken, since they may have another cause.
-_OBSERVED: Final = MappingProxyType({AttemptEnd.UNVERIFIED: Observed.POOR})
+_OBSERVED: Final = MappingProxyType(
+    {AttemptEnd.UNVERIFIED: AttemptOutcome.POOR}
+)
 
 
 #: Result code of a request by the end of its last attempt.
@@ -281,7 +283,7 @@
                 self._context.version_gate.observe(
                     self.request,
                     choice.upstream,
-                    _OBSERVED.get(outcome.end, Observed.BROKEN),
+                    _OBSERVED.get(outcome.end, AttemptOutcome.INTERRUPTED),
                 )
         self._context.counters.attempted(ended)
         _LOG.decision(
--- a/src/nutmegroad/relay/fleet_table.py
+++ b/src/nutmegroad/relay/fleet_table.py
@@ -34,7 +34,7 @@
         """Apply a full snapshot."""
         self.apply(read)
         self._hosts.listed()
-        self._state.orders.listed(
+        self._state.registry.apply_snapshot(
             {
                 ServiceName(row.key.removeprefix(STEP_KEY))
                 for row in read.rows
@@ -78,10 +78,12 @@
         """Decode and apply one row."""
         if kind == STEP_KEY:
             step = msgspec.json.decode(row.content, type=RolloutRow)
-            self._state.orders.progress(ServiceName(name), step, row.version)
+            self._state.registry.apply_progress(
+                ServiceName(name), step, row.version
+            )
         elif kind == EVIDENCE_KEY:
             service, _, host = name.rpartition('/')
-            self._state.told(
+            self._state.merge_evidence(
                 ServiceName(service),
                 HostId(host),
                 msgspec.json.decode(row.content, type=Evidence),
--- a/src/nutmegroad/relay/host.py
+++ b/src/nutmegroad/relay/host.py
@@ -6,8 +6,8 @@
 from contextlib import AsyncExitStack
 from typing import Any, Final
 
-from nutmegroad.canary.order_book import OrderBook
-from nutmegroad.canary.state import RolloutState, trial_share
+from nutmegroad.canary.rollout_registry import RolloutRegistry
+from nutmegroad.canary.state import RolloutState, canary_share
 from nutmegroad.canary.steps import RolloutSteps
 from nutmegroad.fleet.announcements import HostRow
 from nutmegroad.fleet.followers import TableFollower
@@ -89,7 +89,7 @@
             configuration=self.configuration_version,
             age=self._configuration.age,
             upstreams=len(self._directory),
-            rollouts=len(self._rollouts.orders.active),
+            rollouts=len(self._rollouts.registry.active),
             open_requests=len(self._caller_handler.busy),
             ready=self.ready,
             returns=self._fleet.store.returns,
@@ -113,7 +113,7 @@
     @property
     def canary_fraction(self) -> float:
         """Fraction of requests that a new version gets in the canary stage."""
-        return self._rollouts.trial
+        return self._rollouts.canary_share
 
     @property
     def ready(self) -> bool:
@@ -172,8 +172,8 @@
         self._context.budget.set_limit(
             settings.repeat_ratio, settings.repeat_window
         )
-        self._rollouts.trial = trial_share(settings.exposure)
-        self._rollouts.besides = settings.exposure_allowance
+        self._rollouts.canary_share = canary_share(settings.exposure)
+        self._rollouts.exposure_slack = settings.exposure_allowance
         _LOG.decision(
             'settings reloaded',
             host=settings.host,
@@ -210,12 +210,12 @@
         )
         self._rollouts = RolloutState(
             settings.host,
-            trial_share(settings.exposure),
+            canary_share(settings.exposure),
             self._fleet.store_clock.now,
             self._fleet.told.book,
             self._fleet.count,
             settings.exposure_allowance,
-            orders=OrderBook(clock.now, self._fleet.told.book.end),
+            registry=RolloutRegistry(clock.now, self._fleet.told.book.end),
         )
         self._context = assemble(
             settings,
@@ -269,7 +269,7 @@
         operator = OperatorSink(
             platform.reader,
             self._configuration,
-            self._rollouts.orders,
+            self._rollouts.registry,
             self._upstream_sink.update_services,
             self._fleet.told.versions,
         )
--- a/src/nutmegroad/relay/plain_calls.py
+++ b/src/nutmegroad/relay/plain_calls.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from nutmegroad.canary.gate import Observed
+from nutmegroad.canary.gate import AttemptOutcome
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.relay.connections import ConnectionFailedError, ResponseHead
@@ -86,11 +86,11 @@
         await answering.close()
 
 
-def _observed(answer: CompleteAnswer | None) -> Observed:
+def _observed(answer: CompleteAnswer | None) -> AttemptOutcome:
     """Return the evidence of an answer on its version."""
     if answer is None:
-        return Observed.BROKEN
-    return Observed.POOR if answer.failed else Observed.SOUND
+        return AttemptOutcome.INTERRUPTED
+    return AttemptOutcome.POOR if answer.failed else AttemptOutcome.ACCEPTABLE
 
 
 async def _end(
--- a/src/nutmegroad/relay/request_estimates.py
+++ b/src/nutmegroad/relay/request_estimates.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection
 from typing import Final
 
-from nutmegroad.canary.gate import Observed
+from nutmegroad.canary.gate import AttemptOutcome
 from nutmegroad.escalation.headroom import AnswerEstimate
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import (
@@ -125,7 +125,9 @@
             now - answering.started - answering.waited,
         )
 
-    def observe(self, answering: UpstreamAnswer, observed: Observed) -> None:
+    def observe(
+        self, answering: UpstreamAnswer, observed: AttemptOutcome
+    ) -> None:
         """Record the outcome of an answer.
 
         An answer of an earlier incarnation is ignored: the restart explains a
@@ -140,7 +142,7 @@
         if upstream.restarted:
             return
         now = self._context.clock.now()
-        if observed is Observed.SOUND:
+        if observed is AttemptOutcome.ACCEPTABLE:
             pace = self._context.selector.latencies.observe(
                 LatencyKey(self._service, answering.model),
                 answering.choice.prefill.tokens,
@@ -149,7 +151,7 @@
             )
             upstream.health.record_answer(now, pace)
             if pace >= SLOW_ANSWER_RATIO:
-                observed = Observed.POOR
+                observed = AttemptOutcome.POOR
         else:
             upstream.health.record_failure(now)
         self._context.version_gate.observe(self._request, upstream, observed)
--- a/src/nutmegroad/relay/streams.py
+++ b/src/nutmegroad/relay/streams.py
@@ -12,7 +12,7 @@
 from types import MappingProxyType
 from typing import Final
 
-from nutmegroad.canary.gate import Observed
+from nutmegroad.canary.gate import AttemptOutcome
 from nutmegroad.escalation.confidence import low_confidence
 from nutmegroad.escalation.decisions import (
     EscalationCase,
@@ -63,10 +63,10 @@
 #: fault of the version, and a broken exchange may have another cause.
 _OBSERVED: Final = MappingProxyType(
     {
-        StreamEnd.COMPLETE: Observed.SOUND,
-        StreamEnd.FAILED: Observed.POOR,
-        StreamEnd.TRUNCATED: Observed.BROKEN,
-        StreamEnd.STALLED: Observed.BROKEN,
+        StreamEnd.COMPLETE: AttemptOutcome.ACCEPTABLE,
+        StreamEnd.FAILED: AttemptOutcome.POOR,
+        StreamEnd.TRUNCATED: AttemptOutcome.INTERRUPTED,
+        StreamEnd.STALLED: AttemptOutcome.INTERRUPTED,
     },
 )
 
--- a/src/nutmegroad/relay/tables.py
+++ b/src/nutmegroad/relay/tables.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Final, Protocol
 
-from nutmegroad.canary.order_book import OrderBook
+from nutmegroad.canary.rollout_registry import RolloutRegistry
 from nutmegroad.canary.rollouts import RolloutOrder
 from nutmegroad.fleet.heard_versions import HeardVersions
 from nutmegroad.fleet.stored import RowsRead, StoredRow
@@ -80,7 +80,7 @@
         self,
         reader: RowReader,
         configuration: CachedConfiguration,
-        orders: OrderBook,
+        orders: RolloutRegistry,
         update_services: Callable[[Collection[ServiceName]], None],
         versions: HeardVersions,
     ) -> None:
@@ -132,7 +132,7 @@
             if self._configuration.table is content:
                 self._update_services(content.services)
         elif isinstance(content, RolloutOrder):
-            self._orders.take(content, at_start=not self._has_read)
+            self._orders.apply_order(content, at_start=not self._has_read)
         elif isinstance(content, Unreadable):
             _LOG.decision(
                 'operator row rejected',
--- a/src/nutmegroad/rollouts/_exposure_spread.py
+++ b/src/nutmegroad/rollouts/_exposure_gossip.py
@@ -16,7 +16,7 @@
 FOLD_AFTER_SECONDS: Final = 900.0
 
 
-class ExposureSpread:
+class ExposureGossip:
     """Gossips evidence periodically, and broadcasts quarantines at once.
 
     Args:
@@ -58,7 +58,7 @@
 
     def tick(self) -> None:
         """Run one gossip round: send recent changes to a few hosts."""
-        message = self._evidence.outgoing()
+        message = self._evidence.next_message()
         if message.cells:
             self._send_to_some(message, FANOUT)
         # Sent even if empty: a receiver with more records sends them back.
@@ -93,7 +93,7 @@
         sender: HostId,
         message: EvidenceMessage,
     ) -> None:
-        self._evidence.learn(message.cells)
+        self._evidence.merge(message.cells)
 
     async def _take_quarantines(
         self,
@@ -101,6 +101,6 @@
         message: QuarantineMessage,
     ) -> None:
         # The listener broadcasts what is new.
-        self._quarantines.learn(message.records)
-        if self._quarantines.lacks(message.records):
+        self._quarantines.merge(message.records)
+        if self._quarantines.has_newer_than(message.records):
             self._mesh.tell(sender, self._quarantines.message())
--- a/src/nutmegroad/rollouts/evidence.py
+++ b/src/nutmegroad/rollouts/evidence.py
@@ -91,37 +91,37 @@
     Attributes:
         answers: Complete answers.
         errors: Attempts that failed in the version's engine.
-        cuts: Truncated answers.
-        first: Logarithms of the seconds to the first token.
-        pace: Logarithms of the seconds per token.
+        truncated: Truncated answers.
+        first_token: Logarithms of the seconds to the first token.
+        seconds_per_token: Logarithms of the seconds per token.
         length: Logarithms of the number of tokens of a complete answer.
     """
 
     answers: int = 0
     errors: int = 0
-    cuts: int = 0
-    first: Moments = _NOTHING
-    pace: Moments = _NOTHING
+    truncated: int = 0
+    first_token: Moments = _NOTHING
+    seconds_per_token: Moments = _NOTHING
     length: Moments = _NOTHING
 
     @property
     def attempts(self) -> int:
         """Number of counted attempts."""
-        return self.answers + self.errors + self.cuts
+        return self.answers + self.errors + self.truncated
 
     @property
     def failures(self) -> int:
         """Number of failed attempts."""
-        return self.errors + self.cuts
+        return self.errors + self.truncated
 
     def plus(self, other: 'Tally') -> 'Tally':
         """Return the sum of both tallies."""
         return Tally(
             self.answers + other.answers,
             self.errors + other.errors,
-            self.cuts + other.cuts,
-            self.first.plus(other.first),
-            self.pace.plus(other.pace),
+            self.truncated + other.truncated,
+            self.first_token.plus(other.first_token),
+            self.seconds_per_token.plus(other.seconds_per_token),
             self.length.plus(other.length),
         )
 
@@ -130,9 +130,9 @@
         return Tally(
             self.answers - other.answers,
             self.errors - other.errors,
-            self.cuts - other.cuts,
-            self.first.minus(other.first),
-            self.pace.minus(other.pace),
+            self.truncated - other.truncated,
+            self.first_token.minus(other.first_token),
+            self.seconds_per_token.minus(other.seconds_per_token),
             self.length.minus(other.length),
         )
 
@@ -217,7 +217,7 @@
         tally = cell.tally.plus(counted)
         self._put(EvidenceCell(*name, tally), counted)
 
-    def learn(self, cells: Iterable[EvidenceCell]) -> None:
+    def merge(self, cells: Iterable[EvidenceCell]) -> None:
         """Merge cells received from another host."""
         for cell in cells:
             name = (cell.incarnation, *cell.key)
@@ -242,7 +242,7 @@
             self._cells.pop(name)
             self._unsent.pop(name, None)
 
-    def outgoing(self) -> EvidenceMessage:
+    def next_message(self) -> EvidenceMessage:
         """Return the next message for other hosts; it may be empty."""
         names = list(self._unsent)[:MESSAGE_CELLS]
         for sent in names:
@@ -274,7 +274,7 @@
     if end.code in FAILURES:
         return Tally(errors=1)
     if end.code is ResultCode.ANSWER_CUT:
-        return Tally(cuts=1)
+        return Tally(truncated=1)
     if end.code is not ResultCode.OK:
         return None
     first = end.seconds if end.first_token is None else end.first_token
@@ -282,7 +282,7 @@
     pace = (end.seconds - first) / tokens
     return Tally(
         answers=1,
-        first=moments_of(math.log(max(first, _MIN_SECONDS))),
-        pace=moments_of(math.log(max(pace, _MIN_SECONDS))),
+        first_token=moments_of(math.log(max(first, _MIN_SECONDS))),
+        seconds_per_token=moments_of(math.log(max(pace, _MIN_SECONDS))),
         length=moments_of(math.log(tokens)),
     )
--- a/src/nutmegroad/rollouts/exposure.py
+++ b/src/nutmegroad/rollouts/exposure.py
@@ -147,10 +147,10 @@
         self._rated: dict[EvidenceKey, Moments] = {}
         self._lifted: dict[VersionId, int] = {}
         quarantines.listen(self._restart_lifted)
-        evidence.listen(self.counted)
-        feed.listen(self.rated)
+        evidence.listen(self.add_attempts)
+        feed.listen(self.add_ratings)
 
-    def watch(self, version: VersionId, task: TaskName) -> VersionTests | None:
+    def tests(self, version: VersionId, task: TaskName) -> VersionTests | None:
         """Return the tests of a version for a task class, if any started."""
         return self._tests.get((version, task))
 
@@ -158,13 +158,13 @@
         """Return all ratings of a version for a task class."""
         return self._rated.get((version, task), Moments())
 
-    def forget(self, version: VersionId) -> None:
+    def restart(self, version: VersionId) -> None:
         """Restart the tests of a version, as after a lifted quarantine."""
         keys = [key for key in self._tests if key[0] == version]
         for key in keys:
             self._tests.pop(key)
 
-    def rated(self, tally: RatingTally) -> None:
+    def add_ratings(self, tally: RatingTally) -> None:
         """Test new ratings."""
         sample = Moments(tally.count, tally.total, tally.squares)
         key = tally.key
@@ -182,7 +182,7 @@
             tests.past_ratings = tests.past_ratings.plus(sample)
         self._judge(key, tests)
 
-    def counted(self, key: EvidenceKey, fresh: Tally) -> None:
+    def add_attempts(self, key: EvidenceKey, fresh: Tally) -> None:
         """Test new attempts."""
         entry = self._configuration.entry(key[0])
         if entry is None:
@@ -208,17 +208,17 @@
         """Restart the tests of versions whose quarantine was lifted."""
         for record in self._quarantines.records:
             known = self._lifted.get(record.version, 0)
-            if not record.stands and record.level > known:
+            if not record.is_active and record.level > known:
                 self._lifted[record.version] = record.level
-                self.forget(record.version)
+                self.restart(record.version)
 
     def _test_latency(
         self, tests: VersionTests, fresh: Tally, reference: Tally
     ) -> None:
         """Compare latency with that of the same period, under the same load."""
-        concurrent = reference.minus(tests.baseline).first
+        concurrent = reference.minus(tests.baseline).first_token
         if concurrent.count >= MIN_REFERENCE_ANSWERS:
-            tests.latency.add(fresh.first, concurrent, LATENCY_TOLERANCE)
+            tests.latency.add(fresh.first_token, concurrent, LATENCY_TOLERANCE)
 
     def _tests_of(self, entry: VersionEntry, task: TaskName) -> VersionTests:
         key = (entry.version, task)
--- a/src/nutmegroad/rollouts/exposure_part.py
+++ b/src/nutmegroad/rollouts/exposure_part.py
@@ -8,7 +8,7 @@
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
 from nutmegroad.quality.ratings import RatingFeed
-from nutmegroad.rollouts._exposure_spread import ExposureSpread
+from nutmegroad.rollouts._exposure_gossip import ExposureGossip
 from nutmegroad.rollouts.evidence import EvidenceStore
 from nutmegroad.rollouts.exposure import ExposureGuard
 from nutmegroad.rollouts.quarantines import Quarantines
@@ -46,7 +46,7 @@
             kernel.need(RatingFeed),
             quarantines,
         )
-        spread = ExposureSpread(
+        gossip = ExposureGossip(
             kernel.need(Mesh),
             evidence,
             quarantines,
@@ -58,4 +58,4 @@
         kernel.provide(EvidenceStore, evidence)
         kernel.provide(ExposureGuard, guard)
         kernel.provide(Quarantines, quarantines)
-        kernel.spawn(spread.run(), 'exposure')
+        kernel.spawn(gossip.run(), 'exposure')
--- a/src/nutmegroad/rollouts/order_keeper.py
+++ b/src/nutmegroad/rollouts/order_controller.py
@@ -25,11 +25,11 @@
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import DomainId, Epoch, OperatorId, VersionId
 from nutmegroad.rollouts.orders import (
-    Desired,
+    DesiredState,
     Inventory,
-    Pending,
+    PendingOrders,
     PlannedOrder,
-    desired_of,
+    desired_state,
 )
 from nutmegroad.rollouts.rollout_shares import RolloutShares
 from nutmegroad.routing.directory import Directory, is_engine
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrderParts:
+class OrderDependencies:
     """Dependencies of an order controller.
 
     Attributes:
@@ -65,7 +65,7 @@
     weights: Weights
 
 
-class OrderKeeper:
+class OrderController:
     """Brings a domain's engines to the desired state, step by step.
 
     Args:
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        parts: OrderParts,
+        parts: OrderDependencies,
         domain: DomainId,
         clock: Clock,
         period: float,
@@ -86,7 +86,7 @@
         self._domain = domain
         self._clock = clock
         self._period = period
-        self._pending = Pending()
+        self._pending = PendingOrders()
         self._next_load = float('-inf')
         self._unused_since: dict[VersionId, float] = {}
 
@@ -103,10 +103,10 @@
         """
         while True:
             if is_mine():
-                await self.act()
+                await self.reconcile()
             await self._clock.sleep(self._period)
 
-    async def act(self) -> None:
+    async def reconcile(self) -> None:
         """Check the engines once, and send the orders that are due."""
         lease = await self._parts.leases.keep(self.lease_name)
         if isinstance(lease, Refusal):
@@ -123,7 +123,7 @@
             await self._load(loads[0], lease)
             return
         # Wanted versions come first; unneeded ones only cost memory.
-        for order in inventory.needless(desired):
+        for order in inventory.unneeded(desired):
             if self._has_drained(order.version, desired, now):
                 await self._send(order, lease)
 
@@ -159,7 +159,7 @@
         )
         return Refusal(ResultCode.TABLE_CONFLICT, reason)
 
-    async def _desired(self) -> Desired | None:
+    async def _desired(self) -> DesiredState | None:
         """Return the desired state of this domain's engines, if known.
 
         A host without a confirmed configuration knows no allowed version, and
@@ -177,7 +177,7 @@
             for rollout in shares.known
             if shares.share(rollout.state.version) > 0
         )
-        return desired_of(
+        return desired_state(
             configuration,
             self._engine_domains(),
             self._domain,
@@ -206,7 +206,7 @@
     def _has_drained(
         self,
         version: VersionId,
-        desired: Desired,
+        desired: DesiredState,
         now: float,
     ) -> bool:
         """Return whether work with a version must have ended at every host.
@@ -232,7 +232,7 @@
         what = f'{order.action.value} {order.version}'
         engine = order.state.info.upstream
         if refusal is None:
-            self._pending.note(order, self._clock.now())
+            self._pending.add(order, self._clock.now())
             _LOG.info(
                 'order %s sent to engine %s, fencing number %d',
                 what,
--- a/src/nutmegroad/rollouts/orders.py
+++ b/src/nutmegroad/rollouts/orders.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Desired:
+class DesiredState:
     """Desired state of the engines of a domain.
 
     Attributes:
@@ -58,27 +58,27 @@
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingOrders:
     """Orders that were sent and do not show in a report yet.
 
     Attributes:
-        given: Host clock, in seconds, at which each was sent, by engine,
+        sent_at: Host clock, in seconds, at which each was sent, by engine,
             action and version.
     """
 
-    given: dict[tuple[UpstreamId, OrderAction, VersionId], float] = field(
+    sent_at: dict[tuple[UpstreamId, OrderAction, VersionId], float] = field(
         default_factory=dict,
     )
 
-    def note(self, order: PlannedOrder, now: float) -> None:
+    def add(self, order: PlannedOrder, now: float) -> None:
         """Record that an order was sent."""
         engine = order.state.info.upstream
-        self.given[engine, order.action, order.version] = now
+        self.sent_at[engine, order.action, order.version] = now
 
     def has(self, order: PlannedOrder) -> bool:
         """Return whether an order was sent and may still take effect."""
         engine = order.state.info.upstream
-        return (engine, order.action, order.version) in self.given
+        return (engine, order.action, order.version) in self.sent_at
 
     def expire(self, now: float, states: Iterable[UpstreamState]) -> None:
         """Remove orders that show in a report, or should do so by now."""
@@ -88,9 +88,9 @@
             if state.report is not None
             for version in state.report.versions
         }
-        self.given = {
+        self.sent_at = {
             name: given
-            for name, given in self.given.items()
+            for name, given in self.sent_at.items()
             if now - given < ORDER_TIMEOUT and name not in loaded
         }
 
@@ -108,7 +108,7 @@
         self,
         states: Iterable[UpstreamState],
         domain: DomainId,
-        pending: Pending,
+        pending: PendingOrders,
     ) -> None:
         self._pending = pending
         self._engines = [
@@ -119,18 +119,18 @@
             and state.report is not None
         ]
 
-    def missing(self, desired: Desired) -> list[PlannedOrder]:
+    def missing(self, desired: DesiredState) -> list[PlannedOrder]:
         """Return the missing loads, the most urgent first."""
         orders: list[PlannedOrder] = []
         ranked = sorted(
             desired.wanted.items(),
-            key=lambda named: (self.copies(named[0]) > 0, named[0]),
+            key=lambda named: (self.replica_count(named[0]) > 0, named[0]),
         )
         for version, need in ranked:
             orders.extend(self._missing_loads(version, need))
         return orders
 
-    def needless(self, desired: Desired) -> list[PlannedOrder]:
+    def unneeded(self, desired: DesiredState) -> list[PlannedOrder]:
         """Return the unloads of versions that nobody may use and nothing uses.
 
         An allowed version stays, so its last replica stays, too.
@@ -147,7 +147,7 @@
                     orders.append(order)
         return orders
 
-    def copies(self, version: VersionId) -> int:
+    def replica_count(self, version: VersionId) -> int:
         """Return how many engines have a version, or soon will."""
         return sum(
             self._has(state, report, version) for state, report in self._engines
@@ -156,7 +156,7 @@
     def _missing_loads(
         self, version: VersionId, need: int
     ) -> list[PlannedOrder]:
-        missing = need - self.copies(version)
+        missing = need - self.replica_count(version)
         if missing <= 0:
             return []
         without = [
@@ -179,7 +179,7 @@
         if version in report.versions:
             return True
         engine = state.info.upstream
-        return (engine, OrderAction.LOAD, version) in self._pending.given
+        return (engine, OrderAction.LOAD, version) in self._pending.sent_at
 
     def _load_rank(
         self,
@@ -189,7 +189,7 @@
         engine = state.info.upstream
         loading = sum(
             name[0] == engine and name[1] is OrderAction.LOAD
-            for name in self._pending.given
+            for name in self._pending.sent_at
         )
         busy = report.running + report.queued
         return len(report.versions) + loading, busy, engine
@@ -200,13 +200,13 @@
     return state.is_open and is_engine(state)
 
 
-def desired_of(
+def desired_state(
     configuration: Configuration,
     domains: tuple[DomainId, ...],
     domain: DomainId,
     prepared: str,
     sharing: frozenset[VersionId],
-) -> Desired:
+) -> DesiredState:
     """Return the desired state of a domain's engines.
 
     Args:
@@ -219,7 +219,7 @@
     """
     accepted = configuration.accepted
     if accepted is None:
-        return Desired({}, frozenset())
+        return DesiredState({}, frozenset())
     allowed = _allowed(configuration, accepted)
     presets = [accepted.preset_entry, *_presets_named(accepted, prepared)]
     wanted = {
@@ -235,7 +235,7 @@
     }
     for version in sharing & allowed:
         wanted[version] = max(wanted.get(version, 0), 1)
-    return Desired(wanted, allowed)
+    return DesiredState(wanted, allowed)
 
 
 def _presets_named(accepted: Accepted, prepared: str) -> list[PresetEntry]:
--- a/src/nutmegroad/rollouts/orders_part.py
+++ b/src/nutmegroad/rollouts/orders_part.py
@@ -9,7 +9,10 @@
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
 from nutmegroad.membership.duties import Duties, DutyName
-from nutmegroad.rollouts.order_keeper import OrderKeeper, OrderParts
+from nutmegroad.rollouts.order_controller import (
+    OrderController,
+    OrderDependencies,
+)
 from nutmegroad.rollouts.rollout_shares import RolloutShares
 from nutmegroad.routing.directory import Directory
 
@@ -29,7 +32,7 @@
 
     async def open(self, kernel: Kernel) -> None:
         """Start to check the engines."""
-        parts = OrderParts(
+        parts = OrderDependencies(
             kernel.need(Configuration),
             kernel.need(Directory),
             kernel.need(EngineClient),
@@ -39,12 +42,12 @@
             kernel.need(Weights),
         )
         domain = kernel.settings.domain
-        keeper = OrderKeeper(parts, domain, kernel.clock, ORDER_PERIOD)
+        controller = OrderController(parts, domain, kernel.clock, ORDER_PERIOD)
         duties = kernel.need(Duties)
-        kernel.provide(OrderKeeper, keeper)
+        kernel.provide(OrderController, controller)
 
         def is_mine() -> bool:
             """Return whether this host is a candidate for the lease."""
             return duties.is_mine(_DUTY, CANDIDATES)
 
-        kernel.spawn(keeper.run(is_mine), 'orders')
+        kernel.spawn(controller.run(is_mine), 'orders')
--- a/src/nutmegroad/rollouts/part.py
+++ b/src/nutmegroad/rollouts/part.py
@@ -12,7 +12,10 @@
 from nutmegroad.rollouts.evidence import EvidenceStore
 from nutmegroad.rollouts.exposure import ExposureGuard
 from nutmegroad.rollouts.quarantines import Quarantines
-from nutmegroad.rollouts.rollout_keeper import RolloutKeeper, RolloutParts
+from nutmegroad.rollouts.rollout_controller import (
+    RolloutController,
+    RolloutDependencies,
+)
 from nutmegroad.rollouts.rollout_service import RolloutService
 from nutmegroad.rollouts.rollout_shares import RolloutShares
 from nutmegroad.rollouts.rollout_store import RolloutStore
@@ -48,7 +51,7 @@
         store = RolloutStore(kernel.need(Table), kernel.nonce)
         shares = RolloutShares(configuration, kernel.need(Mesh))
         quarantines = kernel.need(Quarantines)
-        parts = RolloutParts(
+        parts = RolloutDependencies(
             configuration,
             store,
             shares,
@@ -57,7 +60,7 @@
             kernel.need(EvidenceStore),
             quarantines,
         )
-        keeper = RolloutKeeper(
+        controller = RolloutController(
             parts,
             kernel.clock,
             kernel.randomness,
@@ -73,4 +76,4 @@
             """Return whether this host is a candidate for the lease."""
             return duties.is_mine(_DUTY, CANDIDATES)
 
-        kernel.spawn(keeper.run(is_mine), 'rollouts')
+        kernel.spawn(controller.run(is_mine), 'rollouts')
--- a/src/nutmegroad/rollouts/quarantines.py
+++ b/src/nutmegroad/rollouts/quarantines.py
@@ -62,7 +62,7 @@
     reason: str = ''
 
     @property
-    def stands(self) -> bool:
+    def is_active(self) -> bool:
         """Whether the quarantine is active."""
         return self.level % 2 == 1
 
@@ -99,7 +99,7 @@
     def records(self) -> tuple[QuarantineRecord, ...]:
         """All records, the active ones first."""
         records = self._records.values()
-        return tuple(sorted(records, key=lambda record: not record.stands))
+        return tuple(sorted(records, key=lambda record: not record.is_active))
 
     def listen(self, listener: Callable[[], None]) -> None:
         """Call a function after each change."""
@@ -109,7 +109,7 @@
         """Return why a version gets no work of a task, or None."""
         if not self._records:
             return None
-        record = self.standing(version, task)
+        record = self.active(version, task)
         if record is None:
             return None
         if record.grade < Grade.STRONG and not self._has_alternative(
@@ -122,7 +122,7 @@
             retry_after=_RETRY_AFTER,
         )
 
-    def standing(
+    def active(
         self,
         version: VersionId,
         task: TaskName,
@@ -131,7 +131,7 @@
 
         A version in a rollout is blocked for all tasks by a quarantine for any.
         """
-        records = self.standing_all(version)
+        records = self.all_active(version)
         for record in records:
             if record.task == task:
                 return record
@@ -141,7 +141,7 @@
             return records[0]
         return None
 
-    def standing_all(self, version: VersionId) -> tuple[QuarantineRecord, ...]:
+    def all_active(self, version: VersionId) -> tuple[QuarantineRecord, ...]:
         """Return the active quarantines of a version, for any task."""
         entry = self._configuration.entry(version)
         if entry is None:
@@ -149,7 +149,7 @@
         return tuple(
             record
             for record in self._records.values()
-            if record.stands
+            if record.is_active
             and record.version == version
             and record.epoch == entry.epoch
         )
@@ -167,12 +167,12 @@
             return
         name = (version, Epoch(entry.epoch), task)
         known = self._records.get(name, QuarantineRecord(*name))
-        if known.stands and known.grade >= grade:
+        if known.is_active and known.grade >= grade:
             return
-        level = known.level if known.stands else known.level + 1
+        level = known.level if known.is_active else known.level + 1
         record = QuarantineRecord(*name, level, int(grade), reason)
         _LOG.warning('%s for %s: %s', version, task, reason)
-        self.learn((record,))
+        self.merge((record,))
 
     def lift(self, version: VersionId, author: str) -> int:
         """Lift all quarantines of a version; return how many were active."""
@@ -185,12 +185,12 @@
                 0,
                 f'lifted by {author}',
             )
-            for record in self.standing_all(version)
+            for record in self.all_active(version)
         )
-        self.learn(lifted)
+        self.merge(lifted)
         return len(lifted)
 
-    def learn(self, records: Iterable[QuarantineRecord]) -> bool:
+    def merge(self, records: Iterable[QuarantineRecord]) -> bool:
         """Merge records; return whether any was new."""
         fresh = False
         for record in records:
@@ -204,7 +204,7 @@
                 listener()
         return fresh
 
-    def lacks(self, records: Iterable[QuarantineRecord]) -> bool:
+    def has_newer_than(self, records: Iterable[QuarantineRecord]) -> bool:
         """Return whether a host that sent these records lacks newer ones."""
         theirs = {
             (record.version, record.epoch, record.task): record
@@ -237,7 +237,7 @@
         epoch = Epoch(entry.epoch)
         if self._configuration.is_withdrawn(version, epoch):
             return False
-        return self.standing(version, task) is None
+        return self.active(version, task) is None
 
 
 def _versions_for(accepted: Accepted, task: TaskName) -> tuple[VersionId, ...]:
--- a/src/nutmegroad/rollouts/rollout_keeper.py
+++ b/src/nutmegroad/rollouts/rollout_controller.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutParts:
+class RolloutDependencies:
     """Dependencies of a rollout controller.
 
     Attributes:
@@ -75,7 +75,7 @@
     quarantines: Quarantines
 
 
-class RolloutKeeper:
+class RolloutController:
     """Reads the rollouts, and advances them while it holds the lease.
 
     Args:
@@ -87,7 +87,7 @@
 
     def __init__(
         self,
-        parts: RolloutParts,
+        parts: RolloutDependencies,
         clock: Clock,
         randomness: random.Random,
         period: float,
@@ -107,7 +107,7 @@
         while True:
             rollouts = await self.read()
             if rollouts and is_mine():
-                await self.move(rollouts)
+                await self.advance(rollouts)
             spread = self._randomness.uniform(-JITTER, JITTER)
             await self._clock.sleep(self._period * (1 + spread))
 
@@ -117,10 +117,10 @@
         if isinstance(rollouts, Refusal):
             return ()
         for rollout in rollouts:
-            self._parts.shares.learn(rollout)
+            self._parts.shares.update(rollout)
         return rollouts
 
-    async def move(self, rollouts: tuple[Rollout, ...]) -> None:
+    async def advance(self, rollouts: tuple[Rollout, ...]) -> None:
         """Advance the running rollouts under the lease."""
         lease = await self._parts.leases.keep(ROLLOUTS_LEASE)
         if isinstance(lease, Refusal):
@@ -160,9 +160,9 @@
         if self._parts.leases.check(lease) is not None:
             return
         fenced = replace(wanted, fencing=lease.number)
-        moved = await self._parts.store.move(rollout.row, fenced)
+        moved = await self._parts.store.write(rollout.row, fenced)
         if not isinstance(moved, Refusal):
-            self._parts.shares.learn(moved)
+            self._parts.shares.update(moved)
 
     def _findings(
         self,
@@ -177,7 +177,7 @@
         reference = Moments()
         if before is not None:
             reference = self._totals(VersionId(before), tasks)[1]
-        standing = self._parts.quarantines.standing_all(state.version)
+        standing = self._parts.quarantines.all_active(state.version)
         return Findings(
             blocked=standing[0].reason if standing else '',
             bound=self._parts.shares.bound(state.version),
@@ -229,10 +229,12 @@
         tasks: tuple[TaskName, ...],
     ) -> float:
         """Return the strength of the strongest evidence against a version."""
-        watches = (self._parts.guard.watch(version, task) for task in tasks)
+        version_tests = (
+            self._parts.guard.tests(version, task) for task in tasks
+        )
         strengths = [
-            max(watch.strengths().values())
-            for watch in watches
-            if watch is not None
+            max(tests.strengths().values())
+            for tests in version_tests
+            if tests is not None
         ]
         return max(strengths, default=0)
--- a/src/nutmegroad/rollouts/rollout_service.py
+++ b/src/nutmegroad/rollouts/rollout_service.py
@@ -133,13 +133,13 @@
         epoch: Epoch,
         author: OperatorId,
     ) -> Refusal | None:
-        if self._quarantines.standing_all(version):
+        if self._quarantines.all_active(version):
             reason = f'The version {version} is in quarantine; lift that first.'
             return Refusal(ResultCode.OPERATOR_REQUEST_INVALID, reason)
         share = min(FIRST_SHARE, self._shares.bound(version))
         step = Step(share, Phase.RUNNING, f'Started by {author}.')
         wanted = RolloutState(version, epoch).after(step)
-        return self._apply(await self._store.begin(wanted))
+        return self._apply(await self._store.start(wanted))
 
     async def _change(
         self,
@@ -157,12 +157,12 @@
         # The fencing number stays: it says which lease holder may advance the
         # row on its own.
         wanted = found.state.after(step)
-        return self._apply(await self._store.move(found.row, wanted))
+        return self._apply(await self._store.write(found.row, wanted))
 
     def _apply(self, moved: Rollout | Refusal) -> Refusal | None:
         if isinstance(moved, Refusal):
             return moved
-        self._shares.learn(moved)
+        self._shares.update(moved)
         return None
 
 
--- a/src/nutmegroad/rollouts/rollout_shares.py
+++ b/src/nutmegroad/rollouts/rollout_shares.py
@@ -97,7 +97,7 @@
         )
         return hashed / _HASH_VALUES < share
 
-    def learn(self, rollout: Rollout) -> bool:
+    def update(self, rollout: Rollout) -> bool:
         """Store a rollout, and broadcast it, if it is newer.
 
         Returns:
@@ -121,4 +121,4 @@
                 'host %s sent a rollout row that cannot be decoded', sender
             )
             return
-        self.learn(rollout)
+        self.update(rollout)
--- a/src/nutmegroad/rollouts/rollout_store.py
+++ b/src/nutmegroad/rollouts/rollout_store.py
@@ -205,14 +205,14 @@
             return row
         return decode_rollout(row) if row.text else None
 
-    async def begin(self, wanted: RolloutState) -> Rollout | Refusal:
+    async def start(self, wanted: RolloutState) -> Rollout | Refusal:
         """Write the first state of a version's rollout over any earlier row."""
         row = await self._table.read(_key(wanted.version))
         if isinstance(row, Refusal):
             return row
-        return await self.move(row, wanted)
+        return await self.write(row, wanted)
 
-    async def move(self, row: Row, wanted: RolloutState) -> Rollout | Refusal:
+    async def write(self, row: Row, wanted: RolloutState) -> Rollout | Refusal:
         """Write a state over the row from which it was made."""
         wanted = replace(wanted, nonce=self._nonces())
         text = msgspec.json.encode(wanted).decode()
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -60,14 +60,14 @@
             store = chance.choice(stores)
             code = chance.choice((ResultCode.OK, ResultCode.UPSTREAM_ERROR))
             store.ended(end_of(code))
-            under_way.append(store.outgoing())
+            under_way.append(store.next_message())
             for message in chance.sample(under_way, min(2, len(under_way))):
                 if chance.getrandbits(1):
-                    chance.choice(stores).learn(message.cells)
+                    chance.choice(stores).merge(message.cells)
         for sender in stores * 2:
-            message = sender.outgoing()
+            message = sender.next_message()
             for store in stores:
-                store.learn(message.cells)
+                store.merge(message.cells)
         totals = {store.total(VERSION, TASK).attempts for store in stores}
         self.assertEqual(totals, {300})
 
@@ -81,23 +81,25 @@
         ):
             store.ended(end_of(code))
         total = store.total(VERSION, TASK)
-        self.assertEqual((total.answers, total.errors, total.cuts), (1, 0, 1))
+        self.assertEqual(
+            (total.answers, total.errors, total.truncated), (1, 0, 1)
+        )
 
     def test_a_message_is_bounded(self) -> None:
         store = EvidenceStore(NAMES[0])
         for number in range(200):
             store.ended(end_of(task=f'task-{number}'))
         most = MESSAGE_CELLS + REPEATED_CELLS
-        self.assertLessEqual(len(store.outgoing().cells), most)
+        self.assertLessEqual(len(store.next_message().cells), most)
 
     def test_ended_incarnations_are_folded_and_not_counted_again(self) -> None:
         gone = EvidenceStore(NAMES[0])
         gone.ended(end_of())
-        message = gone.outgoing()
+        message = gone.next_message()
         store = EvidenceStore(NAMES[1])
-        store.learn(message.cells)
+        store.merge(message.cells)
         store.fold(frozenset((NAMES[1],)))
-        store.learn(message.cells)
+        store.merge(message.cells)
         self.assertEqual(store.size, 0)
         self.assertEqual(store.total(VERSION, TASK).attempts, 1)
 
@@ -109,9 +111,9 @@
         messages = []
         for _ in range(3):
             sender.ended(end_of())
-            messages.append(sender.outgoing())
+            messages.append(sender.next_message())
         for message in (*messages, *messages):
-            store.learn(message.cells)
+            store.merge(message.cells)
         # No attempt is counted twice, and an old message removes none.
         self.assertEqual([tally.attempts for tally in heard], [1, 1, 1])
 
--- a/tests/test_evidence_book.py
+++ b/tests/test_evidence_book.py
@@ -29,7 +29,7 @@
 def is_bad(book: EvidenceBook, order: int) -> bool:
     """Return whether the recorded counts show that a version is bad."""
     judgement = Judgement()
-    judgement.take(book.sums(ENGINES, order))
+    judgement.update(book.sums(ENGINES, order))
     return judgement.verdict() is Verdict.BAD
 
 
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -14,7 +14,7 @@
     VersionId,
 )
 from nutmegroad.quality.ratings import RatingListener, RatingTally
-from nutmegroad.rollouts._exposure_spread import ExposureSpread
+from nutmegroad.rollouts._exposure_gossip import ExposureGossip
 from nutmegroad.rollouts.evidence import EvidenceStore, Tally, moments_of
 from nutmegroad.rollouts.exposure import ExposureGuard
 from nutmegroad.rollouts.quarantines import Grade, QuarantineRecord, Quarantines
@@ -57,7 +57,7 @@
             QuietFeed(),
             self.quarantines,
         )
-        self.spread = ExposureSpread(
+        self.gossip = ExposureGossip(
             peer,
             self.evidence,
             self.quarantines,
@@ -74,7 +74,7 @@
     ) -> None:
         """Add ratings one by one."""
         for score in scores:
-            self.guard.rated(RatingTally(version, task).plus(score))
+            self.guard.add_ratings(RatingTally(version, task).plus(score))
 
     def blocks(self, version: VersionId, task: TaskName = TAG) -> bool:
         """Return whether a version gets no work."""
@@ -144,10 +144,10 @@
         failing, shortened = self.hosts(STEADY)[:2]
         good = Tally(answers=100)
         for _ in range(5):
-            failing.guard.counted((OLD, TAG), good)
-        failing.guard.counted((OLD, TAG), Tally(answers=30, errors=19))
+            failing.guard.add_attempts((OLD, TAG), good)
+        failing.guard.add_attempts((OLD, TAG), Tally(answers=30, errors=19))
         self.assertFalse(failing.blocks(OLD))
-        failing.guard.counted((OLD, TAG), Tally(answers=1, errors=1))
+        failing.guard.add_attempts((OLD, TAG), Tally(answers=1, errors=1))
         self.assertTrue(failing.blocks(OLD))
         self.count_lengths(shortened, 5.3, 300)
         self.assertFalse(shortened.blocks(OLD))
@@ -159,7 +159,7 @@
         for _ in range(count):
             length = self.chance.gauss(mean, 0.7)
             tally = Tally(answers=1, length=moments_of(length))
-            host.guard.counted((OLD, TAG), tally)
+            host.guard.add_attempts((OLD, TAG), tally)
 
 
 class LastVersionTest(ExposureCase):
@@ -175,7 +175,7 @@
     async def test_strong_ratings_stop_even_the_last_version(self) -> None:
         host = self.hosts(document_of(version_of(OLD)))[0]
         host.rate(OLD, self.scores(GOOD, 300))
-        host.guard.counted((OLD, TAG), Tally(errors=100))
+        host.guard.add_attempts((OLD, TAG), Tally(errors=100))
         self.assertFalse(host.blocks(OLD))
         host.rate(OLD, self.scores(GOOD - 0.5, 200))
         self.assertTrue(host.blocks(OLD))
@@ -199,7 +199,7 @@
         hosts = self.hosts(STEADY)
         for host in hosts:
             key = (OLD, TAG)
-            host.guard.counted(key, Tally(answers=500))
+            host.guard.add_attempts(key, Tally(answers=500))
         for _ in range(6):
             for host in hosts:
                 self.fail_once(host)
@@ -227,7 +227,7 @@
         host.quarantines.impose(OLD, TAG, Grade.WEAK, 'bad.')
         old = host.quarantines.records
         host.quarantines.lift(OLD, 'op')
-        host.quarantines.learn(old)
+        host.quarantines.merge(old)
         self.assertFalse(host.blocks(OLD))
 
     async def test_a_lifted_version_is_tested_anew(self) -> None:
@@ -248,7 +248,7 @@
     async def test_the_refusal_says_why(self) -> None:
         host = self.hosts(STEADY)[0]
         record = QuarantineRecord(OLD, Epoch(0), TAG, 1, 2, 'ratings fell.')
-        host.quarantines.learn((record,))
+        host.quarantines.merge((record,))
         refusal = host.quarantines.blocked(OLD, TAG)
         self.assertIsNotNone(refusal)
         code = ResultCode.VERSION_QUARANTINED
@@ -258,7 +258,7 @@
         """Run gossip rounds on all hosts."""
         for _ in range(rounds):
             for host in hosts:
-                host.spread.tick()
+                host.gossip.tick()
             await self.clock.advance(2)
 
     def fail_once(self, host: Host) -> None:
--- a/tests/test_moved_sessions.py
+++ b/tests/test_moved_sessions.py
@@ -20,11 +20,16 @@
 from fakes.opaque_worker import Script, Seen, head, signed
 
 from nutmegroad.canary.gate import RolloutGate
-from nutmegroad.canary.order_book import OrderBook
-from nutmegroad.canary.rollouts import LEAD, RolloutOrder, RolloutRow, Stage
+from nutmegroad.canary.interrupted_attempts import InterruptedAttempts
+from nutmegroad.canary.rollout_registry import RolloutRegistry
+from nutmegroad.canary.rollouts import (
+    CANARY_DELAY,
+    RolloutOrder,
+    RolloutRow,
+    Stage,
+)
 from nutmegroad.canary.sessions import LastRun, SessionVersions
 from nutmegroad.canary.state import RolloutState
-from nutmegroad.canary.suspicions import Suspicions
 from nutmegroad.foundations.clocks import BootClock
 from nutmegroad.foundations.types import HostId, ServiceName
 from nutmegroad.routes.requests import SessionName
@@ -119,14 +124,14 @@
             clock.now,
             book,
             lambda: 1,
-            orders=OrderBook(clock.now, book.end),
+            registry=RolloutRegistry(clock.now, book.end),
         )
         gate = RolloutGate(
             directory,
             state,
             SessionVersions(clock, SPAN),
             member.told.marks,
-            Suspicions(clock),
+            InterruptedAttempts(clock),
         )
         # The steady version is the one present before the order.
         gate.permitted(a_request('first'), ENGINES)
@@ -136,13 +141,15 @@
     async def _carry_out(self, member: Member) -> None:
         """Apply the order and the start of its canary stage at a host."""
         clock, randomness = self._fleet.clock, self._fleet.randomness
-        orders = self._gates[member.name]._state.orders
+        orders = self._gates[member.name]._state.registry
         late = randomness.uniform(0, BEHIND)
         await clock.sleep(ORDERED + late)
-        orders.take(RolloutOrder(ENGINES, NEW, DURATION, 7))
+        orders.apply_order(RolloutOrder(ENGINES, NEW, DURATION, 7))
         await clock.sleep(BEGUN + late - clock.now())
-        row = RolloutRow(7, Stage.TRIAL.value, BEGUN, to=NEW, duration=DURATION)
-        orders.progress(ENGINES, row, 11)
+        row = RolloutRow(
+            7, Stage.CANARY.value, BEGUN, to=NEW, duration=DURATION
+        )
+        orders.apply_progress(ENGINES, row, 11)
 
     def _send_request(self, session: str, member: Member) -> None:
         """Send a request of a session to a host."""
@@ -202,7 +209,7 @@
     def seen(self) -> LastRun | None:
         """Return the latest run of the session that the host has recorded."""
         gate = cast(RolloutGate, self.rig.host._context.version_gate)
-        return gate._sessions.last(ServiceName('desk'), SessionName('s'))
+        return gate._sessions.last_run(ServiceName('desk'), SessionName('s'))
 
     async def test_it_begins_when_a_request_is_sent(self) -> None:
         """The next request may arrive before the first one is answered."""
@@ -226,7 +233,7 @@
         await asked
         seen = self.seen()
         assert seen is not None
-        self.assertGreaterEqual(seen.moment, late)
+        self.assertGreaterEqual(seen.timestamp, late)
 
 
 def _describe(moved: list[tuple[Run, Run]]) -> Iterator[str]:
@@ -236,7 +243,7 @@
             f'{before.version} at {before.host}, '
             f'{run.moment - before.moment:.3f} s later {run.version} at '
             f'{run.host}, '
-            f'{run.moment - BEGUN - LEAD:.3f} s into the trial'
+            f'{run.moment - BEGUN - CANARY_DELAY:.3f} s into the trial'
         )
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -28,13 +28,16 @@
     UpstreamKind,
     VersionId,
 )
-from nutmegroad.rollouts.order_keeper import OrderKeeper, OrderParts
+from nutmegroad.rollouts.order_controller import (
+    OrderController,
+    OrderDependencies,
+)
 from nutmegroad.rollouts.orders import (
-    Desired,
+    DesiredState,
     Inventory,
-    Pending,
+    PendingOrders,
     PlannedOrder,
-    desired_of,
+    desired_state,
 )
 from nutmegroad.rollouts.rollout_shares import RolloutShares
 from nutmegroad.routing.directory import Directory
@@ -117,7 +120,7 @@
             TERM,
         )
         self._engines = case.engines
-        parts = OrderParts(
+        parts = OrderDependencies(
             self.configuration,
             self.directory,
             case.engines,  # type: ignore[arg-type]
@@ -126,17 +129,17 @@
             case.table,
             case.engines,
         )
-        self.keeper = OrderKeeper(parts, DOMAIN, clock, 2)
+        self.controller = OrderController(parts, DOMAIN, clock, 2)
 
     async def act(self) -> None:
         """Read the engines' reports, and send the orders that are due."""
         revision = self.configuration.revision
-        self.configuration.confirm(revision, self.keeper._clock.now())
+        self.configuration.confirm(revision, self.controller._clock.now())
         engines = self._engines.reports
         self.directory.update(tuple(map(info_of, engines)))
         for engine, report in engines.items():
             self.directory.reported(engine, report)
-        await self.keeper.act()
+        await self.controller.reconcile()
 
 
 def info_of(engine: UpstreamId) -> UpstreamInfo:
@@ -232,16 +235,16 @@
         presets = (*self.document.presets, night)
         more = changed(self.document, presets=presets)
         put(self.one.configuration, more, revision=2)
-        refusal = await self.one.keeper.prepare('nigth', OperatorId('op'))
+        refusal = await self.one.controller.prepare('nigth', OperatorId('op'))
         self.assertIsNotNone(refusal)
-        await self.one.keeper.prepare('night', OperatorId('op'))
+        await self.one.controller.prepare('night', OperatorId('op'))
         await self.turns(self.one, seconds=12)
         self.assertEqual(self.copies(NEW), 3)
 
     async def test_domains_share_a_count_out(self) -> None:
         domains = tuple(map(DomainId, 'abc'))
         counts = [
-            desired_of(
+            desired_state(
                 self.one.configuration, domains, domain, '', frozenset()
             ).wanted[NEW]
             for domain in domains
@@ -307,7 +310,7 @@
         await self.clock.jump(TERM)
         lease = self.one.leases._held['orders/d']
         order = next(iter(self.missing()))
-        await self.one.keeper._send(order, lease)
+        await self.one.controller._send(order, lease)
         self.assertEqual(len(self.engines.obeyed), before)
 
     async def test_engines_that_ignore_numbers_want_more_time(self) -> None:
@@ -321,7 +324,7 @@
                 await self.clock.jump(lease.expires - self.clock.now() - 1)
                 self.engines.down = False
                 order = next(iter(self.missing()))
-                await self.one.keeper._send(order, lease)
+                await self.one.controller._send(order, lease)
                 self.assertEqual(len(self.engines.obeyed), obeyed)
                 await self.one.leases.release('orders/d')
 
@@ -359,12 +362,12 @@
         before = len(self.engines.obeyed)
         withdrawal = Withdrawal(version=NEW, epoch=0)
         self.one.configuration.withdraw((withdrawal,))
-        await self.one.keeper._send(order, lease)
+        await self.one.controller._send(order, lease)
         self.assertEqual(len(self.engines.obeyed), before)
 
     def missing(self) -> list[PlannedOrder]:
         """Return the loads that the first host would order."""
         states = self.one.directory.states()
-        inventory = Inventory(states, DOMAIN, Pending())
-        desired = Desired({NEW: 3}, frozenset((OLD, NEW)))
+        inventory = Inventory(states, DOMAIN, PendingOrders())
+        desired = DesiredState({NEW: 3}, frozenset((OLD, NEW)))
         return inventory.missing(desired)
--- a/tests/test_relay_rollouts.py
+++ b/tests/test_relay_rollouts.py
@@ -3,12 +3,12 @@
 import itertools
 import unittest
 
-from nutmegroad.canary.gate import Observed, RolloutGate, kind_number
-from nutmegroad.canary.order_book import OrderBook
+from nutmegroad.canary.gate import AttemptOutcome, RolloutGate, kind_number
+from nutmegroad.canary.interrupted_attempts import InterruptedAttempts
+from nutmegroad.canary.rollout_registry import RolloutRegistry
 from nutmegroad.canary.rollouts import Rollout, RolloutOrder, RolloutRow, Stage
 from nutmegroad.canary.sessions import SessionVersions
 from nutmegroad.canary.state import RolloutState
-from nutmegroad.canary.suspicions import Suspicions
 from nutmegroad.fleet.session_marks import SessionMarks
 from nutmegroad.foundations.types import (
     HostId,
@@ -49,7 +49,7 @@
             self.clock.now,
             book,
             lambda: 1,
-            orders=OrderBook(self.clock.now, book.end),
+            registry=RolloutRegistry(self.clock.now, book.end),
         )
         self.sessions = SessionVersions(self.clock, 5)
         self.marks = SessionMarks(self.clock, 6)
@@ -58,7 +58,7 @@
             self.state,
             self.sessions,
             self.marks,
-            Suspicions(self.clock),
+            InterruptedAttempts(self.clock),
         )
         self.versions('warm-up')
         self.directory.put(an_entry('new', 'v2'))
@@ -72,12 +72,12 @@
     def order(self) -> None:
         """Order a rollout."""
         order = RolloutOrder(ENGINES, SoftwareVersion('v2'), 20, 7)
-        self.state.orders.take(order)
+        self.state.registry.apply_order(order)
 
     def enter(self, stage: Stage, opened: float = 0) -> None:
         """Enter a stage."""
         row = RolloutRow(7, stage.value, 98, opened)
-        self.state.orders.progress(ENGINES, row, next(self.numbers))
+        self.state.registry.apply_progress(ENGINES, row, next(self.numbers))
 
     def share(self) -> float:
         """Return the measured traffic share of the new version."""
@@ -92,9 +92,9 @@
         """No share before the canary stage, then a tenth, then all or none."""
         self.order()
         self.assertEqual(self.share(), 0)
-        self.enter(Stage.TRIAL)
+        self.enter(Stage.CANARY)
         self.assertAlmostEqual(self.share(), 0.1, delta=0.04)
-        self.enter(Stage.OPEN, opened=90)
+        self.enter(Stage.FULL, opened=90)
         self.assertEqual(self.share(), 1)
         self.enter(Stage.ROLLED_BACK)
         self.assertEqual(self.share(), 0)
@@ -102,11 +102,11 @@
     def test_living_session_is_not_moved_in_the_first_half(self) -> None:
         """A session that was active before the order stays on its version."""
         self.order()
-        self.enter(Stage.TRIAL)
+        self.enter(Stage.CANARY)
         name = next(
             f's{n}' for n in range(99) if self.versions('r', f's{n}') == ['v2']
         )
-        self.sessions.ran(ENGINES, SessionName(name), SoftwareVersion('v1'))
+        self.sessions.record(ENGINES, SessionName(name), SoftwareVersion('v1'))
         self.assertEqual(self.versions('r', name), ['v1'])
 
     def test_session_that_another_host_has_seen_is_not_moved(self) -> None:
@@ -122,14 +122,14 @@
             self.state,
             SessionVersions(self.clock, 5),
             other,
-            Suspicions(self.clock),
+            InterruptedAttempts(self.clock),
         )
         names = [f's{n}' for n in range(200)]
         for name in names:
             request = a_request('r', session=name)
             gate.sent(request, ENGINES, SoftwareVersion('v1'))
         self.marks.told(other.tell_near(), near=True)
-        self.enter(Stage.TRIAL)
+        self.enter(Stage.CANARY)
         moved = [n for n in names if self.versions('r', n) == ['v2']]
         self.assertEqual(moved, [])
         self.assertTrue(
@@ -151,7 +151,7 @@
             self.clock.now,
             book,
             lambda: 1,
-            orders=OrderBook(self.clock.now, book.end),
+            registry=RolloutRegistry(self.clock.now, book.end),
         )
         marks = SessionMarks(self.clock, 6)
         gate = RolloutGate(
@@ -159,16 +159,18 @@
             state,
             SessionVersions(self.clock, 5),
             marks,
-            Suspicions(self.clock),
+            InterruptedAttempts(self.clock),
         )
         for name in names:
             request = a_request('r', session=name)
             gate.sent(request, ENGINES, SoftwareVersion('v1'))
         self.clock._now += 1
-        state.orders.take(RolloutOrder(ENGINES, SoftwareVersion('v2'), 20, 7))
+        state.registry.apply_order(
+            RolloutOrder(ENGINES, SoftwareVersion('v2'), 20, 7)
+        )
         self.marks.told(marks.tell_near(), near=True)
         self.order()
-        self.enter(Stage.TRIAL)
+        self.enter(Stage.CANARY)
         moved = [n for n in names if self.versions('r', n) == ['v2']]
         self.assertEqual(moved, [])
         # A fingerprint that was sent does not extend the life of its session.
@@ -179,8 +181,8 @@
     def test_trial_begins_when_all_hosts_know_of_it(self) -> None:
         """One host receives the start of the canary stage late."""
         self.order()
-        row = RolloutRow(7, Stage.TRIAL.value, 100)
-        self.state.orders.progress(ENGINES, row, 11)
+        row = RolloutRow(7, Stage.CANARY.value, 100)
+        self.state.registry.apply_progress(ENGINES, row, 11)
         self.assertEqual(self.share(), 0)
         self.clock._now += 2
         self.assertGreater(self.share(), 0)
@@ -188,14 +190,14 @@
     def test_session_on_the_new_version_stays_there(self) -> None:
         """A session must not return to the old version after it has moved."""
         self.order()
-        self.enter(Stage.TRIAL)
-        self.sessions.ran(ENGINES, SessionName('x'), SoftwareVersion('v2'))
+        self.enter(Stage.CANARY)
+        self.sessions.record(ENGINES, SessionName('x'), SoftwareVersion('v2'))
         self.assertEqual(self.versions('r', 'x'), ['v2'])
 
     def test_host_halts_before_any_verdict(self) -> None:
         """A bad version fails while the store is unavailable."""
         self.order()
-        self.enter(Stage.TRIAL)
+        self.enter(Stage.CANARY)
         for _ in range(6):
             self.state.observe(ENGINES, SoftwareVersion('v2'), KIND, poor=True)
         self.assertEqual(self.share(), 0)
@@ -203,7 +205,7 @@
     def test_what_broke_counts_once_its_upstream_answers(self) -> None:
         """A network cut interrupts attempts on both versions at one time."""
         self.order()
-        self.enter(Stage.TRIAL)
+        self.enter(Stage.CANARY)
         new = next(
             each
             for each in self.directory.of_service(ENGINES)
@@ -211,9 +213,9 @@
         )
         request = a_request('r')
         for _ in range(6):
-            self.gate.observe(request, new, Observed.BROKEN)
+            self.gate.observe(request, new, AttemptOutcome.INTERRUPTED)
         self.assertGreater(self.share(), 0)
-        self.gate.observe(request, new, Observed.SOUND)
+        self.gate.observe(request, new, AttemptOutcome.ACCEPTABLE)
         self.assertEqual(self.share(), 0)
 
     def test_kinds_have_the_same_number_on_every_host(self) -> None:
@@ -225,24 +227,24 @@
     def test_halts_on_what_others_have_seen(self) -> None:
         """Each host sees two failures; only their sum is significant."""
         self.order()
-        self.enter(Stage.TRIAL)
+        self.enter(Stage.CANARY)
         for host in ('a', 'b', 'c'):
             seen = counts(7, new=2, new_poor=2, old=9)
-            self.state.told(ENGINES, HostId(host), seen)
+            self.state.merge_evidence(ENGINES, HostId(host), seen)
         self.assertEqual(self.share(), 0)
 
     def test_progress_never_goes_back(self) -> None:
         """An older row that is read late changes nothing."""
         self.order()
-        self.enter(Stage.OPEN, opened=90)
-        late = RolloutRow(7, Stage.TRIAL.value, 100)
-        self.state.orders.progress(ENGINES, late, 1)
+        self.enter(Stage.FULL, opened=90)
+        late = RolloutRow(7, Stage.CANARY.value, 100)
+        self.state.registry.apply_progress(ENGINES, late, 1)
         self.assertEqual(self.share(), 1)
 
     def test_ramp_grows_to_the_whole(self) -> None:
         """The share grows from the canary share to 1 within its time."""
         order = RolloutOrder(ENGINES, SoftwareVersion('v2'), 100, 7)
-        row = RolloutRow(7, Stage.OPEN.value, 0, 50)
+        row = RolloutRow(7, Stage.FULL.value, 0, 50)
         rollout = Rollout(order, row, 1)
         shares = [rollout.share(50 + at, 0.1) for at in (0, 7, 14, 20)]
         self.assertEqual(
--- a/tests/test_rollout_returns.py
+++ b/tests/test_rollout_returns.py
@@ -15,8 +15,12 @@
 
 from fakes.row_store import StoreCopy
 
-from nutmegroad.canary.order_book import DOUBTED, START_PATIENCE, OrderBook
-from nutmegroad.canary.orders import Sighting, is_behind, sight
+from nutmegroad.canary.order_matching import OrderMatch, is_behind, match_order
+from nutmegroad.canary.rollout_registry import (
+    DOUBT_PERIOD,
+    START_DEFERRAL,
+    RolloutRegistry,
+)
 from nutmegroad.canary.rollouts import RolloutOrder, RolloutRow, Stage
 from nutmegroad.fleet.eras import position
 from nutmegroad.fleet.stored import FLEET_TABLE
@@ -44,7 +48,7 @@
         await self.rig.start()
         self.before = self.rig.store.copy()
         self.order()
-        await self.rig.until(lambda: self.stage == Stage.TRIAL.value)
+        await self.rig.until(lambda: self.stage == Stage.CANARY.value)
         self.under_way = self.rig.store.copy()
         await self.rig.until(lambda: self.state == 'rolled_back')
         await asyncio.sleep(0.2)
@@ -128,7 +132,7 @@
         for host in self.rig.hosts:
             await host.close()
         await self.rig.add_host()
-        await asyncio.sleep(START_PATIENCE + SETTLED)
+        await asyncio.sleep(START_DEFERRAL + SETTLED)
         self.assertEqual(self.stages_since(moment), [])
 
     async def test_a_later_order_is_begun(self) -> None:
@@ -136,7 +140,7 @@
         moment = self.come_back(self.rig.store.copy())
         await asyncio.sleep(SETTLED)
         self.order()
-        trial = Stage.TRIAL.value
+        trial = Stage.CANARY.value
         await self.rig.until(lambda: trial in self.stages_since(moment))
 
 
@@ -148,15 +152,15 @@
         self.first = position(1, 50)
         self.again = position(2, 40)
         self.witness = self.a_book(self.first)
-        self.witness.progress(
-            DESK, self.row(self.first, Stage.OPEN), self.first
+        self.witness.apply_progress(
+            DESK, self.row(self.first, Stage.FULL), self.first
         )
-        self.witness.take(self.order(self.again))
+        self.witness.apply_order(self.order(self.again))
 
-    def a_book(self, number: int) -> OrderBook:
+    def a_book(self, number: int) -> RolloutRegistry:
         """Return the registry of a host that first saw an order there."""
-        book = OrderBook(float, lambda _: None)
-        book.take(self.order(number))
+        book = RolloutRegistry(float, lambda _: None)
+        book.apply_order(self.order(number))
         return book
 
     def order(self, number: int) -> RolloutOrder:
@@ -167,7 +171,7 @@
         """Return a row with the progress of an order."""
         return RolloutRow(number, stage.value, 0, to='v2', duration=20)
 
-    def number(self, book: OrderBook) -> int:
+    def number(self, book: RolloutRegistry) -> int:
         """Return the number by which a host knows the order."""
         rollout = book.rollout(DESK)
         assert rollout is not None
@@ -175,16 +179,16 @@
 
     def test_who_starts_later_takes_the_number_of_the_others(self) -> None:
         """It adopts the number even if it has started the order meanwhile."""
-        begun = self.row(self.again, Stage.TRIAL)
-        known = self.row(self.first, Stage.OPEN)
+        begun = self.row(self.again, Stage.CANARY)
+        known = self.row(self.first, Stage.FULL)
         newcomer = self.a_book(self.again)
-        newcomer.progress(DESK, begun, position(2, 41))
-        self.witness.progress(DESK, begun, position(2, 41))
-        self.assertEqual(self.witness.lacking[0].row, known)
+        newcomer.apply_progress(DESK, begun, position(2, 41))
+        self.witness.apply_progress(DESK, begun, position(2, 41))
+        self.assertEqual(self.witness.to_restore[0].row, known)
         for book in (newcomer, self.witness):
-            book.progress(DESK, known, position(2, 42))
+            book.apply_progress(DESK, known, position(2, 42))
             self.assertEqual(self.number(book), self.first)
-            self.assertEqual(book.lacking, ())
+            self.assertEqual(book.to_restore, ())
 
     def test_who_has_seen_no_stage_follows_who_has(self) -> None:
         """One host received the order before the restore, others did not.
@@ -193,9 +197,9 @@
         others had ended it. They adopted its number and lost the end.
         """
         alone = self.a_book(self.first)
-        alone.take(self.order(self.again))
+        alone.apply_order(self.order(self.again))
         ended = self.row(self.again, Stage.ROLLED_BACK)
-        alone.progress(DESK, ended, position(2, 41))
+        alone.apply_progress(DESK, ended, position(2, 41))
         self.assertEqual(self.number(alone), self.again)
         self.assertEqual(alone.active, ())
 
@@ -203,40 +207,40 @@
         """The end is written under the number that the other hosts use."""
         ended = self.row(self.again, Stage.ROLLED_BACK)
         other = self.a_book(self.again)
-        other.progress(DESK, ended, position(2, 41))
-        begun = self.row(self.first, Stage.TRIAL)
-        other.progress(DESK, begun, position(2, 42))
+        other.apply_progress(DESK, ended, position(2, 41))
+        begun = self.row(self.first, Stage.CANARY)
+        other.apply_progress(DESK, begun, position(2, 42))
         self.assertEqual(self.number(other), self.first)
-        self.assertIs(other.lacking[0].stage, Stage.ROLLED_BACK)
+        self.assertIs(other.to_restore[0].stage, Stage.ROLLED_BACK)
 
     def test_a_later_order_is_not_taken_for_the_one_before(self) -> None:
         """A host that knows both orders keeps them apart; others follow it."""
         later = position(2, 60)
-        self.witness.take(self.order(later))
+        self.witness.apply_order(self.order(later))
         newcomer = self.a_book(later)
-        newcomer.progress(
+        newcomer.apply_progress(
             DESK,
             self.row(self.first, Stage.ROLLED_BACK),
             position(2, 41),
         )
         self.assertEqual(self.number(newcomer), self.first)
-        begun = self.row(later, Stage.TRIAL)
+        begun = self.row(later, Stage.CANARY)
         for book in (newcomer, self.witness):
-            book.progress(DESK, begun, position(2, 61))
+            book.apply_progress(DESK, begun, position(2, 61))
             self.assertEqual(self.number(book), later)
-            self.assertEqual(book.lacking, ())
+            self.assertEqual(book.to_restore, ())
 
     def test_a_doubtful_order_is_taken_in_the_end(self) -> None:
         """It is accepted if nobody writes the known order again."""
         now = 0.0
-        book = OrderBook(lambda: now, lambda _: None)
-        book.take(self.order(self.first))
+        book = RolloutRegistry(lambda: now, lambda _: None)
+        book.apply_order(self.order(self.first))
         other = RolloutOrder(DESK, SoftwareVersion('v1'), 20, self.again)
-        book.take(other)
-        book.settle()
+        book.apply_order(other)
+        book.accept_doubtful()
         self.assertEqual(self.number(book), self.first)
-        now = DOUBTED
-        book.settle()
+        now = DOUBT_PERIOD
+        book.accept_doubtful()
         self.assertEqual(self.number(book), self.again)
 
 
@@ -245,31 +249,31 @@
 
     known = RolloutOrder(DESK, SoftwareVersion('v2'), 20, position(1, 50))
 
-    def seen(self, era: int, version: int, to: str = 'v2') -> Sighting:
+    def seen(self, era: int, version: int, to: str = 'v2') -> OrderMatch:
         """Compare a row with the known order."""
         number = position(era, version)
         order = RolloutOrder(DESK, SoftwareVersion(to), 20, number)
-        return sight(self.known, self.known.number, order)
+        return match_order(self.known, self.known.number, order)
 
     def test_within_an_era_positions_tell(self) -> None:
         """Within an era only the positions count."""
-        self.assertIs(self.seen(1, 50), Sighting.KNOWN)
-        self.assertIs(self.seen(1, 40, 'v1'), Sighting.KNOWN)
-        self.assertIs(self.seen(1, 51), Sighting.NEW)
+        self.assertIs(self.seen(1, 50), OrderMatch.KNOWN)
+        self.assertIs(self.seen(1, 40, 'v1'), OrderMatch.KNOWN)
+        self.assertIs(self.seen(1, 51), OrderMatch.NEW)
 
     def test_the_same_order_in_a_later_era(self) -> None:
         """The row is in the backup, or was written again at any position."""
         for version in (50, 40, 60):
-            self.assertIs(self.seen(2, version), Sighting.AGAIN)
+            self.assertIs(self.seen(2, version), OrderMatch.SAME_ORDER)
 
     def test_another_order_in_a_later_era(self) -> None:
         """An order that may be an earlier one in the backup has to wait."""
-        self.assertIs(self.seen(2, 40, 'v1'), Sighting.DOUBTFUL)
-        self.assertIs(self.seen(2, 51, 'v3'), Sighting.NEW)
+        self.assertIs(self.seen(2, 40, 'v1'), OrderMatch.DOUBTFUL)
+        self.assertIs(self.seen(2, 51, 'v3'), OrderMatch.NEW)
 
     def test_a_first_end_holds(self) -> None:
         """Two hosts may reach different verdicts before and after a restore."""
-        trial, opened = self.row(Stage.TRIAL, 1), self.row(Stage.OPEN, 2)
+        trial, opened = self.row(Stage.CANARY, 1), self.row(Stage.FULL, 2)
         first = self.row(Stage.SUCCEEDED, 3)
         second = self.row(Stage.ROLLED_BACK, 4)
         for later, earlier in (
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -23,7 +23,10 @@
 from nutmegroad.rollouts.evidence import EvidenceStore, Moments, Tally
 from nutmegroad.rollouts.exposure import ExposureGuard
 from nutmegroad.rollouts.quarantines import Quarantines
-from nutmegroad.rollouts.rollout_keeper import RolloutKeeper, RolloutParts
+from nutmegroad.rollouts.rollout_controller import (
+    RolloutController,
+    RolloutDependencies,
+)
 from nutmegroad.rollouts.rollout_service import Action, RolloutService
 from nutmegroad.rollouts.rollout_shares import RolloutShares
 from nutmegroad.rollouts.rollout_store import (
@@ -95,8 +98,8 @@
         self.shares = RolloutShares(configuration, peer)
         leases = LeaseKeeper(peer.incarnation, table, mesh.clock, nonce, TERM)
         self.held = leases.held
-        self.rate = guard.rated
-        parts = RolloutParts(
+        self.rate = guard.add_ratings
+        parts = RolloutDependencies(
             configuration,
             store,
             self.shares,
@@ -105,14 +108,16 @@
             evidence,
             self.quarantines,
         )
-        self.keeper = RolloutKeeper(parts, mesh.clock, random.Random(name), 2)
+        self.controller = RolloutController(
+            parts, mesh.clock, random.Random(name), 2
+        )
         self.service = RolloutService(
             configuration, store, self.shares, self.quarantines
         )
 
     async def turn(self) -> None:
         """Read the rollouts, and advance them if the lease is available."""
-        await self.keeper.move(await self.keeper.read())
+        await self.controller.advance(await self.controller.read())
 
     def see(self, version: VersionId, score: float, count: int = 60) -> None:
         """Add rated answers of a version."""
@@ -198,28 +203,28 @@
         await self.act(self.one, Action.START)
         await self.turns(self.one, self.two, seconds=8)
         lease = self.one.held('rollouts')
-        rollouts = await self.one.keeper.read()
+        rollouts = await self.one.controller.read()
         await self.turns(self.two, seconds=2 * TERM)
         claimed = self.state(self.two)
         # It resumes with what it read before, and believes that it holds the
         # lease.
         if lease is None:
             self.fail('The first host held no lease.')
-        await self.one.keeper._write(
+        await self.one.controller._write(
             rollouts[0],
             rollouts[0].state.after(Step(1, Phase.RUNNING, 'late')),
             dataclasses.replace(lease, expires=float('inf')),
         )
-        await self.two.keeper.read()
+        await self.two.controller.read()
         self.assertEqual(self.state(self.two), claimed)
 
     async def test_the_claim_alone_stops_a_late_write(self) -> None:
         await self.act(self.one, Action.START)
-        old = (await self.one.keeper.read())[0]
+        old = (await self.one.controller.read())[0]
         await self.turns(self.two, seconds=4)
         late = old.state.after(Step(1, Phase.RUNNING, 'late'))
         store = RolloutStore(self.table, lambda: 'late')
-        moved = await store.move(old.row, late)
+        moved = await store.write(old.row, late)
         self.assertEqual(
             getattr(moved, 'code', None), ResultCode.TABLE_CONFLICT
         )
@@ -265,11 +270,11 @@
         small = self.allowed(self.one, requests)
         self.assertEqual(small, self.allowed(self.two, requests))
         self.assertAlmostEqual(len(small) / len(requests), 0.01, delta=0.006)
-        found = await self.one.keeper.read()
+        found = await self.one.controller.read()
         state = found[0].state.after(Step(0.3, Phase.RUNNING, 'test'))
         store = RolloutStore(self.table, lambda: 'n')
-        await store.move(found[0].row, state)
-        await self.one.keeper.read()
+        await store.write(found[0].row, state)
+        await self.one.controller.read()
         self.assertLess(small, self.allowed(self.one, requests))
 
     async def test_nothing_before_it_is_started(self) -> None:
--- a/tests/test_upstream_restarts.py
+++ b/tests/test_upstream_restarts.py
@@ -12,7 +12,7 @@
 
 from fakes.opaque_worker import EVENTS, plain, stream
 
-from nutmegroad.canary.gate import Observed
+from nutmegroad.canary.gate import AttemptOutcome
 from nutmegroad.fleet.loads import NO_LOAD, Load, LoadLedger
 from nutmegroad.fleet.stored import RowsRead, StoredRow
 from nutmegroad.foundations.types import HostId, ServiceName, UpstreamId
@@ -159,7 +159,7 @@
             status, _, body = await asked
         self.assertEqual((status, body), (200, b''.join(EVENTS)))
         seen = {call.args[2] for call in observed.call_args_list}
-        self.assertLessEqual(seen, {Observed.SOUND})
+        self.assertLessEqual(seen, {AttemptOutcome.ACCEPTABLE})
 
     async def test_call_that_runs_once_is_left_to_its_connection(self) -> None:
         """The list is late, and the new incarnation already has the call."""
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -4,21 +4,25 @@
 import random
 import unittest
 
+from nutmegroad.canary.interrupted_attempts import (
+    ANSWER_WINDOW,
+    MAX_ATTEMPTS,
+    InterruptedAttempts,
+)
 from nutmegroad.canary.rollouts import (
-    GIVE_UP_AT,
-    LAST_OPEN,
-    LEAD,
-    MEASURED,
-    OPEN_AT,
+    CANARY_DELAY,
+    FULL_FROM,
+    FULL_UNTIL,
+    RATE_KNOWN_AFTER,
+    ROLL_BACK_FROM,
     Rollout,
     RolloutOrder,
     RolloutRow,
     Stage,
-    beyond_share,
+    extra_share,
 )
-from nutmegroad.canary.state import trial_share
+from nutmegroad.canary.state import canary_share
 from nutmegroad.canary.steps import next_stage
-from nutmegroad.canary.suspicions import MOST, SPAN, Suspicions
 from nutmegroad.canary.verdicts import Judgement, Verdict
 from nutmegroad.fleet.evidence import Answers, KindNumber
 from nutmegroad.foundations.likelihoods import Assurance, Wealth, log_ratio
@@ -38,7 +42,7 @@
     """Return the judgement of successive sums of one kind."""
     judgement = Judgement()
     for seen in states:
-        judgement.take({kind: seen})
+        judgement.update({kind: seen})
     return judgement
 
 
@@ -53,7 +57,7 @@
         while judgement.verdict() is not Verdict.BAD:
             answers += 1
             poor += answers % 3 == 0
-            judgement.take({KIND: Answers(answers, poor, 200, 2)})
+            judgement.update({KIND: Answers(answers, poor, 200, 2)})
         self.assertLessEqual(answers, 30)
 
     def test_faults_that_befall_all_versions_speak_against_none(self) -> None:
@@ -63,7 +67,7 @@
             Answers(50, 10, 500, 100),
         )
         self.assertIsNot(judgement.verdict(), Verdict.BAD)
-        judgement.take({KIND: Answers(150, 30, 900, 180)})
+        judgement.update({KIND: Answers(150, 30, 900, 180)})
         self.assertIs(judgement.verdict(), Verdict.GOOD)
 
     def test_poor_answers_of_a_disturbed_day_don_t_make_a_version_good(
@@ -81,7 +85,7 @@
     def test_few_answers_show_nothing(self) -> None:
         """Twenty good answers may be the luck of a bad version."""
         judgement = judged(Answers(20, 0, 200, 2))
-        self.assertIs(judgement.verdict(), Verdict.NOT_SHOWN)
+        self.assertIs(judgement.verdict(), Verdict.INCONCLUSIVE)
 
     def test_good_answers_show_a_good_version(self) -> None:
         """Sixty answers, one of them poor."""
@@ -92,7 +96,7 @@
         """Half the answers of a kind with a fifth of the requests fail."""
         judgement = Judgement()
         for step in range(1, 30):
-            judgement.take(
+            judgement.update(
                 {
                     KIND: Answers(8 * step, 0, 80 * step, step),
                     OTHER: Answers(2 * step, step, 20 * step, 0),
@@ -106,16 +110,16 @@
         """Three hundred good answers, then every second one fails."""
         judgement = judged(Answers(300, 3, 2000, 20))
         self.assertIs(judgement.verdict(), Verdict.GOOD)
-        judgement.take({KIND: Answers(306, 6, 2010, 20)})
+        judgement.update({KIND: Answers(306, 6, 2010, 20)})
         self.assertIsNot(judgement.verdict(), Verdict.GOOD)
-        judgement.take({KIND: Answers(316, 11, 2020, 20)})
+        judgement.update({KIND: Answers(316, 11, 2020, 20)})
         self.assertIs(judgement.verdict(), Verdict.BAD)
 
     def test_hosts_that_judge_by_parts_ask_for_more(self) -> None:
         """Five failure domains receive only their own answers in time."""
         judgement = judged(Answers(old=100, old_poor=1), Answers(26, 0, 300, 3))
         self.assertIs(judgement.verdict(groups=1), Verdict.GOOD)
-        self.assertIs(judgement.verdict(groups=9), Verdict.NOT_SHOWN)
+        self.assertIs(judgement.verdict(groups=9), Verdict.INCONCLUSIVE)
 
     def test_any_counts_can_be_weighed(self) -> None:
         """Every answer of the old version is poor, or none is."""
@@ -141,18 +145,18 @@
 
     def test_stages(self) -> None:
         """A version without a verdict in time is rolled back in time."""
-        trial, opened = Stage.TRIAL, Stage.OPEN
+        trial, opened = Stage.CANARY, Stage.FULL
         cases = (
             (trial, Verdict.BAD, 0.1, Stage.ROLLED_BACK),
-            (trial, Verdict.GOOD, OPEN_AT - 0.01, None),
-            (trial, Verdict.GOOD, OPEN_AT, opened),
-            (trial, Verdict.NOT_SHOWN, OPEN_AT, None),
-            (trial, Verdict.NOT_SHOWN, LAST_OPEN, Stage.ROLLED_BACK),
-            (trial, Verdict.GOOD, LAST_OPEN, Stage.ROLLED_BACK),
+            (trial, Verdict.GOOD, FULL_FROM - 0.01, None),
+            (trial, Verdict.GOOD, FULL_FROM, opened),
+            (trial, Verdict.INCONCLUSIVE, FULL_FROM, None),
+            (trial, Verdict.INCONCLUSIVE, FULL_UNTIL, Stage.ROLLED_BACK),
+            (trial, Verdict.GOOD, FULL_UNTIL, Stage.ROLLED_BACK),
             (opened, Verdict.GOOD, 0.87, None),
             (opened, Verdict.GOOD, 0.88, Stage.SUCCEEDED),
-            (opened, Verdict.NOT_SHOWN, 0.9, None),
-            (opened, Verdict.NOT_SHOWN, GIVE_UP_AT, Stage.ROLLED_BACK),
+            (opened, Verdict.INCONCLUSIVE, 0.9, None),
+            (opened, Verdict.INCONCLUSIVE, ROLL_BACK_FROM, Stage.ROLLED_BACK),
             (opened, Verdict.BAD, 0.7, Stage.ROLLED_BACK),
         )
         for stage, verdict, elapsed, expected in cases:
@@ -162,7 +166,7 @@
     def test_late_opening_reaches_all_before_the_end(self) -> None:
         """A version is shown to be good at the last moment."""
         order = RolloutOrder(ENGINES, SoftwareVersion('v2'), 100, 7)
-        row = RolloutRow(7, Stage.OPEN.value, 0, 100 * LAST_OPEN)
+        row = RolloutRow(7, Stage.FULL.value, 0, 100 * FULL_UNTIL)
         self.assertEqual(Rollout(order, row, 1).share(87.9, 0.1), 1)
 
 
@@ -174,13 +178,13 @@
         cases = ((30, 9, 10, 0.15), (30, 25, 15, 0.04), (30, 270, 10, 0))
         for slack, rate, seconds, share in cases:
             with self.subTest(rate=rate):
-                found = beyond_share(slack, rate, seconds)
+                found = extra_share(slack, rate, seconds)
                 self.assertAlmostEqual(found, share)
 
     def test_share_of_a_row_is_added(self) -> None:
         """All hosts read the extra share from the row, so they agree on it."""
         order = RolloutOrder(ENGINES, SoftwareVersion('v2'), 100, 7)
-        row = RolloutRow(7, Stage.TRIAL.value, 0, beyond=0.1)
+        row = RolloutRow(7, Stage.CANARY.value, 0, beyond=0.1)
         self.assertAlmostEqual(Rollout(order, row, 1).share(20, 0.15), 0.25)
 
 
@@ -197,13 +201,15 @@
         for seconds in (10, 16, 24, 60, 600):
             for rate in (1, 9, 27, 94, 270, 3500):
                 order = RolloutOrder(ENGINES, SoftwareVersion('v2'), seconds, 7)
-                left = seconds * LAST_OPEN - MEASURED
-                beyond = beyond_share(slack, rate, left)
-                row = RolloutRow(7, Stage.TRIAL.value, 0, beyond=beyond)
-                share = Rollout(order, row).share(9, trial_share(exposure))
+                left = seconds * FULL_UNTIL - RATE_KNOWN_AFTER
+                beyond = extra_share(slack, rate, left)
+                row = RolloutRow(7, Stage.CANARY.value, 0, beyond=beyond)
+                share = Rollout(order, row).share(9, canary_share(exposure))
                 # Before the share is raised, a canary stage gets less than
                 # this.
-                got = share * rate * (seconds * LAST_OPEN + late - LEAD)
+                got = (
+                    share * rate * (seconds * FULL_UNTIL + late - CANARY_DELAY)
+                )
                 allowed = 0.86 * exposure * rate * seconds
                 with self.subTest(seconds=seconds, rate=rate):
                     self.assertLessEqual(got, allowed + 0.6 * slack)
@@ -217,35 +223,35 @@
     def setUp(self) -> None:
         """Create a host without interrupted attempts."""
         self.clock = ManualClock()
-        self.interruptions = Suspicions(self.clock)
+        self.interruptions = InterruptedAttempts(self.clock)
 
     def test_upstream_that_answers_again_was_there(self) -> None:
         """A version hangs on a part of its requests."""
-        self.interruptions.broke(self.upstream, KIND)
-        self.interruptions.broke(self.upstream, OTHER)
+        self.interruptions.record(self.upstream, KIND)
+        self.interruptions.record(self.upstream, OTHER)
         self.assertEqual(
-            self.interruptions.answered(self.upstream),
+            self.interruptions.pop_interrupted(self.upstream),
             (KIND, OTHER),
         )
-        self.assertEqual(self.interruptions.answered(self.upstream), ())
+        self.assertEqual(self.interruptions.pop_interrupted(self.upstream), ())
 
     def test_upstream_that_was_cut_off_says_nothing(self) -> None:
         """A failure domain is cut off for five seconds."""
-        self.interruptions.broke(self.upstream, KIND)
-        self.clock._now += SPAN + 0.1
-        self.assertEqual(self.interruptions.answered(self.upstream), ())
+        self.interruptions.record(self.upstream, KIND)
+        self.clock._now += ANSWER_WINDOW + 0.1
+        self.assertEqual(self.interruptions.pop_interrupted(self.upstream), ())
 
     def test_memory_is_bounded(self) -> None:
         """Thousands of attempts are interrupted at terminated upstreams."""
         for number in range(2000):
             upstream = UpstreamIncarnation(f'u{number}')
-            self.interruptions.broke(upstream, KIND)
-            self.interruptions.broke(self.upstream, KIND)
+            self.interruptions.record(upstream, KIND)
+            self.interruptions.record(self.upstream, KIND)
             self.clock._now += 0.1
         self.assertLess(len(self.interruptions._interrupted), 40)
         self.assertLessEqual(
-            len(self.interruptions.answered(self.upstream)),
-            MOST,
+            len(self.interruptions.pop_interrupted(self.upstream)),
+            MAX_ATTEMPTS,
         )
 
 
