--- a/experiments/relay_load.py
+++ b/experiments/relay_load.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from experiments.relay_model import LARGE, SERVICE, SMALL
-from nutmegroad.fleet.content_marks import ContentMark
+from nutmegroad.fleet.content_fingerprints import ContentFingerprint
 from nutmegroad.foundations.types import RequestId
 from nutmegroad.routes.deployment import (
     ConfigurationVersion,
@@ -141,7 +141,7 @@
         arrived=now,
         deadline=now + PATIENCE,
         caller_deadline=now + PATIENCE,
-        content=ContentMark(number),
+        content=ContentFingerprint(number),
         generation=Generation(
             ANY_MODEL,
             tokens,
--- a/experiments/relay_model.py
+++ b/experiments/relay_model.py
@@ -12,9 +12,9 @@
 from typing import Any, Final
 
 from experiments.virtual_time import VirtualClock
-from nutmegroad.fleet.announcements import HostRow
-from nutmegroad.fleet.evidence import RunNumber
-from nutmegroad.fleet.neighbours import Neighbours, nothing_told
+from nutmegroad.fleet.evidence import HostIncarnation
+from nutmegroad.fleet.host_registration import HostRow
+from nutmegroad.fleet.peer_gossip import PeerGossip, new_shared_state
 from nutmegroad.foundations.types import (
     Address,
     DomainId,
@@ -161,7 +161,7 @@
         deliver: Returns who hears an address.
     """
 
-    def __init__(self, deliver: Callable[[int], Neighbours]) -> None:
+    def __init__(self, deliver: Callable[[int], PeerGossip]) -> None:
         self._deliver = deliver
         self.sent = 0
 
@@ -193,8 +193,8 @@
     ) -> None:
         self.row = HostRow('127.0.0.1', number, domain)
         self.name = HostId(f'host-{number}')
-        self.told = nothing_told(self.name, RunNumber(0), clock, 5)
-        self.neighbours = Neighbours(
+        self.told = new_shared_state(self.name, HostIncarnation(0), clock, 5)
+        self.neighbours = PeerGossip(
             self.name,
             self.row,
             self.told,
@@ -206,7 +206,7 @@
             domain,
             self.told.ledger,
             self.told.prefixes,
-            self.told.silence,
+            self.told.domains,
         )
 
 
@@ -270,12 +270,12 @@
             if self._telling:
                 host.neighbours.connection_made(wire)
             for other in self.hosts:
-                host.neighbours.found(other.name, other.row)
+                host.neighbours.add_host(other.name, other.row)
         work = [engine.run() for engine in self.engines]
         work.extend(host.neighbours.run() for host in self.hosts)
         return [asyncio.ensure_future(each) for each in work]
 
-    def _listening(self, port: int) -> Neighbours:
+    def _listening(self, port: int) -> PeerGossip:
         """Return who listens at a port."""
         return self.hosts[port].neighbours
 
--- a/experiments/simulate.py
+++ b/experiments/simulate.py
@@ -145,7 +145,7 @@
             return
         name = choice.upstream.entry.incarnation
         parts = fingerprint_parts(model, generation.parts)
-        host.selector.prefixes.sent(name, parts, FACTS.cache_tokens)
+        host.selector.prefixes.record_sent(name, parts, FACTS.cache_tokens)
         load = choice.load
         read = host.told.ledger.begin(name, load)
         source = choice.prefill.source_id
--- a/experiments/trials/verdict_trials.py
+++ b/experiments/trials/verdict_trials.py
@@ -38,7 +38,12 @@
 )
 from nutmegroad.canary.steps import next_stage
 from nutmegroad.canary.verdicts import Judgement
-from nutmegroad.fleet.evidence import Answers, KindNumber, add_kinds, summed
+from nutmegroad.fleet.evidence import (
+    Answers,
+    KindNumber,
+    add_kinds,
+    sum_answers,
+)
 
 #: Seconds between looks at what has come in; hosts look four times a second.
 LOOK: Final = 0.25
@@ -102,7 +107,7 @@
         elapsed: float,
     ) -> Stage | None:
         """Return the stage that follows now, or None."""
-        whole = summed(sums.values())
+        whole = sum_answers(sums.values())
         grown = 2 * whole.old_poor / max(1, whole.old) + 0.03
         expected = min(0.5, max(0.08, grown))
         if whole.new_poor >= 3 and _tail(whole, expected) < self.unlikely:
@@ -159,7 +164,7 @@
         return self._ended(stage, now)
 
     def _ended(self, stage: Stage, now: float) -> Ended:
-        whole = summed(self._seen.values())
+        whole = sum_answers(self._seen.values())
         case = self._case
         allowed = EXPOSED * case.rate * case.seconds + BESIDES
         return Ended(stage, now, whole.new_poor, whole.new - allowed)
--- a/src/nutmegroad/canary/gate.py
+++ b/src/nutmegroad/canary/gate.py
@@ -21,7 +21,10 @@
 from nutmegroad.canary.sessions import SessionVersions
 from nutmegroad.canary.state import RolloutState
 from nutmegroad.fleet.evidence import KindNumber
-from nutmegroad.fleet.session_marks import SessionMarks, mark
+from nutmegroad.fleet.old_version_sessions import (
+    OldVersionSessions,
+    fingerprint_session,
+)
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.types import ServiceName
@@ -73,7 +76,7 @@
         directory: Directory,
         state: RolloutState,
         sessions: SessionVersions,
-        fingerprints: SessionMarks,
+        fingerprints: OldVersionSessions,
         interruptions: InterruptedAttempts,
     ) -> None:
         self._directory = directory
@@ -208,8 +211,8 @@
         if current == to:
             return True
         if self._must_stay(rollout):
-            on_old_version = self._fingerprints.alive(
-                mark(rollout.order.service, session)
+            on_old_version = self._fingerprints.is_live(
+                fingerprint_session(rollout.order.service, session)
             )
             if on_old_version or current is not None:
                 return False
@@ -225,7 +228,7 @@
         self._sessions.record(service, session, version)
         rollout = self._covering_rollout(service, session)
         if rollout is not None and version != rollout.order.to:
-            self._fingerprints.saw(mark(service, session))
+            self._fingerprints.record(fingerprint_session(service, session))
 
     def _covering_rollout(
         self,
@@ -251,7 +254,7 @@
         session = request.session
         if session is None:
             return
-        age = self._fingerprints.age(mark(service, session))
+        age = self._fingerprints.age(fingerprint_session(service, session))
         _LOG.decision(
             'session sent',
             request=request.request_id,
@@ -266,8 +269,8 @@
         """Fingerprint the sessions that were active before an order arrived."""
         for session, seen in self._sessions.active(order.service):
             if seen.version != order.to and self._can_cover(session):
-                self._fingerprints.saw(
-                    mark(order.service, session), seen.timestamp
+                self._fingerprints.record(
+                    fingerprint_session(order.service, session), seen.timestamp
                 )
 
     def _can_cover(self, session: SessionName) -> bool:
@@ -293,7 +296,7 @@
     state: RolloutState,
     clock: Clock,
     session_timeout: float,
-    fingerprints: SessionMarks,
+    fingerprints: OldVersionSessions,
 ) -> RolloutGate:
     """Create a gate that remembers sessions.
 
--- a/src/nutmegroad/canary/state.py
+++ b/src/nutmegroad/canary/state.py
@@ -12,7 +12,7 @@
 from nutmegroad.canary.rollouts import CANARY_SHARE_FACTOR, Rollout, Stage
 from nutmegroad.canary.verdicts import Judgement, Verdict
 from nutmegroad.fleet.evidence import Evidence, KindNumber
-from nutmegroad.fleet.evidence_book import EvidenceBook
+from nutmegroad.fleet.evidence_tracker import EvidenceTracker
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.types import HostId, ServiceName
 from nutmegroad.upstreams.directory import SoftwareVersion
@@ -57,7 +57,7 @@
         host: HostId,
         canary_share: float,
         store_time: Callable[[], float],
-        evidence: EvidenceBook,
+        evidence: EvidenceTracker,
         host_count: Callable[[], int],
         exposure_slack: float = 0,
         *,
@@ -80,7 +80,7 @@
         evidence: Evidence,
     ) -> None:
         """Merge the counts of a host; it may be this one before a restart."""
-        self._evidence.told(service, host, evidence)
+        self._evidence.merge(service, host, evidence)
 
     def observe(
         self,
@@ -164,7 +164,7 @@
         any host may make a step.
         """
         order = rollout.order
-        reporting = self._evidence.tellers(order.service, order.number)
+        reporting = self._evidence.count_hosts(order.service, order.number)
         return max(1, round(self._host_count() / max(1, reporting)))
 
 
--- a/src/nutmegroad/canary/steps.py
+++ b/src/nutmegroad/canary/steps.py
@@ -20,15 +20,15 @@
 )
 from nutmegroad.canary.state import RolloutState
 from nutmegroad.canary.verdicts import Verdict
+from nutmegroad.fleet.duty_delays import duty_delay
 from nutmegroad.fleet.evidence import Evidence
-from nutmegroad.fleet.stored import (
+from nutmegroad.fleet.store_interface import (
     FLEET_TABLE,
     Committed,
-    RowExpected,
+    RowCondition,
     RowPut,
     Store,
 )
-from nutmegroad.fleet.turns import delay_of_turn
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal
@@ -234,7 +234,7 @@
 
     async def _wait_for_rank(self, name: str) -> None:
         """Wait behind the hosts that rank before this one for a task."""
-        delay = delay_of_turn(self._rank(name), RANK_DELAY)
+        delay = duty_delay(self._rank(name), RANK_DELAY)
         await self._clock.sleep(delay)
 
     async def _write_evidence(self, rollout: Rollout) -> None:
@@ -287,15 +287,15 @@
     return RowPut(FLEET_TABLE, _step_key(service), content)
 
 
-def _expect_unchanged(rollout: Rollout) -> RowExpected:
+def _expect_unchanged(rollout: Rollout) -> RowCondition:
     """Return the condition that a rollout's row was not written since."""
     key = _step_key(rollout.order.service)
-    return RowExpected(FLEET_TABLE, key, rollout.version)
+    return RowCondition(FLEET_TABLE, key, rollout.version)
 
 
 def _has_grown(written: Evidence | None, own: Evidence) -> bool:
     """Return whether poor answers have doubled since the last write."""
     known = 0
     if written is not None and written.order == own.order:
-        known = written.whole.new_poor
-    return own.whole.new_poor >= max(MIN_POOR_WRITTEN, 2 * known)
+        known = written.total.new_poor
+    return own.total.new_poor >= max(MIN_POOR_WRITTEN, 2 * known)
--- a/src/nutmegroad/canary/verdicts.py
+++ b/src/nutmegroad/canary/verdicts.py
@@ -21,7 +21,7 @@
     NO_ANSWERS,
     Answers,
     KindNumber,
-    summed,
+    sum_answers,
 )
 from nutmegroad.foundations.likelihoods import Assurance, Wealth, log_ratio
 
@@ -153,7 +153,7 @@
     @property
     def totals(self) -> Answers:
         """All answers that were counted."""
-        return summed(kind.seen for kind in self._kinds.values())
+        return sum_answers(kind.seen for kind in self._kinds.values())
 
     def update(self, sums: Mapping[KindNumber, Answers]) -> None:
         """Update the tests with the present sums of all hosts."""
--- a/src/nutmegroad/fleet/prefix_marks.py
+++ b/src/nutmegroad/fleet/cached_prefixes.py
@@ -16,34 +16,34 @@
 #: 32-bit fingerprint of a prompt part, as one model tokenizes it. Two of 10,000
 #: parts share a fingerprint with a probability of one in 86; that costs a wrong
 #: estimate.
-PrefixMark = NewType('PrefixMark', int)
+PrefixFingerprint = NewType('PrefixFingerprint', int)
 
 #: Maximum number of parts per datagram, the newest ones. At about eight bytes
 #: each, they fit into an Ethernet frame together with the loads.
-MOST_TOLD: Final = 100
+MAX_REPORTED: Final = 100
 
 #: Maximum number of parts tracked per upstream; applies where the size of its
 #: cache is unknown.
-MOST_HELD: Final = 400
+MAX_PARTS: Final = 400
 
 #: Maximum number of tracked upstreams, above that of the largest planned
 #: deployment (890). Peers may go on reporting an upstream that has terminated.
-MOST_UPSTREAMS: Final = 1000
+MAX_UPSTREAMS: Final = 1000
 
 #: Parts by upstream as hosts report them: fingerprint and tokens alternate.
-ToldPrefixes = dict[UpstreamIncarnation, list[int]]
+PrefixReport = dict[UpstreamIncarnation, list[int]]
 
 
 @dataclass(frozen=True, slots=True)
-class MarkedPart:
+class FingerprintedPart:
     """A prompt part as one model tokenizes it.
 
     Attributes:
-        mark: Its fingerprint.
+        fingerprint: Its fingerprint.
         tokens: Its size in tokens.
     """
 
-    mark: PrefixMark
+    fingerprint: PrefixFingerprint
     tokens: int
 
 
@@ -56,13 +56,15 @@
         tokens: Sum of the tokens.
     """
 
-    parts: OrderedDict[PrefixMark, int] = field(default_factory=OrderedDict)
+    parts: OrderedDict[PrefixFingerprint, int] = field(
+        default_factory=OrderedDict
+    )
     tokens: int = 0
 
-    def use(self, part: MarkedPart) -> None:
+    def use(self, part: FingerprintedPart) -> None:
         """Record that a part is used just now."""
-        before = self.parts.pop(part.mark, 0)
-        self.parts[part.mark] = part.tokens
+        before = self.parts.pop(part.fingerprint, 0)
+        self.parts[part.fingerprint] = part.tokens
         self.tokens += part.tokens - before
 
     def evict_oldest(self) -> None:
@@ -82,11 +84,11 @@
     """
 
     upstream: UpstreamIncarnation
-    part: MarkedPart
+    part: FingerprintedPart
     sent_at: float
 
 
-class HeldPrefixes:
+class CachedPrefixes:
     """Tracks the parts that this host and its peers have sent to upstreams.
 
     Args:
@@ -101,15 +103,17 @@
         )
         self._sent: list[_SentPart] = []
 
-    def holds(self, upstream: UpstreamIncarnation, mark: PrefixMark) -> bool:
+    def is_cached(
+        self, upstream: UpstreamIncarnation, mark: PrefixFingerprint
+    ) -> bool:
         """Return whether an upstream has probably cached a part."""
         known = self._upstreams.get(upstream)
         return known is not None and mark in known.parts
 
-    def sent(
+    def record_sent(
         self,
         upstream: UpstreamIncarnation,
-        parts: tuple[MarkedPart, ...],
+        parts: tuple[FingerprintedPart, ...],
         memory: int,
     ) -> None:
         """Record the parts that this host sends to an upstream.
@@ -127,13 +131,15 @@
         while cached and memory and cached.tokens > memory:
             cached.evict_oldest()
 
-    def told(self, prefixes: ToldPrefixes) -> None:
+    def merge(self, prefixes: PrefixReport) -> None:
         """Merge the parts that another host has sent."""
         for upstream, numbers in prefixes.items():
             for mark, tokens in zip(numbers[::2], numbers[1::2], strict=False):
-                self._use(upstream, MarkedPart(PrefixMark(mark), tokens))
+                self._use(
+                    upstream, FingerprintedPart(PrefixFingerprint(mark), tokens)
+                )
 
-    def recent(self, span: float) -> ToldPrefixes:
+    def recent(self, span: float) -> PrefixReport:
         """Return the parts that this host has sent recently.
 
         Args:
@@ -141,24 +147,28 @@
         """
         oldest = self._clock.now() - span
         self._sent = [
-            each for each in self._sent[-MOST_TOLD:] if each.sent_at >= oldest
+            each
+            for each in self._sent[-MAX_REPORTED:]
+            if each.sent_at >= oldest
         ]
-        found: ToldPrefixes = {}
+        found: PrefixReport = {}
         for each in self._sent:
             reported = found.setdefault(each.upstream, [])
-            reported.extend((each.part.mark, each.part.tokens))
+            reported.extend((each.part.fingerprint, each.part.tokens))
         return found
 
     def forget(self, upstream: UpstreamIncarnation) -> None:
         """Remove an upstream that has terminated."""
         self._upstreams.pop(upstream, None)
 
-    def _use(self, upstream: UpstreamIncarnation, part: MarkedPart) -> None:
+    def _use(
+        self, upstream: UpstreamIncarnation, part: FingerprintedPart
+    ) -> None:
         """Record that an upstream uses a part just now."""
         cached = self._upstreams.setdefault(upstream, _CachedParts())
         self._upstreams.move_to_end(upstream)
-        if len(self._upstreams) > MOST_UPSTREAMS:
+        if len(self._upstreams) > MAX_UPSTREAMS:
             self._upstreams.popitem(last=False)
         cached.use(part)
-        if len(cached.parts) > MOST_HELD:
+        if len(cached.parts) > MAX_PARTS:
             cached.evict_oldest()
--- a/src/nutmegroad/fleet/content_marks.py
+++ b/src/nutmegroad/fleet/content_fingerprints.py
@@ -9,14 +9,16 @@
 #: 63-bit fingerprint of a request's caller, path and body; the request id is
 #: not part of it. A caller can't produce the fingerprint of another caller's
 #: request, so nobody can get somebody else's requests refused.
-ContentMark = NewType('ContentMark', int)
+ContentFingerprint = NewType('ContentFingerprint', int)
 
 _BYTES: Final = 8
 #: Drops the top bit, so that the fingerprint fits a signed 64-bit integer.
 _POSITIVE: Final = 0x7FFFFFFFFFFFFFFF
 
 
-def mark_content(caller: str, target: bytes, body: bytes) -> ContentMark:
+def fingerprint_content(
+    caller: str, target: bytes, body: bytes
+) -> ContentFingerprint:
     """Return the fingerprint of a request.
 
     Args:
@@ -31,9 +33,11 @@
         digest.update(len(part).to_bytes(_BYTES, 'big'))
         digest.update(part)
     digest.update(body)
-    return ContentMark(int.from_bytes(digest.digest(), 'big') & _POSITIVE)
+    return ContentFingerprint(
+        int.from_bytes(digest.digest(), 'big') & _POSITIVE
+    )
 
 
-def spell_mark(fingerprint: ContentMark) -> str:
+def format_fingerprint(fingerprint: ContentFingerprint) -> str:
     """Return a fingerprint as 16 hexadecimal digits, as logs show it."""
     return f'{fingerprint:016x}'
--- a/src/nutmegroad/fleet/crash_rows.py
+++ b/src/nutmegroad/fleet/crash_rows.py
@@ -12,74 +12,77 @@
 import msgspec
 from msgspec import Struct
 
-from nutmegroad.fleet.content_marks import ContentMark, spell_mark
-from nutmegroad.fleet.crash_book import (
-    HARMFUL,
+from nutmegroad.fleet.content_fingerprints import (
+    ContentFingerprint,
+    format_fingerprint,
+)
+from nutmegroad.fleet.crash_tracker import (
+    HARMFUL_CRASHES,
     NEVER,
-    CrashBook,
-    EndUnder,
-    UpstreamMark,
+    CrashTracker,
+    UpstreamCrash,
+    UpstreamFingerprint,
 )
+from nutmegroad.fleet.duty_delays import duty_delay
 from nutmegroad.fleet.store_clock import StoreClock
-from nutmegroad.fleet.stored import (
+from nutmegroad.fleet.store_interface import (
     FLEET_TABLE,
     Committed,
-    RowExpected,
+    RowCondition,
     RowPut,
     Store,
     StoredRow,
 )
-from nutmegroad.fleet.turns import delay_of_turn
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal
 
 _LOG: Final = part_logger('crashes')
 
-CRASHES_KEY: Final = 'crashes/'
+CRASHES_KEY_PREFIX: Final = 'crashes/'
 _ENDS: Final = 'ends'
 _TRIALS: Final = 'trials'
 
 #: Crashes under a request from which it is written to the store. Most requests
 #: that are hit by a crash are answered elsewhere and never written.
-FEWEST_WRITTEN: Final = 2
+MIN_CRASHES_WRITTEN: Final = 2
 
 #: Maximum number of crashes in the row, so that it stays below half of the
 #: platform's size limit. Once the row is full, only harmful requests are added.
-MOST_ENDS: Final = 400
+MAX_CRASHES: Final = 400
 
 #: Maximum number of answers in the row.
-MOST_ANSWERS: Final = 200
+MAX_ANSWERS: Final = 200
 
 #: Seconds between checks for something to write.
-LOOK: Final = 0.25
+CHECK_INTERVAL: Final = 0.25
 
 #: Seconds by which the second host delays a write that any host may make.
-SPREAD: Final = 0.4
+WRITE_STAGGER: Final = 0.4
 
 #: Seconds after a failed write before the next one. While the store is
 #: unavailable, datagrams have informed all hosts that can be reached.
-AGAIN: Final = 2.0
+RETRY_INTERVAL: Final = 2.0
 
 #: Seconds between writes that only clear requests. Nobody is refused in the
 #: meantime, since hosts report answers to each other.
-CLEARING: Final = 5.0
+CLEAR_INTERVAL: Final = 5.0
 
 #: Seconds between probe executions of any two requests. A request that crashes
 #: upstreams does so at once, so only one probe is running at the time of a
 #: crash.
-BETWEEN_TRIALS: Final = 1.0
+PROBE_INTERVAL: Final = 1.0
 
 #: Seconds after which a request may be probed again if the last probe had no
 #: result.
-TRIAL_TIME: Final = 10.0
+PROBE_TIMEOUT: Final = 10.0
 
 
 class _EndRow(Struct, frozen=True, array_like=True):
     """A crash in the store; times are seconds of the store's clock."""
 
-    content: ContentMark
-    upstream: UpstreamMark
+    content: ContentFingerprint
+    upstream: UpstreamFingerprint
     began: float
     ended: float
 
@@ -87,7 +90,7 @@
 class _AnswerRow(Struct, frozen=True, array_like=True):
     """A complete answer in the store, timed by the store's clock."""
 
-    content: ContentMark
+    content: ContentFingerprint
     moment: float
 
 
@@ -101,7 +104,7 @@
 class _ProbeRow(Struct, frozen=True, array_like=True):
     """A probe execution; its time is the store's."""
 
-    content: ContentMark
+    content: ContentFingerprint
     began: float
 
 
@@ -124,7 +127,7 @@
 
     def __init__(
         self,
-        tracker: CrashBook,
+        tracker: CrashTracker,
         store: Store,
         store_clock: StoreClock,
         clock: Clock,
@@ -142,7 +145,7 @@
         self._failed_at = NEVER
         self._written_at = NEVER
 
-    def take(self, name: str, row: StoredRow, store_time: float) -> None:
+    def apply_row(self, name: str, row: StoredRow, store_time: float) -> None:
         """Apply a row that was read from the store.
 
         Args:
@@ -161,7 +164,7 @@
             self._probes = msgspec.json.decode(row.content, type=_ProbesRow)
             self._probes_version = row.version
 
-    def went_back(self) -> None:
+    def on_store_restored(self) -> None:
         """Forget the rows, since the store was restored from a backup.
 
         The rows that the store still has are read next.
@@ -173,10 +176,10 @@
     async def run(self) -> None:
         """Write what the row lacks, until cancelled."""
         while True:
-            await self._clock.sleep(LOOK)
+            await self._clock.sleep(CHECK_INTERVAL)
             if not self._is_due():
                 continue
-            delay = delay_of_turn(self._rank(CRASHES_KEY), SPREAD)
+            delay = duty_delay(self._rank(CRASHES_KEY_PREFIX), WRITE_STAGGER)
             await self._clock.sleep(delay)
             await self.write()
 
@@ -189,7 +192,7 @@
         if self._is_due():
             await self._write()
 
-    async def claim(self, content: ContentMark) -> bool:
+    async def claim_probe(self, content: ContentFingerprint) -> bool:
         """Return whether this host may execute a harmful request now.
 
         At most one of all hosts may; without the store none may.
@@ -198,17 +201,17 @@
         recent = tuple(
             probe
             for probe in self._probes.trials
-            if now - probe.began < TRIAL_TIME
+            if now - probe.began < PROBE_TIMEOUT
         )
         if any(
-            probe.content == content or now - probe.began < BETWEEN_TRIALS
+            probe.content == content or now - probe.began < PROBE_INTERVAL
             for probe in recent
         ):
             return False
         probes = _ProbesRow((*recent, _ProbeRow(content, now)))
-        key = f'{CRASHES_KEY}{_TRIALS}'
+        key = f'{CRASHES_KEY_PREFIX}{_TRIALS}'
         outcome = await self._store.commit(
-            (RowExpected(FLEET_TABLE, key, self._probes_version),),
+            (RowCondition(FLEET_TABLE, key, self._probes_version),),
             (RowPut(FLEET_TABLE, key, msgspec.json.encode(probes)),),
         )
         if isinstance(outcome, Committed):
@@ -220,56 +223,56 @@
     def _merge_row(self, store_time: float) -> None:
         """Merge the crashes and answers of the row."""
         for row in self._row.ends:
-            end = EndUnder(
+            end = UpstreamCrash(
                 row.upstream,
                 self._to_local_time(row.began, store_time),
                 self._to_local_time(row.ended, store_time),
             )
-            self._tracker.ended(row.content, end)
+            self._tracker.record_crash(row.content, end)
         for answer in self._row.answers:
             answered = self._to_local_time(answer.moment, store_time)
-            self._tracker.answered(answer.content, answered)
+            self._tracker.record_answer(answer.content, answered)
 
     def _to_local_time(self, store_seconds: float, store_time: float) -> float:
         """Convert a time of the store to this host's clock."""
         since_read = self._clock.now() - max(0, store_time - store_seconds)
-        known = self._store_clock.moment(store_seconds)
+        known = self._store_clock.to_host_time(store_seconds)
         return since_read if known == NEVER else min(known, since_read)
 
     def _is_due(self) -> bool:
         """Return whether the row should be written now."""
         if self._store_clock.age == float('inf'):
             return False
-        if self._clock.now() - self._failed_at < AGAIN:
+        if self._clock.now() - self._failed_at < RETRY_INTERVAL:
             return False
         if self._missing():
             return True
         waited = self._clock.now() - self._written_at
-        return waited >= CLEARING and bool(self._cleared())
+        return waited >= CLEAR_INTERVAL and bool(self._cleared())
 
-    def _missing(self) -> dict[ContentMark, tuple[EndUnder, ...]]:
+    def _missing(self) -> dict[ContentFingerprint, tuple[UpstreamCrash, ...]]:
         """Return the requests with a crash that the row lacks."""
         known = {(row.content, row.upstream) for row in self._row.ends}
-        is_full = len(known) >= MOST_ENDS
-        least = HARMFUL if is_full else FEWEST_WRITTEN
+        is_full = len(known) >= MAX_CRASHES
+        least = HARMFUL_CRASHES if is_full else MIN_CRASHES_WRITTEN
         return {
             content: ends
-            for content, ends in self._tracker.ends(least).items()
+            for content, ends in self._tracker.crashes(least).items()
             if any((content, end.upstream) not in known for end in ends)
         }
 
-    def _cleared(self) -> set[ContentMark]:
+    def _cleared(self) -> set[ContentFingerprint]:
         """Return the requests in the row that have been answered since."""
         listed = {row.content for row in self._row.ends}
-        return {each for each in listed if not self._tracker.ends_of(each)}
+        return {each for each in listed if not self._tracker.crashes_of(each)}
 
     async def _write(self) -> None:
         """Write the row, unless another host has written it first."""
         row = self._build_row()
-        key = f'{CRASHES_KEY}{_ENDS}'
+        key = f'{CRASHES_KEY_PREFIX}{_ENDS}'
         self._written_at = self._clock.now()
         outcome = await self._store.commit(
-            (RowExpected(FLEET_TABLE, key, self._version),),
+            (RowCondition(FLEET_TABLE, key, self._version),),
             (RowPut(FLEET_TABLE, key, msgspec.json.encode(row)),),
         )
         if isinstance(outcome, Committed):
@@ -280,8 +283,8 @@
                 ends=len(row.ends),
                 answers=len(row.answers),
                 harmful=[
-                    spell_mark(content)
-                    for content in self._tracker.ends(HARMFUL)
+                    format_fingerprint(content)
+                    for content in self._tracker.crashes(HARMFUL_CRASHES)
                 ],
             )
             return
@@ -293,9 +296,9 @@
 
     def _build_row(self) -> _CrashRow:
         """Return the row with all that this host knows."""
-        ends = self._tracker.ends(FEWEST_WRITTEN)
+        ends = self._tracker.crashes(MIN_CRASHES_WRITTEN)
         for row in self._row.ends:
-            known = self._tracker.ends_of(row.content)
+            known = self._tracker.crashes_of(row.content)
             if known:
                 ends[row.content] = known
         heaviest = sorted(ends.items(), key=_severity, reverse=True)
@@ -304,28 +307,30 @@
             for content, under in heaviest
             for end in under
         ]
-        return _CrashRow(tuple(rows[:MOST_ENDS]), self._answers())
+        return _CrashRow(tuple(rows[:MAX_CRASHES]), self._answers())
 
-    def _end_row(self, content: ContentMark, end: EndUnder) -> _EndRow:
+    def _end_row(
+        self, content: ContentFingerprint, end: UpstreamCrash
+    ) -> _EndRow:
         """Return a crash as it is stored."""
         return _EndRow(
             content,
             end.upstream,
-            self._to_store_time(end.began),
-            self._to_store_time(end.ended),
+            self._to_store_time(end.sent_at),
+            self._to_store_time(end.crashed_at),
         )
 
     def _answers(self) -> tuple[_AnswerRow, ...]:
         """Return the answers that cleared requests of the row."""
         times = {row.content: row.moment for row in self._row.answers}
         for cleared in self._cleared():
-            answered = self._tracker.answer_of(cleared)
+            answered = self._tracker.last_answer(cleared)
             if answered is not None:
                 times[cleared] = self._to_store_time(answered)
         newest = sorted(times.items(), key=_answer_time, reverse=True)
         return tuple(
             _AnswerRow(content, moment)
-            for content, moment in newest[:MOST_ANSWERS]
+            for content, moment in newest[:MAX_ANSWERS]
         )
 
     def _to_store_time(self, time: float) -> float:
@@ -335,13 +340,13 @@
 
 
 def _severity(
-    entry: tuple[ContentMark, tuple[EndUnder, ...]],
+    entry: tuple[ContentFingerprint, tuple[UpstreamCrash, ...]],
 ) -> tuple[int, float]:
     """Return the sort key of a request: crashes, then time of the latest."""
     ends = entry[1]
-    return len(ends), max((end.ended for end in ends), default=0)
+    return len(ends), max((end.crashed_at for end in ends), default=0)
 
 
-def _answer_time(entry: tuple[ContentMark, float]) -> float:
+def _answer_time(entry: tuple[ContentFingerprint, float]) -> float:
     """Return when a request was answered; a sort key."""
     return entry[1]
--- a/src/nutmegroad/fleet/crash_book.py
+++ b/src/nutmegroad/fleet/crash_tracker.py
@@ -15,51 +15,51 @@
 from msgspec import Struct
 from xxhash import xxh32_intdigest
 
-from nutmegroad.fleet.content_marks import ContentMark
+from nutmegroad.fleet.content_fingerprints import ContentFingerprint
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import UpstreamIncarnation
 
 #: 32-bit fingerprint of an incarnation of an upstream.
-UpstreamMark = NewType('UpstreamMark', int)
+UpstreamFingerprint = NewType('UpstreamFingerprint', int)
 
 #: Crashes in series from which a request counts as harmful. Any request may see
 #: fewer than that by chance where many requests run at each upstream.
-HARMFUL: Final = 3
+HARMFUL_CRASHES: Final = 3
 
 #: Seconds after its last crash for which a harmful request is not executed. By
 #: then all hosts have received the report of the crash, and the upstreams that
 #: it crashed are still down.
-FIRST_PAUSE: Final = 1.0
+PROBE_DELAY: Final = 1.0
 
 #: Seconds for which the request is blocked once a probe execution has crashed
 #: an upstream as well: somebody has to repair the upstream by hand. Doubles
 #: with each further crash.
-LONG_PAUSE: Final = 600.0
+BLOCK_PAUSE: Final = 600.0
 
 #: Maximum pause in seconds: one day.
-LONGEST_PAUSE: Final = 86_400.0
+MAX_BLOCK_PAUSE: Final = 86_400.0
 
 #: Seconds for which a request that is not harmful yet is tracked.
-MEMORY: Final = 600.0
+RETENTION: Final = 600.0
 
 #: Seconds by which an execution may seem to have started before the crash that
 #: preceded it: hosts report both by datagrams, whose delay distorts the times.
-SLACK: Final = 0.05
+REPORT_SLACK: Final = 0.05
 
 #: Maximum number of tracked requests: as many as run on all upstreams of the
 #: largest planned deployment when one of its failure domains loses power.
-MOST_REQUESTS: Final = 4000
+MAX_REQUESTS: Final = 4000
 
 #: Requests that remain after an eviction.
-KEPT_REQUESTS: Final = 3500
+REQUESTS_AFTER_EVICTION: Final = 3500
 
 #: Maximum number of crashes per datagram, requests with most crashes first. At
 #: about twenty bytes each, they fit into an Ethernet frame.
-MOST_TOLD: Final = 40
+MAX_REPORTED: Final = 40
 
 #: Seconds for which a crash or an answer is reported: twenty gossip rounds,
 #: within which all hosts receive it from one another.
-TOLD_SPAN: Final = 3.0
+REPORTING_PERIOD: Final = 3.0
 
 _MILLISECONDS: Final = 1000
 
@@ -67,28 +67,28 @@
 NEVER: Final = float('-inf')
 
 
-def mark_upstream(upstream: UpstreamIncarnation) -> UpstreamMark:
+def fingerprint_upstream(upstream: UpstreamIncarnation) -> UpstreamFingerprint:
     """Return the fingerprint of an upstream's incarnation."""
-    return UpstreamMark(xxh32_intdigest(upstream.encode()))
+    return UpstreamFingerprint(xxh32_intdigest(upstream.encode()))
 
 
-class ToldEnd(Struct, frozen=True, array_like=True):
+class ReportedCrash(Struct, frozen=True, array_like=True):
     """A crash as hosts report it to each other.
 
     Attributes:
         content: Fingerprint of the request that was running.
         upstream: Fingerprint of the upstream that crashed.
-        began: Milliseconds since the request was sent to the upstream.
-        ended: Milliseconds since the crash.
+        sent_age: Milliseconds since the request was sent to the upstream.
+        crash_age: Milliseconds since the crash.
     """
 
-    content: ContentMark
-    upstream: UpstreamMark
-    began: int
-    ended: int
+    content: ContentFingerprint
+    upstream: UpstreamFingerprint
+    sent_age: int
+    crash_age: int
 
 
-class ToldAnswer(Struct, frozen=True, array_like=True):
+class ReportedAnswer(Struct, frozen=True, array_like=True):
     """A complete answer to a request under which upstreams had crashed.
 
     Attributes:
@@ -96,39 +96,39 @@
         age: Milliseconds since the answer.
     """
 
-    content: ContentMark
+    content: ContentFingerprint
     age: int
 
 
-class ToldCrashes(Struct, frozen=True, array_like=True):
+class CrashReport(Struct, frozen=True, array_like=True):
     """Crashes and answers of the last seconds that a host knows of.
 
     Attributes:
-        ends: Crashes of upstreams.
+        crashes: Crashes of upstreams.
         answers: Complete answers.
     """
 
-    ends: tuple[ToldEnd, ...] = ()
-    answers: tuple[ToldAnswer, ...] = ()
+    crashes: tuple[ReportedCrash, ...] = ()
+    answers: tuple[ReportedAnswer, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class EndUnder:
+class UpstreamCrash:
     """Crash of an upstream while it was executing a request.
 
     Attributes:
         upstream: Fingerprint of the upstream.
-        began: Clock time in seconds at which the request was sent there.
-        ended: Clock time in seconds of the crash.
+        sent_at: Clock time in seconds at which the request was sent there.
+        crashed_at: Clock time in seconds of the crash.
     """
 
-    upstream: UpstreamMark
-    began: float
-    ended: float
+    upstream: UpstreamFingerprint
+    sent_at: float
+    crashed_at: float
 
     def earlier(self, other: Self) -> Self:
         """Return the earlier-dated of two reports of the same crash."""
-        return other if other.ended < self.ended else self
+        return other if other.crashed_at < self.crashed_at else self
 
 
 @dataclass(slots=True)
@@ -136,19 +136,21 @@
     """What is known of one request.
 
     Attributes:
-        ends: Crashes under it, by upstream.
-        answered: Clock time in seconds of its last complete answer.
+        crashes: Crashes under it, by upstream.
+        answered_at: Clock time in seconds of its last complete answer.
     """
 
-    ends: dict[UpstreamMark, EndUnder] = field(default_factory=dict)
-    answered: float = NEVER
+    crashes: dict[UpstreamFingerprint, UpstreamCrash] = field(
+        default_factory=dict
+    )
+    answered_at: float = NEVER
 
     @property
     def latest_time(self) -> float:
         """Return the time of the last crash, else of the last answer."""
         return max(
-            (end.ended for end in self.ends.values()),
-            default=self.answered,
+            (end.crashed_at for end in self.crashes.values()),
+            default=self.answered_at,
         )
 
     @property
@@ -161,53 +163,55 @@
         """
         count = 0
         last = NEVER
-        for end in sorted(self.ends.values(), key=_crash_time):
-            if end.began >= last - SLACK:
+        for end in sorted(self.crashes.values(), key=_crash_time):
+            if end.sent_at >= last - REPORT_SLACK:
                 count += 1
-                last = end.ended
+                last = end.crashed_at
         return count
 
-    def record_crash(self, end: EndUnder) -> None:
+    def record_crash(self, end: UpstreamCrash) -> None:
         """Record a crash, unless a later answer is known."""
-        if end.ended <= self.answered:
+        if end.crashed_at <= self.answered_at:
             return
-        if len(self.ends) < HARMFUL:
-            self._forget_before(end.ended - MEMORY)
-        known = self.ends.get(end.upstream)
-        self.ends[end.upstream] = end if known is None else known.earlier(end)
+        if len(self.crashes) < HARMFUL_CRASHES:
+            self._forget_before(end.crashed_at - RETENTION)
+        known = self.crashes.get(end.upstream)
+        self.crashes[end.upstream] = (
+            end if known is None else known.earlier(end)
+        )
 
     def record_answer(self, time: float) -> bool:
         """Record a complete answer and return whether it cleared a crash."""
-        if time <= self.answered:
+        if time <= self.answered_at:
             return False
-        self.answered = time
-        before = len(self.ends)
+        self.answered_at = time
+        before = len(self.crashes)
         self._forget_before(time)
-        return len(self.ends) < before
+        return len(self.crashes) < before
 
     def _forget_before(self, time: float) -> None:
         """Forget the crashes up to a time."""
-        self.ends = {
+        self.crashes = {
             upstream: end
-            for upstream, end in self.ends.items()
-            if end.ended > time
+            for upstream, end in self.crashes.items()
+            if end.crashed_at > time
         }
 
 
 @dataclass(frozen=True, slots=True)
-class Harmful:
+class BlockedRequest:
     """A request that is blocked because it crashes upstreams.
 
     Attributes:
-        ends: Number of crashes in series.
+        crash_count: Number of crashes in series.
         pause: Seconds until a probe execution is allowed; 0 if it is now.
     """
 
-    ends: int
+    crash_count: int
     pause: float
 
 
-class CrashBook:
+class CrashTracker:
     """Tracks the requests under which upstreams have crashed.
 
     Args:
@@ -215,50 +219,54 @@
     """
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether a crash or an answer is recent enough to be reported."""
         return self._clock.now() <= self._report_until
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         # Ordered by last update, oldest first.
-        self._records: dict[ContentMark, _Record] = {}
+        self._records: dict[ContentFingerprint, _Record] = {}
         # Clock time until which there is something to report.
         self._report_until = NEVER
 
-    def __contains__(self, content: ContentMark) -> bool:
+    def __contains__(self, content: ContentFingerprint) -> bool:
         """Return whether anything is recorded of a request."""
         return content in self._records
 
-    def harmful(self, content: ContentMark) -> Harmful | None:
+    def harmful(self, content: ContentFingerprint) -> BlockedRequest | None:
         """Return why a request is blocked, or None if it is not."""
         record = self._records.get(content)
-        if record is None or len(record.ends) < HARMFUL:
+        if record is None or len(record.crashes) < HARMFUL_CRASHES:
             return None
         count = record.series_length
-        if count < HARMFUL:
+        if count < HARMFUL_CRASHES:
             return None
         over = record.latest_time + _pause(count) - self._clock.now()
-        return Harmful(count, max(0, over))
+        return BlockedRequest(count, max(0, over))
 
     def count_harmful(self) -> int:
         """Return how many requests count as harmful."""
         return sum(
-            record.series_length >= HARMFUL
+            record.series_length >= HARMFUL_CRASHES
             for record in self._records.values()
-            if len(record.ends) >= HARMFUL
+            if len(record.crashes) >= HARMFUL_CRASHES
         )
 
-    def ended(self, content: ContentMark, end: EndUnder) -> None:
+    def record_crash(
+        self, content: ContentFingerprint, end: UpstreamCrash
+    ) -> None:
         """Record the crash of an upstream under a request."""
         record = self._records.pop(content, None) or _Record()
         self._records[content] = record
         record.record_crash(end)
-        self._report_until = max(self._report_until, end.ended + TOLD_SPAN)
-        if len(self._records) > MOST_REQUESTS:
+        self._report_until = max(
+            self._report_until, end.crashed_at + REPORTING_PERIOD
+        )
+        if len(self._records) > MAX_REQUESTS:
             self._evict()
 
-    def answered(self, content: ContentMark, time: float) -> bool:
+    def record_answer(self, content: ContentFingerprint, time: float) -> bool:
         """Record a complete answer to a request.
 
         Returns:
@@ -267,89 +275,97 @@
         record = self._records.get(content)
         if record is None or not record.record_answer(time):
             return False
-        self._report_until = max(self._report_until, time + TOLD_SPAN)
+        self._report_until = max(self._report_until, time + REPORTING_PERIOD)
         return True
 
-    def ends(self, least: int) -> dict[ContentMark, tuple[EndUnder, ...]]:
+    def crashes(
+        self, least: int
+    ) -> dict[ContentFingerprint, tuple[UpstreamCrash, ...]]:
         """Return the requests with at least so many crashes, and the crashes.
 
         Args:
             least: Minimum number of crashes.
         """
         return {
-            content: tuple(record.ends.values())
+            content: tuple(record.crashes.values())
             for content, record in self._records.items()
-            if len(record.ends) >= least
+            if len(record.crashes) >= least
         }
 
-    def ends_of(self, content: ContentMark) -> tuple[EndUnder, ...]:
+    def crashes_of(
+        self, content: ContentFingerprint
+    ) -> tuple[UpstreamCrash, ...]:
         """Return the recorded crashes under a request."""
         record = self._records.get(content)
-        return () if record is None else tuple(record.ends.values())
+        return () if record is None else tuple(record.crashes.values())
 
-    def answer_of(self, content: ContentMark) -> float | None:
+    def last_answer(self, content: ContentFingerprint) -> float | None:
         """Return when a request was last answered completely, or None.
 
         Returns:
             Clock time in seconds; None if no answer is known.
         """
         record = self._records.get(content)
-        if record is None or record.answered == NEVER:
+        if record is None or record.answered_at == NEVER:
             return None
-        return record.answered
+        return record.answered_at
 
-    def telling(self) -> ToldCrashes:
+    def report(self) -> CrashReport:
         """Return the report of the last seconds for the other hosts."""
-        if not self.has_news:
+        if not self.has_updates:
             # Called in each gossip round; there is almost never anything to
             # report.
-            return ToldCrashes()
+            return CrashReport()
         now = self._clock.now()
-        oldest = now - TOLD_SPAN
-        ends: list[tuple[int, ToldEnd]] = []
+        oldest = now - REPORTING_PERIOD
+        ends: list[tuple[int, ReportedCrash]] = []
         answers = []
         for content, record in self._records.items():
-            count = len(record.ends)
+            count = len(record.crashes)
             ends.extend(
                 (-count, _report_of(content, end, now))
-                for end in record.ends.values()
-                if end.ended >= oldest
+                for end in record.crashes.values()
+                if end.crashed_at >= oldest
             )
-            if record.answered >= oldest:
-                answers.append(ToldAnswer(content, _age(now, record.answered)))
+            if record.answered_at >= oldest:
+                answers.append(
+                    ReportedAnswer(content, _age(now, record.answered_at))
+                )
         ends.sort(key=_report_order)
-        return ToldCrashes(
-            tuple(end for _, end in ends[:MOST_TOLD]),
-            tuple(answers[:MOST_TOLD]),
+        return CrashReport(
+            tuple(end for _, end in ends[:MAX_REPORTED]),
+            tuple(answers[:MAX_REPORTED]),
         )
 
-    def told(self, crashes: ToldCrashes) -> None:
+    def merge(self, crashes: CrashReport) -> None:
         """Merge a report from another host."""
         now = self._clock.now()
-        for reported in crashes.ends:
-            end = EndUnder(
+        for reported in crashes.crashes:
+            end = UpstreamCrash(
                 reported.upstream,
-                now - reported.began / _MILLISECONDS,
-                now - reported.ended / _MILLISECONDS,
+                now - reported.sent_age / _MILLISECONDS,
+                now - reported.crash_age / _MILLISECONDS,
             )
-            self.ended(reported.content, end)
+            self.record_crash(reported.content, end)
         for answer in crashes.answers:
-            self.answered(answer.content, now - answer.age / _MILLISECONDS)
+            self.record_answer(answer.content, now - answer.age / _MILLISECONDS)
 
     def _evict(self) -> None:
         """Evict old requests, then the oldest ones that are not harmful."""
-        oldest = self._clock.now() - MEMORY
+        oldest = self._clock.now() - RETENTION
         for content, record in tuple(self._records.items()):
-            harmful = len(record.ends) >= HARMFUL
+            harmful = len(record.crashes) >= HARMFUL_CRASHES
             if not harmful and record.latest_time < oldest:
                 self._records.pop(content)
         by_weight = sorted(
             self._records.items(),
-            key=lambda entry: len(entry[1].ends) >= HARMFUL,
+            key=lambda entry: len(entry[1].crashes) >= HARMFUL_CRASHES,
         )
         # Evicts many at once, so that the eviction does not run for each
         # request.
-        for content, _ in by_weight[: len(self._records) - KEPT_REQUESTS]:
+        for content, _ in by_weight[
+            : len(self._records) - REQUESTS_AFTER_EVICTION
+        ]:
             self._records.pop(content)
 
 
@@ -359,19 +375,21 @@
     Args:
         ends: Number of crashes in series.
     """
-    if ends <= HARMFUL:
-        return FIRST_PAUSE
-    doubled = LONG_PAUSE * float(2 ** (ends - HARMFUL - 1))
-    return min(LONGEST_PAUSE, doubled)
+    if ends <= HARMFUL_CRASHES:
+        return PROBE_DELAY
+    doubled = BLOCK_PAUSE * float(2 ** (ends - HARMFUL_CRASHES - 1))
+    return min(MAX_BLOCK_PAUSE, doubled)
 
 
-def _report_of(content: ContentMark, end: EndUnder, now: float) -> ToldEnd:
+def _report_of(
+    content: ContentFingerprint, end: UpstreamCrash, now: float
+) -> ReportedCrash:
     """Return a crash as it is reported."""
-    return ToldEnd(
+    return ReportedCrash(
         content,
         end.upstream,
-        _age(now, end.began),
-        _age(now, end.ended),
+        _age(now, end.sent_at),
+        _age(now, end.crashed_at),
     )
 
 
@@ -380,11 +398,11 @@
     return max(0, int((now - time) * _MILLISECONDS))
 
 
-def _crash_time(end: EndUnder) -> float:
+def _crash_time(end: UpstreamCrash) -> float:
     """Return when an upstream crashed; a sort key."""
-    return end.ended
+    return end.crashed_at
 
 
-def _report_order(pair: tuple[int, ToldEnd]) -> int:
+def _report_order(pair: tuple[int, ReportedCrash]) -> int:
     """Return the sort key of a crash that is to be reported."""
     return pair[0]
--- a/src/nutmegroad/fleet/domain_silence.py
+++ b/src/nutmegroad/fleet/domain_monitor.py
@@ -22,35 +22,35 @@
 
 #: Minimum seconds without messages before a domain is suspected: the delay that
 #: one lost gossip round and a slow link cause.
-LEAST: Final = 0.8
+MIN_TIMEOUT: Final = 0.8
 
 #: Multiple of the mean interval between messages after which a domain is
 #: suspected. By chance alone so long a gap occurs once in three thousand
 #: intervals.
-TIMES: Final = 8.0
+TIMEOUT_INTERVALS: Final = 8.0
 
 #: Weight of the newest interval in the moving average: about the last ten
 #: intervals determine it.
-RECENT: Final = 0.1
+SMOOTHING_FACTOR: Final = 0.1
 
 #: Longest interval that enters the average, in seconds: an outage is not an
 #: interval.
-LONGEST: Final = 1.0
+MAX_INTERVAL: Final = 1.0
 
 #: Maximum number of failure domains that are tracked: seven times those of the
 #: reference fleet. Names of domains come from other hosts.
-MOST: Final = 64
+MAX_DOMAINS: Final = 64
 
 #: Ages are reported in milliseconds.
 _MILLISECONDS: Final = 1000
 #: Seconds; older ages are not reported.
-_OLDEST: Final = 5.0
+_MAX_AGE: Final = 5.0
 
 #: Milliseconds since the last message, by domain.
-ToldAges = dict[DomainId, int]
+DomainAges = dict[DomainId, int]
 
 
-class DomainSilence:
+class DomainMonitor:
     """Tracks when the last message from each failure domain was received.
 
     Args:
@@ -63,11 +63,11 @@
         self._intervals: dict[DomainId, float] = {}
         self._suspected: set[DomainId] = set()
 
-    def heard(self, domain: DomainId) -> None:
+    def record_message(self, domain: DomainId) -> None:
         """Record that a message from a domain was received just now."""
         self._record(domain, self._clock.now())
 
-    def told(self, ages: Mapping[DomainId, int]) -> None:
+    def merge_ages(self, ages: Mapping[DomainId, int]) -> None:
         """Merge the ages that another host of this domain reported.
 
         Args:
@@ -77,23 +77,23 @@
         for domain, age in ages.items():
             self._record(domain, now - max(0, age) / _MILLISECONDS)
 
-    def ages(self) -> ToldAges:
+    def ages(self) -> DomainAges:
         """Return the ages that are reported to other hosts."""
         now = self._clock.now()
         return {
             domain: int((now - received_at) * _MILLISECONDS)
             for domain, received_at in self._last_received.items()
-            if now - received_at < _OLDEST
+            if now - received_at < _MAX_AGE
         }
 
-    def suspected(self, domain: DomainId) -> bool:
+    def is_suspected(self, domain: DomainId) -> bool:
         """Return whether a domain is likely cut off from this host."""
         last_received = self._last_received.get(domain)
         if last_received is None:
             return False
-        usual = self._intervals.get(domain, LONGEST)
+        usual = self._intervals.get(domain, MAX_INTERVAL)
         elapsed = self._clock.now() - last_received
-        if elapsed <= max(LEAST, TIMES * usual):
+        if elapsed <= max(MIN_TIMEOUT, TIMEOUT_INTERVALS * usual):
             return False
         if domain not in self._suspected:
             self._suspected.add(domain)
@@ -115,7 +115,7 @@
         """
         known = self._last_received.get(domain)
         if known is None:
-            if len(self._last_received) < MOST:
+            if len(self._last_received) < MAX_DOMAINS:
                 self._last_received[domain] = received_at
             return
         if received_at <= known:
@@ -127,7 +127,7 @@
                 domain=domain,
                 seconds=round(received_at - known, 3),
             )
-        usual = self._intervals.get(domain, LONGEST)
-        interval = min(LONGEST, received_at - known)
-        self._intervals[domain] = usual + RECENT * (interval - usual)
+        usual = self._intervals.get(domain, MAX_INTERVAL)
+        interval = min(MAX_INTERVAL, received_at - known)
+        self._intervals[domain] = usual + SMOOTHING_FACTOR * (interval - usual)
         self._last_received[domain] = received_at
--- a/src/nutmegroad/fleet/turns.py
+++ b/src/nutmegroad/fleet/duty_delays.py
@@ -3,7 +3,7 @@
 import math
 
 
-def delay_of_turn(rank: int, spread: float) -> float:
+def duty_delay(rank: int, spread: float) -> float:
     """Return the seconds a host waits before it performs a duty.
 
     The delay grows with the logarithm of the rank: when many hosts are down,
--- a/src/nutmegroad/fleet/eras.py
+++ b/src/nutmegroad/fleet/eras.py
@@ -13,15 +13,15 @@
 from dataclasses import replace
 from typing import Final
 
-from nutmegroad.fleet.stored import (
+from nutmegroad.fleet.store_interface import (
     Committed,
     HistoryLost,
-    RowExpected,
+    RowCondition,
     RowPut,
-    RowsMoved,
     RowsRead,
     Store,
     StoredRow,
+    VersionConflict,
 )
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal, ResultCode
@@ -33,7 +33,7 @@
 VERSION_BITS: Final = 43
 
 #: Called when the store was restored from a backup.
-TellOfRise = Callable[[], None]
+RestoreCallback = Callable[[], None]
 
 
 def position(era: int, version: int) -> int:
@@ -60,20 +60,20 @@
 
     def __init__(self, store: Store) -> None:
         self._store = store
-        self._callbacks: list[TellOfRise] = []
+        self._callbacks: list[RestoreCallback] = []
         self._last_lower_era: int | None = None
         # Whether any answer has named an era yet.
         self._has_era = False
         #: The highest era seen so far.
         self.era = 0
         #: How often the era has risen since the first answer.
-        self.returns = 0
+        self.restores = 0
 
-    def tell_of_rises(self, callback: TellOfRise) -> None:
+    def subscribe_to_restores(self, callback: RestoreCallback) -> None:
         """Register a callback for restores of the store from a backup."""
         self._callbacks.append(callback)
 
-    def heard(self, stored_position: int) -> None:
+    def observe_position(self, stored_position: int) -> None:
         """Take the era from a position that another host has sent."""
         if self._has_era or era_of(stored_position):
             self._record_era(era_of(stored_position), told=True)
@@ -116,9 +116,9 @@
 
     async def commit(
         self,
-        expected: tuple[RowExpected, ...],
+        expected: tuple[RowCondition, ...],
         puts: tuple[RowPut, ...],
-    ) -> Committed | RowsMoved | Refusal:
+    ) -> Committed | VersionConflict | Refusal:
         """Write all rows if all conditions hold, otherwise none.
 
         A condition from a past era says nothing about the current row, so
@@ -130,7 +130,7 @@
         if any(
             row.version and era_of(row.version) != known for row in expected
         ):
-            return RowsMoved()
+            return VersionConflict()
         outcome = await self._store.commit(
             tuple(
                 replace(row, version=version_of(row.version))
@@ -141,7 +141,7 @@
         if not isinstance(outcome, Committed):
             return outcome
         if not self._is_current(outcome.era, known) or self.era != known:
-            return RowsMoved()
+            return VersionConflict()
         return replace(outcome, version=position(self.era, outcome.version))
 
     def _with_positions(self, read: RowsRead) -> RowsRead:
@@ -200,7 +200,7 @@
         self.era = era
         if first:
             return False
-        self.returns += 1
+        self.restores += 1
         _LOG.decision(
             'store came back from a copy',
             before=before,
--- a/src/nutmegroad/fleet/evidence.py
+++ b/src/nutmegroad/fleet/evidence.py
@@ -16,7 +16,7 @@
 KindNumber = NewType('KindNumber', int)
 
 #: Number that distinguishes the incarnations of one host.
-RunNumber = NewType('RunNumber', int)
+HostIncarnation = NewType('HostIncarnation', int)
 
 
 class Answers(Struct, frozen=True, array_like=True):
@@ -69,20 +69,20 @@
     """
 
     order: int
-    run: RunNumber = RunNumber(0)
+    run: HostIncarnation = HostIncarnation(0)
     kinds: dict[KindNumber, Answers] = {}
 
     @property
-    def whole(self) -> Answers:
+    def total(self) -> Answers:
         """Return the answers of all kinds."""
-        return summed(self.kinds.values())
+        return sum_answers(self.kinds.values())
 
     @property
     def count(self) -> int:
         """Return the number of answers of all kinds."""
         return sum(answers.count for answers in self.kinds.values())
 
-    def adding(
+    def with_answer(
         self,
         kind: KindNumber,
         *,
@@ -104,7 +104,7 @@
         return Evidence(self.order, self.run, {**self.kinds, kind: grown})
 
 
-def summed(parts: Iterable[Answers]) -> Answers:
+def sum_answers(parts: Iterable[Answers]) -> Answers:
     """Return the sum of several counts."""
     total = NO_ANSWERS
     for part in parts:
--- a/src/nutmegroad/fleet/told_counts.py
+++ b/src/nutmegroad/fleet/evidence_gossip.py
@@ -5,8 +5,13 @@
 
 from msgspec import Struct
 
-from nutmegroad.fleet.evidence import Answers, Evidence, KindNumber, RunNumber
-from nutmegroad.fleet.rumors import Portion, Rumors, Source
+from nutmegroad.fleet.evidence import (
+    Answers,
+    Evidence,
+    HostIncarnation,
+    KindNumber,
+)
+from nutmegroad.fleet.gossip_queue import DatagramCapacity, GossipQueue, Source
 from nutmegroad.foundations.types import HostId, ServiceName
 
 #: Counts per datagram within a failure domain, some 60 bytes each.
@@ -19,58 +24,58 @@
 _REMOTE_OTHERS: Final = 8
 
 
-class RunCounts(Struct, frozen=True, array_like=True):
+class IncarnationCounts(Struct, frozen=True, array_like=True):
     """Counts of one incarnation of a host during a rollout, as hosts send them.
 
     Attributes:
         service: The service that is rolled out.
         host: The host.
         order: Number of the rollout order.
-        run: The incarnation of the host that counted.
+        incarnation: The incarnation of the host that counted.
         kinds: Its answers by kind of request.
     """
 
     service: ServiceName
     host: HostId
     order: int
-    run: RunNumber
+    incarnation: HostIncarnation
     kinds: dict[KindNumber, Answers]
 
     @property
     def evidence(self) -> Evidence:
         """Return the counts without service and host."""
-        return Evidence(self.order, self.run, self.kinds)
+        return Evidence(self.order, self.incarnation, self.kinds)
 
 
-class ToldCounts(Struct, frozen=True, array_like=True):
+class CountsReport(Struct, frozen=True, array_like=True):
     """Rollout counts of a datagram.
 
     Attributes:
-        home: Counts of hosts in the sender's failure domain.
-        others: Counts of other hosts.
+        local: Counts of hosts in the sender's failure domain.
+        remote: Counts of other hosts.
     """
 
-    home: tuple[RunCounts, ...] = ()
-    others: tuple[RunCounts, ...] = ()
+    local: tuple[IncarnationCounts, ...] = ()
+    remote: tuple[IncarnationCounts, ...] = ()
 
 
-class RunName(NamedTuple):
+class CountsKey(NamedTuple):
     """Key of the counts of one incarnation of a host.
 
     Attributes:
         service: The service that is rolled out.
         order: Number of the rollout order.
         host: The host.
-        run: Its incarnation.
+        incarnation: Its incarnation.
     """
 
     service: ServiceName
     order: int
     host: HostId
-    run: RunNumber
+    incarnation: HostIncarnation
 
 
-class CountsTeller:
+class CountsGossip:
     """Selects the counts for each datagram.
 
     Args:
@@ -79,20 +84,20 @@
     """
 
     @property
-    def has_far_news(self) -> bool:
+    def has_remote_updates(self) -> bool:
         """Whether other failure domains may lack some counts."""
-        return self._gossip.has_far_news
+        return self._gossip.has_remote_updates
 
     def __init__(
         self,
-        look_up: Callable[[RunName], Evidence],
+        look_up: Callable[[CountsKey], Evidence],
         offset: int,
     ) -> None:
         self._look_up = look_up
-        self._known: dict[RunName, None] = {}
-        self._gossip: Rumors[RunName] = Rumors(
-            Portion(_LOCAL_NEW, _LOCAL_OTHERS),
-            Portion(_REMOTE_NEW, _REMOTE_OTHERS),
+        self._known: dict[CountsKey, None] = {}
+        self._gossip: GossipQueue[CountsKey] = GossipQueue(
+            DatagramCapacity(_LOCAL_NEW, _LOCAL_OTHERS),
+            DatagramCapacity(_REMOTE_NEW, _REMOTE_OTHERS),
             offset,
         )
 
@@ -100,7 +105,7 @@
         """Return the number of counts that are sent."""
         return len(self._known)
 
-    def add(self, key: RunName, source: Source, *, news: bool) -> None:
+    def add(self, key: CountsKey, source: Source, *, news: bool) -> None:
         """Send counts that have grown.
 
         Args:
@@ -110,9 +115,9 @@
         """
         self._known[key] = None
         if news:
-            self._gossip.learnt(key, source)
+            self._gossip.add_new(key, source)
         else:
-            self._gossip.seen(key, source)
+            self._gossip.record_source(key, source)
 
     def drop(self, service: ServiceName, order: int) -> None:
         """Stop sending the counts of an order."""
@@ -121,34 +126,38 @@
             for key in self._known
             if (key.service, key.order) != (service, order)
         }
-        self._gossip.keep(self._known.keys())
+        self._gossip.retain(self._known.keys())
 
-    def tell_near(self, own: list[RunName]) -> ToldCounts:
+    def local_report(self, own: list[CountsKey]) -> CountsReport:
         """Return counts for one datagram within the failure domain.
 
         Args:
             own: Keys of counts that are always included.
         """
-        return self._report_of(own, self._gossip.choose_near(self._known))
+        return self._report_of(own, self._gossip.choose_local(self._known))
 
-    def tell_far(self, own: list[RunName]) -> ToldCounts:
+    def remote_report(self, own: list[CountsKey]) -> CountsReport:
         """Return counts for one datagram to another failure domain.
 
         Args:
             own: Keys of counts that are always included.
         """
-        return self._report_of(own, self._gossip.choose_far(self._known))
+        return self._report_of(own, self._gossip.choose_remote(self._known))
 
-    def _report_of(self, own: list[RunName], keys: list[RunName]) -> ToldCounts:
+    def _report_of(
+        self, own: list[CountsKey], keys: list[CountsKey]
+    ) -> CountsReport:
         """Return a report of the counts with some keys."""
-        home = [key for key in keys if self._gossip.is_home(key)]
-        others = [key for key in keys if not self._gossip.is_home(key)]
-        return ToldCounts(
+        home = [key for key in keys if self._gossip.is_local_entry(key)]
+        others = [key for key in keys if not self._gossip.is_local_entry(key)]
+        return CountsReport(
             tuple(map(self._counts_of, dict.fromkeys((*own, *home)))),
             tuple(map(self._counts_of, dict.fromkeys(others))),
         )
 
-    def _counts_of(self, key: RunName) -> RunCounts:
+    def _counts_of(self, key: CountsKey) -> IncarnationCounts:
         """Return the counts with a key."""
         kinds = self._look_up(key).kinds
-        return RunCounts(key.service, key.host, key.order, key.run, kinds)
+        return IncarnationCounts(
+            key.service, key.host, key.order, key.incarnation, kinds
+        )
--- a/src/nutmegroad/fleet/evidence_book.py
+++ b/src/nutmegroad/fleet/evidence_tracker.py
@@ -13,27 +13,31 @@
 from nutmegroad.fleet.evidence import (
     Answers,
     Evidence,
+    HostIncarnation,
     KindNumber,
-    RunNumber,
     add_kinds,
 )
-from nutmegroad.fleet.rumors import Source
-from nutmegroad.fleet.told_counts import CountsTeller, RunName, ToldCounts
+from nutmegroad.fleet.evidence_gossip import (
+    CountsGossip,
+    CountsKey,
+    CountsReport,
+)
+from nutmegroad.fleet.gossip_queue import Source
 from nutmegroad.foundations.types import HostId, ServiceName
 
 #: Orders of a service whose counts are retained. After a restore of the store,
 #: a host that has just started may know the current order by another number.
-MOST_ORDERS: Final = 2
+MAX_ORDERS: Final = 2
 
 #: Maximum number of services with counts: service names come from other hosts.
-MOST_SERVICES: Final = 100
+MAX_SERVICES: Final = 100
 
 #: Lower than the number of any order.
 _NO_ORDER: Final = -1
 
 #: Maximum number of host incarnations tracked per service: those of one day in
 #: the reference fleet, 400 hosts of which 140 restart.
-MOST_RUNS: Final = 540
+MAX_INCARNATIONS: Final = 540
 
 
 @dataclass(slots=True)
@@ -47,7 +51,9 @@
     """
 
     order: int
-    runs: dict[tuple[HostId, RunNumber], Evidence] = field(default_factory=dict)
+    runs: dict[tuple[HostId, HostIncarnation], Evidence] = field(
+        default_factory=dict
+    )
     sums: dict[KindNumber, Answers] = field(default_factory=dict)
 
     def merge(self, host: HostId, evidence: Evidence) -> Evidence | None:
@@ -59,7 +65,7 @@
         """
         name = (host, evidence.run)
         known = self.runs.get(name)
-        if known is None and len(self.runs) >= MOST_RUNS:
+        if known is None and len(self.runs) >= MAX_INCARNATIONS:
             return None
         before = known or Evidence(self.order, evidence.run)
         if before.count >= evidence.count:
@@ -70,7 +76,7 @@
         return before
 
 
-class EvidenceBook:
+class EvidenceTracker:
     """Rollout counts of this host and of all others, by service.
 
     Args:
@@ -79,16 +85,16 @@
     """
 
     @property
-    def under_way(self) -> bool:
+    def in_progress(self) -> bool:
         """Whether there are counts of a rollout that has not ended."""
         return bool(self._gossip)
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether other failure domains may lack some counts."""
-        return self._gossip.has_far_news
+        return self._gossip.has_remote_updates
 
-    def __init__(self, host: HostId, run: RunNumber) -> None:
+    def __init__(self, host: HostId, run: HostIncarnation) -> None:
         self._host = host
         self._run = run
         self._own: dict[ServiceName, Evidence] = {}
@@ -96,7 +102,7 @@
         self._counts: dict[ServiceName, list[_Counts]] = {}
         #: Incremented whenever counts were merged.
         self.changes = 0
-        self._gossip = CountsTeller(self._look_up, run)
+        self._gossip = CountsGossip(self._look_up, run)
         # Number of the last order of each service that has ended.
         self._ended_orders: dict[ServiceName, int] = {}
 
@@ -126,16 +132,16 @@
             poor: Whether the answer was poor.
         """
         known = self.own(service, order)
-        grown = known.adding(kind, of_new=of_new, poor=poor)
+        grown = known.with_answer(kind, of_new=of_new, poor=poor)
         self._own[service] = grown
         self._merge(service, self._host, grown, Source.OWN)
 
-    def told(
+    def merge(
         self,
         service: ServiceName,
         host: HostId,
         evidence: Evidence,
-        source: Source = Source.AWAY,
+        source: Source = Source.REMOTE,
     ) -> None:
         """Merge the counts of a host, unless newer ones are known.
 
@@ -150,13 +156,13 @@
         if (host, evidence.run) != (self._host, self._run):
             self._merge(service, host, evidence, source)
 
-    def tell_near(self) -> ToldCounts:
+    def local_report(self) -> CountsReport:
         """Return counts for one datagram within the failure domain."""
-        return self._gossip.tell_near(self._own_keys())
+        return self._gossip.local_report(self._own_keys())
 
-    def tell_far(self) -> ToldCounts:
+    def remote_report(self) -> CountsReport:
         """Return counts for one datagram to another failure domain."""
-        return self._gossip.tell_far(self._own_keys())
+        return self._gossip.remote_report(self._own_keys())
 
     def sums(
         self,
@@ -167,34 +173,34 @@
         known = self._counts_of(service, order)
         return {} if known is None else known.sums
 
-    def tellers(self, service: ServiceName, order: int) -> int:
+    def count_hosts(self, service: ServiceName, order: int) -> int:
         """Return how many hosts have contributed counts for an order."""
         known = self._counts_of(service, order)
         if known is None:
             return 0
         return len({host for host, _ in known.runs})
 
-    def end(self, service: ServiceName) -> None:
+    def stop(self, service: ServiceName) -> None:
         """Stop sending the counts of a rollout that has ended."""
         self._own.pop(service, None)
         for counts in self._counts.get(service, ()):
             self._ended_orders[service] = counts.order
             self._gossip.drop(service, counts.order)
 
-    def _own_keys(self) -> list[RunName]:
+    def _own_keys(self) -> list[CountsKey]:
         """Return the keys of the counts of this incarnation of the host."""
         return [
-            RunName(service, evidence.order, self._host, self._run)
+            CountsKey(service, evidence.order, self._host, self._run)
             for service, evidence in self._own.items()
         ]
 
-    def _look_up(self, key: RunName) -> Evidence:
+    def _look_up(self, key: CountsKey) -> Evidence:
         """Return the counts with a key."""
         known = self._counts_of(key.service, key.order)
-        is_own = (key.host, key.run) == (self._host, self._run)
+        is_own = (key.host, key.incarnation) == (self._host, self._run)
         if known is None or is_own:
             return self.own(key.service, key.order)
-        return known.runs[key.host, key.run]
+        return known.runs[key.host, key.incarnation]
 
     def _counts_of(self, service: ServiceName, order: int) -> _Counts | None:
         """Return the counts of an order, or None if it is not a recent one."""
@@ -221,20 +227,20 @@
         if evidence.order <= self._ended_orders.get(service, _NO_ORDER):
             return
         self._gossip.add(
-            RunName(service, evidence.order, host, evidence.run),
+            CountsKey(service, evidence.order, host, evidence.run),
             source,
             # Other changes are sent in rotation, early enough for a verdict.
-            news=evidence.whole.new_poor > before.whole.new_poor,
+            news=evidence.total.new_poor > before.total.new_poor,
         )
 
     def _add_order(self, service: ServiceName, order: int) -> _Counts | None:
         """Start counting for an order, if it is one of the last."""
         orders = self._counts.get(service, [])
-        if not orders and len(self._counts) >= MOST_SERVICES:
+        if not orders and len(self._counts) >= MAX_SERVICES:
             return None
         added = _Counts(order)
         self._counts[service] = sorted((*orders, added), key=_order_number)[
-            -MOST_ORDERS:
+            -MAX_ORDERS:
         ]
         for dropped in (*orders, added):
             if dropped not in self._counts[service]:
--- a/src/nutmegroad/fleet/paces.py
+++ b/src/nutmegroad/fleet/feed_timing.py
@@ -12,24 +12,24 @@
 from dataclasses import replace
 from typing import Final
 
-from nutmegroad.fleet.followers import FeedPace
+from nutmegroad.fleet.followers import FeedTiming
 
 #: Maximum fraction of the keys' validity for which the store is asked to wait:
 #: an answer is slightly old when it arrives, and a lost answer is noticed after
 #: a second.
-TRUST_PART: Final = 0.6
+KEY_VALIDITY_FRACTION: Final = 0.6
 
 #: Fractions of a bound for which the store is asked to wait for a change, for
 #: which a host pauses after an answer, and for which updates from another host
 #: are valid. The first two leave a fifth of the bound for forwarding an answer
 #: to the followers; the last leaves a quarter for a call, of which a slow store
 #: takes half.
-WAIT_PART: Final = 0.35
-REST_PART: Final = 0.2
-RELIANCE_PART: Final = 0.75
+WAIT_FRACTION: Final = 0.35
+PAUSE_FRACTION: Final = 0.2
+VALID_FRACTION: Final = 0.75
 
 
-def operator_pace(key_validity: float | None, bound: float) -> FeedPace:
+def operator_timing(key_validity: float | None, bound: float) -> FeedTiming:
     """Return the timing for the operator's table.
 
     Args:
@@ -37,20 +37,22 @@
             are valid forever.
         bound: Seconds within which a configuration has to be in force.
     """
-    timing = bounded_pace(bound)
+    timing = bounded_timing(bound)
     if key_validity is None:
         return timing
-    return replace(timing, wait=min(timing.wait, key_validity * TRUST_PART))
+    return replace(
+        timing, wait=min(timing.wait, key_validity * KEY_VALIDITY_FRACTION)
+    )
 
 
-def bounded_pace(bound: float) -> FeedPace:
+def bounded_timing(bound: float) -> FeedTiming:
     """Return the timing for a table with a bound on changes.
 
     Args:
         bound: Seconds within which a change has to be in force.
     """
-    return FeedPace(
-        bound * WAIT_PART,
-        bound * REST_PART,
-        bound * RELIANCE_PART,
+    return FeedTiming(
+        bound * WAIT_FRACTION,
+        bound * PAUSE_FRACTION,
+        bound * VALID_FRACTION,
     )
--- a/src/nutmegroad/fleet/followers.py
+++ b/src/nutmegroad/fleet/followers.py
@@ -11,7 +11,7 @@
 
 from nutmegroad.fleet.eras import era_of
 from nutmegroad.fleet.store_clock import StoreClock
-from nutmegroad.fleet.stored import HistoryLost, RowsRead
+from nutmegroad.fleet.store_interface import HistoryLost, RowsRead
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal
@@ -21,11 +21,11 @@
 #: Initial and maximum seconds between retries after a failure. A configuration
 #: has to be in force three seconds after the store is available again: one
 #: second is for a call that hangs, one for this delay at its maximum.
-FIRST_RETRY: Final = 0.1
-LONGEST_RETRY: Final = 0.6
+INITIAL_RETRY_DELAY: Final = 0.1
+MAX_RETRY_DELAY: Final = 0.6
 
 #: Range of factors by which retry delays are randomized.
-SPREAD: Final = (0.5, 1.5)
+RETRY_JITTER: Final = (0.5, 1.5)
 
 
 class TableSink(Protocol):
@@ -45,10 +45,10 @@
             read: What was read.
         """
 
-    def lost(self) -> None:
+    def on_store_unavailable(self) -> None:
         """Record that the store does not answer."""
 
-    def went_back(self) -> None:
+    def on_store_restored(self) -> None:
         """Record that the store was restored from an older backup.
 
         A full snapshot of the table follows immediately.
@@ -66,7 +66,7 @@
         table: str,
         after: int,
         wait: float,
-        told_until: float,
+        updates_until: float,
     ) -> RowsRead | HistoryLost | Refusal:
         """Return the changes after a version, or wait for one.
 
@@ -74,29 +74,29 @@
             table: The table.
             after: The version that is known.
             wait: Seconds that the store is asked to wait.
-            told_until: Clock time in seconds until which updates of another
+            updates_until: Clock time in seconds until which updates of another
                 host are awaited; after that, the store is asked.
         """
 
-    async def rest(self, table: str, seconds: float) -> None:
+    async def pause_after_failure(self, table: str, seconds: float) -> None:
         """Wait after a failure before the next call."""
 
 
 @dataclass(frozen=True, slots=True)
-class FeedPace:
+class FeedTiming:
     """How often the changes of a table are requested.
 
     Attributes:
         wait: Seconds that the store is asked to wait for a change.
-        rest: Seconds between an answer and the next call, so that changes in
+        pause: Seconds between an answer and the next call, so that changes in
             quick succession share one answer.
-        reliance: Seconds for which updates from another host are valid,
+        update_validity: Seconds for which updates from another host are valid,
             counted from the store's answer that contained them.
     """
 
     wait: float
-    rest: float
-    reliance: float
+    pause: float
+    update_validity: float
 
 
 class TableFollower:
@@ -117,7 +117,7 @@
         store: TableSource,
         table: str,
         sink: TableSink,
-        timing: FeedPace,
+        timing: FeedTiming,
         clock: Clock,
         store_clock: StoreClock,
         randomness: random.Random,
@@ -126,8 +126,8 @@
         self._table = table
         self._sink = sink
         self._wait = timing.wait
-        self._pause = timing.rest
-        self._update_validity = timing.reliance
+        self._pause = timing.pause
+        self._update_validity = timing.update_validity
         self._clock = clock
         self._store_clock = store_clock
         self._randomness = randomness
@@ -136,7 +136,7 @@
         self._era: int | None = None
         # Clock time up to which the table is known.
         self._known_until = float('-inf')
-        self._retry_delay = FIRST_RETRY
+        self._retry_delay = INITIAL_RETRY_DELAY
         self._failing = False
         self._relayed = False
 
@@ -144,9 +144,11 @@
         """Follow the table until cancelled."""
         while True:
             if not await self.step():
-                pause = self._retry_delay * self._randomness.uniform(*SPREAD)
-                self._retry_delay = min(LONGEST_RETRY, self._retry_delay * 2)
-                await self._store.rest(self._table, pause)
+                pause = self._retry_delay * self._randomness.uniform(
+                    *RETRY_JITTER
+                )
+                self._retry_delay = min(MAX_RETRY_DELAY, self._retry_delay * 2)
+                await self._store.pause_after_failure(self._table, pause)
             elif not self._relayed:
                 # The host that relayed the answer has paused already.
                 await self._clock.sleep(self._pause)
@@ -174,7 +176,7 @@
             return True
         if isinstance(found, Refusal):
             return self._record_failure(found)
-        if found.whole:
+        if found.is_snapshot:
             self._replace(found)
             return True
         if found.rows:
@@ -186,7 +188,7 @@
         """Pass a full snapshot to the sink."""
         era = era_of(read.version)
         if self._era is not None and era > self._era:
-            self._sink.went_back()
+            self._sink.on_store_restored()
             # Earlier confirmations apply to the previous era.
             self._known_until = float('-inf')
         self._era = era
@@ -196,7 +198,7 @@
     def _record_answer(self, read: RowsRead) -> None:
         """Record an answer of the store."""
         self._relayed = read.relayed
-        as_of = self._store_clock.moment(read.store_time)
+        as_of = self._store_clock.to_host_time(read.store_time)
         if read.rows:
             _LOG.decision(
                 'changes taken',
@@ -209,7 +211,7 @@
             )
         self._known_until = max(self._known_until, as_of)
         self._after = max(read.version, self._after or 0)
-        self._retry_delay = FIRST_RETRY
+        self._retry_delay = INITIAL_RETRY_DELAY
         if self._failing:
             self._failing = False
             _LOG.decision('store regained', table=self._table)
@@ -225,11 +227,11 @@
                 code=refusal.code.name,
                 reason=refusal.reason,
             )
-        self._sink.lost()
+        self._sink.on_store_unavailable()
         return False
 
 
-class FollowedStore:
+class FollowerFactory:
     """Creates followers of one store.
 
     Args:
@@ -255,7 +257,7 @@
         self,
         table: str,
         sink: TableSink,
-        timing: FeedPace,
+        timing: FeedTiming,
     ) -> TableFollower:
         """Return a follower of a table."""
         return TableFollower(
--- a/src/nutmegroad/fleet/rumors.py
+++ b/src/nutmegroad/fleet/gossip_queue.py
@@ -19,11 +19,11 @@
 #: Datagrams to its own failure domain in which a host sends an entry that it
 #: has received. With eight receivers per round, four rounds reach all hosts of
 #: a domain of a thousand.
-TELLINGS: Final = 4
+FORWARDED_SENDS: Final = 4
 
 #: Datagrams in which a host sends an entry of its own; no other host may have
 #: it yet.
-OWN_TELLINGS: Final = 8
+OWN_SENDS: Final = 8
 
 Key = TypeVar('Key', bound=Hashable)
 Entry = TypeVar('Entry')
@@ -36,13 +36,13 @@
     #: This host.
     OWN = 'own'
     #: Another host of this failure domain.
-    HOME = 'home'
+    LOCAL = 'home'
     #: A host of another failure domain.
-    AWAY = 'away'
+    REMOTE = 'away'
 
 
 @dataclass(frozen=True, slots=True)
-class Portion:
+class DatagramCapacity:
     """Number of entries of one kind that fit into a datagram.
 
     Attributes:
@@ -54,7 +54,7 @@
     others: int
 
 
-class Rumors(Generic[Key]):
+class GossipQueue(Generic[Key]):
     """Tracks which entries are new to which receivers, and the rotation.
 
     Args:
@@ -65,13 +65,15 @@
     """
 
     @property
-    def has_far_news(self) -> bool:
+    def has_remote_updates(self) -> bool:
         """Whether there are new entries for other failure domains."""
         return bool(self._own_unsent) or not self._local_keys.isdisjoint(
             self._pending_sends,
         )
 
-    def __init__(self, local: Portion, remote: Portion, offset: int) -> None:
+    def __init__(
+        self, local: DatagramCapacity, remote: DatagramCapacity, offset: int
+    ) -> None:
         self._local_capacity = local
         self._remote_capacity = remote
         # Number of further datagrams in which each entry is sent as new.
@@ -82,25 +84,25 @@
         self._local_offset = offset
         self._remote_offset = offset
 
-    def is_home(self, key: Key) -> bool:
+    def is_local_entry(self, key: Key) -> bool:
         """Return whether an entry originates in this failure domain."""
         return key in self._local_keys
 
-    def seen(self, key: Key, source: Source) -> None:
+    def record_source(self, key: Key, source: Source) -> None:
         """Record the source of an entry that is not sent as new."""
-        if source is not Source.AWAY:
+        if source is not Source.REMOTE:
             self._local_keys.add(key)
 
-    def learnt(self, key: Key, source: Source) -> None:
+    def add_new(self, key: Key, source: Source) -> None:
         """Record an entry that is to be sent as new."""
-        self.seen(key, source)
+        self.record_source(key, source)
         if source is Source.OWN:
-            self._pending_sends[key] = OWN_TELLINGS
+            self._pending_sends[key] = OWN_SENDS
             self._own_unsent[key] = None
         else:
-            self._pending_sends[key] = TELLINGS
+            self._pending_sends[key] = FORWARDED_SENDS
 
-    def keep(self, known: Collection[Key]) -> None:
+    def retain(self, known: Collection[Key]) -> None:
         """Forget all entries except some.
 
         Args:
@@ -112,7 +114,7 @@
         for key in self._own_unsent.keys() - known:
             self._own_unsent.pop(key)
 
-    def choose_near(self, known: Collection[Key]) -> list[Key]:
+    def choose_local(self, known: Collection[Key]) -> list[Key]:
         """Return the entries for a local datagram, and count them as sent.
 
         Args:
@@ -121,20 +123,20 @@
         new = _select_new(
             self._pending_sends, self._local_capacity.new, self._local_offset
         )
-        others = take(
+        others = cyclic_slice(
             tuple(known), self._local_offset, self._local_capacity.others
         )
         self._local_offset += self._local_capacity.others
         return list(dict.fromkeys((*new, *others)))
 
-    def choose_far(self, known: Collection[Key]) -> list[Key]:
+    def choose_remote(self, known: Collection[Key]) -> list[Key]:
         """Return the entries for a remote datagram, and count them as sent.
 
         Args:
             known: All known entries, for the rotation.
         """
         local_new = self._local_keys.intersection(self._pending_sends)
-        received = take(
+        received = cyclic_slice(
             tuple(local_new), self._remote_offset, self._remote_capacity.new
         )
         new = tuple(dict.fromkeys((*self._own_unsent, *received)))[
@@ -142,14 +144,14 @@
         ]
         for key in new:
             self._own_unsent.pop(key, None)
-        others = take(
+        others = cyclic_slice(
             tuple(known), self._remote_offset, self._remote_capacity.others
         )
         self._remote_offset += self._remote_capacity.others
         return list(dict.fromkeys((*new, *others)))
 
 
-def take(
+def cyclic_slice(
     entries: tuple[Entry, ...],
     offset: int,
     count: int,
--- a/src/nutmegroad/fleet/announcements.py
+++ b/src/nutmegroad/fleet/host_registration.py
@@ -6,20 +6,20 @@
 import msgspec
 from msgspec import Struct
 
-from nutmegroad.fleet.stored import FLEET_TABLE, RowPut, Store
+from nutmegroad.fleet.store_interface import FLEET_TABLE, RowPut, Store
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.types import HostId
 
-HOST_KEY: Final = 'host/'
+HOST_KEY_PREFIX: Final = 'host/'
 
 #: Seconds between attempts to write this host's row.
-AGAIN: Final = 1.0
+RETRY_INTERVAL: Final = 1.0
 
 #: Seconds for which hosts of a fleet that starts for the first time wait for
 #: each other's rows: they start within a third of a second of each other, slow
 #: ones a little later.
-GATHERING: Final = 0.6
+STARTUP_WAIT: Final = 0.6
 
 
 class HostRow(Struct, frozen=True):
@@ -38,7 +38,7 @@
     link: float = 0
 
 
-class Announcement:
+class HostRegistration:
     """Registers a host in the store and keeps its row there.
 
     Args:
@@ -66,20 +66,20 @@
         self._restored = asyncio.Event()
         self._is_registered = False
 
-    def found(self, host: HostId, row: HostRow) -> None:
+    def observe_row(self, host: HostId, row: HostRow) -> None:
         """Record whether a row of the store is this host's current one."""
         if host == self._host:
             self._is_registered = row == self._own
 
-    def listed(self) -> None:
+    def on_hosts_loaded(self) -> None:
         """Record that the full list of hosts was read from the store."""
         self._hosts_loaded.set()
 
-    async def gathered(self) -> None:
+    async def wait_for_startup(self) -> None:
         """Wait until hosts that start at the same time have registered."""
         await self._startup_done.wait()
 
-    def went_back(self) -> None:
+    def on_store_restored(self) -> None:
         """Record that the store was restored from a backup.
 
         The list of hosts is read again next; this host's row may be missing in
@@ -95,10 +95,10 @@
         Args:
             first: Whether all hosts of the fleet start for the first time.
         """
-        await self.make(first=first)
-        await self.keep()
+        await self.register(first=first)
+        await self.keep_registered()
 
-    async def make(self, *, first: bool) -> None:
+    async def register(self, *, first: bool) -> None:
         """Register this host, retrying until the write succeeds.
 
         Args:
@@ -108,12 +108,12 @@
         done = False
         if first:
             done = await self._write_row()
-            await self._clock.sleep(GATHERING)
+            await self._clock.sleep(STARTUP_WAIT)
         self._startup_done.set()
         if not done:
             await self._register_if_missing()
 
-    async def keep(self) -> None:
+    async def keep_registered(self) -> None:
         """Register this host again whenever the store has lost its row."""
         while True:
             await self._restored.wait()
@@ -124,11 +124,11 @@
         """Write this host's row unless the store already has it."""
         await self._hosts_loaded.wait()
         while not (self._is_registered or await self._write_row()):
-            await self._clock.sleep(AGAIN)
+            await self._clock.sleep(RETRY_INTERVAL)
 
     async def _write_row(self) -> bool:
         """Write this host's row and return whether the write succeeded."""
         content = msgspec.json.encode(self._own)
-        put = RowPut(FLEET_TABLE, f'{HOST_KEY}{self._host}', content)
+        put = RowPut(FLEET_TABLE, f'{HOST_KEY_PREFIX}{self._host}', content)
         outcome = await self._store.commit((), (put,))
         return not isinstance(outcome, Refusal)
--- a/src/nutmegroad/fleet/hosts.py
+++ b/src/nutmegroad/fleet/hosts.py
@@ -8,17 +8,17 @@
 
 from xxhash import xxh3_64_intdigest
 
-from nutmegroad.fleet.announcements import Announcement, HostRow
 from nutmegroad.fleet.crash_rows import CrashRows
 from nutmegroad.fleet.eras import EraStore
-from nutmegroad.fleet.evidence import RunNumber
-from nutmegroad.fleet.followers import FollowedStore
-from nutmegroad.fleet.neighbours import Neighbours, nothing_told
-from nutmegroad.fleet.news_link import NewsLink
-from nutmegroad.fleet.news_server import NewsServer
+from nutmegroad.fleet.evidence import HostIncarnation
+from nutmegroad.fleet.followers import FollowerFactory
+from nutmegroad.fleet.host_registration import HostRegistration, HostRow
+from nutmegroad.fleet.peer_gossip import PeerGossip, new_shared_state
 from nutmegroad.fleet.shared_store import SharedStore
 from nutmegroad.fleet.store_clock import StoreClock
-from nutmegroad.fleet.stored import Store
+from nutmegroad.fleet.store_interface import Store
+from nutmegroad.fleet.update_link import UpdateLink
+from nutmegroad.fleet.update_server import UpdateServer
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import Address, HostId
 
@@ -59,33 +59,33 @@
         self.store_clock = StoreClock(clock)
         #: The platform's store, with positions for versions.
         self.store = EraStore(store)
-        self.store.tell_of_rises(self.store_clock.forget)
-        run = RunNumber(randomness.getrandbits(_INCARNATION_BITS))
-        self.told = nothing_told(host, run, clock, session_span)
-        self.neighbours = Neighbours(host, own, self.told, clock)
+        self.store.subscribe_to_restores(self.store_clock.reset)
+        run = HostIncarnation(randomness.getrandbits(_INCARNATION_BITS))
+        self.shared_state = new_shared_state(host, run, clock, session_span)
+        self.peers = PeerGossip(host, own, self.shared_state, clock)
         #: Crash reports in the store.
         self.crash_rows = CrashRows(
-            self.told.crashes,
+            self.shared_state.crashes,
             self.store,
             self.store_clock,
             clock,
-            self.turn,
+            self.duty_rank,
         )
-        self._announcement = Announcement(host, own, self.store, clock)
-        self._link = NewsLink(
-            host, own, lambda: self.neighbours.local_hosts, clock
+        self._announcement = HostRegistration(host, own, self.store, clock)
+        self._link = UpdateLink(
+            host, own, lambda: self.peers.local_hosts, clock
         )
-        self._server = NewsServer(clock)
+        self._server = UpdateServer(clock)
         #: Creates followers of the store's tables.
-        self.tables = FollowedStore(
+        self.tables = FollowerFactory(
             SharedStore(
                 self.store,
                 self._link,
                 self._server,
                 self.store_clock,
                 clock,
-                self._announcement.gathered,
-                self.store.heard,
+                self._announcement.wait_for_startup,
+                self.store.observe_position,
             ),
             clock,
             self.store_clock,
@@ -94,7 +94,7 @@
 
     def count(self) -> int:
         """Return how many hosts are known, including this one."""
-        return self.neighbours.count + 1
+        return self.peers.count + 1
 
     async def open(self, stack: AsyncExitStack) -> None:
         """Listen for peers until a stack closes.
@@ -104,28 +104,28 @@
         """
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: self.neighbours,
+            lambda: self.peers,
             local_addr=(self._own.ip, self._own.port),
         )
         stack.callback(transport.close)
         await self._server.open(Address(self._own.ip, self._own.port), stack)
 
-    def found(self, host: HostId, row: HostRow) -> None:
+    def add_host(self, host: HostId, row: HostRow) -> None:
         """Add a host that was found in the store."""
-        self._announcement.found(host, row)
-        self.neighbours.found(host, row)
+        self._announcement.observe_row(host, row)
+        self.peers.add_host(host, row)
 
-    def went_back(self) -> None:
+    def on_store_restored(self) -> None:
         """Record that the store may have lost this host's row and others."""
-        self._announcement.went_back()
-        self.crash_rows.went_back()
+        self._announcement.on_store_restored()
+        self.crash_rows.on_store_restored()
 
-    def listed(self) -> None:
+    def on_hosts_loaded(self) -> None:
         """Record that the full fleet table was read."""
-        self._announcement.listed()
-        self._link.begin()
+        self._announcement.on_hosts_loaded()
+        self._link.start()
 
-    def turn(self, duty: str) -> int:
+    def duty_rank(self, duty: str) -> int:
         """Return this host's rank among all hosts for a duty.
 
         Every host that knows the same peers computes the same ranking.
@@ -134,14 +134,14 @@
             duty: Name of a task that one host has to perform.
         """
         mine = _duty_hash(duty, self._host)
-        others = (*self.neighbours.local_hosts, *self.neighbours.remote_hosts)
+        others = (*self.peers.local_hosts, *self.peers.remote_hosts)
         return sum(_duty_hash(duty, other) < mine for other in others)
 
-    def work(self) -> tuple[Coroutine[Any, Any, None], ...]:
+    def tasks(self) -> tuple[Coroutine[Any, Any, None], ...]:
         """Return the coroutines that run as long as the host does."""
         return (
             self._announcement.run(first=self._first),
-            self.neighbours.run(),
+            self.peers.run(),
             self.crash_rows.run(),
             self._server.run(),
             self._link.run(),
--- a/src/nutmegroad/fleet/loads.py
+++ b/src/nutmegroad/fleet/loads.py
@@ -17,7 +17,7 @@
 #: Seconds after which the loads that another host reported expire: by then even
 #: a host in another failure domain has missed a round, so it has likely
 #: terminated.
-STALE: Final = 2.5
+LOAD_TTL: Final = 2.5
 
 
 class Load(Struct, frozen=True, array_like=True):
@@ -25,19 +25,19 @@
 
     Attributes:
         running: Number of requests that were sent to it.
-        reading: Seconds of prompt processing that are still to be done.
+        prefill_seconds: Seconds of prompt processing that are still to be done.
         tokens: Tokens that its requests occupy in memory.
     """
 
     running: int = 0
-    reading: float = 0
+    prefill_seconds: float = 0
     tokens: int = 0
 
     def times(self, factor: int) -> 'Load':
         """Return a multiple of the load."""
         return Load(
             self.running * factor,
-            self.reading * factor,
+            self.prefill_seconds * factor,
             self.tokens * factor,
         )
 
@@ -45,7 +45,7 @@
         """Return the sum of two loads."""
         return Load(
             self.running + other.running,
-            self.reading + other.reading,
+            self.prefill_seconds + other.prefill_seconds,
             self.tokens + other.tokens,
         )
 
@@ -55,7 +55,7 @@
 Loads = dict[UpstreamIncarnation, Load]
 
 #: Called for each request that is sent: the upstream, and the added load.
-TellOfRequest = Callable[[UpstreamIncarnation, Load], None]
+RequestCallback = Callable[[UpstreamIncarnation, Load], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,14 +85,14 @@
         # Sum of the peers' loads. There may be many peers, and each selection
         # of an upstream reads the sum.
         self._peer_sum: Loads = {}
-        self._request_callbacks: list[TellOfRequest] = []
+        self._request_callbacks: list[RequestCallback] = []
 
     @property
     def own(self) -> Loads:
         """Return the load of the requests that this host has sent."""
         return self._own
 
-    def tell_of_requests(self, callback: TellOfRequest) -> None:
+    def subscribe_to_requests(self, callback: RequestCallback) -> None:
         """Register a callback for each request that this host sends."""
         self._request_callbacks.append(callback)
 
@@ -117,7 +117,7 @@
         self._add_own(upstream, load)
         for callback in self._request_callbacks:
             callback(upstream, load)
-        pending = [load.reading]
+        pending = [load.prefill_seconds]
 
         def prompt_done() -> None:
             """Subtract the load of the prompt; later calls do nothing."""
@@ -130,7 +130,7 @@
         """Subtract a request whose prompt has been subtracted before."""
         self._add_own(upstream, Load(-load.running, 0, -load.tokens))
 
-    def told(self, host: HostId, loads: Loads) -> None:
+    def replace_reported(self, host: HostId, loads: Loads) -> None:
         """Replace the loads that a peer has reported."""
         now = self._clock.now()
         before = self._by_peer.pop(host, None)
@@ -140,15 +140,15 @@
             self._add_to_sum(before.loads, -1)
         self._add_to_sum(loads, 1)
 
-    def told_part(self, host: HostId, loads: Loads) -> None:
+    def update_reported(self, host: HostId, loads: Loads) -> None:
         """Update the loads that a peer has reported for some upstreams."""
         known = self._by_peer.get(host)
         whole = loads if known is None else {**known.loads, **loads}
-        self.told(host, whole)
+        self.replace_reported(host, whole)
 
     def _remove_expired(self) -> None:
         """Remove the expired loads of peers."""
-        oldest = self._clock.now() - STALE
+        oldest = self._clock.now() - LOAD_TTL
         while self._by_peer:
             host, reported = next(iter(self._by_peer.items()))
             if reported.received_at >= oldest:
--- a/src/nutmegroad/fleet/messages.py
+++ b/src/nutmegroad/fleet/messages.py
@@ -6,15 +6,18 @@
 
 from msgspec import Struct
 
-from nutmegroad.fleet.crash_book import CrashBook, ToldCrashes
-from nutmegroad.fleet.domain_silence import ToldAges
-from nutmegroad.fleet.evidence_book import EvidenceBook
-from nutmegroad.fleet.heard_versions import NONE, HeardVersions
+from nutmegroad.fleet.cached_prefixes import PrefixReport
+from nutmegroad.fleet.crash_tracker import CrashReport, CrashTracker
+from nutmegroad.fleet.domain_monitor import DomainAges
+from nutmegroad.fleet.evidence_gossip import CountsReport
+from nutmegroad.fleet.evidence_tracker import EvidenceTracker
+from nutmegroad.fleet.gossip_queue import Source
 from nutmegroad.fleet.loads import Loads
-from nutmegroad.fleet.prefix_marks import ToldPrefixes
-from nutmegroad.fleet.rumors import Source
-from nutmegroad.fleet.session_marks import SessionMarks, ToldMarks
-from nutmegroad.fleet.told_counts import ToldCounts
+from nutmegroad.fleet.old_version_sessions import (
+    OldVersionSessions,
+    SessionReport,
+)
+from nutmegroad.fleet.received_versions import NO_VERSION, ReceivedVersions
 
 
 class Digest(Struct, frozen=True, array_like=True):
@@ -28,10 +31,10 @@
             force.
     """
 
-    sessions: ToldMarks = ToldMarks()
-    counts: ToldCounts = ToldCounts()
-    crashes: ToldCrashes = ToldCrashes()
-    configuration: int = NONE
+    sessions: SessionReport = SessionReport()
+    counts: CountsReport = CountsReport()
+    crashes: CrashReport = CrashReport()
+    configuration: int = NO_VERSION
 
 
 class DigestMessage(Struct, frozen=True, array_like=True, tag=1):
@@ -54,15 +57,15 @@
         digest: State that all hosts need.
         loads: Load of the sender's requests, by upstream.
         prefixes: Parts of prompts that the sender has sent recently.
-        heard: Milliseconds since the sender got a message, by failure
+        domain_ages: Milliseconds since the sender got a message, by failure
             domain.
     """
 
     host: str
     digest: Digest
     loads: Loads
-    prefixes: ToldPrefixes = {}
-    heard: ToldAges = {}
+    prefixes: PrefixReport = {}
+    domain_ages: DomainAges = {}
 
 
 class RequestMessage(Struct, frozen=True, array_like=True, tag=3):
@@ -91,14 +94,14 @@
     """
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether there is anything that other failure domains may lack."""
         return any(
             (
-                self._marks.has_news,
-                self._evidence.has_news,
-                self._crashes.has_news,
-                self._versions.store_lacks,
+                self._sessions.has_updates,
+                self._evidence.has_updates,
+                self._crashes.has_updates,
+                self._versions.is_store_behind,
             ),
         )
 
@@ -106,52 +109,58 @@
     def is_empty(self) -> bool:
         """Whether there is nothing that other hosts have to receive."""
         return not (
-            self.has_news or self._marks.any_alive or self._evidence.under_way
+            self.has_updates
+            or self._sessions.any_live
+            or self._evidence.in_progress
         )
 
     def __init__(
         self,
-        sessions: SessionMarks,
-        evidence: EvidenceBook,
-        crashes: CrashBook,
-        versions: HeardVersions,
+        sessions: OldVersionSessions,
+        evidence: EvidenceTracker,
+        crashes: CrashTracker,
+        versions: ReceivedVersions,
     ) -> None:
-        self._marks = sessions
+        self._sessions = sessions
         self._evidence = evidence
         self._crashes = crashes
         self._versions = versions
 
-    def for_near(self) -> Digest:
+    def for_local(self) -> Digest:
         """Return a digest for a datagram within the failure domain."""
-        return self._build(self._marks.tell_near(), self._evidence.tell_near())
+        return self._build(
+            self._sessions.local_report(), self._evidence.local_report()
+        )
 
-    def for_far(self) -> Digest:
+    def for_remote(self) -> Digest:
         """Return a digest for a datagram to another failure domain."""
-        return self._build(self._marks.tell_far(), self._evidence.tell_far())
+        return self._build(
+            self._sessions.remote_report(), self._evidence.remote_report()
+        )
 
-    def take(self, digest: Digest, *, near: bool) -> None:
+    def merge(self, digest: Digest, *, local: bool) -> None:
         """Merge a digest from another host.
 
-        ``near`` states whether the sender is in this host's failure domain.
+        ``local`` states whether the sender is in this host's failure domain.
         """
-        self._marks.told(digest.sessions, near=near)
-        source = Source.HOME if near else Source.AWAY
+        self._sessions.merge(digest.sessions, local=local)
+        source = Source.LOCAL if local else Source.REMOTE
         for counts, seen_by in (
-            (digest.counts.home, source),
-            (digest.counts.others, Source.AWAY),
+            (digest.counts.local, source),
+            (digest.counts.remote, Source.REMOTE),
         ):
             for each in counts:
-                self._evidence.told(
+                self._evidence.merge(
                     each.service, each.host, each.evidence, seen_by
                 )
-        self._crashes.told(digest.crashes)
-        self._versions.told(digest.configuration)
+        self._crashes.merge(digest.crashes)
+        self._versions.receive(digest.configuration)
 
-    def _build(self, sessions: ToldMarks, counts: ToldCounts) -> Digest:
+    def _build(self, sessions: SessionReport, counts: CountsReport) -> Digest:
         """Return a digest, adding the parts that all receivers get."""
         return Digest(
             sessions,
             counts,
-            self._crashes.telling(),
+            self._crashes.report(),
             self._versions.own,
         )
--- a/src/nutmegroad/fleet/session_marks.py
+++ b/src/nutmegroad/fleet/old_version_sessions.py
@@ -13,13 +13,13 @@
 from msgspec import Struct
 from xxhash import xxh32_intdigest
 
-from nutmegroad.fleet.rumors import Portion, Rumors, Source
+from nutmegroad.fleet.gossip_queue import DatagramCapacity, GossipQueue, Source
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import ServiceName
 
 #: 32-bit fingerprint of a session at a service. Two sessions that share a
 #: fingerprint cost no more than one request that stays on the old version.
-SessionMark = NewType('SessionMark', int)
+SessionFingerprint = NewType('SessionFingerprint', int)
 
 #: Fingerprints per datagram: at about eight bytes each, an Ethernet frame.
 _LOCAL_NEW: Final = 100
@@ -32,12 +32,12 @@
 
 #: Maximum number of tracked sessions besides those of this host: twice those of
 #: the reference fleet, at 3,500 requests per second.
-MOST_MARKS: Final = 20_000
+MAX_SESSIONS: Final = 20_000
 
 #: Seconds by which a session must have been seen later than was known for it to
 #: be sent as new again. A session stays live on other hosts for longer than
 #: that.
-NEWS_STEP: Final = 0.5
+RESEND_STEP: Final = 0.5
 
 #: Ages are reported in hundredths of a second.
 _HUNDREDTHS: Final = 100
@@ -46,24 +46,26 @@
 _NEVER: Final = float('-inf')
 
 
-class ToldMarks(Struct, frozen=True, array_like=True):
+class SessionReport(Struct, frozen=True, array_like=True):
     """Sessions as hosts report them, with ages in hundredths of a second.
 
     Attributes:
-        home: Sessions that the sender's failure domain has served.
-        others: Sessions that other failure domains have served.
+        local: Sessions that the sender's failure domain has served.
+        remote: Sessions that other failure domains have served.
     """
 
-    home: dict[int, int] = {}
-    others: dict[int, int] = {}
+    local: dict[int, int] = {}
+    remote: dict[int, int] = {}
 
 
-def mark(service: ServiceName, session: str) -> SessionMark:
+def fingerprint_session(
+    service: ServiceName, session: str
+) -> SessionFingerprint:
     """Return the fingerprint of a session at a service."""
-    return SessionMark(xxh32_intdigest(f'{service}/{session}'.encode()))
+    return SessionFingerprint(xxh32_intdigest(f'{service}/{session}'.encode()))
 
 
-class SessionMarks:
+class OldVersionSessions:
     """Tracks sessions on an old version for as long as they are live.
 
     Args:
@@ -73,22 +75,22 @@
     """
 
     @property
-    def any_alive(self) -> bool:
+    def any_live(self) -> bool:
         """Whether any session is known that was live at the last round."""
         return bool(self._last_seen)
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether other failure domains may lack a session."""
-        return self._gossip.has_far_news
+        return self._gossip.has_remote_updates
 
     def __init__(self, clock: Clock, span: float, begin: int = 0) -> None:
         self._clock = clock
         self._span = span
-        self._last_seen: dict[SessionMark, float] = {}
-        self._gossip: Rumors[SessionMark] = Rumors(
-            Portion(_LOCAL_NEW, _LOCAL_OTHERS),
-            Portion(_REMOTE_NEW, _REMOTE_OTHERS),
+        self._last_seen: dict[SessionFingerprint, float] = {}
+        self._gossip: GossipQueue[SessionFingerprint] = GossipQueue(
+            DatagramCapacity(_LOCAL_NEW, _LOCAL_OTHERS),
+            DatagramCapacity(_REMOTE_NEW, _REMOTE_OTHERS),
             begin,
         )
 
@@ -96,8 +98,8 @@
         """Return how many sessions are tracked."""
         return len(self._last_seen)
 
-    def saw(
-        self, fingerprint: SessionMark, moment: float | None = None
+    def record(
+        self, fingerprint: SessionFingerprint, moment: float | None = None
     ) -> None:
         """Record that a session ran on the old version.
 
@@ -107,7 +109,7 @@
         seen = self._clock.now() if moment is None else moment
         self._record(fingerprint, seen, Source.OWN)
 
-    def age(self, fingerprint: SessionMark) -> float | None:
+    def age(self, fingerprint: SessionFingerprint) -> float | None:
         """Return the seconds since a session ran on the old version.
 
         Returns:
@@ -116,36 +118,36 @@
         seen = self._last_seen.get(fingerprint)
         return None if seen is None else self._clock.now() - seen
 
-    def alive(self, fingerprint: SessionMark) -> bool:
+    def is_live(self, fingerprint: SessionFingerprint) -> bool:
         """Return whether a session on the old version is still live."""
         age = self.age(fingerprint)
         return age is not None and age <= self._span
 
-    def told(self, report: ToldMarks, *, near: bool) -> None:
+    def merge(self, report: SessionReport, *, local: bool) -> None:
         """Merge a report of sessions from another host.
 
-        ``near`` states whether the sender is in this host's failure domain.
+        ``local`` states whether the sender is in this host's failure domain.
         """
         now = self._clock.now()
-        source = Source.HOME if near else Source.AWAY
+        source = Source.LOCAL if local else Source.REMOTE
         for ages, seen_by in (
-            (report.home, source),
-            (report.others, Source.AWAY),
+            (report.local, source),
+            (report.remote, Source.REMOTE),
         ):
             for number, age in ages.items():
                 seen_at = now - max(0, age) / _HUNDREDTHS
                 if now - seen_at <= self._span:
-                    self._record(SessionMark(number), seen_at, seen_by)
+                    self._record(SessionFingerprint(number), seen_at, seen_by)
 
-    def tell_near(self) -> ToldMarks:
+    def local_report(self) -> SessionReport:
         """Return sessions for one datagram within the failure domain."""
         self._remove_expired()
-        return self._report_of(self._gossip.choose_near(self._last_seen))
+        return self._report_of(self._gossip.choose_local(self._last_seen))
 
-    def tell_far(self) -> ToldMarks:
+    def remote_report(self) -> SessionReport:
         """Return sessions for one datagram to another failure domain."""
         self._remove_expired()
-        return self._report_of(self._gossip.choose_far(self._last_seen))
+        return self._report_of(self._gossip.choose_remote(self._last_seen))
 
     def _remove_expired(self) -> None:
         """Remove sessions that are not live any more."""
@@ -155,14 +157,18 @@
             for known, seen_at in self._last_seen.items()
             if seen_at >= oldest
         }
-        self._gossip.keep(self._last_seen.keys())
+        self._gossip.retain(self._last_seen.keys())
 
-    def _report_of(self, keys: Iterable[SessionMark]) -> ToldMarks:
+    def _report_of(self, keys: Iterable[SessionFingerprint]) -> SessionReport:
         """Return a report of sessions with their ages."""
         now = self._clock.now()
-        report = ToldMarks({}, {})
+        report = SessionReport({}, {})
         for known in keys:
-            ages = report.home if self._gossip.is_home(known) else report.others
+            ages = (
+                report.local
+                if self._gossip.is_local_entry(known)
+                else report.remote
+            )
             # Rounded up; otherwise an age would shrink with each host that
             # forwards it.
             ages[known] = math.ceil(
@@ -171,13 +177,13 @@
         return report
 
     def _record(
-        self, fingerprint: SessionMark, time: float, source: Source
+        self, fingerprint: SessionFingerprint, time: float, source: Source
     ) -> None:
         """Record the latest time at which a session was seen."""
         known = self._last_seen.get(fingerprint, _NEVER)
-        is_full = len(self._last_seen) >= MOST_MARKS and known == _NEVER
+        is_full = len(self._last_seen) >= MAX_SESSIONS and known == _NEVER
         if time <= known or (is_full and source is not Source.OWN):
             return
         self._last_seen[fingerprint] = time
-        if time - known >= NEWS_STEP:
-            self._gossip.learnt(fingerprint, source)
+        if time - known >= RESEND_STEP:
+            self._gossip.add_new(fingerprint, source)
--- a/src/nutmegroad/fleet/neighbours.py
+++ b/src/nutmegroad/fleet/peer_gossip.py
@@ -14,14 +14,14 @@
 
 import msgspec
 
-from nutmegroad.fleet.announcements import HostRow
-from nutmegroad.fleet.crash_book import CrashBook
-from nutmegroad.fleet.domain_silence import DomainSilence
-from nutmegroad.fleet.evidence import RunNumber
-from nutmegroad.fleet.evidence_book import EvidenceBook
-from nutmegroad.fleet.far_turns import FarTurns
-from nutmegroad.fleet.heard_versions import HeardVersions
-from nutmegroad.fleet.loads import STALE, Load, LoadLedger
+from nutmegroad.fleet.cached_prefixes import CachedPrefixes
+from nutmegroad.fleet.crash_tracker import CrashTracker
+from nutmegroad.fleet.domain_monitor import DomainMonitor
+from nutmegroad.fleet.evidence import HostIncarnation
+from nutmegroad.fleet.evidence_tracker import EvidenceTracker
+from nutmegroad.fleet.gossip_queue import cyclic_slice
+from nutmegroad.fleet.host_registration import HostRow
+from nutmegroad.fleet.loads import LOAD_TTL, Load, LoadLedger
 from nutmegroad.fleet.messages import (
     DigestMessage,
     Digests,
@@ -29,9 +29,9 @@
     ReportMessage,
     RequestMessage,
 )
-from nutmegroad.fleet.prefix_marks import HeldPrefixes
-from nutmegroad.fleet.rumors import take
-from nutmegroad.fleet.session_marks import SessionMarks
+from nutmegroad.fleet.old_version_sessions import OldVersionSessions
+from nutmegroad.fleet.received_versions import ReceivedVersions
+from nutmegroad.fleet.remote_rounds import RemoteRounds
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.types import DomainId, HostId, UpstreamIncarnation
@@ -40,73 +40,75 @@
 
 #: Seconds between gossip rounds. A prompt takes about as long to process, and
 #: hosts don't see each other's requests of the same round.
-TURN: Final = 0.15
+ROUND_INTERVAL: Final = 0.15
 
 #: Seconds beyond its span for which a session counts as live where other hosts
 #: have seen it: their reports arrive with a delay.
-MARK_SLACK: Final = 1.0
+SESSION_SLACK: Final = 1.0
 
 #: Hosts of this failure domain that receive a report per round: all of them in
 #: today's fleets, and a bound on the cost of gossip in larger ones. At
 #: forty-four hosts, each receives a report from each about once a second.
-NEAR_PER_TURN: Final = 8
+LOCAL_PER_ROUND: Final = 8
 
 #: Hosts of other failure domains that receive a report per round.
-FAR_PER_TURN: Final = 1
+REMOTE_PER_ROUND: Final = 1
 
 #: Maximum number of hosts in other failure domains for which reports are sent
 #: at all: with more hosts, a load expires before the next report arrives.
-FAR_WITH_REPORTS: Final = int(STALE / TURN) * FAR_PER_TURN
+MAX_REMOTE_WITH_REPORTS: Final = (
+    int(LOAD_TTL / ROUND_INTERVAL) * REMOTE_PER_ROUND
+)
 
 #: Seconds of prompt processing from which a request is heavy: a request that
 #: another host sends to the same engine before it receives the report waits
 #: behind it.
-HEAVY: Final = 0.1
+HEAVY_PREFILL: Final = 0.1
 
 #: Hosts of this failure domain that are informed of each request immediately.
 #: They prefer the same upstreams, and requests arrive in bursts; without these
 #: messages the requests of one burst would be invisible to other hosts until
 #: the next round.
-NEAR_AT_ONCE: Final = 8
+LOCAL_IMMEDIATE: Final = 8
 
 #: Hosts that are informed of a heavy request immediately, in this failure
 #: domain and in others. Traffic between failure domains is expensive.
-NEAR_OF_HEAVY: Final = 30
-FAR_OF_HEAVY: Final = 8
+LOCAL_OF_HEAVY: Final = 30
+REMOTE_OF_HEAVY: Final = 8
 
 #: Seconds after its last message for which a host counts as responsive.
-HEARD_SPAN: Final = 5.0
+RESPONSIVE_PERIOD: Final = 5.0
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class SharedState:
     """State that a host receives from its peers and shares with them.
 
     Attributes:
         ledger: Loads of upstreams.
-        marks: Sessions that a rollout must leave on their version.
-        book: Rollout counts.
+        sessions: Sessions that a rollout must leave on their version.
+        evidence: Rollout counts.
         prefixes: Parts of prompts that upstreams have cached.
-        silence: When messages from other failure domains were received.
+        domains: When messages from other failure domains were received.
         crashes: Requests under which upstreams have crashed.
         versions: Configuration versions that hosts have in force.
     """
 
     ledger: LoadLedger
-    marks: SessionMarks
-    book: EvidenceBook
-    prefixes: HeldPrefixes
-    silence: DomainSilence
-    crashes: CrashBook
-    versions: HeardVersions
+    sessions: OldVersionSessions
+    evidence: EvidenceTracker
+    prefixes: CachedPrefixes
+    domains: DomainMonitor
+    crashes: CrashTracker
+    versions: ReceivedVersions
 
 
-def nothing_told(
+def new_shared_state(
     host: HostId,
-    run: RunNumber,
+    run: HostIncarnation,
     clock: Clock,
     session_span: float,
-) -> Told:
+) -> SharedState:
     """Return the empty shared state of a host that has just started.
 
     Args:
@@ -115,19 +117,19 @@
         clock: The host's clock.
         session_span: Seconds within which requests belong to one session.
     """
-    marks = SessionMarks(clock, session_span + MARK_SLACK, run)
-    return Told(
+    marks = OldVersionSessions(clock, session_span + SESSION_SLACK, run)
+    return SharedState(
         LoadLedger(clock),
         marks,
-        EvidenceBook(host, run),
-        HeldPrefixes(clock),
-        DomainSilence(clock),
-        CrashBook(clock),
-        HeardVersions(clock),
+        EvidenceTracker(host, run),
+        CachedPrefixes(clock),
+        DomainMonitor(clock),
+        CrashTracker(clock),
+        ReceivedVersions(clock),
     )
 
 
-class Neighbours(asyncio.DatagramProtocol):
+class PeerGossip(asyncio.DatagramProtocol):
     """Exchanges this host's state with its peers.
 
     Args:
@@ -155,30 +157,30 @@
     @property
     def _sends_remote_reports(self) -> bool:
         """Whether hosts of other failure domains receive reports."""
-        return len(self._remote) <= FAR_WITH_REPORTS
+        return len(self._remote) <= MAX_REMOTE_WITH_REPORTS
 
     def __init__(
         self,
         host: HostId,
         own: HostRow,
-        state: Told,
+        state: SharedState,
         clock: Clock,
     ) -> None:
         self._host = host
         self._own = own
         self._ledger = state.ledger
         self._prefixes = state.prefixes
-        self._domains = state.silence
+        self._domains = state.domains
         self._digests = Digests(
-            state.marks,
-            state.book,
+            state.sessions,
+            state.evidence,
             state.crashes,
             state.versions,
         )
         self._clock = clock
         self._local: dict[HostId, HostRow] = {}
         self._remote: dict[HostId, HostRow] = {}
-        self._remote_rounds = FarTurns(host)
+        self._remote_rounds = RemoteRounds(host)
         # This host's rank among those of its failure domain.
         self._rank = 0
         self._last_received: dict[HostId, float] = {}
@@ -188,11 +190,11 @@
         )
         self._was_empty = True
         self._immediate_count = 0
-        self._ledger.tell_of_requests(self._send_immediately)
+        self._ledger.subscribe_to_requests(self._send_immediately)
 
-    def count_heard(self) -> int:
+    def count_responsive(self) -> int:
         """Return how many other hosts have sent a message recently."""
-        oldest = self._clock.now() - HEARD_SPAN
+        oldest = self._clock.now() - RESPONSIVE_PERIOD
         return sum(heard >= oldest for heard in self._last_received.values())
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -210,15 +212,15 @@
         self._last_received[host] = self._clock.now()
         remote = self._remote.get(host)
         if remote is not None:
-            self._domains.heard(DomainId(remote.domain))
+            self._domains.record_message(DomainId(remote.domain))
         if isinstance(message, RequestMessage):
-            self._ledger.told_part(host, message.loads)
+            self._ledger.update_reported(host, message.loads)
             return
-        self._digests.take(message.digest, near=remote is None)
+        self._digests.merge(message.digest, local=remote is None)
         if isinstance(message, ReportMessage):
             self._merge_report(host, message)
 
-    def found(self, host: HostId, row: HostRow) -> None:
+    def add_host(self, host: HostId, row: HostRow) -> None:
         """Add a host that was found in the store."""
         if host == self._host:
             return
@@ -227,7 +229,7 @@
             self._rank = sum(other < self._host for other in self._local)
         else:
             self._remote[host] = row
-            self._remote_rounds.found(host, row)
+            self._remote_rounds.add_host(host, row)
         _LOG.decision(
             'host found',
             host=host,
@@ -235,13 +237,13 @@
             domain=row.domain,
         )
 
-    def telling(self) -> bytes:
+    def encode_report(self) -> bytes:
         """Return this host's current report, encoded."""
         remote = len(self._remote) if self._sends_remote_reports else 0
         return msgspec.msgpack.encode(
             ReportMessage(
                 self._host,
-                self._digests.for_near(),
+                self._digests.for_local(),
                 self._ledger.own,
                 self._prefixes.recent(
                     _two_reports_span(len(self._local), remote)
@@ -254,19 +256,19 @@
         """Send to the peers in each round, until cancelled."""
         round_number = 0
         while True:
-            await self._clock.sleep(TURN)
+            await self._clock.sleep(ROUND_INTERVAL)
             round_number += 1
             self._send_round(round_number)
 
     def _merge_report(self, host: HostId, report: ReportMessage) -> None:
         """Merge the report of a host."""
-        self._ledger.told(host, report.loads)
-        self._prefixes.told(report.prefixes)
+        self._ledger.replace_reported(host, report.loads)
+        self._prefixes.merge(report.prefixes)
         if host not in self._remote:
             # Only hosts of this failure domain are on the same side of a
             # network partition as this host; ages reported by remote hosts say
             # nothing about it.
-            self._domains.told(report.heard)
+            self._domains.merge_ages(report.domain_ages)
 
     def _send_round(self, round_number: int) -> None:
         """Send this host's state, unless it is empty and was empty before."""
@@ -276,15 +278,15 @@
         self._was_empty = empty
         # Must be read before the report is built: building it uses up the
         # datagrams for which an entry counts as an update.
-        has_updates = self._digests.has_news
-        report = self.telling()
+        has_updates = self._digests.has_updates
+        report = self.encode_report()
         local = _receivers_of(
-            self._local, round_number, NEAR_PER_TURN, self._rank
+            self._local, round_number, LOCAL_PER_ROUND, self._rank
         )
         self._send(report, local)
         if self._sends_remote_reports:
             remote = _receivers_of(
-                self._remote, round_number, FAR_PER_TURN, self._rank
+                self._remote, round_number, REMOTE_PER_ROUND, self._rank
             )
             self._send(report, remote)
         else:
@@ -296,7 +298,7 @@
         if self._remote_rounds.due(
             round_number, self._rank, hosts, has_updates=has_updates
         ):
-            digest = DigestMessage(self._host, self._digests.for_far())
+            digest = DigestMessage(self._host, self._digests.for_remote())
             payload = msgspec.msgpack.encode(digest)
             self._send(payload, self._remote_rounds.receivers())
 
@@ -305,10 +307,10 @@
     ) -> None:
         """Send this host's load at one upstream before the next round."""
         self._immediate_count += 1
-        heavy = load.reading >= HEAVY
+        heavy = load.prefill_seconds >= HEAVY_PREFILL
         loads = {upstream: self._ledger.own[upstream]}
         payload = msgspec.msgpack.encode(RequestMessage(self._host, loads))
-        local = NEAR_OF_HEAVY if heavy else NEAR_AT_ONCE
+        local = LOCAL_OF_HEAVY if heavy else LOCAL_IMMEDIATE
         self._send(
             payload,
             _receivers_of(
@@ -317,7 +319,7 @@
         )
         if heavy and self._sends_remote_reports:
             remote = _receivers_of(
-                self._remote, self._immediate_count, FAR_OF_HEAVY, self._rank
+                self._remote, self._immediate_count, REMOTE_OF_HEAVY, self._rank
             )
             self._send(payload, remote)
 
@@ -336,8 +338,8 @@
         local: Number of receivers in this failure domain.
         remote: Number of receivers in other domains.
     """
-    rounds = max(local / NEAR_PER_TURN, remote / FAR_PER_TURN, 1)
-    return 2 * rounds * TURN
+    rounds = max(local / LOCAL_PER_ROUND, remote / REMOTE_PER_ROUND, 1)
+    return 2 * rounds * ROUND_INTERVAL
 
 
 def _receivers_of(
@@ -355,4 +357,6 @@
         offset: Offset at which this host begins. Without it, hosts that start
             together and know the same peers would all send to the same ones.
     """
-    return take(tuple(hosts.values()), round_number * count + offset, count)
+    return cyclic_slice(
+        tuple(hosts.values()), round_number * count + offset, count
+    )
--- a/src/nutmegroad/fleet/heard_versions.py
+++ b/src/nutmegroad/fleet/received_versions.py
@@ -13,13 +13,13 @@
 #: Seconds for which a received version is valid: several gossip intervals of a
 #: host in another failure domain. The host that sent it may have terminated,
 #: and its configuration with it.
-SPAN: Final = 3.0
+VALIDITY: Final = 3.0
 
 #: Version that is sent before the first configuration.
-NONE: Final = -1
+NO_VERSION: Final = -1
 
 
-class HeardVersions:
+class ReceivedVersions:
     """Tracks the configuration versions of this host, its peers and the store.
 
     Args:
@@ -28,21 +28,21 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._received = NONE
+        self._received = NO_VERSION
         self._valid_until = float('-inf')
         #: The version that this host has in force.
-        self.own = NONE
+        self.own = NO_VERSION
         #: The version that the store shows.
-        self.shown = NONE
+        self.in_store = NO_VERSION
 
     @property
-    def store_lacks(self) -> bool:
+    def is_store_behind(self) -> bool:
         """Whether the store shows an older version than this host has in force.
 
         In that case the version has to be sent, even by hosts that have nothing
         else to send.
         """
-        return self.shown < self.own
+        return self.in_store < self.own
 
     @property
     def newest(self) -> int:
@@ -51,8 +51,8 @@
             return self.own
         return max(self.own, self._received)
 
-    def told(self, version: int) -> None:
+    def receive(self, version: int) -> None:
         """Record the version that another host has in force."""
         if version >= self.newest:
             self._received = version
-            self._valid_until = self._clock.now() + SPAN
+            self._valid_until = self._clock.now() + VALIDITY
--- a/src/nutmegroad/fleet/far_turns.py
+++ b/src/nutmegroad/fleet/remote_rounds.py
@@ -11,19 +11,19 @@
 
 from xxhash import xxh32_intdigest
 
-from nutmegroad.fleet.announcements import HostRow
+from nutmegroad.fleet.host_registration import HostRow
 from nutmegroad.foundations.types import DomainId, HostId
 
 #: Hosts of a domain that send to each remote domain per round while there are
 #: updates. The second one compensates for a paused host or a lost datagram.
-TELLERS: Final = 2
+SENDERS_PER_ROUND: Final = 2
 
 #: Factor by which rounds are rarer when there are no updates. These only
 #: replace lost datagrams and show that the domain is reachable.
-CALM: Final = 4
+IDLE_FACTOR: Final = 4
 
 
-class FarTurns:
+class RemoteRounds:
     """Knows the remote hosts, and the rounds in which this host sends to them.
 
     Args:
@@ -37,7 +37,7 @@
         # Index of the next receiver in each domain.
         self._next: dict[DomainId, int] = {}
 
-    def found(self, host: HostId, row: HostRow) -> None:
+    def add_host(self, host: HostId, row: HostRow) -> None:
         """Add a host of another failure domain."""
         domain = DomainId(row.domain)
         if host not in self._rows:
@@ -63,8 +63,8 @@
             domain_size: Number of hosts in its domain, including this one.
             has_updates: Whether there are updates to send.
         """
-        pause = 1 if has_updates else CALM
-        interval = math.ceil(domain_size / TELLERS) * pause
+        pause = 1 if has_updates else IDLE_FACTOR
+        interval = math.ceil(domain_size / SENDERS_PER_ROUND) * pause
         # Spreads the senders evenly over the interval, whatever its length.
         return (round_number + rank * pause) % interval == 0
 
--- a/src/nutmegroad/fleet/shared_store.py
+++ b/src/nutmegroad/fleet/shared_store.py
@@ -8,20 +8,20 @@
 from collections.abc import Awaitable, Callable
 from typing import Final
 
-from nutmegroad.fleet.news import TableUpdate
-from nutmegroad.fleet.news_link import NewsLink
-from nutmegroad.fleet.news_server import NewsServer
 from nutmegroad.fleet.store_clock import StoreClock
-from nutmegroad.fleet.stored import (
+from nutmegroad.fleet.store_interface import (
     FLEET_TABLE,
     Committed,
     HistoryLost,
-    RowExpected,
+    RowCondition,
     RowPut,
-    RowsMoved,
     RowsRead,
     Store,
+    VersionConflict,
 )
+from nutmegroad.fleet.table_updates import TableUpdate
+from nutmegroad.fleet.update_link import UpdateLink
+from nutmegroad.fleet.update_server import UpdateServer
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal
@@ -32,18 +32,18 @@
 #: and for which a host that has lost its source waits for another one: the time
 #: of a connection within the failure domain and of the transfer of the table.
 #: After that it asks the store.
-WHOLE_WAIT: Final = 0.5
-RELINK_WAIT: Final = 0.4
+SNAPSHOT_WAIT: Final = 0.5
+SOURCE_WAIT: Final = 0.4
 
 #: Seconds after which a host asks the store itself, to calibrate its store
 #: clock: by then two steady clocks have drifted by hundredths of a second.
-RESYNC: Final = 60.0
+CALIBRATION_INTERVAL: Final = 60.0
 
 #: Seconds between a host's own attempts while the store is unavailable and
 #: another host reports when it is available again: the store may refuse just
 #: this host. Together with a call that hangs for a second, a change is still
 #: known within the bound after an outage.
-LINKED_RETRY: Final = 1.5
+FOLLOWER_RETRY_INTERVAL: Final = 1.5
 
 
 class SharedStore:
@@ -64,8 +64,8 @@
     def __init__(
         self,
         store: Store,
-        link: NewsLink,
-        server: NewsServer,
+        link: UpdateLink,
+        server: UpdateServer,
         store_clock: StoreClock,
         clock: Clock,
         wait_for_startup: Callable[[], Awaitable[None]],
@@ -87,19 +87,19 @@
         it, the host learns which host to follow, and the store's time.
         """
         await self._wait_for_startup()
-        if table != FLEET_TABLE or self._store_clock.age < RESYNC:
+        if table != FLEET_TABLE or self._store_clock.age < CALIBRATION_INTERVAL:
             received = await self._snapshot_from_peer(table)
             if received is not None:
                 self._on_position(received.version)
-                self._server.tell_whole(table, received)
+                self._server.send_snapshot(table, received)
                 return received
         asked = self._clock.now()
         found = await self._store.snapshot(table)
         if isinstance(found, Refusal):
-            self._server.tell_lost(table)
+            self._server.send_unavailable(table)
         else:
-            self._store_clock.answered(asked, found.store_time)
-            self._server.tell_whole(table, found)
+            self._store_clock.calibrate(asked, found.store_time)
+            self._server.send_snapshot(table, found)
         return found
 
     async def changes(
@@ -107,7 +107,7 @@
         table: str,
         after: int,
         wait: float,
-        told_until: float,
+        updates_until: float,
     ) -> RowsRead | HistoryLost | Refusal:
         """Return the changes after a version, or wait for one.
 
@@ -121,13 +121,15 @@
             table: The table.
             after: The version that is known.
             wait: Seconds that the store is asked to wait.
-            told_until: Clock time in seconds until which updates from
+            updates_until: Clock time in seconds until which updates from
                 another host are awaited.
         """
-        left = max(0, told_until - self._clock.now())
-        await self._link.settle(min(left, RELINK_WAIT))
+        left = max(0, updates_until - self._clock.now())
+        await self._link.wait_until_decided(min(left, SOURCE_WAIT))
         if self._link.serves(table):
-            received = await self._changes_from_peer(table, after, told_until)
+            received = await self._changes_from_peer(
+                table, after, updates_until
+            )
             if received is not None:
                 self._on_position(received.version)
                 self._forward(table, after, received)
@@ -138,13 +140,13 @@
         asked = self._clock.now()
         found = await self._store.changes(table, after, wait)
         if isinstance(found, Refusal):
-            self._server.tell_lost(table)
+            self._server.send_unavailable(table)
         elif isinstance(found, RowsRead):
-            self._store_clock.answered(asked, found.store_time)
+            self._store_clock.calibrate(asked, found.store_time)
             self._send_update(table, after, found)
         return found
 
-    async def rest(self, table: str, seconds: float) -> None:
+    async def pause_after_failure(self, table: str, seconds: float) -> None:
         """Wait after a failure before the store is asked again.
 
         The wait ends early when another host reports that the store is
@@ -159,13 +161,13 @@
             # failure.
             await self._clock.sleep(seconds)
         else:
-            await self._link.wait(table, max(seconds, LINKED_RETRY))
+            await self._link.wait(table, max(seconds, FOLLOWER_RETRY_INTERVAL))
 
     async def commit(
         self,
-        expected: tuple[RowExpected, ...],
+        expected: tuple[RowCondition, ...],
         puts: tuple[RowPut, ...],
-    ) -> Committed | RowsMoved | Refusal:
+    ) -> Committed | VersionConflict | Refusal:
         """Write all rows if all conditions hold, otherwise none."""
         return await self._store.commit(expected, puts)
 
@@ -179,7 +181,7 @@
         if table in self._awaited_tables and self._link.source is None:
             return None
         self._awaited_tables.add(table)
-        return await self._link.whole(table, WHOLE_WAIT)
+        return await self._link.snapshot(table, SNAPSHOT_WAIT)
 
     async def _changes_from_peer(
         self,
@@ -188,7 +190,7 @@
         until: float,
     ) -> RowsRead | None:
         """Return changes from another host, or None to ask the store."""
-        if self._store_clock.age > RESYNC:
+        if self._store_clock.age > CALIBRATION_INTERVAL:
             return None
         received = await self._link.changes(table, after, until)
         if received is None and self._clock.now() >= until:
@@ -202,13 +204,13 @@
 
     def _forward(self, table: str, base: int, read: RowsRead) -> None:
         """Forward to the followers what another host has sent."""
-        if read.whole:
-            self._server.tell_whole(table, read)
+        if read.is_snapshot:
+            self._server.send_snapshot(table, read)
         else:
             self._send_update(table, base, read)
 
     def _send_update(self, table: str, base: int, read: RowsRead) -> None:
         """Send changes to the followers of this host."""
-        self._server.tell(
+        self._server.send_update(
             TableUpdate(table, base, read.version, read.store_time, read.rows),
         )
--- a/src/nutmegroad/fleet/store_clock.py
+++ b/src/nutmegroad/fleet/store_clock.py
@@ -12,7 +12,7 @@
 from nutmegroad.foundations.clocks import Clock
 
 #: Maximum drift between two steady clocks, in seconds per second.
-DRIFT: Final = 0.0002
+MAX_DRIFT: Final = 0.0002
 
 
 class StoreClock:
@@ -39,12 +39,12 @@
         now = self._clock.now()
         return now if self._lead is None else now - self._lead
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Discard the calibration: the store's clock may have been set."""
         self._lead = None
         self._calibrated_at = float('-inf')
 
-    def answered(self, asked: float, store_time: float) -> None:
+    def calibrate(self, asked: float, store_time: float) -> None:
         """Calibrate the clock by an answer of the store.
 
         Args:
@@ -59,7 +59,7 @@
             self._lead = least
             self._calibrated_at = self._clock.now()
 
-    def moment(self, store_time: float) -> float:
+    def to_host_time(self, store_time: float) -> float:
         """Convert a time of the store, whichever host has read it.
 
         Args:
@@ -78,4 +78,6 @@
         """Return the lower bound of the host's lead, or None if unknown."""
         if self._lead is None:
             return None
-        return self._lead - DRIFT * (self._clock.now() - self._calibrated_at)
+        return self._lead - MAX_DRIFT * (
+            self._clock.now() - self._calibrated_at
+        )
--- a/src/nutmegroad/fleet/stored.py
+++ b/src/nutmegroad/fleet/store_interface.py
@@ -35,7 +35,7 @@
         version: The store's version at that time.
         store_time: Seconds on the store's steady clock.
         relayed: Whether another host has read them.
-        whole: Whether they are a full snapshot, though only changes were
+        is_snapshot: Whether they are a full snapshot, though only changes were
             requested.
         era: The store's era; None if it names none.
     """
@@ -44,7 +44,7 @@
     version: int
     store_time: float
     relayed: bool = False
-    whole: bool = False
+    is_snapshot: bool = False
     era: int | None = None
 
 
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RowExpected:
+class RowCondition:
     """Condition of a transaction: the version that a row must have.
 
     Attributes:
@@ -105,7 +105,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RowsMoved:
+class VersionConflict:
     """Outcome of a transaction without effect: a row had another version."""
 
 
@@ -135,7 +135,7 @@
 
     async def commit(
         self,
-        expected: tuple[RowExpected, ...],
+        expected: tuple[RowCondition, ...],
         puts: tuple[RowPut, ...],
-    ) -> Committed | RowsMoved | Refusal:
+    ) -> Committed | VersionConflict | Refusal:
         """Write all rows if all conditions hold, otherwise none."""
--- a/src/nutmegroad/fleet/table_copies.py
+++ b/src/nutmegroad/fleet/table_cache.py
@@ -1,10 +1,10 @@
 """Cached tables of the platform's store, from which followers get snapshots."""
 
-from nutmegroad.fleet.news import TableSnapshot, TableUpdate
-from nutmegroad.fleet.stored import RowsRead, StoredRow
+from nutmegroad.fleet.store_interface import RowsRead, StoredRow
+from nutmegroad.fleet.table_updates import TableSnapshot, TableUpdate
 
 
-class TableCopy:
+class CachedTable:
     """All rows of one table, as last read.
 
     Args:
@@ -28,7 +28,7 @@
         self._store_time = max(self._store_time, update.store_time)
         return True
 
-    def whole(self) -> TableSnapshot:
+    def snapshot(self) -> TableSnapshot:
         """Return a snapshot of all rows."""
         return TableSnapshot(
             self._table,
@@ -37,14 +37,14 @@
             tuple(self._rows.values()),
         )
 
-    def beyond(self, version: int | None) -> TableUpdate | TableSnapshot:
+    def updates_since(self, version: int | None) -> TableUpdate | TableSnapshot:
         """Return the update for a follower that knows a version.
 
         Args:
             version: The version that it knows; None if it knows none.
         """
         if version != self.version:
-            return self.whole()
+            return self.snapshot()
         return TableUpdate(self._table, version, version, self._store_time)
 
     def _put(self, row: StoredRow) -> None:
@@ -58,15 +58,15 @@
             self._rows[row.key] = row
 
 
-class TableCopies:
+class TableCache:
     """Caches all tables that are followed."""
 
     def __init__(self) -> None:
-        self._tables: dict[str, TableCopy] = {}
+        self._tables: dict[str, CachedTable] = {}
 
-    def replace(self, table: str, read: RowsRead) -> TableCopy:
+    def replace(self, table: str, read: RowsRead) -> CachedTable:
         """Cache a full snapshot, and return the cached table."""
-        replaced = TableCopy(table, read)
+        replaced = CachedTable(table, read)
         self._tables[table] = replaced
         return replaced
 
@@ -74,13 +74,13 @@
         """Apply an update, and drop the cached table if it misses a change."""
         cached = self._tables.get(update.table)
         if cached is not None and not cached.apply(update):
-            self.forget(update.table)
+            self.drop(update.table)
 
-    def forget(self, table: str) -> None:
+    def drop(self, table: str) -> None:
         """Drop a table, since its age is not known any more."""
         self._tables.pop(table, None)
 
-    def beyond(
+    def updates_since(
         self, versions: dict[str, int]
     ) -> list[TableUpdate | TableSnapshot]:
         """Return the updates for a follower that knows some versions.
@@ -89,6 +89,6 @@
             versions: Known version by table.
         """
         return [
-            cached.beyond(versions.get(table))
+            cached.updates_since(versions.get(table))
             for table, cached in self._tables.items()
         ]
--- a/src/nutmegroad/fleet/news.py
+++ b/src/nutmegroad/fleet/table_updates.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Struct
 
-from nutmegroad.fleet.stored import RowsRead, StoredRow
+from nutmegroad.fleet.store_interface import RowsRead, StoredRow
 
 #: Bytes of a frame's length prefix.
 _LENGTH_BYTES: Final = 4
@@ -26,7 +26,7 @@
 #: Maximum bytes of a frame. At today's slowest link (5 Mbit/s), sending a frame
 #: of 5 KB to sixty hosts takes half a second, and the hosts that send are among
 #: the fastest. Each host reads larger changes from the store itself.
-MOST_BYTES: Final = 65_536
+MAX_FRAME_BYTES: Final = 65_536
 
 #: Maximum bytes of a decompressed frame; no frame that hosts create is larger.
 _MAX_UNPACKED_BYTES: Final = 8_388_608
@@ -49,7 +49,7 @@
     store_time: float
     rows: tuple[StoredRow, ...] = ()
 
-    def after(self, version: int) -> RowsRead | None:
+    def changes_after(self, version: int) -> RowsRead | None:
         """Return the changes after a version.
 
         Returns:
@@ -66,7 +66,7 @@
             self.table, self.version, self.version, self.store_time
         )
 
-    def joined(self, later: 'TableUpdate') -> 'TableUpdate':
+    def merged_with(self, later: 'TableUpdate') -> 'TableUpdate':
         """Return this update merged with a later one of the same table."""
         if later.base > self.version:
             return later
@@ -94,14 +94,14 @@
     store_time: float
     rows: tuple[StoredRow, ...] = ()
 
-    def read(self) -> RowsRead:
+    def to_rows_read(self) -> RowsRead:
         """Return the snapshot as rows read from another host."""
         return RowsRead(
             self.rows,
             self.version,
             self.store_time,
             relayed=True,
-            whole=True,
+            is_snapshot=True,
         )
 
     def marker(self) -> TableUpdate:
@@ -149,7 +149,7 @@
 
 #: Errors that end a link: it was reset, closed, silent for too long, or carried
 #: an invalid frame.
-LINK_ENDS: Final = (OSError, EOFError, TimeoutError, FrameError)
+LINK_ERRORS: Final = (OSError, EOFError, TimeoutError, FrameError)
 
 
 def encode(frame: Frame) -> bytes | None:
@@ -159,12 +159,12 @@
     if len(payload) >= _MIN_COMPRESSED_BYTES:
         payload = zlib.compress(payload, level=1)
         kind = b'z'
-    if len(payload) >= MOST_BYTES:
+    if len(payload) >= MAX_FRAME_BYTES:
         return None
     return (len(payload) + 1).to_bytes(_LENGTH_BYTES) + kind + payload
 
 
-def encode_or_mark(message: TableUpdate | TableSnapshot) -> bytes | None:
+def encode_or_marker(message: TableUpdate | TableSnapshot) -> bytes | None:
     """Return an encoded frame, without its rows if it is too large.
 
     A follower that receives a frame without rows reads the changes from the
@@ -181,8 +181,10 @@
         EOFError: If the peer has closed the connection.
     """
     size = int.from_bytes(await reader.readexactly(_LENGTH_BYTES))
-    if not 0 < size <= MOST_BYTES:
-        raise FrameError(f'frame of {size} bytes; expected 1 to {MOST_BYTES}')
+    if not 0 < size <= MAX_FRAME_BYTES:
+        raise FrameError(
+            f'frame of {size} bytes; expected 1 to {MAX_FRAME_BYTES}'
+        )
     payload = await reader.readexactly(size)
     try:
         return _DECODER.decode(_unpack(payload))
--- a/src/nutmegroad/fleet/news_link.py
+++ b/src/nutmegroad/fleet/update_link.py
@@ -14,9 +14,10 @@
 
 from xxhash import xxh3_64_intdigest
 
-from nutmegroad.fleet.announcements import HostRow
-from nutmegroad.fleet.news import (
-    LINK_ENDS,
+from nutmegroad.fleet.host_registration import HostRow
+from nutmegroad.fleet.store_interface import RowsRead
+from nutmegroad.fleet.table_updates import (
+    LINK_ERRORS,
     Frame,
     KeepAlive,
     KnownVersions,
@@ -26,7 +27,6 @@
     encode,
     receive,
 )
-from nutmegroad.fleet.stored import RowsRead
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.types import HostId
@@ -38,15 +38,15 @@
 
 #: Seconds without a frame after which the link counts as lost: three keep-alive
 #: intervals.
-SILENCE: Final = 1.2
+READ_TIMEOUT: Final = 1.2
 
 #: Seconds for which a host is not followed after its link was lost. The time
 #: doubles with each further loss, up to the maximum.
-FIRST_ASIDE: Final = 2.0
-LONGEST_ASIDE: Final = 30.0
+MIN_EXCLUSION: Final = 2.0
+MAX_EXCLUSION: Final = 30.0
 
 #: Seconds between checks for a host to follow.
-LOOK: Final = 1.0
+CHECK_INTERVAL: Final = 1.0
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
         if known is None and update is None:
             return
         if known is not None and update is not None:
-            update = known.joined(update)
+            update = known.merged_with(update)
         if update is None:
             self._snapshot = None
         self.update = update
@@ -101,7 +101,7 @@
         """Return and remove the received snapshot, if there is one."""
         snapshot = self._snapshot
         self._snapshot = None
-        return None if snapshot is None else snapshot.read()
+        return None if snapshot is None else snapshot.to_rows_read()
 
     def after(self, version: int) -> RowsRead | None:
         """Return and remove what was received beyond a version, or None."""
@@ -112,7 +112,7 @@
             return snapshot
         if update is None or update.version < version:
             return None
-        return update.after(version)
+        return update.changes_after(version)
 
     def _take_update(self) -> TableUpdate | None:
         """Return and remove the received update."""
@@ -122,7 +122,7 @@
         return found
 
 
-class NewsLink:
+class UpdateLink:
     """Follows the table updates of one host that ranks before this one.
 
     Args:
@@ -153,11 +153,11 @@
         #: The host that is followed; None if there is none.
         self.source: HostId | None = None
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Record that the other hosts are known now."""
         self._started.set()
 
-    async def settle(self, seconds: float) -> None:
+    async def wait_until_decided(self, seconds: float) -> None:
         """Wait until it is decided whether a host is followed.
 
         Args:
@@ -169,7 +169,7 @@
         except TimeoutError:
             return
 
-    async def whole(self, table: str, seconds: float) -> RowsRead | None:
+    async def snapshot(self, table: str, seconds: float) -> RowsRead | None:
         """Return the full snapshot of a table as another host sends it.
 
         Args:
@@ -252,7 +252,7 @@
             source = self._select_source()
             if source is None:
                 self._decided.set()
-                await self._clock.sleep(LOOK)
+                await self._clock.sleep(CHECK_INTERVAL)
                 continue
             self._decided.clear()
             reason = await self._follow(source)
@@ -317,9 +317,9 @@
         """
         while True:
             try:
-                async with asyncio.timeout(SILENCE):
+                async with asyncio.timeout(READ_TIMEOUT):
                     frame = await receive(reader)
-            except LINK_ENDS as error:
+            except LINK_ERRORS as error:
                 return repr(error)
             if self.source is None:
                 self.source = source
@@ -356,9 +356,9 @@
     def _exclude(self, host: HostId, reason: str) -> None:
         """Exclude a host from being followed for a while."""
         previous = self._exclusions.get(host)
-        pause = FIRST_ASIDE
+        pause = MIN_EXCLUSION
         if previous is not None:
-            pause = min(LONGEST_ASIDE, previous.pause * 2)
+            pause = min(MAX_EXCLUSION, previous.pause * 2)
         self._exclusions[host] = _Exclusion(self._clock.now() + pause, pause)
         _LOG.decision('host excluded', host=host, reason=reason, pause=pause)
 
--- a/src/nutmegroad/fleet/news_server.py
+++ b/src/nutmegroad/fleet/update_server.py
@@ -7,18 +7,18 @@
 from contextlib import AsyncExitStack
 from typing import Final
 
-from nutmegroad.fleet.news import (
-    LINK_ENDS,
+from nutmegroad.fleet.store_interface import RowsRead
+from nutmegroad.fleet.table_cache import TableCache
+from nutmegroad.fleet.table_updates import (
+    LINK_ERRORS,
     KeepAlive,
     KnownVersions,
     StoreUnavailable,
     TableUpdate,
     encode,
-    encode_or_mark,
+    encode_or_marker,
     receive,
 )
-from nutmegroad.fleet.stored import RowsRead
-from nutmegroad.fleet.table_copies import TableCopies
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.types import Address
@@ -27,17 +27,17 @@
 
 #: Seconds between keep-alives: a follower can wait for three of them and still
 #: ask the store within today's shortest bound on changes (2 s).
-ALIVE: Final = 0.4
+KEEP_ALIVE_INTERVAL: Final = 0.4
 
 #: Seconds within which a follower has to send its handshake.
-GREETING: Final = 1.0
+HANDSHAKE_TIMEOUT: Final = 1.0
 
 #: Maximum bytes buffered for a follower that does not read; beyond, it is
 #: disconnected.
-MOST_WAITING: Final = 1_048_576
+MAX_BUFFERED_BYTES: Final = 1_048_576
 
 
-class NewsServer:
+class UpdateServer:
     """Sends table updates to all hosts that connect.
 
     Args:
@@ -46,7 +46,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._cache = TableCopies()
+        self._cache = TableCache()
         self._followers: set[asyncio.StreamWriter] = set()
 
     async def open(self, address: Address, stack: AsyncExitStack) -> None:
@@ -73,24 +73,24 @@
         """Send keep-alives until cancelled."""
         keep_alive = encode(KeepAlive())
         while True:
-            await self._clock.sleep(ALIVE)
+            await self._clock.sleep(KEEP_ALIVE_INTERVAL)
             self._send(keep_alive)
 
-    def tell(self, update: TableUpdate) -> None:
+    def send_update(self, update: TableUpdate) -> None:
         """Send the changes of a table."""
         self._cache.apply(update)
         if self._followers:
-            self._send(encode_or_mark(update))
+            self._send(encode_or_marker(update))
 
-    def tell_whole(self, table: str, read: RowsRead) -> None:
+    def send_snapshot(self, table: str, read: RowsRead) -> None:
         """Send a table of which this host has read a full snapshot."""
         cached = self._cache.replace(table, read)
         if self._followers:
-            self._send(encode_or_mark(cached.whole()))
+            self._send(encode_or_marker(cached.snapshot()))
 
-    def tell_lost(self, table: str) -> None:
+    def send_unavailable(self, table: str) -> None:
         """Report that the store does not answer."""
-        self._cache.forget(table)
+        self._cache.drop(table)
         self._send(encode(StoreUnavailable(table)))
 
     async def _serve(
@@ -100,12 +100,12 @@
     ) -> None:
         """Serve one follower until it disconnects."""
         try:
-            async with asyncio.timeout(GREETING):
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT):
                 known = await receive(reader)
             if isinstance(known, KnownVersions):
                 self._add_follower(writer, known)
                 await reader.read()
-        except LINK_ENDS as error:
+        except LINK_ERRORS as error:
             _LOG.decision('follower lost', reason=repr(error))
         finally:
             self._followers.discard(writer)
@@ -115,8 +115,8 @@
         self, writer: asyncio.StreamWriter, known: KnownVersions
     ) -> None:
         """Send a new follower what it lacks, and all later updates."""
-        for message in self._cache.beyond(known.versions):
-            payload = encode_or_mark(message)
+        for message in self._cache.updates_since(known.versions):
+            payload = encode_or_marker(message)
             if payload is not None:
                 writer.write(payload)
         self._followers.add(writer)
@@ -126,7 +126,7 @@
         for writer in tuple(self._followers):
             if payload is None or writer.transport.is_closing():
                 continue
-            if writer.transport.get_write_buffer_size() > MOST_WAITING:
+            if writer.transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
                 _LOG.decision(
                     'follower disconnected', reason='it does not read'
                 )
--- a/src/nutmegroad/relay/assembly.py
+++ b/src/nutmegroad/relay/assembly.py
@@ -6,7 +6,7 @@
 from nutmegroad.canary.gate import make_gate
 from nutmegroad.canary.state import RolloutState
 from nutmegroad.fleet.crash_rows import CrashRows
-from nutmegroad.fleet.neighbours import Told
+from nutmegroad.fleet.peer_gossip import SharedState
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.relay.attempts import AttemptRunner
 from nutmegroad.relay.boundary import HostSettings, Platform
@@ -32,7 +32,7 @@
 
     directory: Directory
     rollouts: RolloutState
-    received_state: Told
+    received_state: SharedState
     pool: ConnectionPool
     crash_rows: CrashRows
 
@@ -60,7 +60,7 @@
         settings.domain,
         received_state.ledger,
         received_state.prefixes,
-        received_state.silence,
+        received_state.domains,
     )
     attempts = AttemptRunner(components.pool, platform.names, selector, clock)
     components.directory.ended.add_listener(attempts.upstream_ended)
@@ -82,7 +82,7 @@
             components.rollouts,
             clock,
             settings.session_window,
-            received_state.marks,
+            received_state.sessions,
         ),
         clock,
         platform.counters,
--- a/src/nutmegroad/relay/attempts.py
+++ b/src/nutmegroad/relay/attempts.py
@@ -101,7 +101,7 @@
                 return outcome
             mark_read()
             head, connection = outcome
-            self._selector.silence.heard(upstream.entry.domain)
+            self._selector.silence.record_message(upstream.entry.domain)
             failure = self._heads.validate(head)
             if failure is not None:
                 self._record_failure(upstream, failure)
@@ -152,7 +152,7 @@
             0 if facts is None else int(facts.cache_tokens * CACHE_FRACTION)
         )
         parts = fingerprint_parts(plan.model, generation.parts)
-        self._selector.prefixes.sent(entry.incarnation, parts, memory)
+        self._selector.prefixes.record_sent(entry.incarnation, parts, memory)
 
     async def _exchange(
         self,
--- a/src/nutmegroad/relay/boundary.py
+++ b/src/nutmegroad/relay/boundary.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from nutmegroad.canary.steps import StatusWriter
-from nutmegroad.fleet.stored import Store
+from nutmegroad.fleet.store_interface import Store
 from nutmegroad.foundations.types import Address, DomainId, HostId
 from nutmegroad.relay.counters import RelayCounters
 from nutmegroad.relay.tables import RowReader
--- a/src/nutmegroad/relay/crashes.py
+++ b/src/nutmegroad/relay/crashes.py
@@ -10,14 +10,14 @@
 from dataclasses import dataclass
 from typing import Final
 
-from nutmegroad.fleet.content_marks import spell_mark
-from nutmegroad.fleet.crash_book import (
-    CrashBook,
-    EndUnder,
-    Harmful,
-    mark_upstream,
-)
+from nutmegroad.fleet.content_fingerprints import format_fingerprint
 from nutmegroad.fleet.crash_rows import CrashRows
+from nutmegroad.fleet.crash_tracker import (
+    BlockedRequest,
+    CrashTracker,
+    UpstreamCrash,
+    fingerprint_upstream,
+)
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.types import UpstreamIncarnation
@@ -59,7 +59,7 @@
 
     request: CallerRequest
     entry: UpstreamEntry
-    crash: EndUnder
+    crash: UpstreamCrash
 
 
 class CrashMonitor:
@@ -76,7 +76,7 @@
     def __init__(
         self,
         pool: ConnectionPool,
-        book: CrashBook,
+        book: CrashTracker,
         rows: CrashRows,
         clock: Clock,
         counters: RelayCounters,
@@ -95,12 +95,12 @@
         """Return the crash guard of one request."""
         return CrashGuard(self, request)
 
-    def harmful(self, request: CallerRequest) -> Harmful | None:
+    def harmful(self, request: CallerRequest) -> BlockedRequest | None:
         """Return why a request is refused as harmful, or None."""
         return self._book.harmful(request.content)
 
     async def claim_probe(
-        self, request: CallerRequest, harmful: Harmful
+        self, request: CallerRequest, harmful: BlockedRequest
     ) -> bool:
         """Return whether this host may make a probe execution of a request.
 
@@ -108,13 +108,13 @@
         suspected requests beside it: until then it may only have run beside the
         harmful one each time.
         """
-        if harmful.pause or not await self._rows.claim(request.content):
+        if harmful.pause or not await self._rows.claim_probe(request.content):
             return False
         _LOG.decision(
             'tried once more',
             request=request.request_id,
-            content=spell_mark(request.content),
-            ends=harmful.ends,
+            content=format_fingerprint(request.content),
+            ends=harmful.crash_count,
         )
         return True
 
@@ -131,8 +131,8 @@
             upstream: The upstream.
             began: Clock seconds at which it was sent there.
         """
-        mark = mark_upstream(upstream.entry.incarnation)
-        crash = EndUnder(mark, began, self._clock.now())
+        mark = fingerprint_upstream(upstream.entry.incarnation)
+        crash = UpstreamCrash(mark, began, self._clock.now())
         broken = _BrokenExchange(request, upstream.entry, crash)
         checked = asyncio.Event()
         task = asyncio.create_task(
@@ -157,18 +157,18 @@
             return
         oldest = self._clock.now() - RESTART_WINDOW
         for broken in self._unconfirmed.pop(upstream, ()):
-            if broken.crash.ended >= oldest:
+            if broken.crash.crashed_at >= oldest:
                 self._record_crash(broken)
 
     def answered(self, request: CallerRequest) -> None:
         """Clear a suspected request after a complete answer."""
         if request.content not in self._book:
             return
-        if self._book.answered(request.content, self._clock.now()):
+        if self._book.record_answer(request.content, self._clock.now()):
             _LOG.decision(
                 'harmful request cleared by a complete answer',
                 request=request.request_id,
-                content=spell_mark(request.content),
+                content=format_fingerprint(request.content),
             )
 
     def close_with(self, stack: AsyncExitStack) -> None:
@@ -222,23 +222,23 @@
     def _record_crash(self, broken: _BrokenExchange) -> None:
         """Record that an upstream has terminated under a request."""
         request = broken.request
-        self._book.ended(request.content, broken.crash)
+        self._book.record_crash(request.content, broken.crash)
         harmful = self._book.harmful(request.content)
         _LOG.decision(
             'upstream ended under it',
             request=request.request_id,
-            content=spell_mark(request.content),
+            content=format_fingerprint(request.content),
             upstream=broken.entry.upstream,
             version=broken.entry.version,
-            ran=round(broken.crash.ended - broken.crash.began, 3),
-            ends=0 if harmful is None else harmful.ends,
+            ran=round(broken.crash.crashed_at - broken.crash.sent_at, 3),
+            ends=0 if harmful is None else harmful.crash_count,
         )
 
     def _record_unconfirmed(self, broken: _BrokenExchange) -> None:
         """Record a broken exchange that a later restart may confirm."""
         oldest = self._clock.now() - RESTART_WINDOW
         for other, breaks in tuple(self._unconfirmed.items()):
-            if not breaks or breaks[-1].crash.ended < oldest:
+            if not breaks or breaks[-1].crash.crashed_at < oldest:
                 self._unconfirmed.pop(other)
         name = broken.entry.incarnation
         known = self._unconfirmed.setdefault(
@@ -265,7 +265,7 @@
         self._request = request
         self._probing = False
 
-    async def blocked_by(self) -> Harmful | None:
+    async def blocked_by(self) -> BlockedRequest | None:
         """Return why the request may not be sent to an upstream now, or None.
 
         A probe execution stays due until it has reached an upstream: attempts
--- a/src/nutmegroad/relay/execution.py
+++ b/src/nutmegroad/relay/execution.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from nutmegroad.canary.gate import AttemptOutcome
-from nutmegroad.fleet.content_marks import spell_mark
+from nutmegroad.fleet.content_fingerprints import format_fingerprint
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import (
@@ -293,7 +293,7 @@
             upstream=entry.upstream,
             version=entry.version,
             model=model,
-            content=spell_mark(self.request.content),
+            content=format_fingerprint(self.request.content),
             session=self.request.session,
             candidates=choice.candidates,
             expected=round(choice.expected_seconds, 3),
--- a/src/nutmegroad/relay/fleet_table.py
+++ b/src/nutmegroad/relay/fleet_table.py
@@ -7,11 +7,11 @@
 from nutmegroad.canary.rollouts import RolloutRow
 from nutmegroad.canary.state import RolloutState
 from nutmegroad.canary.steps import EVIDENCE_KEY, STEP_KEY
-from nutmegroad.fleet.announcements import HOST_KEY, HostRow
-from nutmegroad.fleet.crash_rows import CRASHES_KEY
+from nutmegroad.fleet.crash_rows import CRASHES_KEY_PREFIX
 from nutmegroad.fleet.evidence import Evidence
+from nutmegroad.fleet.host_registration import HOST_KEY_PREFIX, HostRow
 from nutmegroad.fleet.hosts import FleetHosts
-from nutmegroad.fleet.stored import RowsRead, StoredRow
+from nutmegroad.fleet.store_interface import RowsRead, StoredRow
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.types import HostId, ServiceName
 
@@ -33,7 +33,7 @@
     def replace(self, read: RowsRead) -> None:
         """Apply a full snapshot."""
         self.apply(read)
-        self._hosts.listed()
+        self._hosts.on_hosts_loaded()
         self._state.registry.apply_snapshot(
             {
                 ServiceName(row.key.removeprefix(STEP_KEY))
@@ -53,12 +53,12 @@
     def confirm(self, moment: float, read: RowsRead) -> None:
         """Do nothing: without these rows this host only reacts later."""
 
-    def lost(self) -> None:
+    def on_store_unavailable(self) -> None:
         """Do nothing: each host continues with what it knows."""
 
-    def went_back(self) -> None:
+    def on_store_restored(self) -> None:
         """Record that rows of the seconds before the restore are missing."""
-        self._hosts.went_back()
+        self._hosts.on_store_restored()
 
     def _take(self, row: StoredRow, store_time: float) -> None:
         """Apply one row; log and ignore a row that can't be decoded."""
@@ -88,10 +88,10 @@
                 HostId(host),
                 msgspec.json.decode(row.content, type=Evidence),
             )
-        elif kind == CRASHES_KEY:
-            self._hosts.crash_rows.take(name, row, store_time)
-        elif kind == HOST_KEY:
-            self._hosts.found(
+        elif kind == CRASHES_KEY_PREFIX:
+            self._hosts.crash_rows.apply_row(name, row, store_time)
+        elif kind == HOST_KEY_PREFIX:
+            self._hosts.add_host(
                 HostId(name),
                 msgspec.json.decode(row.content, type=HostRow),
             )
--- a/src/nutmegroad/relay/host.py
+++ b/src/nutmegroad/relay/host.py
@@ -9,11 +9,11 @@
 from nutmegroad.canary.rollout_registry import RolloutRegistry
 from nutmegroad.canary.state import RolloutState, canary_share
 from nutmegroad.canary.steps import RolloutSteps
-from nutmegroad.fleet.announcements import HostRow
+from nutmegroad.fleet.feed_timing import bounded_timing, operator_timing
 from nutmegroad.fleet.followers import TableFollower
+from nutmegroad.fleet.host_registration import HostRow
 from nutmegroad.fleet.hosts import FleetHosts
-from nutmegroad.fleet.paces import bounded_pace, operator_pace
-from nutmegroad.fleet.stored import FLEET_TABLE
+from nutmegroad.fleet.store_interface import FLEET_TABLE
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.relay.assembly import HostComponents, assemble
@@ -92,11 +92,11 @@
             rollouts=len(self._rollouts.registry.active),
             open_requests=len(self._caller_handler.busy),
             ready=self.ready,
-            returns=self._fleet.store.returns,
-            harmful=self._fleet.told.crashes.count_harmful(),
-            hosts=self._fleet.neighbours.count,
-            hosts_heard=self._fleet.neighbours.count_heard(),
-            session_marks=len(self._fleet.told.marks),
+            returns=self._fleet.store.restores,
+            harmful=self._fleet.shared_state.crashes.count_harmful(),
+            hosts=self._fleet.peers.count,
+            hosts_heard=self._fleet.peers.count_responsive(),
+            session_marks=len(self._fleet.shared_state.sessions),
         )
 
     @property
@@ -212,10 +212,12 @@
             settings.host,
             canary_share(settings.exposure),
             self._fleet.store_clock.now,
-            self._fleet.told.book,
+            self._fleet.shared_state.evidence,
             self._fleet.count,
             settings.exposure_allowance,
-            registry=RolloutRegistry(clock.now, self._fleet.told.book.end),
+            registry=RolloutRegistry(
+                clock.now, self._fleet.shared_state.evidence.stop
+            ),
         )
         self._context = assemble(
             settings,
@@ -223,7 +225,7 @@
             HostComponents(
                 self._directory,
                 self._rollouts,
-                self._fleet.told,
+                self._fleet.shared_state,
                 self._pool,
                 self._fleet.crash_rows,
             ),
@@ -250,14 +252,14 @@
             self._fleet.store,
             self._platform.status,
             clock,
-            self._fleet.turn,
+            self._fleet.duty_rank,
         )
 
     def _background_tasks(self) -> tuple[Coroutine[Any, Any, None], ...]:
         """Return the tasks that run for as long as the host."""
         return (
             *(follower.run() for follower in self._followers()),
-            *self._fleet.work(),
+            *self._fleet.tasks(),
             self._steps.run(),
             self._sweep(),
         )
@@ -271,24 +273,24 @@
             self._configuration,
             self._rollouts.registry,
             self._upstream_sink.update_services,
-            self._fleet.told.versions,
+            self._fleet.shared_state.versions,
         )
         fleet = FleetSink(self._rollouts, self._fleet)
         return (
             source.follow(
                 platform.tables.operator,
                 operator,
-                operator_pace(settings.key_validity, settings.apply_bound),
+                operator_timing(settings.key_validity, settings.apply_bound),
             ),
             source.follow(
                 platform.tables.upstreams,
                 self._upstream_sink,
-                bounded_pace(settings.drain_notice),
+                bounded_timing(settings.drain_notice),
             ),
             source.follow(
                 FLEET_TABLE,
                 fleet,
-                bounded_pace(settings.halt_bound),
+                bounded_timing(settings.halt_bound),
             ),
         )
 
--- a/src/nutmegroad/relay/intake.py
+++ b/src/nutmegroad/relay/intake.py
@@ -5,7 +5,10 @@
 
 from aiohttp import web
 
-from nutmegroad.fleet.content_marks import ContentMark, mark_content
+from nutmegroad.fleet.content_fingerprints import (
+    ContentFingerprint,
+    fingerprint_content,
+)
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import RequestId
@@ -193,12 +196,12 @@
     http: web.BaseRequest,
     matched: _Matched,
     body: bytes,
-) -> ContentMark:
+) -> ContentFingerprint:
     """Return the content fingerprint of a request."""
     workspace = matched.workspace
     name = '' if workspace is None else workspace.name
     caller = f'{http.method} {matched.route.host} {name}'
-    return mark_content(caller, raw_target(http), body)
+    return fingerprint_content(caller, raw_target(http), body)
 
 
 def raw_target(http: web.BaseRequest) -> bytes:
--- a/src/nutmegroad/relay/refusals.py
+++ b/src/nutmegroad/relay/refusals.py
@@ -4,7 +4,7 @@
 from types import MappingProxyType
 from typing import Final
 
-from nutmegroad.fleet.crash_book import Harmful
+from nutmegroad.fleet.crash_tracker import BlockedRequest
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Ran, ServiceName
 from nutmegroad.upstreams.health import INITIAL_EXCLUSION
@@ -96,10 +96,10 @@
     )
 
 
-def harmful_refusal(harmful: Harmful, service: ServiceName) -> Refusal:
+def harmful_refusal(harmful: BlockedRequest, service: ServiceName) -> Refusal:
     """Return the refusal of a request that terminates its upstreams."""
     return Refusal(
         ResultCode.REQUEST_HARMFUL,
-        f'{harmful.ends} upstreams of {service!r} crashed while running it.',
+        f'{harmful.crash_count} upstreams of {service!r} crashed while running it.',
         retry_after=max(harmful.pause, MIN_PROBE_RETRY_AFTER),
     )
--- a/src/nutmegroad/relay/request_estimates.py
+++ b/src/nutmegroad/relay/request_estimates.py
@@ -59,7 +59,7 @@
 
     def upstream_responded(self, upstream: Upstream) -> None:
         """Record that data was received from an upstream."""
-        self._context.selector.silence.heard(upstream.entry.domain)
+        self._context.selector.silence.record_message(upstream.entry.domain)
 
     def choose(
         self,
--- a/src/nutmegroad/relay/tables.py
+++ b/src/nutmegroad/relay/tables.py
@@ -6,8 +6,8 @@
 
 from nutmegroad.canary.rollout_registry import RolloutRegistry
 from nutmegroad.canary.rollouts import RolloutOrder
-from nutmegroad.fleet.heard_versions import HeardVersions
-from nutmegroad.fleet.stored import RowsRead, StoredRow
+from nutmegroad.fleet.received_versions import ReceivedVersions
+from nutmegroad.fleet.store_interface import RowsRead, StoredRow
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.types import ServiceName, UpstreamId
@@ -82,7 +82,7 @@
         configuration: CachedConfiguration,
         orders: RolloutRegistry,
         update_services: Callable[[Collection[ServiceName]], None],
-        versions: HeardVersions,
+        versions: ReceivedVersions,
     ) -> None:
         self._versions = versions
         self._reader = reader
@@ -109,24 +109,24 @@
         # force, the store has lost the writes since.
         if (
             self._configuration.table is None
-            or self._versions.shown < self._versions.newest
+            or self._versions.in_store < self._versions.newest
         ):
             return
         self._configuration.confirm(moment)
 
-    def lost(self) -> None:
+    def on_store_unavailable(self) -> None:
         """Do nothing: the confirmation expires without an update."""
 
-    def went_back(self) -> None:
+    def on_store_restored(self) -> None:
         """Record that the operator's latest writes may be missing."""
-        self._versions.shown = NO_VERSION
+        self._versions.in_store = NO_VERSION
         self._configuration.ignore_confirmations()
 
     def _apply(self, row: StoredRow) -> None:
         """Apply one row."""
         content = self._reader.operator_row(row)
         if isinstance(content, RoutingTable):
-            self._versions.shown = content.version
+            self._versions.in_store = content.version
             self._configuration.update(content)
             self._versions.own = max(self._versions.own, content.version)
             if self._configuration.table is content:
@@ -238,11 +238,11 @@
         if self._unconfirmed and self._clock.now() >= self._unconfirmed_until:
             self._accept_unconfirmed()
 
-    def lost(self) -> None:
+    def on_store_unavailable(self) -> None:
         """Record that the store is unavailable."""
         self._unavailable = True
 
-    def went_back(self) -> None:
+    def on_store_restored(self) -> None:
         """Record that the list was restored from a backup, some seconds old.
 
         Entries of the last seconds are missing, and reappear as after an
--- a/src/nutmegroad/routes/requests.py
+++ b/src/nutmegroad/routes/requests.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Final, NewType
 
-from nutmegroad.fleet.content_marks import ContentMark
+from nutmegroad.fleet.content_fingerprints import ContentFingerprint
 from nutmegroad.foundations.types import ModelName, RequestId
 from nutmegroad.routes.deployment import Route, RoutingTable, Workspace
 from nutmegroad.routes.headers import HeaderNames, RawHeaders
@@ -104,7 +104,7 @@
     arrived: float
     deadline: float
     caller_deadline: float
-    content: ContentMark
+    content: ContentFingerprint
     generation: Generation | None = None
     session: SessionName | None = None
     last_event: str = ''
--- a/src/nutmegroad/routing/harmful.py
+++ b/src/nutmegroad/routing/harmful.py
@@ -16,16 +16,16 @@
 from nutmegroad.contracts.peers import Mesh, Message
 from nutmegroad.contracts.requests import ModelRequest
 from nutmegroad.contracts.upstreams import EngineClient
-from nutmegroad.fleet.content_marks import (
-    ContentMark,
-    mark_content,
-    spell_mark,
+from nutmegroad.fleet.content_fingerprints import (
+    ContentFingerprint,
+    fingerprint_content,
+    format_fingerprint,
 )
-from nutmegroad.fleet.crash_book import (
-    CrashBook,
-    EndUnder,
-    ToldCrashes,
-    mark_upstream,
+from nutmegroad.fleet.crash_tracker import (
+    CrashReport,
+    CrashTracker,
+    UpstreamCrash,
+    fingerprint_upstream,
 )
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
@@ -69,7 +69,7 @@
     part: ClassVar[str] = 'harmful'
     replaceable: ClassVar[bool] = True
 
-    crashes: ToldCrashes
+    crashes: CrashReport
 
 
 class HarmfulRequests:
@@ -81,13 +81,13 @@
     """
 
     def __init__(self, engines: EngineClient, clock: Clock) -> None:
-        self.crashes = CrashBook(clock)
+        self.crashes = CrashTracker(clock)
         #: Returns whether this host may probe a request that is blocked.
-        self.may_probe: Callable[[ContentMark], bool] = _allow_always
+        self.may_probe: Callable[[ContentFingerprint], bool] = _allow_always
         self._engines = engines
         self._clock = clock
         # Clock seconds of the last probe of each request, newest last.
-        self._probed: dict[ContentMark, float] = {}
+        self._probed: dict[ContentFingerprint, float] = {}
 
     def refusal_for(self, request: ModelRequest) -> Refusal | None:
         """Return why a request may not go to an engine now, or None."""
@@ -99,13 +99,13 @@
             _LOG.decision(
                 'tried once more',
                 request=request.request,
-                content=spell_mark(content),
-                ends=harmful.ends,
+                content=format_fingerprint(content),
+                ends=harmful.crash_count,
             )
             return None
         return Refusal(
             ResultCode.REQUEST_HARMFUL,
-            f'{harmful.ends} engines have terminated while executing it.',
+            f'{harmful.crash_count} engines have terminated while executing it.',
             Ran.NOT_RUN,
             max(harmful.pause, PROBE_RETRY_AFTER),
         )
@@ -123,11 +123,11 @@
     def _record_answer(self, request: ModelRequest) -> None:
         """Record a complete answer, which clears the request."""
         content = content_fingerprint(request)
-        if self.crashes.answered(content, self._clock.now()):
+        if self.crashes.record_answer(content, self._clock.now()):
             _LOG.decision(
                 'cleared by an answer',
                 request=request.request,
-                content=spell_mark(content),
+                content=format_fingerprint(content),
             )
 
     async def _record_interruption(
@@ -145,16 +145,16 @@
         name = UpstreamIncarnation(
             f'{execution.start.upstream}/{execution.start.attempt}',
         )
-        crash = EndUnder(mark_upstream(name), now - seconds, now)
-        self.crashes.ended(content, crash)
+        crash = UpstreamCrash(fingerprint_upstream(name), now - seconds, now)
+        self.crashes.record_crash(content, crash)
         _LOG.decision(
             'engine ended under it',
             request=request.request,
-            content=spell_mark(content),
+            content=format_fingerprint(content),
             upstream=execution.start.upstream,
             version=execution.start.version,
             ran=round(seconds, 3),
-            ends=len(self.crashes.ends_of(content)),
+            ends=len(self.crashes.crashes_of(content)),
         )
 
     async def _is_terminated(self, execution: AttemptExecution) -> bool:
@@ -168,7 +168,7 @@
                 )
         return False
 
-    def _claim_probe(self, content: ContentMark) -> bool:
+    def _claim_probe(self, content: ContentFingerprint) -> bool:
         """Return whether this host probes a request now, and record it."""
         now = self._clock.now()
         if now - self._probed.get(content, float('-inf')) < MIN_PROBE_INTERVAL:
@@ -191,7 +191,7 @@
         clock: The host's clock.
     """
 
-    def __init__(self, mesh: Mesh, crashes: CrashBook, clock: Clock) -> None:
+    def __init__(self, mesh: Mesh, crashes: CrashTracker, clock: Clock) -> None:
         self._mesh = mesh
         self._crashes = crashes
         self._clock = clock
@@ -205,23 +205,23 @@
         """
         while True:
             await self._clock.sleep(BROADCAST_INTERVAL)
-            if self._crashes.has_news:
-                self._mesh.tell_all(CrashDigest(self._crashes.telling()))
+            if self._crashes.has_updates:
+                self._mesh.tell_all(CrashDigest(self._crashes.report()))
 
     async def _receive(self, host: HostId, digest: CrashDigest) -> None:
         """Store the entries that another host has sent."""
-        self._crashes.told(digest.crashes)
+        self._crashes.merge(digest.crashes)
 
 
-def content_fingerprint(request: ModelRequest) -> ContentMark:
+def content_fingerprint(request: ModelRequest) -> ContentFingerprint:
     """Return the fingerprint of a request's content, without its id."""
-    return mark_content(
+    return fingerprint_content(
         request.workspace,
         request.task.encode(),
         msgspec.json.encode(request.body, order='sorted'),
     )
 
 
-def _allow_always(content: ContentMark) -> bool:
+def _allow_always(content: ContentFingerprint) -> bool:
     """Allow every probe; used when there is no other host to decide."""
     return True
--- a/src/nutmegroad/routing/load_part.py
+++ b/src/nutmegroad/routing/load_part.py
@@ -1,7 +1,10 @@
 """Kernel parts that exchange load, slots and crash reports between hosts."""
 
 from nutmegroad.contracts.peers import Mesh
-from nutmegroad.fleet.content_marks import ContentMark, spell_mark
+from nutmegroad.fleet.content_fingerprints import (
+    ContentFingerprint,
+    format_fingerprint,
+)
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
 from nutmegroad.membership.duties import Duties, DutyName
@@ -37,9 +40,11 @@
         harmful = kernel.need(Policies).harmful
         duties = kernel.need(Duties)
 
-        def may_try(content: ContentMark) -> bool:
+        def may_try(content: ContentFingerprint) -> bool:
             """Return whether this host is the one of its domain that probes."""
-            return duties.is_mine(DutyName(f'harmful/{spell_mark(content)}'))
+            return duties.is_mine(
+                DutyName(f'harmful/{format_fingerprint(content)}')
+            )
 
         harmful.may_probe = may_try
         exchange = CrashExchange(
--- a/src/nutmegroad/upstreams/prefixes.py
+++ b/src/nutmegroad/upstreams/prefixes.py
@@ -11,7 +11,11 @@
 
 from xxhash import xxh3_64_intdigest, xxh32_intdigest
 
-from nutmegroad.fleet.prefix_marks import HeldPrefixes, MarkedPart, PrefixMark
+from nutmegroad.fleet.cached_prefixes import (
+    CachedPrefixes,
+    FingerprintedPart,
+    PrefixFingerprint,
+)
 from nutmegroad.foundations.types import DomainId, ModelName, UpstreamId
 from nutmegroad.routes.deployment import EngineFacts
 from nutmegroad.routes.requests import Generation, PromptPart
@@ -63,11 +67,13 @@
 def fingerprint_parts(
     model: ModelName | None,
     parts: Iterable[PromptPart],
-) -> tuple[MarkedPart, ...]:
+) -> tuple[FingerprintedPart, ...]:
     """Return the fingerprints of a prompt's parts for one model."""
     return tuple(
-        MarkedPart(
-            PrefixMark(xxh32_intdigest(f'{model}/{each.part_id}'.encode())),
+        FingerprintedPart(
+            PrefixFingerprint(
+                xxh32_intdigest(f'{model}/{each.part_id}'.encode())
+            ),
             each.tokens,
         )
         for each in parts
@@ -91,7 +97,7 @@
         key: LatencyKey,
         facts: EngineFacts | None,
         latencies: LatencyEstimates,
-        held: HeldPrefixes,
+        held: CachedPrefixes,
     ) -> None:
         self._generation = generation
         self._key = key
@@ -154,7 +160,9 @@
         """Return how many shared tokens an upstream has not cached."""
         missing = self._shared
         for part in self._parts:
-            if not self._held.holds(upstream.entry.incarnation, part.mark):
+            if not self._held.is_cached(
+                upstream.entry.incarnation, part.fingerprint
+            ):
                 break
             missing -= part.tokens
         return missing
--- a/src/nutmegroad/upstreams/selection.py
+++ b/src/nutmegroad/upstreams/selection.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from typing import Final
 
-from nutmegroad.fleet.domain_silence import DomainSilence
+from nutmegroad.fleet.cached_prefixes import CachedPrefixes
+from nutmegroad.fleet.domain_monitor import DomainMonitor
 from nutmegroad.fleet.loads import Load, LoadLedger
-from nutmegroad.fleet.prefix_marks import HeldPrefixes
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import (
     DomainId,
@@ -142,8 +142,8 @@
         randomness: random.Random,
         domain: DomainId,
         ledger: LoadLedger,
-        prefixes: HeldPrefixes,
-        silence: DomainSilence,
+        prefixes: CachedPrefixes,
+        silence: DomainMonitor,
     ) -> None:
         self.silence = silence
         self.latencies = LatencyEstimates()
@@ -192,7 +192,7 @@
     def is_cut_off(self, upstream: Upstream) -> bool:
         """Return whether an upstream's remote domain is probably cut off."""
         domain = upstream.entry.domain
-        return domain != self._domain and self.silence.suspected(domain)
+        return domain != self._domain and self.silence.is_suspected(domain)
 
     def _estimate(
         self,
@@ -212,12 +212,12 @@
             tokens = generation.prompt_tokens + generation.expected_tokens
         return Choice(
             upstream,
-            load.reading + prefill.seconds + base + waiting,
+            load.prefill_seconds + prefill.seconds + base + waiting,
             prefill,
             tokens,
             load.tokens,
             load.running,
-            load.reading,
+            load.prefill_seconds,
             candidates,
         )
 
--- a/tests/gossip_rig.py
+++ b/tests/gossip_rig.py
@@ -13,9 +13,14 @@
 
 from experiments.virtual_time import VirtualClock
 
-from nutmegroad.fleet.announcements import HostRow
-from nutmegroad.fleet.evidence import RunNumber
-from nutmegroad.fleet.neighbours import TURN, Neighbours, Told, nothing_told
+from nutmegroad.fleet.evidence import HostIncarnation
+from nutmegroad.fleet.host_registration import HostRow
+from nutmegroad.fleet.peer_gossip import (
+    ROUND_INTERVAL,
+    PeerGossip,
+    SharedState,
+    new_shared_state,
+)
 from nutmegroad.foundations.types import HostId
 
 #: Seconds after which a session without requests has ended.
@@ -36,16 +41,16 @@
     Attributes:
         name: Its name.
         row: Its row in the fleet table.
-        told: Its shared state.
-        neighbours: Sends and receives its datagrams.
+        state: Its shared state.
+        gossip: Sends and receives its datagrams.
         clock: Its clock.
         work: The task that sends.
     """
 
     name: HostId
     row: HostRow
-    told: Told
-    neighbours: Neighbours
+    state: SharedState
+    gossip: PeerGossip
     clock: VirtualClock
     work: 'asyncio.Task[None]'
 
@@ -98,9 +103,9 @@
     def start(self, name: HostId) -> Member:
         """Start a host that only knows the addresses of the others."""
         row = self._rows[name]
-        run = RunNumber(self.randomness.getrandbits(32))
-        told = nothing_told(name, run, self.clock, SPAN)
-        neighbours = Neighbours(name, row, told, self.clock)
+        run = HostIncarnation(self.randomness.getrandbits(32))
+        told = new_shared_state(name, run, self.clock, SPAN)
+        neighbours = PeerGossip(name, row, told, self.clock)
         member = Member(
             name,
             row,
@@ -111,7 +116,7 @@
         )
         neighbours.connection_made(cast(Any, _Wire(self, row)))
         for other, known in self._rows.items():
-            neighbours.found(other, known)
+            neighbours.add_host(other, known)
         self._at[row.ip] = member
         return member
 
@@ -162,11 +167,11 @@
         receiver = self._at.get(address)
         if receiver is not None:
             source = (sender.ip, sender.port)
-            receiver.neighbours.datagram_received(payload, source)
+            receiver.gossip.datagram_received(payload, source)
 
-    async def _run(self, neighbours: Neighbours) -> None:
+    async def _run(self, neighbours: PeerGossip) -> None:
         """Start the gossip rounds of a host after a random delay."""
-        await self.clock.sleep(self.randomness.uniform(0, TURN))
+        await self.clock.sleep(self.randomness.uniform(0, ROUND_INTERVAL))
         await neighbours.run()
 
 
--- a/tests/relay_samples.py
+++ b/tests/relay_samples.py
@@ -3,22 +3,22 @@
 import json
 from typing import Any
 
-from nutmegroad.fleet.content_marks import ContentMark
+from nutmegroad.fleet.content_fingerprints import ContentFingerprint
 from nutmegroad.fleet.evidence import (
     Answers,
     Evidence,
+    HostIncarnation,
     KindNumber,
-    RunNumber,
 )
-from nutmegroad.fleet.evidence_book import EvidenceBook
-from nutmegroad.fleet.stored import (
+from nutmegroad.fleet.evidence_tracker import EvidenceTracker
+from nutmegroad.fleet.store_interface import (
     Committed,
     HistoryLost,
-    RowExpected,
+    RowCondition,
     RowPut,
-    RowsMoved,
     RowsRead,
     StoredRow,
+    VersionConflict,
 )
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import (
@@ -99,7 +99,7 @@
         arrived=0,
         deadline=10,
         caller_deadline=10,
-        content=ContentMark(1),
+        content=ContentFingerprint(1),
         generation=Generation(ModelName('*'), tokens, 10, 10, parts),
         session=SessionName(session) if session else None,
     )
@@ -154,9 +154,9 @@
 
     async def commit(
         self,
-        expected: tuple[RowExpected, ...],
+        expected: tuple[RowCondition, ...],
         puts: tuple[RowPut, ...],
-    ) -> Committed | RowsMoved | Refusal:
+    ) -> Committed | VersionConflict | Refusal:
         """Refuse."""
         return AWAY
 
@@ -165,14 +165,14 @@
     """Return at once, as the hosts do not start for the first time."""
 
 
-def a_book(host: str = 'me', run: int = 1) -> EvidenceBook:
+def a_book(host: str = 'me', run: int = 1) -> EvidenceTracker:
     """Return the evidence book of one incarnation of a host."""
-    return EvidenceBook(HostId(host), RunNumber(run))
+    return EvidenceTracker(HostId(host), HostIncarnation(run))
 
 
 def counts(order: int, run: int = 1, **answers: int) -> Evidence:
     """Return the evidence of one incarnation of a host on one kind."""
-    return Evidence(order, RunNumber(run), {KIND: Answers(**answers)})
+    return Evidence(order, HostIncarnation(run), {KIND: Answers(**answers)})
 
 
 def ignore_position(place: int) -> None:
