--- a/tests/test_crash_book.py
+++ b/tests/test_crash_tracker.py
@@ -5,36 +5,39 @@
 
 import msgspec
 
-from nutmegroad.fleet.content_marks import ContentMark, mark_content
-from nutmegroad.fleet.crash_book import (
-    FIRST_PAUSE,
-    HARMFUL,
-    LONG_PAUSE,
-    MEMORY,
-    MOST_REQUESTS,
-    MOST_TOLD,
-    TOLD_SPAN,
-    CrashBook,
-    EndUnder,
-    ToldCrashes,
-    UpstreamMark,
+from nutmegroad.fleet.content_fingerprints import (
+    ContentFingerprint,
+    fingerprint_content,
 )
 from nutmegroad.fleet.crash_rows import (
-    AGAIN,
-    BETWEEN_TRIALS,
-    CLEARING,
-    LOOK,
-    MOST_ENDS,
-    TRIAL_TIME,
+    CHECK_INTERVAL,
+    CLEAR_INTERVAL,
+    MAX_CRASHES,
+    PROBE_INTERVAL,
+    PROBE_TIMEOUT,
+    RETRY_INTERVAL,
     CrashRows,
 )
+from nutmegroad.fleet.crash_tracker import (
+    BLOCK_PAUSE,
+    HARMFUL_CRASHES,
+    MAX_REPORTED,
+    MAX_REQUESTS,
+    PROBE_DELAY,
+    REPORTING_PERIOD,
+    RETENTION,
+    CrashReport,
+    CrashTracker,
+    UpstreamCrash,
+    UpstreamFingerprint,
+)
 from nutmegroad.fleet.store_clock import StoreClock
-from nutmegroad.fleet.stored import (
+from nutmegroad.fleet.store_interface import (
     Committed,
-    RowExpected,
+    RowCondition,
     RowPut,
-    RowsMoved,
     StoredRow,
+    VersionConflict,
 )
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.testing.virtual import ManualClock
@@ -46,12 +49,12 @@
 #: Bytes of an Ethernet frame that a datagram may fill.
 FRAME: Final = 1400
 
-BAD, OTHER = ContentMark(1), ContentMark(2)
+BAD, OTHER = ContentFingerprint(1), ContentFingerprint(2)
 
 
-def crash_at(upstream: int, ended: float, run: float = RUN) -> EndUnder:
+def crash_at(upstream: int, ended: float, run: float = RUN) -> UpstreamCrash:
     """Return the crash of an upstream."""
-    return EndUnder(UpstreamMark(upstream), ended - run, ended)
+    return UpstreamCrash(UpstreamFingerprint(upstream), ended - run, ended)
 
 
 class ContentFingerprintTest(unittest.TestCase):
@@ -60,15 +63,15 @@
     def test_caller_path_and_body_tell_requests_apart(self) -> None:
         """No part can be taken for the end of another one."""
         marks = {
-            mark_content('a', b'/p', b'body'),
-            mark_content('b', b'/p', b'body'),
-            mark_content('a', b'/q', b'body'),
-            mark_content('a', b'/p', b'other'),
-            mark_content('a', b'/pbody', b''),
-            mark_content('a/p', b'', b'body'),
+            fingerprint_content('a', b'/p', b'body'),
+            fingerprint_content('b', b'/p', b'body'),
+            fingerprint_content('a', b'/q', b'body'),
+            fingerprint_content('a', b'/p', b'other'),
+            fingerprint_content('a', b'/pbody', b''),
+            fingerprint_content('a/p', b'', b'body'),
         }
         self.assertEqual(len(marks), 6)
-        self.assertIn(mark_content('a', b'/p', b'body'), marks)
+        self.assertIn(fingerprint_content('a', b'/p', b'body'), marks)
 
 
 class CrashTrackerTest(unittest.IsolatedAsyncioTestCase):
@@ -77,13 +80,15 @@
     def setUp(self) -> None:
         """Create a tracker."""
         self.clock = ManualClock(BEGIN)
-        self.tracker = CrashBook(self.clock)
+        self.tracker = CrashTracker(self.clock)
 
-    async def crash(self, content: ContentMark, *upstreams: int) -> None:
+    async def crash(self, content: ContentFingerprint, *upstreams: int) -> None:
         """Let a request crash upstreams, one after the other."""
         for upstream in upstreams:
             await self.clock.advance(2 * RUN)
-            self.tracker.ended(content, crash_at(upstream, self.clock.now()))
+            self.tracker.record_crash(
+                content, crash_at(upstream, self.clock.now())
+            )
 
     async def test_three_crashes_in_series_are_harmful(self) -> None:
         """Two crashes are not; a crash that is reported twice counts once."""
@@ -92,24 +97,26 @@
         await self.crash(BAD, 3)
         found = self.tracker.harmful(BAD)
         assert found is not None
-        self.assertEqual((found.ends, found.pause), (HARMFUL, FIRST_PAUSE))
+        self.assertEqual(
+            (found.crash_count, found.pause), (HARMFUL_CRASHES, PROBE_DELAY)
+        )
         self.assertIsNone(self.tracker.harmful(OTHER))
         self.assertEqual(self.tracker.count_harmful(), 1)
 
     async def test_simultaneous_crashes_count_once(self) -> None:
         """A request that is sent often runs at many upstreams at once."""
         for upstream in range(9):
-            self.tracker.ended(BAD, crash_at(upstream, BEGIN, run=1))
+            self.tracker.record_crash(BAD, crash_at(upstream, BEGIN, run=1))
         self.assertIsNone(self.tracker.harmful(BAD))
 
     async def test_pauses_grow_with_each_further_crash(self) -> None:
         """The first pause lasts a second, the next ones last minutes."""
         await self.crash(BAD, 1, 2, 3)
-        await self.clock.advance(FIRST_PAUSE)
+        await self.clock.advance(PROBE_DELAY)
         found = self.tracker.harmful(BAD)
         assert found is not None
         self.assertEqual(found.pause, 0)
-        for upstream, pause in ((4, LONG_PAUSE), (5, 2 * LONG_PAUSE)):
+        for upstream, pause in ((4, BLOCK_PAUSE), (5, 2 * BLOCK_PAUSE)):
             await self.crash(BAD, upstream)
             found = self.tracker.harmful(BAD)
             assert found is not None
@@ -118,17 +125,17 @@
     async def test_an_answer_clears_what_was_before_it(self) -> None:
         """Also earlier crashes that are reported late, but not later ones."""
         await self.crash(BAD, 1, 2)
-        self.tracker.answered(BAD, self.clock.now())
-        self.tracker.ended(BAD, crash_at(3, BEGIN))
+        self.tracker.record_answer(BAD, self.clock.now())
+        self.tracker.record_crash(BAD, crash_at(3, BEGIN))
         await self.crash(BAD, 4)
         self.assertIsNone(self.tracker.harmful(BAD))
-        self.assertEqual(len(self.tracker.ends(1)[BAD]), 1)
+        self.assertEqual(len(self.tracker.crashes(1)[BAD]), 1)
 
     async def test_old_crashes_are_forgotten_unless_harmful(self) -> None:
         """Any request meets a crash by chance once in a while."""
         await self.crash(OTHER, 1, 2)
         await self.crash(BAD, 1, 2, 3)
-        await self.clock.advance(MEMORY)
+        await self.clock.advance(RETENTION)
         await self.crash(OTHER, 4)
         self.assertIsNone(self.tracker.harmful(OTHER))
         self.assertIsNotNone(self.tracker.harmful(BAD))
@@ -136,35 +143,37 @@
     async def test_another_host_receives_the_report(self) -> None:
         """Ages keep the order of events, however long the datagram takes."""
         await self.crash(BAD, 1, 2, 3)
-        other = CrashBook(self.clock)
-        text = msgspec.msgpack.encode(self.tracker.telling())
+        other = CrashTracker(self.clock)
+        text = msgspec.msgpack.encode(self.tracker.report())
         await self.clock.advance(RUN)
-        other.told(msgspec.msgpack.decode(text, type=ToldCrashes))
+        other.merge(msgspec.msgpack.decode(text, type=CrashReport))
         self.assertIsNotNone(other.harmful(BAD))
-        other.answered(BAD, self.clock.now())
-        self.tracker.told(other.telling())
+        other.record_answer(BAD, self.clock.now())
+        self.tracker.merge(other.report())
         self.assertIsNone(self.tracker.harmful(BAD))
 
     async def test_reports_are_sent_for_seconds_only(self) -> None:
         """Lasting reports are in the store."""
         await self.crash(BAD, 1)
-        self.assertTrue(self.tracker.has_news)
-        await self.clock.advance(TOLD_SPAN + RUN)
-        self.assertFalse(self.tracker.has_news)
-        self.assertEqual(self.tracker.telling(), ToldCrashes())
+        self.assertTrue(self.tracker.has_updates)
+        await self.clock.advance(REPORTING_PERIOD + RUN)
+        self.assertFalse(self.tracker.has_updates)
+        self.assertEqual(self.tracker.report(), CrashReport())
 
     async def test_a_storm_of_crashes_fits_into_a_frame(self) -> None:
         """Requests with most crashes are sent first and are never evicted."""
         await self.crash(BAD, 1, 2, 3)
-        for content in range(10, 10 + MOST_REQUESTS):
+        for content in range(10, 10 + MAX_REQUESTS):
             end = crash_at(9, self.clock.now())
-            self.tracker.ended(ContentMark(content), end)
-        told = self.tracker.telling()
-        self.assertEqual(len(told.ends), MOST_TOLD)
-        self.assertEqual({end.content for end in told.ends[:HARMFUL]}, {BAD})
+            self.tracker.record_crash(ContentFingerprint(content), end)
+        told = self.tracker.report()
+        self.assertEqual(len(told.crashes), MAX_REPORTED)
+        self.assertEqual(
+            {end.content for end in told.crashes[:HARMFUL_CRASHES]}, {BAD}
+        )
         self.assertLess(len(msgspec.msgpack.encode(told)), FRAME)
         self.assertIsNotNone(self.tracker.harmful(BAD))
-        self.assertLessEqual(len(self.tracker.ends(1)), MOST_REQUESTS)
+        self.assertLessEqual(len(self.tracker.crashes(1)), MAX_REQUESTS)
 
 
 class OneTableStore(UnavailableStore):
@@ -185,16 +194,16 @@
 
     async def commit(
         self,
-        expected: tuple[RowExpected, ...],
+        expected: tuple[RowCondition, ...],
         puts: tuple[RowPut, ...],
-    ) -> Committed | RowsMoved | Refusal:
+    ) -> Committed | VersionConflict | Refusal:
         """Write all rows if all conditions hold, otherwise none."""
         self.calls += 1
         if self.away:
             return AWAY
         for row in expected:
             if self.rows.get(row.key, (b'', 0))[1] != row.version:
-                return RowsMoved()
+                return VersionConflict()
         self.writes += 1
         for put in puts:
             self.rows[put.key] = put.content, self.writes
@@ -208,10 +217,10 @@
         """Create the hosts."""
         self.clock = ManualClock(BEGIN)
         self.store = OneTableStore()
-        self.trackers = [CrashBook(self.clock) for _ in range(2)]
+        self.trackers = [CrashTracker(self.clock) for _ in range(2)]
         store_clock = StoreClock(self.clock)
         # The store's clock differs from the hosts' clock.
-        store_clock.answered(BEGIN, 5)
+        store_clock.calibrate(BEGIN, 5)
         self.rows = [
             CrashRows(
                 tracker,
@@ -223,18 +232,20 @@
             for tracker in self.trackers
         ]
 
-    def crash(self, host: int, content: ContentMark, *upstreams: int) -> None:
+    def crash(
+        self, host: int, content: ContentFingerprint, *upstreams: int
+    ) -> None:
         """Let a request crash upstreams at a host within the last seconds."""
         for number, upstream in enumerate(reversed(upstreams)):
             ended = self.clock.now() - 2 * RUN * number
-            self.trackers[host].ended(content, crash_at(upstream, ended))
+            self.trackers[host].record_crash(content, crash_at(upstream, ended))
 
     def read(self, host: int) -> None:
         """Let a host read the rows."""
         for key, (content, version) in self.store.rows.items():
             row = StoredRow(key, content, version)
             name = key.partition('/')[2]
-            self.rows[host].take(name, row, self.clock.now() - BEGIN + 5)
+            self.rows[host].apply_row(name, row, self.clock.now() - BEGIN + 5)
 
     async def test_crashes_add_up_over_hosts_by_the_row(self) -> None:
         """Two crashes here and one there; readers of the row know all."""
@@ -261,10 +272,10 @@
         self.crash(0, BAD, 1, 2, 3)
         for _ in range(9):
             await self.rows[0].write()
-            await self.clock.advance(LOOK)
+            await self.clock.advance(CHECK_INTERVAL)
         self.assertEqual(self.store.calls, 2)
         self.store.away = False
-        await self.clock.advance(AGAIN)
+        await self.clock.advance(RETRY_INTERVAL)
         await self.rows[0].write()
         self.assertEqual(self.store.writes, 1)
 
@@ -273,14 +284,14 @@
         self.crash(0, BAD, 1, 2, 3)
         await self.rows[0].write()
         self.read(1)
-        await self.clock.advance(CLEARING)
-        self.trackers[1].answered(BAD, self.clock.now())
+        await self.clock.advance(CLEAR_INTERVAL)
+        self.trackers[1].record_answer(BAD, self.clock.now())
         await self.rows[1].write()
         self.read(0)
         self.assertIsNone(self.trackers[0].harmful(BAD))
         writes = self.store.writes
         for _ in range(3):
-            await self.clock.advance(CLEARING)
+            await self.clock.advance(CLEAR_INTERVAL)
             for host in (0, 1):
                 await self.rows[host].write()
                 self.read(1 - host)
@@ -288,23 +299,23 @@
 
     async def test_one_host_probes_a_request(self) -> None:
         """The other host is refused; without the store both are."""
-        self.assertTrue(await self.rows[0].claim(BAD))
-        self.assertFalse(await self.rows[1].claim(BAD))
+        self.assertTrue(await self.rows[0].claim_probe(BAD))
+        self.assertFalse(await self.rows[1].claim_probe(BAD))
         self.read(1)
-        await self.clock.advance(BETWEEN_TRIALS)
-        self.assertFalse(await self.rows[1].claim(BAD))
-        self.assertTrue(await self.rows[1].claim(OTHER))
+        await self.clock.advance(PROBE_INTERVAL)
+        self.assertFalse(await self.rows[1].claim_probe(BAD))
+        self.assertTrue(await self.rows[1].claim_probe(OTHER))
         self.read(0)
-        await self.clock.advance(TRIAL_TIME)
+        await self.clock.advance(PROBE_TIMEOUT)
         self.store.away = True
-        self.assertFalse(await self.rows[0].claim(BAD))
+        self.assertFalse(await self.rows[0].claim_probe(BAD))
         self.store.away = False
-        self.assertTrue(await self.rows[0].claim(BAD))
+        self.assertTrue(await self.rows[0].claim_probe(BAD))
 
     async def test_a_full_row_takes_harmful_requests_only(self) -> None:
         """Hosts do not alternate in writing requests that do not fit."""
-        for content in range(10, 10 + MOST_ENDS):
-            self.crash(0, ContentMark(content), 1, 2)
+        for content in range(10, 10 + MAX_CRASHES):
+            self.crash(0, ContentFingerprint(content), 1, 2)
         await self.rows[0].write()
         await self.rows[0].write()
         self.assertEqual(self.store.writes, 1)
@@ -318,8 +329,8 @@
         self.crash(0, BAD, 1, 2, 3)
         await self.rows[0].write()
         self.store.rows.clear()
-        self.rows[0].went_back()
-        await self.clock.advance(LOOK)
+        self.rows[0].on_store_restored()
+        await self.clock.advance(CHECK_INTERVAL)
         await self.rows[0].write()
         self.read(1)
         self.assertIsNotNone(self.trackers[1].harmful(BAD))
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -19,7 +19,7 @@
 
 from fakes.opaque_worker import EVENTS, crashing, plain, stream
 
-from nutmegroad.fleet.crash_book import FIRST_PAUSE
+from nutmegroad.fleet.crash_tracker import PROBE_DELAY
 from nutmegroad.foundations.types import Address
 from nutmegroad.relay.pools import ConnectionPool
 from nutmegroad.relay.process_checks import ProcessChecker, ProcessState
@@ -164,7 +164,7 @@
 
     async def test_a_trial_lasts_until_it_reaches_an_upstream(self) -> None:
         """Attempts that no upstream accepts do not use up the probe."""
-        await asyncio.sleep(FIRST_PAUSE)
+        await asyncio.sleep(PROBE_DELAY)
         number = await self.rig.add_host()
         await self.rig.ask('/draft/1', 'r2', body=HARMFUL, host=number)
         self.assertEqual(self.rig.crashes, ENDS + TRIALS)
@@ -174,7 +174,7 @@
         for number, worker in enumerate(self.rig.workers):
             if worker.crashes:
                 await self.rig.restart_worker(number)
-        await asyncio.sleep(FIRST_PAUSE)
+        await asyncio.sleep(PROBE_DELAY)
         number = await self.rig.add_host()
         await self.rig.ask('/draft/1', 'r2', body=HARMFUL, host=number)
         after = sum(len(worker.seen) for worker in self.rig.workers)
--- a/tests/test_evidence_book.py
+++ b/tests/test_evidence_tracker.py
@@ -5,28 +5,28 @@
 from unittest.mock import Mock
 
 from nutmegroad.canary.verdicts import Judgement, Verdict
-from nutmegroad.fleet.announcements import HostRow
-from nutmegroad.fleet.crash_book import CrashBook
-from nutmegroad.fleet.domain_silence import DomainSilence
+from nutmegroad.fleet.cached_prefixes import CachedPrefixes
+from nutmegroad.fleet.crash_tracker import CrashTracker
+from nutmegroad.fleet.domain_monitor import DomainMonitor
 from nutmegroad.fleet.evidence import (
     Answers,
-    summed,
+    sum_answers,
 )
-from nutmegroad.fleet.evidence_book import EvidenceBook
-from nutmegroad.fleet.heard_versions import HeardVersions
+from nutmegroad.fleet.evidence_tracker import EvidenceTracker
+from nutmegroad.fleet.host_registration import HostRow
 from nutmegroad.fleet.loads import LoadLedger
-from nutmegroad.fleet.neighbours import TURN, Neighbours, Told
-from nutmegroad.fleet.prefix_marks import HeldPrefixes
-from nutmegroad.fleet.session_marks import SessionMarks
+from nutmegroad.fleet.old_version_sessions import OldVersionSessions
+from nutmegroad.fleet.peer_gossip import ROUND_INTERVAL, PeerGossip, SharedState
+from nutmegroad.fleet.received_versions import ReceivedVersions
 from nutmegroad.foundations.types import HostId
 from nutmegroad.testing.virtual import ManualClock
 from tests.relay_samples import ENGINES, KIND, a_book, counts
 
 #: Gossip rounds within which a bad version has to be halted: five seconds.
-HALT_ROUNDS: Final = int(5 / TURN)
+HALT_ROUNDS: Final = int(5 / ROUND_INTERVAL)
 
 
-def is_bad(book: EvidenceBook, order: int) -> bool:
+def is_bad(book: EvidenceTracker, order: int) -> bool:
     """Return whether the recorded counts show that a version is bad."""
     judgement = Judgement()
     judgement.update(book.sums(ENGINES, order))
@@ -49,14 +49,14 @@
             book.count(ENGINES, 7, KIND, of_new=True, poor=poor)
         from_rows = a_book()
         for number, book in enumerate(books[:6]):
-            from_rows.told(ENGINES, HostId(f'h{number}'), book.own(ENGINES, 7))
+            from_rows.merge(ENGINES, HostId(f'h{number}'), book.own(ENGINES, 7))
         self.assertTrue(is_bad(from_rows, 7))
         mine = a_book()
         own = HostRow('127.0.0.1', 1, 'north')
         receiver = neighbours('me', own, mine, clock)
         for number, book in enumerate(books):
             sender = neighbours(f'h{number}', own, book, clock)
-            receiver.datagram_received(sender.telling(), ('127.0.0.1', 1))
+            receiver.datagram_received(sender.encode_report(), ('127.0.0.1', 1))
         self.assertEqual(total(mine, 7), Answers(66, 6))
         self.assertFalse(is_bad(mine, 7))
 
@@ -65,29 +65,29 @@
         book = a_book()
         host = HostId('h')
         for new in (3, 9, 5):
-            book.told(ENGINES, host, counts(7, new=new))
+            book.merge(ENGINES, host, counts(7, new=new))
         self.assertEqual(total(book, 7).new, 9)
-        book.told(ENGINES, host, counts(8, new=1))
-        book.told(ENGINES, host, counts(7, new=20))
+        book.merge(ENGINES, host, counts(8, new=1))
+        book.merge(ENGINES, host, counts(7, new=20))
         self.assertEqual(total(book, 8).new, 1)
 
     def test_sum_leaves_older_rollouts_out(self) -> None:
         """Rows of an earlier order are not counted, and are dropped in time."""
         book = a_book()
-        book.told(ENGINES, HostId('a'), counts(1, new=5, new_poor=5))
-        book.told(ENGINES, HostId('b'), counts(2, new=3, new_poor=1, old=4))
+        book.merge(ENGINES, HostId('a'), counts(1, new=5, new_poor=5))
+        book.merge(ENGINES, HostId('b'), counts(2, new=3, new_poor=1, old=4))
         self.assertEqual(total(book, 1), Answers(5, 5, 0, 0))
         self.assertEqual(total(book, 2), Answers(3, 1, 4, 0))
-        book.told(ENGINES, HostId('b'), counts(3, new=1))
+        book.merge(ENGINES, HostId('b'), counts(3, new=1))
         self.assertEqual(total(book, 1), Answers())
         self.assertEqual(total(book, 3), Answers(1, 0, 0, 0))
 
     def test_counts_under_another_number_displace_none(self) -> None:
         """A restarted host numbers the order by its current position."""
         book = a_book()
-        book.told(ENGINES, HostId('a'), counts(1, new=5, new_poor=5))
-        book.told(ENGINES, HostId('b'), counts(2, new=3))
-        book.told(ENGINES, HostId('c'), counts(1, new=1))
+        book.merge(ENGINES, HostId('a'), counts(1, new=5, new_poor=5))
+        book.merge(ENGINES, HostId('b'), counts(2, new=3))
+        book.merge(ENGINES, HostId('c'), counts(1, new=1))
         self.assertEqual(total(book, 1), Answers(6, 5, 0, 0))
 
     def test_a_host_that_starts_again_adds_to_its_counts(self) -> None:
@@ -98,8 +98,8 @@
         """
         book = a_book()
         host = HostId('h')
-        book.told(ENGINES, host, counts(7, run=1, new=9, new_poor=4, old=50))
-        book.told(ENGINES, host, counts(7, run=2, new=2, new_poor=1, old=10))
+        book.merge(ENGINES, host, counts(7, run=1, new=9, new_poor=4, old=50))
+        book.merge(ENGINES, host, counts(7, run=2, new=2, new_poor=1, old=10))
         self.assertEqual(total(book, 7), Answers(11, 5, 60, 0))
 
     def test_counts_survive_a_power_loss_of_half_of_the_hosts(
@@ -157,13 +157,16 @@
         book = a_book(run=2)
         book.count(ENGINES, 7, KIND, of_new=True, poor=False)
         mine = HostId('me')
-        book.told(ENGINES, mine, counts(7, run=1, new=4, new_poor=2))
-        book.told(ENGINES, mine, counts(7, run=2, new=9, new_poor=9))
+        book.merge(ENGINES, mine, counts(7, run=1, new=4, new_poor=2))
+        book.merge(ENGINES, mine, counts(7, run=2, new=9, new_poor=9))
         self.assertEqual(total(book, 7), Answers(5, 2, 0, 0))
         self.assertEqual(
             [
                 each.evidence.run
-                for each in (*book.tell_near().home, *book.tell_near().others)
+                for each in (
+                    *book.local_report().local,
+                    *book.local_report().remote,
+                )
             ],
             [2, 1],
         )
@@ -172,13 +175,13 @@
         """Pattern: a host starts again and again during a rollout."""
         book = a_book()
         for run in range(2000):
-            book.told(ENGINES, HostId('h'), counts(7, run=run + 2, new=1))
+            book.merge(ENGINES, HostId('h'), counts(7, run=run + 2, new=1))
         self.assertEqual(total(book, 7).new, 540)
 
 
-def total(book: EvidenceBook, order: int) -> Answers:
+def total(book: EvidenceTracker, order: int) -> Answers:
     """Return the sum of all counts of an order."""
-    return summed(book.sums(ENGINES, order).values())
+    return sum_answers(book.sums(ENGINES, order).values())
 
 
 class RoundFleet:
@@ -191,14 +194,14 @@
 
     def __init__(self, hosts: int, domains: int) -> None:
         self.names = [f'h{number}' for number in range(hosts)]
-        self.books: dict[str, EvidenceBook] = {}
+        self.books: dict[str, EvidenceTracker] = {}
         self._clock = ManualClock()
         self._rows = {
             name: HostRow(f'10.0.0.{number}', 1, f'd{number % domains}')
             for number, name in enumerate(self.names)
         }
         self._at = {row.ip: name for name, row in self._rows.items()}
-        self._fleet: dict[str, Neighbours] = {}
+        self._fleet: dict[str, PeerGossip] = {}
         self._round = 0
         for name in self.names:
             self.start(name, run=1)
@@ -212,14 +215,14 @@
             name, self._rows[name], self.books[name], self._clock
         )
         for other, row in self._rows.items():
-            started.found(HostId(other), row)
+            started.add_host(HostId(other), row)
         started.connection_made(Mock(sendto=self._carry))
         self._fleet[name] = started
 
     def play(self, rounds: int) -> None:
         """Let all hosts send for a number of rounds."""
         for _ in range(rounds):
-            self._clock._now += TURN
+            self._clock._now += ROUND_INTERVAL
             self._round += 1
             for name in self.names:
                 self._fleet[name]._send_round(self._round)
@@ -229,10 +232,10 @@
         self._fleet[self._at[address[0]]].datagram_received(payload, address)
 
 
-def exchange_all(fleet: dict[str, Neighbours]) -> None:
+def exchange_all(fleet: dict[str, PeerGossip]) -> None:
     """Let each host send to all others once."""
     for sender in fleet.values():
-        payload = sender.telling()
+        payload = sender.encode_report()
         for receiver in fleet.values():
             receiver.datagram_received(payload, ('127.0.0.1', 1))
 
@@ -240,20 +243,20 @@
 def neighbours(
     name: str,
     own: HostRow,
-    book: EvidenceBook,
+    book: EvidenceTracker,
     clock: ManualClock,
-) -> Neighbours:
+) -> PeerGossip:
     """Return a host that sends and receives the counts of a tracker."""
-    told = Told(
+    told = SharedState(
         LoadLedger(clock),
-        SessionMarks(clock, 5),
+        OldVersionSessions(clock, 5),
         book,
-        HeldPrefixes(clock),
-        DomainSilence(clock),
-        CrashBook(clock),
-        HeardVersions(clock),
+        CachedPrefixes(clock),
+        DomainMonitor(clock),
+        CrashTracker(clock),
+        ReceivedVersions(clock),
     )
-    return Neighbours(HostId(name), own, told, clock)
+    return PeerGossip(HostId(name), own, told, clock)
 
 
 if __name__ == '__main__':
--- a/tests/test_fleet_soak.py
+++ b/tests/test_fleet_soak.py
@@ -123,10 +123,10 @@
         The store falls silent to the host that reads it for its domain.
         """
         status, text = self.play_patched(
-            'src/nutmegroad/fleet/paces.py',
+            'src/nutmegroad/fleet/feed_timing.py',
             {
-                'WAIT_PART: Final = 0.35': 'WAIT_PART: Final = 2',
-                'RELIANCE_PART: Final = 0.75': 'RELIANCE_PART: Final = 20',
+                'WAIT_FRACTION: Final = 0.35': 'WAIT_FRACTION: Final = 2',
+                'VALID_FRACTION: Final = 0.75': 'VALID_FRACTION: Final = 20',
             },
             *('--seed', '22', '--seconds', '5.5', '--hosts', '4'),
             *('--faults', Fault.STORE_HOLDS.value),
@@ -138,7 +138,7 @@
         """A program whose hosts keep to themselves which sessions they had."""
         status, text = self.play_patched(
             'src/nutmegroad/fleet/messages.py',
-            {'self._marks.told(digest.sessions, near=near)': 'pass'},
+            {'self._sessions.merge(digest.sessions, local=local)': 'pass'},
             *('--seed', '1', '--seconds', '2', '--hosts', '3'),
             *('--faults', Fault.ROLLED_OUT.value),
         )
--- a/tests/test_fuzz_datagrams.py
+++ b/tests/test_fuzz_datagrams.py
@@ -12,12 +12,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from nutmegroad.fleet.announcements import HostRow
-from nutmegroad.fleet.evidence import RunNumber
+from nutmegroad.fleet.evidence import HostIncarnation
+from nutmegroad.fleet.host_registration import HostRow
 from nutmegroad.fleet.loads import Load
 from nutmegroad.fleet.messages import Message
-from nutmegroad.fleet.neighbours import Neighbours, nothing_told
-from nutmegroad.fleet.session_marks import MOST_MARKS, SessionMark
+from nutmegroad.fleet.old_version_sessions import (
+    MAX_SESSIONS,
+    SessionFingerprint,
+)
+from nutmegroad.fleet.peer_gossip import PeerGossip, new_shared_state
 from nutmegroad.foundations.types import (
     DomainId,
     HostId,
@@ -91,18 +94,18 @@
 )
 
 
-def a_host() -> tuple[Neighbours, ManualClock]:
+def a_host() -> tuple[PeerGossip, ManualClock]:
     """Return a host that knows one local and seventeen remote hosts."""
     clock = ManualClock(start=100)
-    told = nothing_told(HostId('me'), RunNumber(1), clock, 5)
-    host = Neighbours(HostId('me'), row('north'), told, clock)
+    told = new_shared_state(HostId('me'), HostIncarnation(1), clock, 5)
+    host = PeerGossip(HostId('me'), row('north'), told, clock)
     host.connection_made(Mock())
-    host.found(HostId('near'), row('north'))
+    host.add_host(HostId('near'), row('north'))
     for number in range(17):
         name = f'far-{number}' if number else 'far'
-        host.found(HostId(name), row('south'))
-    told.marks.saw(SessionMark(1))
-    told.book.count(ServiceName('near'), 1, KIND, of_new=True, poor=True)
+        host.add_host(HostId(name), row('south'))
+    told.sessions.record(SessionFingerprint(1))
+    told.evidence.count(ServiceName('near'), 1, KIND, of_new=True, poor=True)
     told.ledger.begin(UpstreamIncarnation('near'), Load(1, 0, 9))
     return host, clock
 
@@ -123,7 +126,7 @@
 class DatagramTest(unittest.TestCase):
     """A host that receives arbitrary datagrams."""
 
-    def receive(self, *texts: bytes) -> Neighbours:
+    def receive(self, *texts: bytes) -> PeerGossip:
         """Let a host receive datagrams and run for some rounds."""
         host, clock = a_host()
         for text in texts:
@@ -132,8 +135,8 @@
         for turn in range(12):
             clock._now += 1
             host._send_round(turn)
-            self.assertLess(len(host.telling()), 65_000)
-        host._domains.suspected(DomainId('south'))
+            self.assertLess(len(host.encode_report()), 65_000)
+        host._domains.is_suspected(DomainId('south'))
         return host
 
     @settings(max_examples=150, deadline=None, derandomize=True)
@@ -164,16 +167,16 @@
     def test_made_up_fingerprints_are_bounded(self) -> None:
         """Guards: a broken host fills its peers' memory with fingerprints."""
         texts = []
-        for begin in range(0, MOST_MARKS * 2, BATCH):
+        for begin in range(0, MAX_SESSIONS * 2, BATCH):
             ages = dict.fromkeys(range(begin, begin + BATCH), 1)
             texts.append(encode([1, 'near', [[ages, {}], [[], []]]]))
         host, _ = a_host()
         for text in texts:
             host.datagram_received(text, ('127.0.0.9', 9))
-        marks = host._digests._marks
-        self.assertLessEqual(len(marks), MOST_MARKS)
-        marks.saw(SessionMark(2**31))
-        self.assertTrue(marks.alive(SessionMark(2**31)))
+        marks = host._digests._sessions
+        self.assertLessEqual(len(marks), MAX_SESSIONS)
+        marks.record(SessionFingerprint(2**31))
+        self.assertTrue(marks.is_live(SessionFingerprint(2**31)))
 
     def test_messages_are_decoded(self) -> None:
         """Otherwise the tests above would exercise nothing."""
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -16,11 +16,15 @@
 
 from experiments.virtual_time import VirtualClock, VirtualLoop, run_virtually
 
-from nutmegroad.fleet.content_marks import ContentMark
-from nutmegroad.fleet.crash_book import FIRST_PAUSE, EndUnder, UpstreamMark
+from nutmegroad.fleet.content_fingerprints import ContentFingerprint
+from nutmegroad.fleet.crash_tracker import (
+    PROBE_DELAY,
+    UpstreamCrash,
+    UpstreamFingerprint,
+)
 from nutmegroad.fleet.evidence import NO_ANSWERS, KindNumber
 from nutmegroad.fleet.loads import Load
-from nutmegroad.fleet.session_marks import SessionMark
+from nutmegroad.fleet.old_version_sessions import SessionFingerprint
 from nutmegroad.foundations.types import ServiceName, UpstreamIncarnation
 from tests.gossip_rig import GossipFleet, Member
 
@@ -29,8 +33,8 @@
 ENGINES: Final = ServiceName('engines')
 UPSTREAM: Final = UpstreamIncarnation('engine')
 KIND: Final = KindNumber(0)
-MARK: Final = SessionMark(7)
-CONTENT: Final = ContentMark(5)
+MARK: Final = SessionFingerprint(7)
+CONTENT: Final = ContentFingerprint(5)
 POOR: Final = 50
 
 #: Seconds within which a fact passes through a third domain by rotation: before
@@ -57,36 +61,36 @@
 
 def _saw_session(member: Member) -> None:
     """Let a host serve a session on the old version."""
-    member.told.marks.saw(MARK)
+    member.state.sessions.record(MARK)
 
 
 def _knows_session(member: Member) -> bool:
     """Return whether a host knows that session."""
-    return member.told.marks.alive(MARK)
+    return member.state.sessions.is_live(MARK)
 
 
 def _saw_poor_answers(member: Member) -> None:
     """Let a host count poor answers of a new version."""
     for _ in range(POOR):
-        member.told.book.count(ENGINES, 3, KIND, of_new=True, poor=True)
+        member.state.evidence.count(ENGINES, 3, KIND, of_new=True, poor=True)
 
 
 def _knows_poor_answers(member: Member) -> bool:
     """Return whether a host knows all of them."""
-    seen = member.told.book.sums(ENGINES, 3).get(KIND, NO_ANSWERS)
+    seen = member.state.evidence.sums(ENGINES, 3).get(KIND, NO_ANSWERS)
     return seen.new_poor == POOR
 
 
 def _saw_crash(member: Member) -> None:
     """Let an upstream crash under a request of a host."""
     now = member.clock.now()
-    end = EndUnder(UpstreamMark(1), now, now)
-    member.told.crashes.ended(CONTENT, end)
+    end = UpstreamCrash(UpstreamFingerprint(1), now, now)
+    member.state.crashes.record_crash(CONTENT, end)
 
 
 def _knows_crash(member: Member) -> bool:
     """Return whether a host knows that an upstream crashed under it."""
-    return CONTENT in member.told.crashes
+    return CONTENT in member.state.crashes
 
 
 FACTS: Final = MappingProxyType(
@@ -97,7 +101,7 @@
         # rest of the bound is for the verdict and the writing of steps.
         'poor answers': Fact(_saw_poor_answers, _knows_poor_answers, 2.0),
         # Otherwise a host without the report executes a harmful request again.
-        'end of an upstream': Fact(_saw_crash, _knows_crash, FIRST_PAUSE),
+        'end of an upstream': Fact(_saw_crash, _knows_crash, PROBE_DELAY),
     },
 )
 
@@ -158,7 +162,7 @@
     async def count(fleet: GossipFleet) -> int:
         if busy:
             for member in fleet.members:
-                member.told.ledger.begin(UPSTREAM, Load(1, 0, 900))
+                member.state.ledger.begin(UPSTREAM, Load(1, 0, 900))
         # Longer than a host counts as responsive, so that its start hides no
         # gap.
         await fleet.clock.sleep(8)
--- a/tests/test_harmful_requests.py
+++ b/tests/test_harmful_requests.py
@@ -10,7 +10,7 @@
 import unittest
 
 from nutmegroad.contracts.upstreams import EngineReport, UpstreamInfo
-from nutmegroad.fleet.crash_book import FIRST_PAUSE, HARMFUL
+from nutmegroad.fleet.crash_tracker import HARMFUL_CRASHES, PROBE_DELAY
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import DomainId, HostId, Ran, RequestId
 from nutmegroad.routing.harmful import (
@@ -66,21 +66,21 @@
 
     async def crash_three_engines(self) -> None:
         """Send the request until it has crashed three engines."""
-        for _ in range(HARMFUL):
-            if self.sent < HARMFUL:
+        for _ in range(HARMFUL_CRASHES):
+            if self.sent < HARMFUL_CRASHES:
                 await self.send(*(broken(0) for _ in range(9)))
 
     async def test_it_is_refused_after_its_third_engine(self) -> None:
         """Guards against a new set of attempts each time it is sent."""
         await self.crash_three_engines()
-        self.assertEqual(self.sent, HARMFUL)
+        self.assertEqual(self.sent, HARMFUL_CRASHES)
         for _ in range(4):
             refusal = await self.send(*(broken(0) for _ in range(9)))
             assert isinstance(refusal, Refusal)
             self.assertIs(refusal.code, ResultCode.REQUEST_HARMFUL)
             self.assertIs(refusal.ran, Ran.NOT_RUN)
             self.assertGreater(refusal.retry_after, 0)
-        self.assertEqual(self.sent, HARMFUL)
+        self.assertEqual(self.sent, HARMFUL_CRASHES)
 
     async def test_others_are_served(self) -> None:
         """Neither other content nor another workspace is blocked."""
@@ -94,25 +94,25 @@
     async def test_an_answer_clears_it(self) -> None:
         """A request that merely ran beside a harmful one is probed."""
         await self.crash_three_engines()
-        await self.clock.jump(FIRST_PAUSE)
+        await self.clock.jump(PROBE_DELAY)
         self.assertIsInstance(await self.send(whole), Answer)
         self.assertIsInstance(await self.send(whole), Answer)
 
     async def test_a_further_termination_blocks_it_for_long(self) -> None:
         """The probe crashes one more engine; no other is used."""
         await self.crash_three_engines()
-        await self.clock.jump(FIRST_PAUSE)
+        await self.clock.jump(PROBE_DELAY)
         await self.send(broken(0), broken(0))
-        self.assertEqual(self.sent, HARMFUL + 1)
+        self.assertEqual(self.sent, HARMFUL_CRASHES + 1)
         await self.clock.jump(MIN_PROBE_INTERVAL * 2)
         await self.send(broken(0), broken(0))
-        self.assertEqual(self.sent, HARMFUL + 1)
+        self.assertEqual(self.sent, HARMFUL_CRASHES + 1)
 
     async def test_only_the_chosen_host_probes_it(self) -> None:
         """A host that is not chosen for the probe does not execute it."""
         await self.crash_three_engines()
         self.rig.harmful.may_probe = lambda content: False
-        await self.clock.jump(FIRST_PAUSE)
+        await self.clock.jump(PROBE_DELAY)
         self.assertIsInstance(await self.send(whole), Refusal)
 
     async def test_a_failed_attempt_is_no_termination(self) -> None:
@@ -140,7 +140,7 @@
             self.addCleanup(task.cancel)
         rig = HostRig(clock, engines=engines, harmful=hosts[0])
         request = rig.request(body=BODY)
-        for _ in range(HARMFUL):
+        for _ in range(HARMFUL_CRASHES):
             engines.scripts = [broken(0) for _ in range(9)]
             await rig.ask(body=BODY)
         self.assertIsNone(hosts[1].refusal_for(request))
--- a/tests/test_load_patterns.py
+++ b/tests/test_load_patterns.py
@@ -8,24 +8,24 @@
 import unittest
 from unittest.mock import Mock
 
-from nutmegroad.fleet.announcements import HostRow
-from nutmegroad.fleet.evidence import RunNumber
+from nutmegroad.fleet.evidence import HostIncarnation
+from nutmegroad.fleet.host_registration import HostRow
 from nutmegroad.fleet.loads import Load
-from nutmegroad.fleet.neighbours import (
-    FAR_OF_HEAVY,
-    FAR_WITH_REPORTS,
-    HEAVY,
-    NEAR_AT_ONCE,
-    NEAR_OF_HEAVY,
-    Neighbours,
-    nothing_told,
+from nutmegroad.fleet.peer_gossip import (
+    HEAVY_PREFILL,
+    LOCAL_IMMEDIATE,
+    LOCAL_OF_HEAVY,
+    MAX_REMOTE_WITH_REPORTS,
+    REMOTE_OF_HEAVY,
+    PeerGossip,
+    new_shared_state,
 )
 from nutmegroad.foundations.types import HostId, UpstreamIncarnation
 from nutmegroad.testing.virtual import ManualClock
 from nutmegroad.upstreams.engine_ranks import PRIORITY_RANKS, engine_rank
 
-LONG = Load(1, HEAVY, 9000)
-SHORT = Load(1, HEAVY / 2, 300)
+LONG = Load(1, HEAVY_PREFILL, 9000)
+SHORT = Load(1, HEAVY_PREFILL / 2, 300)
 
 
 class Host:
@@ -38,10 +38,10 @@
     """
 
     def __init__(self, name: str, clock: ManualClock) -> None:
-        self.told = nothing_told(HostId('me'), RunNumber(1), clock, 5)
+        self.told = new_shared_state(HostId('me'), HostIncarnation(1), clock, 5)
         self.transport = Mock()
         own = HostRow('127.0.0.1', 1, 'north')
-        self.neighbours = Neighbours(
+        self.neighbours = PeerGossip(
             HostId(name),
             own,
             self.told,
@@ -58,7 +58,7 @@
         """Let it find other hosts in the store."""
         for number in range(count):
             row = HostRow('127.0.0.1', number, domain)
-            self.neighbours.found(HostId(f'{domain}-{number}'), row)
+            self.neighbours.add_host(HostId(f'{domain}-{number}'), row)
 
 
 class ImmediateReportTest(unittest.TestCase):
@@ -93,7 +93,9 @@
 
     def test_other_reported_loads_stay(self) -> None:
         """One upstream is reported; the loads of the others stay."""
-        self.theirs.told.ledger.told(HostId('mine'), {self.other: SHORT})
+        self.theirs.told.ledger.replace_reported(
+            HostId('mine'), {self.other: SHORT}
+        )
         self.mine.find(1, 'north')
         self.mine.told.ledger.begin(self.engine, LONG)
         self.theirs.neighbours.datagram_received(
@@ -103,29 +105,29 @@
         ledger = self.theirs.told.ledger
         self.assertEqual(ledger.load(self.other), SHORT)
         self.assertEqual(ledger.load(self.engine), LONG)
-        ledger.told(HostId('mine'), {})
+        ledger.replace_reported(HostId('mine'), {})
         self.assertEqual(ledger.load(self.engine).running, 0)
 
     def test_reports_are_bounded_in_a_large_fleet(self) -> None:
         """All hosts are reached in rotation."""
         self.mine.find(100, 'north')
-        self.mine.find(FAR_WITH_REPORTS, 'south')
+        self.mine.find(MAX_REMOTE_WITH_REPORTS, 'south')
         for _ in range(20):
             self.mine.told.ledger.begin(self.engine, LONG)
         sent = self.mine.transport.sendto.call_args_list
-        self.assertEqual(len(sent), 20 * (NEAR_OF_HEAVY + FAR_OF_HEAVY))
+        self.assertEqual(len(sent), 20 * (LOCAL_OF_HEAVY + REMOTE_OF_HEAVY))
         ports = {call.args[1][1] for call in sent}
         self.assertEqual(len(ports), 100)
         self.mine.transport.reset_mock()
         self.mine.told.ledger.begin(self.engine, SHORT)
-        self.assertEqual(len(self.mine.datagrams), NEAR_AT_ONCE)
+        self.assertEqual(len(self.mine.datagrams), LOCAL_IMMEDIATE)
 
     def test_too_many_remote_hosts_get_no_reports(self) -> None:
         """Each of them would receive less than half of what is sent there."""
         self.mine.find(100, 'north')
-        self.mine.find(FAR_WITH_REPORTS + 1, 'south')
+        self.mine.find(MAX_REMOTE_WITH_REPORTS + 1, 'south')
         self.mine.told.ledger.begin(self.engine, LONG)
-        self.assertEqual(len(self.mine.datagrams), NEAR_OF_HEAVY)
+        self.assertEqual(len(self.mine.datagrams), LOCAL_OF_HEAVY)
 
 
 class RankTest(unittest.TestCase):
--- a/tests/test_moved_sessions.py
+++ b/tests/test_moved_sessions.py
@@ -117,20 +117,20 @@
         clock = self._fleet.clock
         directory = Directory(clock)
         directory.put(an_entry('old'))
-        book = member.told.book
+        book = member.state.evidence
         state = RolloutState(
             member.name,
             TRIAL,
             clock.now,
             book,
             lambda: 1,
-            registry=RolloutRegistry(clock.now, book.end),
+            registry=RolloutRegistry(clock.now, book.stop),
         )
         gate = RolloutGate(
             directory,
             state,
             SessionVersions(clock, SPAN),
-            member.told.marks,
+            member.state.sessions,
             InterruptedAttempts(clock),
         )
         # The steady version is the one present before the order.
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -13,14 +13,14 @@
 from fakes.row_store import RowStore, StoreFault
 
 from nutmegroad.canary.rollouts import RolloutOrder, Stage
-from nutmegroad.fleet.stored import (
+from nutmegroad.fleet.store_interface import (
     Committed,
     HistoryLost,
-    RowExpected,
+    RowCondition,
     RowPut,
-    RowsMoved,
     RowsRead,
     StoredRow,
+    VersionConflict,
 )
 from nutmegroad.foundations.exceptions import SettingsError
 from nutmegroad.foundations.results import Refusal
@@ -207,11 +207,11 @@
 
     async def test_transaction_needs_its_rows_as_expected(self) -> None:
         """The second of two writers changes nothing."""
-        expected = (RowExpected('t', 'k', 0),)
+        expected = (RowCondition('t', 'k', 0),)
         first = await self.store.commit(expected, (RowPut('t', 'k', b'1'),))
         second = await self.store.commit(expected, (RowPut('t', 'k', b'2'),))
         self.assertIsInstance(first, Committed)
-        self.assertIsInstance(second, RowsMoved)
+        self.assertIsInstance(second, VersionConflict)
         self.assertEqual(self.rows.content('t', 'k'), b'1')
 
     async def test_failures_say_what_is_known(self) -> None:
--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -8,13 +8,13 @@
 
 import unittest
 
-from nutmegroad.fleet.prefix_marks import (
-    MOST_HELD,
-    MOST_TOLD,
-    MOST_UPSTREAMS,
-    HeldPrefixes,
-    MarkedPart,
-    PrefixMark,
+from nutmegroad.fleet.cached_prefixes import (
+    MAX_PARTS,
+    MAX_REPORTED,
+    MAX_UPSTREAMS,
+    CachedPrefixes,
+    FingerprintedPart,
+    PrefixFingerprint,
 )
 from nutmegroad.foundations.types import (
     DomainId,
@@ -47,7 +47,7 @@
 
     def setUp(self) -> None:
         """Create two upstreams without cached prefixes."""
-        self.held = HeldPrefixes(ManualClock())
+        self.held = CachedPrefixes(ManualClock())
         self.paces = LatencyEstimates()
         self.both = (Upstream(an_entry('u')), Upstream(an_entry('v')))
         self.first, self.other = sorted(
@@ -77,7 +77,7 @@
     def sent(self, upstream: Upstream, model: ModelName, count: int) -> None:
         """Record that an upstream has cached the first parts of the prompt."""
         parts = fingerprint_parts(model, SHARED[:count])
-        self.held.sent(upstream.entry.incarnation, parts, 0)
+        self.held.record_sent(upstream.entry.incarnation, parts, 0)
 
     def test_part_counts_only_with_all_before_it(self) -> None:
         """It also counts only for the model that has processed it."""
@@ -134,21 +134,23 @@
     def setUp(self) -> None:
         """Create the prefix caches of two hosts."""
         self.clock = ManualClock()
-        self.mine = HeldPrefixes(self.clock)
-        self.theirs = HeldPrefixes(self.clock)
+        self.mine = CachedPrefixes(self.clock)
+        self.theirs = CachedPrefixes(self.clock)
         self.upstream = UpstreamIncarnation('u')
 
     def sent(self, *numbers: int, memory: int = 0) -> None:
         """Record sent parts of ten tokens each."""
-        parts = tuple(MarkedPart(PrefixMark(each), 10) for each in numbers)
-        self.mine.sent(self.upstream, parts, memory)
+        parts = tuple(
+            FingerprintedPart(PrefixFingerprint(each), 10) for each in numbers
+        )
+        self.mine.record_sent(self.upstream, parts, memory)
 
-    def held(self, host: HeldPrefixes, count: int) -> list[int]:
+    def held(self, host: CachedPrefixes, count: int) -> list[int]:
         """Return which of the first fingerprints a host takes to be cached."""
         return [
             number
             for number in range(count)
-            if host.holds(self.upstream, PrefixMark(number))
+            if host.is_cached(self.upstream, PrefixFingerprint(number))
         ]
 
     def test_recent_sends_are_advertised(self) -> None:
@@ -156,16 +158,16 @@
         self.sent(0)
         self.clock._now += 1
         self.sent(1)
-        self.theirs.told(self.mine.recent(0.5))
+        self.theirs.merge(self.mine.recent(0.5))
         self.assertEqual(self.held(self.theirs, 3), [1])
         self.assertEqual(self.mine.recent(0.5), {self.upstream: [1, 10]})
 
     def test_advertisement_is_bounded(self) -> None:
         """After a burst of sends, the newest parts are advertised."""
-        self.sent(*range(MOST_TOLD * 2))
+        self.sent(*range(MAX_REPORTED * 2))
         told = self.mine.recent(1)[self.upstream]
-        self.assertEqual(len(told), MOST_TOLD * 2)
-        self.assertEqual(told[-2], MOST_TOLD * 2 - 1)
+        self.assertEqual(len(told), MAX_REPORTED * 2)
+        self.assertEqual(told[-2], MAX_REPORTED * 2 - 1)
 
     def test_least_recently_used_part_is_evicted(self) -> None:
         """The memory of an engine is as large as configured."""
@@ -176,18 +178,18 @@
 
     def test_prefixes_are_bounded_if_memory_is_unknown(self) -> None:
         """The host's own memory must not grow without limit."""
-        self.sent(*range(MOST_HELD + 5))
-        found = self.held(self.mine, MOST_HELD + 5)
-        self.assertEqual(len(found), MOST_HELD)
+        self.sent(*range(MAX_PARTS + 5))
+        found = self.held(self.mine, MAX_PARTS + 5)
+        self.assertEqual(len(found), MAX_PARTS)
 
     def test_number_of_upstreams_is_bounded(self) -> None:
         """Upstreams are replaced for weeks; peers still advertise old ones."""
-        for number in range(MOST_UPSTREAMS + 1):
-            self.theirs.told({UpstreamIncarnation(f'u{number}'): [1, 10]})
+        for number in range(MAX_UPSTREAMS + 1):
+            self.theirs.merge({UpstreamIncarnation(f'u{number}'): [1, 10]})
         oldest = UpstreamIncarnation('u0')
-        newest = UpstreamIncarnation(f'u{MOST_UPSTREAMS}')
-        self.assertFalse(self.theirs.holds(oldest, PrefixMark(1)))
-        self.assertTrue(self.theirs.holds(newest, PrefixMark(1)))
+        newest = UpstreamIncarnation(f'u{MAX_UPSTREAMS}')
+        self.assertFalse(self.theirs.is_cached(oldest, PrefixFingerprint(1)))
+        self.assertTrue(self.theirs.is_cached(newest, PrefixFingerprint(1)))
 
     def test_terminated_upstream_has_no_prefixes(self) -> None:
         """Its next incarnation has not processed anything yet."""
--- a/tests/test_relay_rollouts.py
+++ b/tests/test_relay_rollouts.py
@@ -9,7 +9,7 @@
 from nutmegroad.canary.rollouts import Rollout, RolloutOrder, RolloutRow, Stage
 from nutmegroad.canary.sessions import SessionVersions
 from nutmegroad.canary.state import RolloutState
-from nutmegroad.fleet.session_marks import SessionMarks
+from nutmegroad.fleet.old_version_sessions import OldVersionSessions
 from nutmegroad.foundations.types import (
     HostId,
 )
@@ -49,10 +49,10 @@
             self.clock.now,
             book,
             lambda: 1,
-            registry=RolloutRegistry(self.clock.now, book.end),
+            registry=RolloutRegistry(self.clock.now, book.stop),
         )
         self.sessions = SessionVersions(self.clock, 5)
-        self.marks = SessionMarks(self.clock, 6)
+        self.marks = OldVersionSessions(self.clock, 6)
         self.gate = RolloutGate(
             self.directory,
             self.state,
@@ -116,7 +116,7 @@
         (PINNED 4).
         """
         self.order()
-        other = SessionMarks(self.clock, 6)
+        other = OldVersionSessions(self.clock, 6)
         gate = RolloutGate(
             self.directory,
             self.state,
@@ -128,7 +128,7 @@
         for name in names:
             request = a_request('r', session=name)
             gate.sent(request, ENGINES, SoftwareVersion('v1'))
-        self.marks.told(other.tell_near(), near=True)
+        self.marks.merge(other.local_report(), local=True)
         self.enter(Stage.CANARY)
         moved = [n for n in names if self.versions('r', n) == ['v2']]
         self.assertEqual(moved, [])
@@ -151,9 +151,9 @@
             self.clock.now,
             book,
             lambda: 1,
-            registry=RolloutRegistry(self.clock.now, book.end),
+            registry=RolloutRegistry(self.clock.now, book.stop),
         )
-        marks = SessionMarks(self.clock, 6)
+        marks = OldVersionSessions(self.clock, 6)
         gate = RolloutGate(
             self.directory,
             state,
@@ -168,7 +168,7 @@
         state.registry.apply_order(
             RolloutOrder(ENGINES, SoftwareVersion('v2'), 20, 7)
         )
-        self.marks.told(marks.tell_near(), near=True)
+        self.marks.merge(marks.local_report(), local=True)
         self.order()
         self.enter(Stage.CANARY)
         moved = [n for n in names if self.versions('r', n) == ['v2']]
--- a/tests/test_relay_selection.py
+++ b/tests/test_relay_selection.py
@@ -3,10 +3,10 @@
 import random
 import unittest
 
-from nutmegroad.fleet.domain_silence import DomainSilence
-from nutmegroad.fleet.loads import NO_LOAD, STALE, Load, LoadLedger
-from nutmegroad.fleet.prefix_marks import HeldPrefixes
-from nutmegroad.fleet.rumors import take
+from nutmegroad.fleet.cached_prefixes import CachedPrefixes
+from nutmegroad.fleet.domain_monitor import DomainMonitor
+from nutmegroad.fleet.gossip_queue import cyclic_slice
+from nutmegroad.fleet.loads import LOAD_TTL, NO_LOAD, Load, LoadLedger
 from nutmegroad.foundations.types import (
     DomainId,
     HostId,
@@ -93,8 +93,8 @@
             random.Random(1),
             NORTH,
             self.ledger,
-            HeldPrefixes(self.clock),
-            DomainSilence(self.clock),
+            CachedPrefixes(self.clock),
+            DomainMonitor(self.clock),
         )
         self.upstreams = [
             Upstream(an_entry('a')),
@@ -128,7 +128,7 @@
         self.assertEqual(self.chosen(), 'far')
         for _ in range(40):
             self.clock._now += 0.1
-            self.selector.silence.heard(DomainId('south'))
+            self.selector.silence.record_message(DomainId('south'))
         self.assertEqual(self.chosen(), 'far')
         self.clock._now += 1.2
         self.assertNotEqual(self.chosen(), 'far')
@@ -139,7 +139,7 @@
         near = self.upstreams[0]
         for _ in range(40):
             self.clock._now += 0.1
-            self.selector.silence.heard(near.entry.domain)
+            self.selector.silence.record_message(near.entry.domain)
         self.clock._now += 60
         self.assertFalse(self.selector.is_cut_off(near))
 
@@ -147,14 +147,14 @@
         """Hosts that see only their own load would all choose one upstream."""
         first = self.chosen()
         told = {UpstreamId(first): Load(3, 5.0, 9000)}
-        self.ledger.told(HostId('n'), told)
+        self.ledger.replace_reported(HostId('n'), told)
         self.assertNotEqual(self.chosen(), first)
 
     def test_stale_load_of_peers_does_not_count(self) -> None:
         """A peer may terminate while its requests are in progress."""
         first = self.chosen()
         told = {UpstreamId(first): Load(3, 5.0, 9000)}
-        self.ledger.told(HostId('n'), told)
+        self.ledger.replace_reported(HostId('n'), told)
         self.clock._now += 3
         self.assertEqual(self.chosen(), first)
 
@@ -207,8 +207,8 @@
             random.Random(9),
             NORTH,
             LoadLedger(self.clock),
-            HeldPrefixes(self.clock),
-            DomainSilence(self.clock),
+            CachedPrefixes(self.clock),
+            DomainMonitor(self.clock),
         )
         mine, self.selector = self.chosen(), other
         self.assertEqual(self.chosen(), mine)
@@ -239,13 +239,13 @@
         clock = ManualClock()
         ledger = LoadLedger(clock)
         name = UpstreamId('a')
-        ledger.told(HostId('n'), {name: Load(3, 1.0, 100)})
-        ledger.told(HostId('m'), {name: Load(1, 0.5, 10)})
-        ledger.told(HostId('n'), {name: Load(2, 0.5, 50)})
+        ledger.replace_reported(HostId('n'), {name: Load(3, 1.0, 100)})
+        ledger.replace_reported(HostId('m'), {name: Load(1, 0.5, 10)})
+        ledger.replace_reported(HostId('n'), {name: Load(2, 0.5, 50)})
         self.assertEqual(ledger.load(name), Load(3, 1.0, 60))
-        ledger.told(HostId('m'), {})
+        ledger.replace_reported(HostId('m'), {})
         self.assertEqual(ledger.load(name).running, 2)
-        clock._now += STALE + 1
+        clock._now += LOAD_TTL + 1
         self.assertEqual(ledger.load(name), NO_LOAD)
 
 
@@ -259,10 +259,10 @@
         second there.
         """
         hosts = tuple(HostId(f'h{number}') for number in range(44))
-        told = [take(hosts, turn * 8, 8) for turn in range(11)]
+        told = [cyclic_slice(hosts, turn * 8, 8) for turn in range(11)]
         self.assertEqual({len(each) for each in told}, {8})
         self.assertEqual({host for each in told for host in each}, set(hosts))
-        self.assertEqual(take(hosts[:3], 5 * 8, 8), hosts[:3])
+        self.assertEqual(cyclic_slice(hosts[:3], 5 * 8, 8), hosts[:3])
 
 
 class LatencyEstimatesTest(unittest.TestCase):
--- a/tests/test_relay_tables.py
+++ b/tests/test_relay_tables.py
@@ -3,9 +3,9 @@
 import random
 import unittest
 
-from nutmegroad.fleet.followers import FeedPace, TableFollower
+from nutmegroad.fleet.followers import FeedTiming, TableFollower
 from nutmegroad.fleet.store_clock import StoreClock
-from nutmegroad.fleet.stored import (
+from nutmegroad.fleet.store_interface import (
     HistoryLost,
     RowsRead,
     StoredRow,
@@ -42,7 +42,7 @@
         table: str,
         after: int,
         wait: float,
-        told_until: float,
+        updates_until: float,
     ) -> RowsRead | HistoryLost | Refusal:
         """Return the next answer."""
         self.asked.append(f'after {after}')
@@ -68,11 +68,11 @@
         """Record a confirmation."""
         self.told.append(f'confirm {moment:g}')
 
-    def lost(self) -> None:
+    def on_store_unavailable(self) -> None:
         """Record that the store is unavailable."""
         self.told.append('lost')
 
-    def went_back(self) -> None:
+    def on_store_restored(self) -> None:
         """Record that the store was restored from a backup."""
         self.told.append('went back')
 
@@ -93,12 +93,12 @@
         clock = ManualClock()
         sink = Recorder()
         store_clock = StoreClock(clock)
-        store_clock.answered(0, 100)
+        store_clock.calibrate(0, 100)
         follower = TableFollower(
             store,
             't',
             sink,
-            FeedPace(3, 0, 3),
+            FeedTiming(3, 0, 3),
             clock,
             store_clock,
             random.Random(1),
@@ -140,7 +140,7 @@
             store,
             't',
             Recorder(),
-            FeedPace(3, 0, 3),
+            FeedTiming(3, 0, 3),
             clock,
             StoreClock(clock),
             random.Random(1),
@@ -152,8 +152,8 @@
 
 def dated(store_clock: StoreClock, asked: float, store_time: float) -> float:
     """Return the time at which an answer that has just arrived was made."""
-    store_clock.answered(asked, store_time)
-    return store_clock.moment(store_time)
+    store_clock.calibrate(asked, store_time)
+    return store_clock.to_host_time(store_time)
 
 
 class StoreClockTest(unittest.TestCase):
@@ -241,7 +241,7 @@
 
     def test_entries_lost_in_an_outage_may_come_back(self) -> None:
         """Leases expire while the store is down."""
-        self.sink.lost()
+        self.sink.on_store_unavailable()
         self.sink.replace(RowsRead((), 3, 0))
         self.assertEqual(self.known(), 2)
         self.clock._now += 1
@@ -255,7 +255,7 @@
 
         It was kept for 2.5 s, although it continues to serve for only 2 s.
         """
-        self.sink.lost()
+        self.sink.on_store_unavailable()
         self.sink.confirm(50, RowsRead((), 2, 0))
         self.clock._now += 2
         self.sink.apply(RowsRead((StoredRow('a', b'', 3, removed=True),), 3, 0))
--- a/tests/test_rollout_returns.py
+++ b/tests/test_rollout_returns.py
@@ -23,7 +23,7 @@
 )
 from nutmegroad.canary.rollouts import RolloutOrder, RolloutRow, Stage
 from nutmegroad.fleet.eras import position
-from nutmegroad.fleet.stored import FLEET_TABLE
+from nutmegroad.fleet.store_interface import FLEET_TABLE
 from nutmegroad.foundations.types import ServiceName
 from nutmegroad.upstreams.directory import SoftwareVersion
 from tests.relay_rig import Rig
--- a/tests/test_shared_store.py
+++ b/tests/test_shared_store.py
@@ -7,17 +7,17 @@
 from contextlib import AsyncExitStack
 from unittest.mock import AsyncMock, Mock
 
-from nutmegroad.fleet.announcements import HostRow
-from nutmegroad.fleet.followers import FeedPace, TableFollower
-from nutmegroad.fleet.news_link import NewsLink
-from nutmegroad.fleet.news_server import NewsServer
+from nutmegroad.fleet.followers import FeedTiming, TableFollower
+from nutmegroad.fleet.host_registration import HostRow
 from nutmegroad.fleet.shared_store import SharedStore
 from nutmegroad.fleet.store_clock import StoreClock
-from nutmegroad.fleet.stored import (
+from nutmegroad.fleet.store_interface import (
     HistoryLost,
     RowsRead,
     StoredRow,
 )
+from nutmegroad.fleet.update_link import UpdateLink
+from nutmegroad.fleet.update_server import UpdateServer
 from nutmegroad.foundations.clocks import BootClock
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.types import Address, HostId
@@ -88,14 +88,14 @@
         """
         clock = ManualClock(start=50)
         store_clock = StoreClock(clock)
-        self.assertEqual(store_clock.moment(7), float('-inf'))
-        store_clock.answered(50, 7)
+        self.assertEqual(store_clock.to_host_time(7), float('-inf'))
+        store_clock.calibrate(50, 7)
         clock._now += 10
-        moment = store_clock.moment(9)
+        moment = store_clock.to_host_time(9)
         self.assertLessEqual(moment, 52)
         self.assertGreater(moment, 51.9)
         # A host clock that runs fast must not make it newer than now.
-        self.assertLessEqual(store_clock.moment(99), clock.now())
+        self.assertLessEqual(store_clock.to_host_time(99), clock.now())
 
 
 class Host:
@@ -115,7 +115,7 @@
     ) -> None:
         self.row = HostRow('127.0.0.1', free_port(), 'north')
         clock = BootClock()
-        self.server = NewsServer(clock)
+        self.server = UpdateServer(clock)
         host = HostId(name)
         hosts[host] = self
 
@@ -127,9 +127,9 @@
                 if other != host
             }
 
-        self.link = NewsLink(host, self.row, local_hosts, clock)
+        self.link = UpdateLink(host, self.row, local_hosts, clock)
         store_clock = StoreClock(clock)
-        store_clock.answered(clock.now(), 100)
+        store_clock.calibrate(clock.now(), 100)
         self.store_clock = store_clock
         self.store = SharedStore(
             store,
@@ -164,7 +164,7 @@
 
     def run_host(self, host: Host) -> None:
         """Run the server and the link of a host."""
-        host.link.begin()
+        host.link.start()
         for work in (host.server.run(), host.link.run()):
             task = asyncio.create_task(work)
             self.stack.callback(task.cancel)
@@ -274,7 +274,7 @@
         found = await newcomer.store.snapshot(TABLE)
         assert isinstance(found, RowsRead)
         self.assertEqual(
-            (found.whole, found.relayed, found.version, len(found.rows)),
+            (found.is_snapshot, found.relayed, found.version, len(found.rows)),
             (True, True, 7, 7),
         )
         self.assertEqual(self.platform.calls, before)
@@ -297,7 +297,7 @@
         rows = (StoredRow('k', b'', 9),)
         answers = [
             RowsRead(rows, 9, 1),
-            RowsRead(rows, 11, 2, relayed=True, whole=True),
+            RowsRead(rows, 11, 2, relayed=True, is_snapshot=True),
             RowsRead(rows, 12, 3, relayed=True),
         ]
         store = Mock(
@@ -309,7 +309,7 @@
             store,
             TABLE,
             sink,
-            FeedPace(1, 1, 1),
+            FeedTiming(1, 1, 1),
             clock,
             StoreClock(clock),
             random.Random(1),
@@ -336,7 +336,9 @@
         self.platform.away = True
         await self.reader.store.changes(TABLE, 1, 0, FOREVER)
         await self.until(lambda: not follower.link.serves(TABLE))
-        resting = asyncio.create_task(follower.store.rest(TABLE, 60))
+        resting = asyncio.create_task(
+            follower.store.pause_after_failure(TABLE, 60)
+        )
         await asyncio.sleep(0)
         self.platform.away = False
         await self.reader.store.changes(TABLE, 1, 0, FOREVER)
@@ -369,7 +371,7 @@
         until = follower.store._clock.now() + 0.1
         found = await follower.store.changes(TABLE, 1, 60, until)
         assert isinstance(found, RowsRead)
-        moment = follower.store_clock.moment(found.store_time)
+        moment = follower.store_clock.to_host_time(found.store_time)
         self.assertGreater(moment, until - 0.01)
 
     async def test_fast_links_read_for_the_others(self) -> None:
@@ -380,10 +382,12 @@
             HostId('also'): HostRow('127.0.0.1', 3, 'north', 100),
         }
         own = HostRow('127.0.0.1', 4, 'north', 20)
-        link = NewsLink(HostId('me'), own, lambda: local_hosts, ManualClock())
+        link = UpdateLink(HostId('me'), own, lambda: local_hosts, ManualClock())
         self.assertIn(link._select_source(), ('fast', 'also'))
         best = HostRow('127.0.0.1', 4, 'north', 1000)
-        link = NewsLink(HostId('me'), best, lambda: local_hosts, ManualClock())
+        link = UpdateLink(
+            HostId('me'), best, lambda: local_hosts, ManualClock()
+        )
         self.assertIsNone(link._select_source())
 
 
--- a/tests/test_silent_reader.py
+++ b/tests/test_silent_reader.py
@@ -20,15 +20,15 @@
 
 from experiments.virtual_time import VirtualClock, VirtualLoop, run_virtually
 
-from nutmegroad.fleet.announcements import HostRow
-from nutmegroad.fleet.followers import FeedPace, TableFollower
-from nutmegroad.fleet.news import KnownVersions
-from nutmegroad.fleet.news_link import NewsLink
-from nutmegroad.fleet.news_server import NewsServer
-from nutmegroad.fleet.paces import bounded_pace, operator_pace
+from nutmegroad.fleet.feed_timing import bounded_timing, operator_timing
+from nutmegroad.fleet.followers import FeedTiming, TableFollower
+from nutmegroad.fleet.host_registration import HostRow
 from nutmegroad.fleet.shared_store import SharedStore
 from nutmegroad.fleet.store_clock import StoreClock
-from nutmegroad.fleet.stored import RowsRead, StoredRow
+from nutmegroad.fleet.store_interface import RowsRead, StoredRow
+from nutmegroad.fleet.table_updates import KnownVersions
+from nutmegroad.fleet.update_link import UpdateLink
+from nutmegroad.fleet.update_server import UpdateServer
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.types import HostId
 from tests.relay_samples import (
@@ -167,13 +167,13 @@
         self,
         name: str,
         platform: ChangingStore,
-        pace: FeedPace,
+        pace: FeedTiming,
     ) -> None:
         clock = VirtualClock(cast(VirtualLoop, asyncio.get_running_loop()))
         self.taken: dict[int, float] = {}
-        self.server = NewsServer(clock)
+        self.server = UpdateServer(clock)
         row = HostRow('127.0.0.1', 1, 'north')
-        self.link = NewsLink(HostId(name), row, dict, clock)
+        self.link = UpdateLink(HostId(name), row, dict, clock)
         store_clock = StoreClock(clock)
         shared = SharedStore(
             platform.seen_by(name),
@@ -221,7 +221,7 @@
         pace: How both follow the table.
     """
 
-    def __init__(self, pace: FeedPace) -> None:
+    def __init__(self, pace: FeedTiming) -> None:
         self.platform = ChangingStore()
         self.reader = Host('reader', self.platform, pace)
         self.follower = Host('follower', self.platform, pace)
@@ -258,11 +258,13 @@
         makes a host call the store.
         """
         for trust in (TRUST, None):
-            self.assert_in_time(operator_pace(trust, BOUND), change_in_silence)
+            self.assert_in_time(
+                operator_timing(trust, BOUND), change_in_silence
+            )
 
     def test_draining_upstreams_are_known_in_time(self) -> None:
         """Pattern: only the reader loses the store, and an upstream drains."""
-        self.assert_in_time(bounded_pace(BOUND), change_in_silence)
+        self.assert_in_time(bounded_timing(BOUND), change_in_silence)
 
     def test_change_is_in_time_once_the_store_is_back(self) -> None:
         """Pattern: the store answered no host, then all but the reader.
@@ -270,7 +272,7 @@
         A call that hangs for a second and the pause after it have to end before
         the bound does, counted from when the outage is no excuse any more.
         """
-        self.assert_in_time(operator_pace(TRUST, BOUND), change_after_outage)
+        self.assert_in_time(operator_timing(TRUST, BOUND), change_after_outage)
 
     def test_host_that_only_its_reader_can_serve_is_updated(self) -> None:
         """Pattern: the store answered no host, then all but one follower.
@@ -278,15 +280,15 @@
         The follower's own calls go on failing; its reader's updates are recent
         again.
         """
-        self.assert_in_time(operator_pace(TRUST, BOUND), change_by_the_reader)
+        self.assert_in_time(operator_timing(TRUST, BOUND), change_by_the_reader)
 
     def test_followers_of_a_healthy_reader_ask_nothing(self) -> None:
         """Pattern: each host asks for itself, and calls cost a tenth."""
-        for pace in (operator_pace(TRUST, BOUND), bounded_pace(BOUND)):
+        for pace in (operator_timing(TRUST, BOUND), bounded_timing(BOUND)):
             calls = self.run_pair(pace, calls_in_calm)
             self.assertEqual(calls, 0)
 
-    def assert_in_time(self, pace: FeedPace, scenario: Scenario) -> None:
+    def assert_in_time(self, pace: FeedTiming, scenario: Scenario) -> None:
         """Assert that a change arrives within the bound, in all phases."""
         late = {
             phase: found
@@ -298,7 +300,7 @@
 
     def run_pair(
         self,
-        pace: FeedPace,
+        pace: FeedTiming,
         scenario: Scenario,
     ) -> float:
         """Run a scenario with two hosts, on virtual time."""
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -13,16 +13,16 @@
 from typing import Final
 
 from nutmegroad.fleet.eras import EraStore, era_of, version_of
-from nutmegroad.fleet.heard_versions import SPAN, HeardVersions
-from nutmegroad.fleet.stored import (
+from nutmegroad.fleet.received_versions import VALIDITY, ReceivedVersions
+from nutmegroad.fleet.store_interface import (
     FLEET_TABLE,
     Committed,
     HistoryLost,
-    RowExpected,
+    RowCondition,
     RowPut,
-    RowsMoved,
     RowsRead,
     StoredRow,
+    VersionConflict,
 )
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.types import UpstreamId
@@ -85,9 +85,9 @@
 
     async def commit(
         self,
-        expected: tuple[RowExpected, ...],
+        expected: tuple[RowCondition, ...],
         puts: tuple[RowPut, ...],
-    ) -> Committed | RowsMoved | Refusal:
+    ) -> Committed | VersionConflict | Refusal:
         """Accept the transaction."""
         self.expected.extend(row.version for row in expected)
         self.version += 1
@@ -107,7 +107,7 @@
         self.inner = NumberedStore()
         self.store = EraStore(self.inner)
         self.restores = 0
-        self.store.tell_of_rises(self._count_restore)
+        self.store.subscribe_to_restores(self._count_restore)
 
     def _count_restore(self) -> None:
         """Count a restore."""
@@ -146,9 +146,9 @@
         before = await self.read()
         self.inner.era, self.inner.version = 2, 9
         await self.read()
-        expected = RowExpected(FLEET_TABLE, 'a', before.version)
+        expected = RowCondition(FLEET_TABLE, 'a', before.version)
         outcome = await self.store.commit((expected,), ())
-        self.assertIsInstance(outcome, RowsMoved)
+        self.assertIsInstance(outcome, VersionConflict)
         self.assertEqual(self.inner.expected, [])
         fresh = await self.store.commit((replace(expected, version=0),), ())
         assert isinstance(fresh, Committed)
@@ -157,7 +157,7 @@
     async def test_an_answer_from_before_the_restore_is_refused(self) -> None:
         """It was on its way when another answer showed the restore."""
         before = await self.read()
-        self.inner.meanwhile = lambda: self.store.heard(2 << 43)
+        self.inner.meanwhile = lambda: self.store.observe_position(2 << 43)
         found = await self.store.changes(TABLE, before.version, 1)
         self.assertIsInstance(found, Refusal)
         self.assertEqual(self.store.era, 2)
@@ -201,7 +201,7 @@
 
     def go_back(self) -> None:
         """Restore the list to its first state."""
-        self.sink.went_back()
+        self.sink.on_store_restored()
         self.sink.replace(self.rows('abc', 5))
 
     @property
@@ -268,13 +268,13 @@
     async def test_a_copy_is_not_confirmed_while_others_have_more(self) -> None:
         """The newer version expires once no host sends it any more."""
         clock = ManualClock(100)
-        heard = HeardVersions(clock)
+        heard = ReceivedVersions(clock)
         heard.own = 9
-        heard.told(10)
+        heard.receive(10)
         self.assertEqual(heard.newest, 10)
-        heard.told(8)
+        heard.receive(8)
         self.assertEqual(heard.newest, 10)
-        await clock.advance(SPAN)
+        await clock.advance(VALIDITY)
         self.assertEqual(heard.newest, 9)
 
 
--- a/tests/test_table_copies.py
+++ b/tests/test_table_cache.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from nutmegroad.fleet.news import TableSnapshot, TableUpdate
-from nutmegroad.fleet.stored import RowsRead, StoredRow
-from nutmegroad.fleet.table_copies import TableCopies
+from nutmegroad.fleet.store_interface import RowsRead, StoredRow
+from nutmegroad.fleet.table_cache import TableCache
+from nutmegroad.fleet.table_updates import TableSnapshot, TableUpdate
 
 TABLE = 'op'
 
@@ -14,13 +14,13 @@
 
     def setUp(self) -> None:
         """Cache a table with two rows."""
-        self.cache = TableCopies()
+        self.cache = TableCache()
         rows = (StoredRow('a', b'1', 3), StoredRow('b', b'1', 4))
         self.cache.replace(TABLE, RowsRead(rows, 4, 10))
 
     def received(self, version: int) -> TableUpdate | TableSnapshot:
         """Return what a follower that knows a version receives."""
-        return self.cache.beyond({TABLE: version})[0]
+        return self.cache.updates_since({TABLE: version})[0]
 
     def test_current_version_receives_no_rows(self) -> None:
         """A link that was down for a moment costs no transfer of the table."""
@@ -47,7 +47,7 @@
     def test_table_with_a_missing_update_is_dropped(self) -> None:
         """No follower receives a table with a gap."""
         self.cache.apply(TableUpdate(TABLE, 8, 9, 12))
-        self.assertEqual(self.cache.beyond({}), [])
+        self.assertEqual(self.cache.updates_since({}), [])
 
 
 if __name__ == '__main__':
--- a/tests/test_news.py
+++ b/tests/test_table_updates.py
@@ -4,7 +4,8 @@
 import random
 import unittest
 
-from nutmegroad.fleet.news import (
+from nutmegroad.fleet.store_interface import StoredRow
+from nutmegroad.fleet.table_updates import (
     FrameError,
     KeepAlive,
     KnownVersions,
@@ -14,7 +15,6 @@
     encode,
     receive,
 )
-from nutmegroad.fleet.stored import StoredRow
 
 TABLE = 'op'
 
@@ -81,19 +81,19 @@
     def test_gap_has_to_be_read(self) -> None:
         """A host that has missed a version gets no update."""
         update = TableUpdate(TABLE, 5, 7, 1, (StoredRow('k', b'', 7),))
-        self.assertIsNone(update.after(4))
-        found = update.after(5)
+        self.assertIsNone(update.changes_after(4))
+        found = update.changes_after(5)
         assert found is not None
         self.assertTrue(found.relayed)
         self.assertEqual(len(found.rows), 1)
-        again = update.after(7)
+        again = update.changes_after(7)
         assert again is not None
         self.assertEqual(again.rows, ())
 
     def test_unread_updates_are_merged(self) -> None:
         """Updates are not merged if one between them is missing."""
         first = TableUpdate(TABLE, 5, 7, 1, (StoredRow('a', b'', 7),))
-        merged = first.joined(
+        merged = first.merged_with(
             TableUpdate(TABLE, 7, 9, 2, (StoredRow('b', b'', 9),))
         )
         self.assertEqual(
@@ -101,7 +101,7 @@
             (5, 9, 2, 2),
         )
         later = TableUpdate(TABLE, 8, 9, 2)
-        self.assertEqual(first.joined(later), later)
+        self.assertEqual(first.merged_with(later), later)
 
 
 if __name__ == '__main__':
--- a/tests/test_upstream_restarts.py
+++ b/tests/test_upstream_restarts.py
@@ -14,7 +14,7 @@
 
 from nutmegroad.canary.gate import AttemptOutcome
 from nutmegroad.fleet.loads import NO_LOAD, Load, LoadLedger
-from nutmegroad.fleet.stored import RowsRead, StoredRow
+from nutmegroad.fleet.store_interface import RowsRead, StoredRow
 from nutmegroad.foundations.types import HostId, ServiceName, UpstreamId
 from nutmegroad.relay.tables import (
     MAX_LOGGED_PER_REASON,
@@ -109,7 +109,7 @@
         """Peers report the old incarnation until they receive the new one."""
         ledger = LoadLedger(ManualClock())
         before, now = entry(FIRST).incarnation, entry(SECOND).incarnation
-        ledger.told(HostId('n'), {before: Load(9, 3.0, 9000)})
+        ledger.replace_reported(HostId('n'), {before: Load(9, 3.0, 9000)})
         self.assertEqual(ledger.load(now), NO_LOAD)
         self.assertEqual(ledger.load(before).running, 9)
 
