--- a/experiments/costs/records_cost.py
+++ b/experiments/costs/records_cost.py
@@ -41,10 +41,14 @@
 from nutmegroad.membership._link_context import LinkContext
 from nutmegroad.membership._member_context import make_table
 from nutmegroad.membership.links import Links
+from nutmegroad.records.at_most_once import (
+    AtMostOnce,
+    ClaimRequest,
+    ExecutionGrant,
+)
 from nutmegroad.records.billing import Biller, BillingRecord
 from nutmegroad.records.intents import IntentLedger, IntentOwner
-from nutmegroad.records.once import Once, Order, Run
-from nutmegroad.records.record_copies import RecordKeeper, RecordSender
+from nutmegroad.records.record_copies import RecordCopyStore, RecordSender
 from nutmegroad.records.tickets import TicketIssuer, TicketSigner
 
 ROUNDS: Final = 7
@@ -75,16 +79,16 @@
 class Bench:
     """What is measured."""
 
-    once: Once
+    once: AtMostOnce
     issuer: TicketIssuer
     biller: Biller
     sender: RecordSender
     numbers: int = 0
 
-    def order(self) -> Order:
+    def order(self) -> ClaimRequest:
         """Return a request that may not be repeated."""
         self.numbers += 1
-        return Order(
+        return ClaimRequest(
             request=RequestId(f'r{self.numbers}'),
             workspace=WORKSPACE,
             fingerprint='f' * 64,
@@ -92,10 +96,10 @@
             deadline=time.monotonic() + 10,
         )
 
-    async def settle(self, order: Order) -> None:
+    async def settle(self, order: ClaimRequest) -> None:
         """Claim and settle one request."""
         run = await self.once.claim(order)
-        if isinstance(run, Run):
+        if isinstance(run, ExecutionGrant):
             await self.once.settle(run, ANSWER)
 
     async def bare(self) -> None:
@@ -229,7 +233,7 @@
     meshes = await link_two(stack)
     biller = Biller(objects, OWN, metrics, invariants)
     for mesh in meshes:
-        RecordKeeper(biller, mesh, clock, metrics).listen()
+        RecordCopyStore(biller, mesh, clock, metrics).listen()
     sender = RecordSender(biller, meshes[0], DOMAIN, clock, metrics)
     return Bench(
         *make_once(table, objects, metrics, invariants), biller, sender
@@ -241,13 +245,13 @@
     objects: HttpObjects,
     metrics: Metrics,
     invariants: CountedInvariants,
-) -> tuple[Once, TicketIssuer]:
+) -> tuple[AtMostOnce, TicketIssuer]:
     """Return what lets requests run, and what issues its tickets."""
     clock = SystemClock()
     issuer = TicketIssuer(HostId('one'), OWN, TicketSigner(KEY), clock)
     owner = IntentOwner(OWN, _nonce, _is_gone)
     ledger = IntentLedger(table, objects, owner, clock)
-    return Once(ledger, issuer, clock, invariants, metrics), issuer
+    return AtMostOnce(ledger, issuer, clock, invariants, metrics), issuer
 
 
 def _nonce() -> str:
--- a/experiments/soak/mutants.py
+++ b/experiments/soak/mutants.py
@@ -14,7 +14,7 @@
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.types import Ran
 from nutmegroad.kernel.stops import GracefulStop
-from nutmegroad.records.once import Once, Run
+from nutmegroad.records.at_most_once import AtMostOnce, ExecutionGrant
 from nutmegroad.records.record_copies import RecordSender
 from nutmegroad.records.tickets import SpentTicket, TicketIssuer
 from nutmegroad.routing.directory import Directory
@@ -23,9 +23,9 @@
 _Patch = tuple[Any, str, Any]
 
 
-async def _no_claim(self: Any, order: Any) -> Run:
+async def _no_claim(self: Any, order: Any) -> ExecutionGrant:
     """Let each request with a key run."""
-    return Run(order, self._fence(order, None))
+    return ExecutionGrant(order, self._fence(order, None))
 
 
 def _no_ticket(self: Any, ticket: Any, request: Any, fingerprint: Any) -> Any:
@@ -81,7 +81,7 @@
         lambda configuration, version, epoch: False,
     ),
     'lease': (Configuration, 'isolated', property(lambda configuration: False)),
-    'claim': (Once, '_claim_key', _no_claim),
+    'claim': (AtMostOnce, '_claim_key', _no_claim),
     'ticket': (TicketIssuer, 'spend', _no_ticket),
     'forward only': (ConfigurationPoller, '_take', _not_forward),
     'pin': (SessionPins, 'pin', _no_pin),
--- a/src/nutmegroad/callers/interface.py
+++ b/src/nutmegroad/callers/interface.py
@@ -36,10 +36,10 @@
 from nutmegroad.foundations.logs import present_request
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import RequestId, ServiceName, WorkspaceId
+from nutmegroad.records.at_most_once import ForwardRequired
 from nutmegroad.records.forwards import ForwardedReply, ForwardedRequest
 from nutmegroad.records.intents import FirstAnswer
-from nutmegroad.records.once import Elsewhere
-from nutmegroad.records.runs import Ended, Outcome
+from nutmegroad.records.runs import Outcome, RequestResult
 from nutmegroad.routing.request_progress import NullSink
 
 _OK: Final = 200
@@ -123,7 +123,7 @@
             return arrived
         call = _service_call(arrived)
         outcome = await self._parts.services.run(call)
-        if isinstance(outcome, Elsewhere):
+        if isinstance(outcome, ForwardRequired):
             seconds = self._parts.services.seconds(call)
             if isinstance(seconds, Refusal):
                 return self._refuse(seconds, arrived.request)
@@ -220,7 +220,7 @@
         outcome: Outcome,
     ) -> Response:
         """Return the reply to a request that wants no stream."""
-        if isinstance(outcome, Elsewhere):
+        if isinstance(outcome, ForwardRequired):
             seconds = call.intake.model.deadline - self._parts.clock.now()
             return await self._forward(arrived, outcome, seconds)
         return self._reply(arrived.request, outcome, call)
@@ -233,7 +233,7 @@
         stream: EventStream,
     ) -> StreamResponse:
         """End a stream, or show an answer that did not come as one."""
-        ended = outcome.reply if isinstance(outcome, Ended) else None
+        ended = outcome.reply if isinstance(outcome, RequestResult) else None
         if isinstance(ended, Refusal) and stream.response is not None:
             return await stream.fail(ended)
         if isinstance(ended, ServiceReply) and call.answer is not None:
@@ -254,7 +254,7 @@
         call: ModelCall | None = None,
     ) -> Response:
         """Return the reply to a request that was not handed on."""
-        if isinstance(outcome, Elsewhere):
+        if isinstance(outcome, ForwardRequired):
             outcome = Refusal(
                 ResultCode.TICKET_INVALID,
                 'The ticket was handed on to a host that did not issue it.',
@@ -285,7 +285,7 @@
     async def _forward(
         self,
         arrived: CallerRequest,
-        elsewhere: Elsewhere,
+        elsewhere: ForwardRequired,
         seconds: float,
     ) -> Response:
         """Have the issuer of the request's ticket answer it."""
--- a/src/nutmegroad/callers/model_routes.py
+++ b/src/nutmegroad/callers/model_routes.py
@@ -15,10 +15,10 @@
 from nutmegroad.foundations.metrics import Metrics
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Ran, RequestId, VersionId
+from nutmegroad.records.at_most_once import ClaimRequest
 from nutmegroad.records.billing import BillingRecord
 from nutmegroad.records.explanations import Explanations
-from nutmegroad.records.once import Order
-from nutmegroad.records.runs import Ended, Outcome, Runner
+from nutmegroad.records.runs import Outcome, RequestResult, Runner
 from nutmegroad.routing.attempts import Sink
 from nutmegroad.routing.dispatch import Dispatcher
 from nutmegroad.routing.request_progress import Answer, RequestUsage
@@ -97,11 +97,11 @@
         call.intake = pinned
         model = pinned.model
 
-        async def work(fence: Fence) -> Ended:
+        async def work(fence: Fence) -> RequestResult:
             """Have the dispatcher answer."""
             return await self._answer(call, sink, fence)
 
-        order = Order(
+        order = ClaimRequest(
             request=model.request,
             workspace=model.workspace,
             fingerprint=pinned.fingerprint,
@@ -125,7 +125,7 @@
         call: ModelCall,
         sink: Sink,
         fence: Fence,
-    ) -> Ended:
+    ) -> RequestResult:
         """Have the dispatcher answer, and sum up what is billed."""
         model = replace(call.intake.model, fence=fence)
         outcome: Answer | Refusal = _caller_gone()
@@ -140,11 +140,11 @@
             metrics = self._parts.metrics
             count_request(metrics, call.intake, outcome, call.spent)
         if isinstance(outcome, Refusal):
-            return Ended(outcome, self._record(call, outcome.code))
+            return RequestResult(outcome, self._record(call, outcome.code))
         call.answer = outcome
         body = answer_body(outcome, model.request)
         reply = ServiceReply(_OK, body, JSON_TYPE)
-        return Ended(reply, self._record(call, ResultCode.OK))
+        return RequestResult(reply, self._record(call, ResultCode.OK))
 
     def _record(self, call: ModelCall, code: ResultCode) -> BillingRecord:
         """Return what is billed; the biller adds all attempts' cost."""
--- a/src/nutmegroad/callers/part.py
+++ b/src/nutmegroad/callers/part.py
@@ -17,10 +17,10 @@
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
 from nutmegroad.kernel.stops import GracefulStop
+from nutmegroad.records.at_most_once import AtMostOnce
 from nutmegroad.records.billing import Biller
 from nutmegroad.records.explanations import Explanations
 from nutmegroad.records.forwards import Forwarder
-from nutmegroad.records.once import Once
 from nutmegroad.records.record_copies import RecordSender
 from nutmegroad.records.runs import Runner
 from nutmegroad.records.tickets import TicketIssuer
@@ -35,7 +35,7 @@
     needs = (
         Dispatcher,
         ServiceCaller,
-        Once,
+        AtMostOnce,
         RecordSender,
         SessionNames,
         GracefulStop,
@@ -53,7 +53,7 @@
         biller = kernel.need(Biller)
         kernel.need(Observers).add(biller)
         runner = await kernel.stack.enter_async_context(
-            Runner(kernel.need(Once), biller, kernel.need(RecordSender)),
+            Runner(kernel.need(AtMostOnce), biller, kernel.need(RecordSender)),
         )
         interface = CallersInterface(
             self._parts(kernel, runner, signer),
--- a/src/nutmegroad/callers/service_routes.py
+++ b/src/nutmegroad/callers/service_routes.py
@@ -17,10 +17,10 @@
     ServiceName,
     WorkspaceId,
 )
+from nutmegroad.records.at_most_once import ClaimRequest
 from nutmegroad.records.billing import BillingRecord
 from nutmegroad.records.explanations import Explanations
-from nutmegroad.records.once import Order
-from nutmegroad.records.runs import Ended, Outcome, Runner
+from nutmegroad.records.runs import Outcome, RequestResult, Runner
 from nutmegroad.routing.services import (
     ServiceCaller,
     ServiceRequest,
@@ -96,7 +96,7 @@
             at=self._clock.wall(),
         )
 
-        async def work(fence: Fence) -> Ended:
+        async def work(fence: Fence) -> RequestResult:
             """Make the call's attempts."""
             request = _request(call, deadline, fence)
             return await self._call(request, entry, record)
@@ -113,13 +113,13 @@
         request: ServiceRequest,
         entry: ServiceEntry,
         record: BillingRecord,
-    ) -> Ended:
+    ) -> RequestResult:
         """Make the attempts of a call that may run."""
         explanation = self._explanations.begin(request.request)
         reply = await self._services.call(request, entry, explanation)
         code = reply.code if isinstance(reply, Refusal) else ResultCode.OK
         ended = replace(record, outcome=code.name, at=self._clock.wall())
-        return Ended(reply, ended)
+        return RequestResult(reply, ended)
 
 
 def key_of(headers: Mapping[str, str]) -> IdempotencyKey:
@@ -141,12 +141,12 @@
     call: ServiceCallIn,
     entry: ServiceEntry,
     deadline: float,
-) -> Order:
+) -> ClaimRequest:
     """Return what the call asks of the runner."""
     repeatable = is_repeatable(entry, call.method, call.path)
     digest = hashlib.sha256(call.content)
     digest.update(f'{call.method} {call.service}/{call.path}'.encode())
-    return Order(
+    return ClaimRequest(
         request=call.request,
         workspace=WorkspaceId(call.workspace.name),
         fingerprint=digest.hexdigest(),
--- a/src/nutmegroad/records/once.py
+++ b/src/nutmegroad/records/at_most_once.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class ClaimRequest:
     """A request for the right to execute a caller's request.
 
     Attributes:
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True)
-class Run:
+class ExecutionGrant:
     """The right to execute one request on this host.
 
     Attributes:
@@ -87,19 +87,19 @@
         spent: The spent ticket of a request with a ticket, else None.
     """
 
-    claim_request: Order
+    claim_request: ClaimRequest
     fence: Fence
     claim: Claim | None = None
     spent: SpentTicket | None = None
 
     @property
-    def is_held(self) -> bool:
+    def outlives_caller(self) -> bool:
         """Whether the request continues after its caller disconnects."""
         return self.claim is not None or self.spent is not None
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
+class ForwardRequired:
     """Result of a claim that only another host may execute.
 
     Attributes:
@@ -120,10 +120,10 @@
     storing: asyncio.Lock = field(default_factory=asyncio.Lock)
 
 
-ClaimResult = Run | FirstAnswer | Elsewhere | Refusal
+ClaimResult = ExecutionGrant | FirstAnswer | ForwardRequired | Refusal
 
 
-class Once:
+class AtMostOnce:
     """Grants the right to execute requests and records their outcomes.
 
     Args:
@@ -156,7 +156,7 @@
         """Return the number of outcomes that are not stored yet."""
         return len(self._unstored_rows()) + len(self._abandoned)
 
-    async def claim(self, claim_request: Order) -> ClaimResult:
+    async def claim(self, claim_request: ClaimRequest) -> ClaimResult:
         """Decide whether a request may be executed on this host now.
 
         Returns:
@@ -167,11 +167,11 @@
             return self._claim_ticket(claim_request)
         if claim_request.key:
             return await self._claim_key(claim_request)
-        return Run(claim_request, self._fence(claim_request, None))
+        return ExecutionGrant(claim_request, self._fence(claim_request, None))
 
     async def settle(
         self,
-        run: Run,
+        run: ExecutionGrant,
         reply: ServiceReply | Refusal,
     ) -> ServiceReply | Refusal:
         """Record the outcome of a request.
@@ -188,7 +188,7 @@
             await self._settle_claim(run.claim, reply)
         return reply
 
-    def settle_unknown(self, run: Run) -> None:
+    def settle_unknown(self, run: ExecutionGrant) -> None:
         """Record that a request was aborted with unknown outcome."""
         refusal = Refusal(
             ResultCode.OUTCOME_UNKNOWN,
@@ -214,7 +214,7 @@
             if pending is not None and not await self._store(row, pending):
                 return
 
-    def _claim_ticket(self, claim_request: Order) -> ClaimResult:
+    def _claim_ticket(self, claim_request: ClaimRequest) -> ClaimResult:
         """Claim a request that carries a ticket."""
         ticket = self._issuer.read(
             claim_request.ticket, claim_request.workspace
@@ -222,18 +222,18 @@
         if isinstance(ticket, Refusal):
             return ticket
         if ticket.incarnation != self._issuer.incarnation:
-            return Elsewhere(ticket)
+            return ForwardRequired(ticket)
         started_at = self._clock.now()
         spent = self._issuer.spend(
             ticket, claim_request.request, claim_request.fingerprint
         )
         if not isinstance(spent, SpentTicket):
             return spent
-        return Run(
+        return ExecutionGrant(
             claim_request, self._fence(claim_request, started_at), spent=spent
         )
 
-    async def _claim_key(self, claim_request: Order) -> ClaimResult:
+    async def _claim_key(self, claim_request: ClaimRequest) -> ClaimResult:
         """Claim the idempotency key of a request in the table."""
         # The lease starts before the write, not when its reply arrives.
         started_at = self._clock.now()
@@ -257,7 +257,7 @@
         if isinstance(claim, Claim):
             pending.claim = claim
             fence = self._fence(claim_request, started_at)
-            return Run(claim_request, fence, claim)
+            return ExecutionGrant(claim_request, fence, claim)
         self._pending.pop(spec.row, None)
         if isinstance(claim, Refusal):
             return self._without_table(claim_request, claim)
@@ -277,20 +277,20 @@
 
     def _without_table(
         self,
-        claim_request: Order,
+        claim_request: ClaimRequest,
         refusal: Refusal,
-    ) -> Run | Refusal:
+    ) -> ExecutionGrant | Refusal:
         """Allow a repeatable request while the table is unavailable."""
         if refusal.code is not ResultCode.INTENT_UNAVAILABLE:
             return refusal
         if not claim_request.repeatable:
             return refusal
-        return Run(claim_request, self._fence(claim_request, None))
+        return ExecutionGrant(claim_request, self._fence(claim_request, None))
 
     def _from_memory(
         self,
         pending: _PendingClaim,
-        claim_request: Order,
+        claim_request: ClaimRequest,
     ) -> FirstAnswer | Refusal:
         """Answer a repeat of a request that this host has claimed."""
         if pending.fingerprint != claim_request.fingerprint:
@@ -299,7 +299,9 @@
             return FirstAnswer(pending.request, pending.reply)
         return still_running(1)
 
-    def _fence(self, claim_request: Order, started_at: float | None) -> Fence:
+    def _fence(
+        self, claim_request: ClaimRequest, started_at: float | None
+    ) -> Fence:
         """Return the fence of a request.
 
         Args:
--- a/src/nutmegroad/records/part.py
+++ b/src/nutmegroad/records/part.py
@@ -14,12 +14,12 @@
 from nutmegroad.foundations.types import HostId, Incarnation
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
+from nutmegroad.records.at_most_once import AtMostOnce
 from nutmegroad.records.billing import Biller
 from nutmegroad.records.explanations import Explanations
 from nutmegroad.records.forwards import Forwarder
 from nutmegroad.records.intents import IntentLedger, IntentOwner
-from nutmegroad.records.once import Once
-from nutmegroad.records.record_copies import RecordKeeper, RecordSender
+from nutmegroad.records.record_copies import RecordCopyStore, RecordSender
 from nutmegroad.records.tickets import TicketIssuer, TicketSigner
 
 #: Seconds between flushes of billing records, before jitter. 400 hosts then
@@ -51,7 +51,7 @@
         domain = kernel.settings.domain
         sender = RecordSender(biller, mesh, domain, kernel.clock, metrics)
         kernel.stack.push_async_callback(sender.close)
-        keeper = RecordKeeper(biller, mesh, kernel.clock, metrics)
+        keeper = RecordCopyStore(biller, mesh, kernel.clock, metrics)
         keeper.listen()
 
         kernel.spawn(_flush_often(kernel, sender, keeper), 'billing')
@@ -84,13 +84,13 @@
         )
         issuer = TicketIssuer(host, incarnation, signer, kernel.clock)
         invariants = kernel.need(Invariants)
-        once = Once(intents, issuer, kernel.clock, invariants, metrics)
+        once = AtMostOnce(intents, issuer, kernel.clock, invariants, metrics)
         kernel.stack.push_async_callback(once.settle_pending)
 
         kernel.spawn(_settle_often(kernel, once), 'records')
         kernel.provide(IntentLedger, intents)
         kernel.provide(TicketIssuer, issuer)
-        kernel.provide(Once, once)
+        kernel.provide(AtMostOnce, once)
         kernel.provide(Forwarder, Forwarder(mesh, host))
         kernel.provide(Explanations, Explanations(kernel.clock))
 
@@ -127,7 +127,7 @@
 async def _flush_often(
     kernel: Kernel,
     sender: RecordSender,
-    keeper: RecordKeeper,
+    keeper: RecordCopyStore,
 ) -> None:
     """Store batches periodically until cancelled."""
     state = kernel.need(Metrics).state
@@ -140,7 +140,7 @@
         state.unstored('held', keeper.held)
 
 
-async def _settle_often(kernel: Kernel, once: Once) -> None:
+async def _settle_often(kernel: Kernel, once: AtMostOnce) -> None:
     """Retry unstored outcomes periodically until cancelled."""
     state = kernel.need(Metrics).state
     while True:
--- a/src/nutmegroad/records/record_copies.py
+++ b/src/nutmegroad/records/record_copies.py
@@ -251,7 +251,7 @@
         )
 
 
-class RecordKeeper:
+class RecordCopyStore:
     """Holds other hosts' records; takes over those of terminated hosts.
 
     Args:
--- a/src/nutmegroad/records/runs.py
+++ b/src/nutmegroad/records/runs.py
@@ -14,9 +14,14 @@
 from nutmegroad.contracts.upstreams import ServiceReply
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal
+from nutmegroad.records.at_most_once import (
+    AtMostOnce,
+    ClaimRequest,
+    ExecutionGrant,
+    ForwardRequired,
+)
 from nutmegroad.records.billing import Biller, BillingRecord
 from nutmegroad.records.intents import FirstAnswer
-from nutmegroad.records.once import Elsewhere, Once, Order, Run
 from nutmegroad.records.record_copies import RecordSender
 
 _LOG: Final = part_logger('runs')
@@ -26,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class RequestResult:
     """The result of a request that was executed on this host.
 
     Attributes:
@@ -39,13 +44,13 @@
 
 
 #: Executes a request; each of its attempts must pass the fence.
-Execute = Callable[[Fence], Awaitable[Ended]]
+Execute = Callable[[Fence], Awaitable[RequestResult]]
 
 #: Returns the billing record of a request that was cancelled.
 CancelledRecord = Callable[[], BillingRecord]
 
 #: The result of a request given to the runner.
-Outcome = Ended | FirstAnswer | Elsewhere | Refusal
+Outcome = RequestResult | FirstAnswer | ForwardRequired | Refusal
 
 
 class Runner:
@@ -58,7 +63,7 @@
     """
 
     def __init__(
-        self, once: Once, biller: Biller, sender: RecordSender
+        self, once: AtMostOnce, biller: Biller, sender: RecordSender
     ) -> None:
         self._once = once
         self._biller = biller
@@ -89,7 +94,7 @@
 
     async def run(
         self,
-        claim_request: Order,
+        claim_request: ClaimRequest,
         work: Execute,
         cancelled_record: CancelledRecord,
     ) -> Outcome:
@@ -120,24 +125,24 @@
 
     async def _claim_and_execute(
         self,
-        claim_request: Order,
+        claim_request: ClaimRequest,
         work: Execute,
         cancelled_record: CancelledRecord,
     ) -> Outcome:
         """Claim a request, and execute it if the claim is granted."""
         claim = await self._once.claim(claim_request)
-        if not isinstance(claim, Run):
+        if not isinstance(claim, ExecutionGrant):
             return claim
         return await self._execute(claim, work, cancelled_record)
 
     async def _execute(
         self,
-        run: Run,
+        run: ExecutionGrant,
         work: Execute,
         cancelled_record: CancelledRecord,
-    ) -> Ended:
+    ) -> RequestResult:
         """Execute a claimed request; it is always settled and billed."""
-        ended: Ended | None = None
+        ended: RequestResult | None = None
         try:
             ended = await work(run.fence)
         finally:
@@ -147,4 +152,4 @@
         self._biller.record(ended.record)
         reply = await self._once.settle(run, ended.reply)
         await self._sender.hand()
-        return Ended(reply, ended.record)
+        return RequestResult(reply, ended.record)
--- a/tests/records_rig.py
+++ b/tests/records_rig.py
@@ -23,11 +23,11 @@
     RequestId,
     WorkspaceId,
 )
+from nutmegroad.records.at_most_once import AtMostOnce, ClaimRequest
 from nutmegroad.records.billing import Biller
 from nutmegroad.records.intents import IntentLedger, IntentOwner, IntentSpec
-from nutmegroad.records.once import Once, Order
 from nutmegroad.records.part import termination_check
-from nutmegroad.records.record_copies import RecordKeeper, RecordSender
+from nutmegroad.records.record_copies import RecordCopyStore, RecordSender
 from nutmegroad.records.tickets import TicketIssuer, TicketSigner
 from nutmegroad.testing._memory_mesh import MemoryPeer
 from nutmegroad.testing.virtual import ManualClock, MemoryMesh
@@ -39,7 +39,7 @@
 ANSWER: Final = ServiceReply(200, b'{"receipt": 1}', 'application/json')
 UNKNOWN: Final = Refusal(ResultCode.UPSTREAM_TIMEOUT, 'Late.', Ran.UNKNOWN)
 NOT_RUN: Final = Refusal(ResultCode.NO_UPSTREAM, 'None.', Ran.NOT_RUN)
-ORDER: Final = Order(
+ORDER: Final = ClaimRequest(
     request=RequestId('r1'),
     workspace=WORKSPACE,
     fingerprint='f1',
@@ -57,7 +57,7 @@
 )
 
 
-def order(number: int = 1, **changes: object) -> Order:
+def order(number: int = 1, **changes: object) -> ClaimRequest:
     """Return the default order with another request id and changes."""
     request = RequestId(f'r{number}')
     return replace(ORDER, request=request, **changes)  # type: ignore[arg-type]
@@ -70,10 +70,10 @@
     peer: MemoryPeer
     intents: IntentLedger
     issuer: TicketIssuer
-    once: Once
+    once: AtMostOnce
     biller: Biller
     sender: RecordSender
-    keeper: RecordKeeper
+    keeper: RecordCopyStore
 
 
 class RecordsRig:
@@ -118,12 +118,14 @@
         intents = IntentLedger(self._table, self._objects, owner, self.clock)
         signer = TicketSigner(CLUSTER_KEY)
         issuer = TicketIssuer(peer.host, incarnation, signer, self.clock)
-        once = Once(intents, issuer, self.clock, self.invariants, self.metrics)
+        once = AtMostOnce(
+            intents, issuer, self.clock, self.invariants, self.metrics
+        )
         biller = Biller(
             self.objects, incarnation, self.metrics, self.invariants
         )
         sender = RecordSender(biller, peer, domain, self.clock, self.metrics)
-        keeper = RecordKeeper(biller, peer, self.clock, self.metrics)
+        keeper = RecordCopyStore(biller, peer, self.clock, self.metrics)
         keeper.listen()
         return Host(peer, intents, issuer, once, biller, sender, keeper)
 
--- a/tests/test_once.py
+++ b/tests/test_at_most_once.py
@@ -14,6 +14,13 @@
 from nutmegroad.foundations.invariants import CountedInvariants
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import HostId, Ran
+from nutmegroad.records.at_most_once import (
+    LEASE,
+    TABLE_PAUSE,
+    ClaimRequest,
+    ExecutionGrant,
+    ForwardRequired,
+)
 from nutmegroad.records.billing import BillingRecord
 from nutmegroad.records.forwards import (
     ForwardedReply,
@@ -21,8 +28,7 @@
     Forwarder,
 )
 from nutmegroad.records.intents import FirstAnswer
-from nutmegroad.records.once import LEASE, TABLE_PAUSE, Elsewhere, Order, Run
-from nutmegroad.records.runs import Ended, Runner
+from nutmegroad.records.runs import RequestResult, Runner
 from nutmegroad.records.tickets import Ticket
 from tests.records_rig import (
     ANSWER,
@@ -55,13 +61,15 @@
         self.one = self.rig.host('one')
         self.two = self.rig.host('two')
 
-    async def run_of(self, host: Host, wanted: Order = ORDER) -> Run:
+    async def run_of(
+        self, host: Host, wanted: ClaimRequest = ORDER
+    ) -> ExecutionGrant:
         """Claim a request that may be executed."""
         run = await host.once.claim(wanted)
-        assert isinstance(run, Run), run
+        assert isinstance(run, ExecutionGrant), run
         return run
 
-    async def refused(self, host: Host, wanted: Order) -> Refusal:
+    async def refused(self, host: Host, wanted: ClaimRequest) -> Refusal:
         """Claim a request and expect a refusal."""
         refusal = await host.once.claim(wanted)
         assert isinstance(refusal, Refusal), refusal
@@ -88,7 +96,7 @@
             await asyncio.sleep(0.001)
         await self.rig.clock.advance(LEASE)
         run = await claiming
-        assert isinstance(run, Run)
+        assert isinstance(run, ExecutionGrant)
         self.assertIsNotNone(run.fence.attempt().check())
 
     async def test_an_attempt_proved_not_run_allows_another(self) -> None:
@@ -141,7 +149,7 @@
             self.two.once.claim(order(2)),
             self.one.once.claim(order(3)),
         )
-        runs = [claim for claim in claims if isinstance(claim, Run)]
+        runs = [claim for claim in claims if isinstance(claim, ExecutionGrant)]
         self.assertEqual(1, len(runs))
 
     async def test_the_platform_down_refuses_at_once(self) -> None:
@@ -191,14 +199,14 @@
         self.record = BillingRecord('r1', WORKSPACE, 'portal', 1)
         self.gate = asyncio.Event()
 
-    async def work(self, fence: Fence) -> Ended:
+    async def work(self, fence: Fence) -> RequestResult:
         """Answer once the gate is open."""
         attempt_fence = fence.attempt()
         self.assertIsNone(attempt_fence.check())
         await self.gate.wait()
-        return Ended(ANSWER, self.record)
+        return RequestResult(ANSWER, self.record)
 
-    async def begin(self, wanted: Order) -> asyncio.Task[object]:
+    async def begin(self, wanted: ClaimRequest) -> asyncio.Task[object]:
         """Start a request, then let its caller disconnect."""
         coming = self.runner.run(wanted, self.work, lambda: self.record)
         task: asyncio.Task[object] = asyncio.ensure_future(coming)
@@ -253,7 +261,7 @@
     async def elsewhere(self) -> Ticket:
         """Claim the ticket at the second host."""
         claim = await self.two.once.claim(order(1, ticket=self.text))
-        assert isinstance(claim, Elsewhere)
+        assert isinstance(claim, ForwardRequired)
         return claim.ticket
 
     async def forward(self) -> ForwardedReply | Refusal:
--- a/tests/test_once_processes.py
+++ b/tests/test_once_processes.py
@@ -11,7 +11,7 @@
 
 from nutmegroad.adapters._platform_bodies import CommitBody
 from nutmegroad.contracts.platform import ABSENT, RowKey, RowWrite
-from nutmegroad.records.once import LEASE
+from nutmegroad.records.at_most_once import LEASE
 from tests.once_processes import OnceProcessCase
 
 SLOW: Final = 1.2
--- a/tests/test_records_random.py
+++ b/tests/test_records_random.py
@@ -17,10 +17,10 @@
 from nutmegroad.contracts.fences import Fence
 from nutmegroad.contracts.upstreams import ServiceReply
 from nutmegroad.foundations.results import Refusal
+from nutmegroad.records.at_most_once import LEASE, ClaimRequest
 from nutmegroad.records.billing import BillingRecord, read_bills
-from nutmegroad.records.once import LEASE, Order
 from nutmegroad.records.record_copies import TERMINATED_AFTER
-from nutmegroad.records.runs import Ended, Runner
+from nutmegroad.records.runs import RequestResult, Runner
 from tests.records_rig import (
     NOT_RUN,
     UNKNOWN,
@@ -115,7 +115,7 @@
         """Return a random host."""
         return self.hosts[self.randomness.choice(NAMES)]
 
-    def order(self) -> tuple[Order, str]:
+    def order(self) -> tuple[ClaimRequest, str]:
         """Return an order and the name of its piece of work."""
         self.numbers += 1
         deadline = self._rig.clock.now() + 20
@@ -129,18 +129,18 @@
         wanted = order(self.numbers, key='', ticket=ticket, deadline=deadline)
         return wanted, work
 
-    async def make(self, host: Host, wanted: Order, work: str) -> None:
+    async def make(self, host: Host, wanted: ClaimRequest, work: str) -> None:
         """Send a request to a host; record whether it must be billed."""
         runner = Runner(host.once, host.biller, host.sender)
 
-        async def attempt(fence: Fence) -> Ended:
+        async def attempt(fence: Fence) -> RequestResult:
             """Act as the upstream."""
-            return Ended(self.attempt(fence, work), record)
+            return RequestResult(self.attempt(fence, work), record)
 
         record = BillingRecord(wanted.request, WORKSPACE, 'portal', 1)
         coming = runner.run(wanted, attempt, lambda: record)
         outcome = await timed(self._rig, coming)
-        if isinstance(outcome, Ended):
+        if isinstance(outcome, RequestResult):
             self.billed.add(wanted.request)
 
     def attempt(self, fence: Fence, work: str) -> ServiceReply | Refusal:
