--- a/src/nutmegroad/relay/refusals.py
+++ b/src/nutmegroad/relay/refusals.py
@@ -100,6 +100,7 @@
     """Return the refusal of a request that terminates its upstreams."""
     return Refusal(
         ResultCode.REQUEST_HARMFUL,
-        f'{harmful.crash_count} upstreams of {service!r} crashed while running it.',
+        f'{harmful.crash_count} upstreams of {service!r} crashed '
+        'while running it.',
         retry_after=max(harmful.pause, MIN_PROBE_RETRY_AFTER),
     )
--- a/src/nutmegroad/routing/harmful.py
+++ b/src/nutmegroad/routing/harmful.py
@@ -105,7 +105,8 @@
             return None
         return Refusal(
             ResultCode.REQUEST_HARMFUL,
-            f'{harmful.crash_count} engines have terminated while executing it.',
+            f'{harmful.crash_count} engines have terminated '
+            'while executing it.',
             Ran.NOT_RUN,
             max(harmful.pause, PROBE_RETRY_AFTER),
         )
