--- a/src/nutmegroad/fleet/crash_tracker.py
+++ b/src/nutmegroad/fleet/crash_tracker.py
@@ -2,11 +2,10 @@
 
 A request may crash each upstream that executes it, and it is sent again under
 other ids to any host. Requests are therefore tracked by content, and hosts
-exchange what they have recorded. Requests that merely ran beside it are tracked
-too and can't be distinguished from it by one crash: three crashes in series
-make a request harmful. One host at a time may then execute it once more as a
-probe; an answer clears the request, and another crash blocks it for much
-longer.
+exchange their records. One crash can't distinguish the request from those that
+merely ran beside it, which are tracked too: three crashes in series make a
+request harmful. One host at a time may then execute it once more as a
+probe; an answer clears it, and another crash blocks it for much longer.
 """
 
 from dataclasses import dataclass, field
@@ -26,14 +25,12 @@
 #: fewer than that by chance where many requests run at each upstream.
 HARMFUL_CRASHES: Final = 3
 
-#: Seconds after its last crash for which a harmful request is not executed. By
-#: then all hosts have received the report of the crash, and the upstreams that
-#: it crashed are still down.
+#: Seconds after its last crash before a harmful request may be probed. By then
+#: all hosts know of the crash, and the crashed upstreams are still down.
 PROBE_DELAY: Final = 1.0
 
-#: Seconds for which the request is blocked once a probe execution has crashed
-#: an upstream as well: somebody has to repair the upstream by hand. Doubles
-#: with each further crash.
+#: Seconds of blocking once a probe execution has crashed an upstream as well:
+#: it has to be repaired by hand. Doubles with each further crash.
 BLOCK_PAUSE: Final = 600.0
 
 #: Maximum pause in seconds: one day.
@@ -157,9 +154,8 @@
     def series_length(self) -> int:
         """Return how many crashes followed one another.
 
-        Upstreams that crash at the same time have a common cause, and a request
-        that is sent often runs at several of them at once. Such crashes count
-        once.
+        Upstreams that crash at the same time have a common cause and count
+        once: a request that is sent often runs at several of them at once.
         """
         count = 0
         last = NEVER
@@ -300,11 +296,7 @@
         return () if record is None else tuple(record.crashes.values())
 
     def last_answer(self, content: ContentFingerprint) -> float | None:
-        """Return when a request was last answered completely, or None.
-
-        Returns:
-            Clock time in seconds; None if no answer is known.
-        """
+        """Return the clock time of the last complete answer, or None."""
         record = self._records.get(content)
         if record is None or record.answered_at == NEVER:
             return None
@@ -313,8 +305,7 @@
     def report(self) -> CrashReport:
         """Return the report of the last seconds for the other hosts."""
         if not self.has_updates:
-            # Called in each gossip round; there is almost never anything to
-            # report.
+            # Called in each gossip round, almost never with anything to report.
             return CrashReport()
         now = self._clock.now()
         oldest = now - REPORTING_PERIOD
@@ -361,8 +352,7 @@
             self._records.items(),
             key=lambda entry: len(entry[1].crashes) >= HARMFUL_CRASHES,
         )
-        # Evicts many at once, so that the eviction does not run for each
-        # request.
+        # Evicts many at once, so that it does not run for each request.
         for content, _ in by_weight[
             : len(self._records) - REQUESTS_AFTER_EVICTION
         ]:
@@ -370,11 +360,7 @@
 
 
 def _pause(ends: int) -> float:
-    """Return the seconds for which a request is blocked.
-
-    Args:
-        ends: Number of crashes in series.
-    """
+    """Return for how many seconds crashes in series block a request."""
     if ends <= HARMFUL_CRASHES:
         return PROBE_DELAY
     doubled = BLOCK_PAUSE * float(2 ** (ends - HARMFUL_CRASHES - 1))
--- a/src/nutmegroad/fleet/domain_monitor.py
+++ b/src/nutmegroad/fleet/domain_monitor.py
@@ -38,7 +38,7 @@
 MAX_INTERVAL: Final = 1.0
 
 #: Maximum number of failure domains that are tracked: seven times those of the
-#: reference fleet. Names of domains come from other hosts.
+#: largest planned deployment. Names of domains come from other hosts.
 MAX_DOMAINS: Final = 64
 
 #: Ages are reported in milliseconds.
--- a/src/nutmegroad/fleet/evidence_tracker.py
+++ b/src/nutmegroad/fleet/evidence_tracker.py
@@ -36,7 +36,7 @@
 _NO_ORDER: Final = -1
 
 #: Maximum number of host incarnations tracked per service: those of one day in
-#: the reference fleet, 400 hosts of which 140 restart.
+#: the largest planned deployment, 400 hosts of which 140 restart.
 MAX_INCARNATIONS: Final = 540
 
 
--- a/src/nutmegroad/fleet/old_version_sessions.py
+++ b/src/nutmegroad/fleet/old_version_sessions.py
@@ -31,7 +31,7 @@
 _REMOTE_OTHERS: Final = 20
 
 #: Maximum number of tracked sessions besides those of this host: twice those of
-#: the reference fleet, at 3,500 requests per second.
+#: the largest planned deployment, at 3,500 requests per second.
 MAX_SESSIONS: Final = 20_000
 
 #: Seconds by which a session must have been seen later than was known for it to
