--- a/src/nutmegroad/operators/__init__.py
+++ b/src/nutmegroad/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' interface."""
+"""HTTP interface for operators of a deployment."""
--- a/src/nutmegroad/operators/_host_calls.py
+++ b/src/nutmegroad/operators/_host_calls.py
@@ -1,7 +1,8 @@
-"""What one host asks of another for an operator: to stop, to explain.
+"""Calls from host to host on behalf of operators: drain and explain.
 
-A host has links to all hosts of its domain and to a few of each other. A
-call to a host without a link is handed on once, by a host of its domain.
+A host has links to all hosts of its own failure domain and to a few hosts of
+each other domain. A call to a host without a link is relayed once, by a host
+of the target's domain.
 """
 
 from typing import ClassVar, Final, TypeVar
@@ -13,22 +14,23 @@
 from nutmegroad.foundations.types import HostId, OperatorId, Presence, RequestId
 from nutmegroad.records.explanations import Step
 
-#: Control cost of operators' calls goes under this name.
+#: Name under which the control cost of operators' calls is accounted.
 OPERATORS_PART: Final = 'operators'
 
-#: Seconds that a host, and one that hands a call on, may take to reply.
+#: Seconds within which the target of a call has to reply.
 _HOST_TIMEOUT: Final = 1.0
+#: Seconds within which a host that relays a call has to reply.
 _RELAY_TIMEOUT: Final = 2.0
-#: Hosts that are asked to hand a call on, one after another.
-_TRIES: Final = 2
+#: Maximum number of hosts that are asked to relay a call, one by one.
+_MAX_RELAYS: Final = 2
 
 
 class HostCall(Message, frozen=True, tag='host-call'):
-    """A question to one host.
+    """A call to one host.
 
     Attributes:
-        host: Whom it is for.
-        relay: Whether its receiver may hand it on.
+        host: Id of the target host.
+        relay: Whether the receiver may relay the call to its target.
     """
 
     part: ClassVar[str] = OPERATORS_PART
@@ -38,21 +40,21 @@
 
 
 class DrainOrder(HostCall, frozen=True, kw_only=True, tag='drain-order'):
-    """Has a host stop gracefully.
+    """Orders a host to stop gracefully.
 
     Attributes:
-        operator: Who asked for it.
+        operator: Operator who requested the drain.
     """
 
     operator: OperatorId
 
 
 class DrainReply(Message, frozen=True, tag='drain-reply'):
-    """Says that a host stops.
+    """Reports that a host is stopping.
 
     Attributes:
-        host: The host.
-        open_requests: How many requests it lets end.
+        host: Id of the host.
+        open_requests: Number of open requests that the host still completes.
     """
 
     part: ClassVar[str] = OPERATORS_PART
@@ -64,20 +66,21 @@
 class ExplainQuestion(
     HostCall, frozen=True, kw_only=True, tag='explain-question'
 ):
-    """Asks what happened to a request.
+    """Asks a host for the explanation of a request.
 
     Attributes:
-        request: The request.
+        request: Id of the request.
     """
 
     request: RequestId
 
 
 class ExplainReply(Message, frozen=True, tag='explain-reply'):
-    """What happened to a request.
+    """Explanation of a request.
 
     Attributes:
-        steps: Its steps; none if the host does not know it.
+        steps: Processing steps; empty if the host does not know the
+            request.
     """
 
     part: ClassVar[str] = OPERATORS_PART
@@ -89,7 +92,7 @@
 
 
 class HostCalls:
-    """Brings calls to the host that they are for.
+    """Sends calls to other hosts, directly or through a relay.
 
     Args:
         mesh: Links to other hosts.
@@ -98,8 +101,8 @@
     def __init__(self, mesh: Mesh) -> None:
         self._mesh = mesh
 
-    def known(self, host: HostId) -> Member | None:
-        """Return another host, or None if it is not known to be there."""
+    def find(self, host: HostId) -> Member | None:
+        """Return another host; None if it is unknown or gone."""
         return next(
             (
                 member
@@ -110,35 +113,43 @@
         )
 
     async def call(self, call: Call) -> Message | Refusal:
-        """Have a host answer a call."""
-        member = self.known(call.host)
+        """Send a call to its target, and return the reply.
+
+        The call goes directly first, then through a few hosts of the
+        target's domain until one of them gets a reply.
+        """
+        member = self.find(call.host)
         if member is None:
             return Refusal(
                 ResultCode.PEER_UNREACHABLE,
-                f'The host {call.host!r} is not known to be there.',
+                f'The host {call.host!r} is unknown or gone.',
             )
         direct = replace(call, relay=False)
         reply = await self._mesh.ask(call.host, direct, _HOST_TIMEOUT)
-        for relay in self._neighbours(member):
+        for relay in self._relays_to(member):
             if not isinstance(reply, Refusal):
                 break
-            handed = replace(call, relay=True)
-            reply = await self._mesh.ask(relay, handed, _RELAY_TIMEOUT)
+            relayed = replace(call, relay=True)
+            reply = await self._mesh.ask(relay, relayed, _RELAY_TIMEOUT)
         return reply
 
-    async def hand_on(self, call: Call) -> Message | None:
-        """Hand a call on that is for another host of this domain."""
+    async def relay(self, call: Call) -> Message | None:
+        """Relay a received call to its target, another host of this domain.
+
+        Returns:
+            The reply; None if the call must not be relayed or failed.
+        """
         if not call.relay:
             return None
         direct = replace(call, relay=False)
         reply = await self._mesh.ask(call.host, direct, _HOST_TIMEOUT)
         return None if isinstance(reply, Refusal) else reply
 
-    def _neighbours(self, target: Member) -> tuple[HostId, ...]:
-        """Return a few hosts of a host's domain."""
-        found = [
+    def _relays_to(self, target: Member) -> tuple[HostId, ...]:
+        """Return the hosts to ask to relay a call to a host."""
+        relays = [
             member.host
             for member in self._mesh.members()
             if member.domain == target.domain and member.host != target.host
         ]
-        return tuple(found[:_TRIES])
+        return tuple(relays[:_MAX_RELAYS])
--- a/src/nutmegroad/operators/interface.py
+++ b/src/nutmegroad/operators/interface.py
@@ -1,7 +1,8 @@
 """The operators' HTTP interface.
 
-How the host stands is told here; all else is in groups of routes, which
-are plug-ins of the kind ``operator routes`` (see ``operator_access``).
+This module serves health checks, the status of the host and its upstreams.
+All other routes come in groups, which are plug-ins of the kind
+``operator routes`` (see ``operator_access``).
 """
 
 from collections.abc import Iterable
@@ -17,8 +18,8 @@
 from nutmegroad.operators.operator_access import (
     Access,
     OperatorRoutes,
-    refuse_operator,
-    reply,
+    json_response,
+    refusal_response,
 )
 from nutmegroad.routing.directory import Directory
 
@@ -26,12 +27,12 @@
 
 
 class ConditionBody(Struct, frozen=True):
-    """Something that keeps a host from serving as it should.
+    """A condition that impairs the service of a host.
 
     Attributes:
-        code: Result code of what callers or operators meet.
-        name: The code's name.
-        message: One sentence.
+        code: Result code that callers or operators get because of it.
+        name: Name of the result code.
+        message: Description of the condition, in one sentence.
     """
 
     code: int
@@ -40,22 +41,25 @@
 
 
 class StatusBody(Struct, frozen=True):
-    """What a host says of itself.
+    """Status of a host.
 
     Attributes:
-        host: Its id.
-        revision: The configuration in force here.
-        preset: The preset in force here.
-        author: Who made that revision.
-        heard: The highest revision of which it has heard.
-        behind: Whether it lacks that revision; it then confirms nothing.
-        isolated: Whether its last confirmation has lapsed.
-        confirmation_age: Seconds since the confirming read; None for never.
+        host: Id of the host.
+        revision: Revision of the configuration in force on the host.
+        preset: Name of the preset in force; empty if there is none.
+        author: Operator who made the revision; empty if there is none.
+        heard: Highest revision that the host knows to exist.
+        behind: Whether the host lacks that revision. Confirmations do not
+            count meanwhile.
+        isolated: Whether the last confirmation of the configuration expired.
+        confirmation_age: Seconds since the start of the last confirming read;
+            None if there was none.
         withdrawals: Withdrawn versions.
-        unrecorded: Those that the table is not known to have.
-        upstreams: How many upstreams it knows.
-        open_requests: How many requests of callers are open.
-        conditions: What keeps it from serving as it should.
+        unrecorded: Withdrawn versions whose withdrawal is not known to be in
+            the table.
+        upstreams: Number of known upstreams.
+        open_requests: Number of open requests of callers.
+        conditions: Conditions that impair the service of the host.
     """
 
     host: str
@@ -74,16 +78,16 @@
 
 
 class UpstreamBody(Struct, frozen=True):
-    """An upstream, as a host sees it.
+    """An upstream, as known by the host that replies.
 
     Attributes:
-        upstream: Its id.
+        upstream: Id of the upstream.
         domain: Its failure domain.
         kind: Engine or service.
-        address: Where it listens.
-        presence: Live or leaving.
+        address: Address that it listens on.
+        presence: ``live`` or ``leaving``.
         versions: Versions that it has loaded.
-        in_flight: Requests that this host has there.
+        in_flight: Number of this host's requests in flight there.
     """
 
     upstream: str
@@ -96,16 +100,16 @@
 
 
 class OperatorsInterface:
-    """Serves operators.
+    """Serves the operators' HTTP interface of a host.
 
     Args:
-        host: This host's id.
-        domain: The failure domain that it stands in.
-        configuration: What is in force.
-        directory: The upstreams.
-        stop: The host's stop.
-        access: Knows operators.
-        groups: More routes.
+        host: Id of this host.
+        domain: Failure domain of this host.
+        configuration: Configuration in force.
+        directory: Known upstreams.
+        stop: Graceful stop of this host.
+        access: Authenticates operators.
+        groups: Groups of additional routes.
     """
 
     def __init__(
@@ -138,27 +142,27 @@
         return app
 
     async def health(self, http: Request) -> Response:
-        """Say that the process runs."""
+        """Report that the process runs (liveness check)."""
         return Response(text='ok\n')
 
     async def ready(self, http: Request) -> Response:
-        """Say whether callers may be sent here."""
+        """Report whether the host can serve callers (readiness check)."""
         if self._configuration.accepted is None:
             return Response(status=_UNAVAILABLE, text='no configuration\n')
-        # The host list lags: a host may open before the list names anything,
-        # and would refuse for want of capacity that is there.
+        # The host list lags: a host may start before the list names any
+        # upstream, and would refuse requests although there is capacity.
         if not self._directory.knows_engines(self._domain):
             return Response(status=_UNAVAILABLE, text='no upstreams yet\n')
         return Response(text='ready\n')
 
     async def status(self, http: Request) -> Response:
-        """Say how this host stands."""
+        """Return the status of this host."""
         operator = self._access.authenticate(http)
         if isinstance(operator, Refusal):
-            return refuse_operator(operator)
+            return refusal_response(operator)
         accepted = self._configuration.accepted
         age = self._configuration.confirmation_age
-        return reply(
+        return json_response(
             StatusBody(
                 host=self._host,
                 revision=self._configuration.revision,
@@ -183,11 +187,11 @@
         )
 
     async def upstreams(self, http: Request) -> Response:
-        """List the upstreams."""
+        """List the upstreams that this host knows."""
         operator = self._access.authenticate(http)
         if isinstance(operator, Refusal):
-            return refuse_operator(operator)
-        listed = [
+            return refusal_response(operator)
+        bodies = [
             UpstreamBody(
                 upstream=state.info.upstream,
                 domain=state.info.domain,
@@ -199,35 +203,35 @@
             )
             for state in self._directory.states()
         ]
-        return reply(listed)
+        return json_response(bodies)
 
     def _conditions(self) -> tuple[ConditionBody, ...]:
-        """Return what keeps this host from serving as it should."""
-        held = self._configuration
-        found = []
+        """Return the conditions that impair the service of this host."""
+        configuration = self._configuration
+        conditions = []
         if not self._stop.is_ready:
-            sentence = 'The host is stopping.'
-            found.append(_condition(ResultCode.HOST_STOPPING, sentence))
-        if held.accepted is None:
-            sentence = 'The host has no configuration.'
-            found.append(_condition(ResultCode.CONFIGURATION_MISSING, sentence))
-        elif held.isolated:
-            sentence = (
-                f'Nothing has confirmed revision {held.revision} for '
-                f'{held.confirmation_age:.0f} s; the host serves only what '
-                'may be served in isolation.'
+            message = 'The host is stopping.'
+            conditions.append(_condition(ResultCode.HOST_STOPPING, message))
+        if configuration.accepted is None:
+            message = 'The host has no configuration.'
+            code = ResultCode.CONFIGURATION_MISSING
+            conditions.append(_condition(code, message))
+        elif configuration.isolated:
+            message = (
+                f'Revision {configuration.revision} has not been confirmed '
+                f'for {configuration.confirmation_age:.0f} s; the host serves '
+                'only requests that are allowed in isolation.'
             )
-            found.append(_condition(ResultCode.ISOLATED, sentence))
-        if held.behind:
-            sentence = f'The host lacks revision {held.heard}.'
+            conditions.append(_condition(ResultCode.ISOLATED, message))
+        if configuration.behind:
+            message = f'The host lacks revision {configuration.heard}.'
             code = ResultCode.CONFIGURATION_UNCONFIRMED
-            found.append(_condition(code, sentence))
-        if held.unrecorded:
-            sentence = 'The table is not known to have all withdrawals.'
-            found.append(_condition(ResultCode.TABLE_UNAVAILABLE, sentence))
-        return tuple(found)
+            conditions.append(_condition(code, message))
+        if configuration.unrecorded:
+            message = 'Some withdrawals are not known to be in the table.'
+            conditions.append(_condition(ResultCode.TABLE_UNAVAILABLE, message))
+        return tuple(conditions)
 
 
-def _condition(code: ResultCode, sentence: str) -> ConditionBody:
-    """Return a condition."""
-    return ConditionBody(int(code), code.name, sentence)
+def _condition(code: ResultCode, message: str) -> ConditionBody:
+    return ConditionBody(int(code), code.name, message)
--- a/src/nutmegroad/operators/operator_access.py
+++ b/src/nutmegroad/operators/operator_access.py
@@ -1,6 +1,6 @@
-"""What the groups of operators' routes share: tokens, bodies, replies.
+"""Authentication, request bodies and responses shared by operators' routes.
 
-A group of routes is a plug-in. Its module says::
+A group of routes is a plug-in, which its module registers::
 
     @register('operator routes', 'billing')
     class BillingRoutes:
@@ -28,7 +28,7 @@
 
 Body = TypeVar('Body', bound=Struct)
 
-#: The name under which the bootstrap token acts.
+#: Operator id recorded for changes made with the bootstrap token.
 BOOTSTRAP: Final = OperatorId('bootstrap')
 
 _NO_REQUEST: Final = RequestId('-')
@@ -38,19 +38,19 @@
 
 
 class OperatorRoutes(Protocol):
-    """A group of the operators' routes."""
+    """A group of operators' routes."""
 
     def add_routes(self, app: Application) -> None:
-        """Add the routes to the application."""
+        """Register the routes."""
 
 
 class ProblemBody(Struct, frozen=True):
-    """A field of a document that is wrong.
+    """An invalid field of a document.
 
     Attributes:
-        path: The field's path.
-        wrong: What is wrong, with the bad value.
-        expected: What would be right.
+        path: Path of the field.
+        wrong: What is wrong, including the invalid value.
+        expected: What would be valid.
     """
 
     path: str
@@ -59,11 +59,11 @@
 
 
 class ProblemsBody(Struct, frozen=True):
-    """All that is wrong with a document.
+    """Error response for an invalid document.
 
     Attributes:
-        error: The refusal, as for any other.
-        problems: Each field that is wrong.
+        error: The refusal, as in any other error response.
+        problems: All invalid fields.
     """
 
     error: msgspec.Raw
@@ -71,12 +71,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ordered(Generic[Body]):
-    """What an operator asks for.
+class AuthorizedRequest(Generic[Body]):
+    """A decoded request of an operator whose role permits it.
 
     Attributes:
-        body: What was sent.
-        operator: Who sent it.
+        body: Decoded body.
+        operator: Operator who sent the request.
     """
 
     body: Body
@@ -84,11 +84,12 @@
 
 
 class Access:
-    """Knows operators by their tokens.
+    """Authenticates operators by their tokens and checks their roles.
 
     Args:
-        configuration: What is in force.
-        bootstrap_token: Holds until a configuration has operators.
+        configuration: Configuration in force, which lists the operators.
+        bootstrap_token: Token that is valid until a configuration lists
+            operators.
     """
 
     def __init__(
@@ -104,25 +105,34 @@
         http: Request,
         role: Role = Role.READ,
     ) -> OperatorId | Refusal:
-        """Return the operator whose token was brought."""
-        given = http.headers.get('Authorization', '').removeprefix(_BEARER)
+        """Return the operator whose token a request has.
+
+        Args:
+            http: Request of the operator.
+            role: Role that the request requires.
+
+        Returns:
+            The operator; a refusal if the token is unknown or the role
+            insufficient.
+        """
+        token = http.headers.get('Authorization', '').removeprefix(_BEARER)
         accepted = self._configuration.accepted
-        known = accepted.document.operators if accepted else ()
-        if not known and given and is_same(given, self._bootstrap_token):
+        entries = accepted.document.operators if accepted else ()
+        if not entries and token and is_same(token, self._bootstrap_token):
             return BOOTSTRAP
-        token_hash = hash_of(given)
-        for entry in known:
+        token_hash = hash_of(token)
+        for entry in entries:
             if is_same(entry.token_hash, token_hash):
                 if role is Role.OPERATE and entry.role is Role.READ:
                     return Refusal(
                         ResultCode.OPERATOR_NOT_PERMITTED,
-                        f'The operator {entry.name!r} may only read.',
+                        f'The operator {entry.name!r} has read access only.',
                     )
                 return entry.operator
         return Refusal(
             ResultCode.OPERATOR_UNAUTHENTICATED,
-            'The Authorization header must bring an operator token as '
-            '"Bearer TOKEN"; this one is missing or unknown.',
+            'The Authorization header must contain an operator token as '
+            '"Bearer TOKEN"; the token is missing or unknown.',
         )
 
     async def read(
@@ -130,8 +140,14 @@
         http: Request,
         kind: type[Body],
         role: Role = Role.OPERATE,
-    ) -> Ordered[Body] | Refusal:
-        """Return the body of a request by an operator of a role."""
+    ) -> AuthorizedRequest[Body] | Refusal:
+        """Authenticate an operator and decode the body of the request.
+
+        Args:
+            http: Request of the operator.
+            kind: Type of the body.
+            role: Role that the request requires.
+        """
         operator = self.authenticate(http, role)
         if isinstance(operator, Refusal):
             return operator
@@ -140,13 +156,13 @@
         except (msgspec.DecodeError, UnicodeDecodeError) as problem:
             return Refusal(
                 ResultCode.OPERATOR_REQUEST_INVALID,
-                f'The body is not as expected: {problem}.',
+                f'The request body is invalid: {problem}.',
             )
-        return Ordered(body, operator)
+        return AuthorizedRequest(body, operator)
 
 
-def reply(content: object, status: int = _OK) -> Response:
-    """Return a JSON reply."""
+def json_response(content: object, status: int = _OK) -> Response:
+    """Return a response with a JSON body."""
     return Response(
         body=msgspec.json.encode(content),
         content_type=JSON_TYPE,
@@ -154,54 +170,54 @@
     )
 
 
-def refuse_operator(refusal: Refusal) -> Response:
-    """Return the reply of a refusal."""
+def refusal_response(refusal: Refusal) -> Response:
+    """Return the error response for a refusal."""
     return refuse(refusal, _NO_REQUEST)
 
 
-def answer(outcome: object) -> Response:
-    """Return the reply of what became of a request."""
+def outcome_response(outcome: object) -> Response:
+    """Return the response for an outcome, which may be a refusal."""
     if isinstance(outcome, Refusal):
-        return refuse_operator(outcome)
-    return reply(outcome)
+        return refusal_response(outcome)
+    return json_response(outcome)
 
 
-def refuse_document(problems: tuple[Problem, ...]) -> Response:
-    """Return the reply to a document that is not valid."""
+def problems_response(problems: tuple[Problem, ...]) -> Response:
+    """Return the error response for an invalid document."""
     refusal = Refusal(
         ResultCode.CONFIGURATION_INVALID,
-        f'The document has {len(problems)} problems, the first is {problems[0]}'
-        ' Nothing was changed.',
+        f'The document has {len(problems)} problems; the first is: '
+        f'{problems[0]} Nothing was changed.',
     )
     envelope = msgspec.json.decode(
         error_body(refusal),
         type=dict[str, msgspec.Raw],
     )
-    return reply(
-        ProblemsBody(envelope['error'], list_problems(problems)),
+    return json_response(
+        ProblemsBody(envelope['error'], problem_bodies(problems)),
         _UNPROCESSABLE,
     )
 
 
-def list_problems(problems: tuple[Problem, ...]) -> tuple[ProblemBody, ...]:
-    """Return problems as operators see them."""
+def problem_bodies(problems: tuple[Problem, ...]) -> tuple[ProblemBody, ...]:
+    """Return problems in the form of response bodies."""
     return tuple(
         ProblemBody(problem.path, problem.wrong, problem.expected)
         for problem in problems
     )
 
 
-def read_number(http: Request, name: str, default: int) -> int | Refusal:
-    """Return a number of the query."""
+def read_query_number(http: Request, name: str, default: int) -> int | Refusal:
+    """Return a number from the query string, or the default."""
     text = http.query.get(name, str(default))
     if text.isdecimal():
         return int(text)
     return Refusal(
         ResultCode.OPERATOR_REQUEST_INVALID,
-        f'The query has {name}={text!r}; expected a whole number from 0.',
+        f'The query has {name}={text!r}; expected a non-negative integer.',
     )
 
 
-def revision_of(number: int | None) -> Revision | None:
-    """Return a revision, if a number was given."""
+def optional_revision(number: int | None) -> Revision | None:
+    """Return a number as a revision; None for None."""
     return None if number is None else Revision(number)
--- a/src/nutmegroad/operators/operator_configuration.py
+++ b/src/nutmegroad/operators/operator_configuration.py
@@ -1,11 +1,11 @@
 """Operators' routes for the configuration as a whole.
 
-GET  /operators/configuration            what is in force, with the document
-POST /operators/configuration            check a document and put it in force
-POST /operators/configuration/check      only check it
-POST /operators/configuration/diff       say what it would change
-GET  /operators/configuration/progress   which hosts have a revision
-GET  /operators/configuration/history    the newest changes
+GET  /operators/configuration            return the configuration in force
+POST /operators/configuration            validate a document and apply it
+POST /operators/configuration/check      validate a document only
+POST /operators/configuration/diff       list what a document would change
+GET  /operators/configuration/progress   list the hosts that have a change
+GET  /operators/configuration/history    return the most recent changes
 """
 
 from typing import Final
@@ -37,25 +37,27 @@
 from nutmegroad.operators.operator_access import (
     Access,
     ProblemBody,
-    answer,
-    list_problems,
-    read_number,
-    refuse_document,
-    refuse_operator,
-    reply,
-    revision_of,
+    json_response,
+    optional_revision,
+    outcome_response,
+    problem_bodies,
+    problems_response,
+    read_query_number,
+    refusal_response,
 )
 
 _ROOT: Final = '/operators/configuration'
 
 
 class DocumentBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """A document to be checked or put into force.
+    """A document to validate, to compare or to apply.
 
     Attributes:
-        text: The document, as TOML.
-        preset: The preset to be in force with it.
-        expected: The revision that the operator saw.
+        text: The document, in TOML.
+        preset: Preset to put into force with it; None keeps the present
+            preset, or takes the first one of the document.
+        expected: Revision that the change is based on; the change is refused
+            if another one is in force. None for any revision.
     """
 
     text: str
@@ -63,14 +65,14 @@
     expected: int | None = None
 
 
-class ShownBody(Struct, frozen=True):
-    """What is in force on a host.
+class ConfigurationBody(Struct, frozen=True):
+    """The configuration in force on a host.
 
     Attributes:
-        revision: Its number.
-        digest: Name of the document.
-        preset: The preset in force.
-        author: Who made the revision.
+        revision: Revision of the configuration.
+        digest: Name of the stored object that holds the document.
+        preset: Name of the preset in force.
+        author: Operator who made the revision.
         document: The document.
     """
 
@@ -81,12 +83,12 @@
     document: Document
 
 
-class CheckedBody(Struct, frozen=True):
-    """Whether a document is valid.
+class CheckResultBody(Struct, frozen=True):
+    """Result of the validation of a document.
 
     Attributes:
-        valid: Whether nothing is wrong.
-        problems: All that is wrong.
+        valid: Whether the document is valid.
+        problems: All invalid fields.
     """
 
     valid: bool
@@ -94,11 +96,11 @@
 
 
 class DifferenceBody(Struct, frozen=True):
-    """One thing that a document would change.
+    """One difference between a document and the one in force.
 
     Attributes:
-        subject: What it concerns.
-        sentence: What would change.
+        subject: Entry that would change.
+        sentence: Description of the change, in one sentence.
     """
 
     subject: str
@@ -106,13 +108,13 @@
 
 
 class DomainProgress(Struct, frozen=True):
-    """How far a change has come in a failure domain.
+    """Progress of a change in one failure domain.
 
     Attributes:
-        domain: The domain.
-        hosts: Hosts that are known.
-        acknowledged: Those that have the change in force.
-        missing: Names of the others.
+        domain: Id of the failure domain.
+        hosts: Number of known hosts.
+        acknowledged: Number of hosts that have the change in force.
+        missing: Ids of the other hosts.
     """
 
     domain: str
@@ -122,16 +124,16 @@
 
 
 class ProgressBody(Struct, frozen=True):
-    """How far a change has come.
+    """Progress of a change.
 
     Attributes:
-        revision: The revision.
-        everywhere: Whether every host that is known has acknowledged it.
-        in_force_in: Seconds after which, at the latest, every host but the
-            isolated ones has it in force; 0 for already. None if the host
-            that was asked lacks the revision, or there is no such bound.
-        domains: The domains.
-        hosts: The hosts.
+        revision: Revision that was asked for; 0 if none was.
+        everywhere: Whether every known host has acknowledged the change.
+        in_force_in: Maximum seconds until every host except the isolated ones
+            has the revision in force; 0 if all have it already. None if this
+            host lacks the revision, or if no revision was asked for.
+        domains: Progress by failure domain.
+        hosts: Progress by host.
     """
 
     revision: int
@@ -143,11 +145,11 @@
 
 @register('operator routes', 'configuration')
 class ConfigurationRoutes:
-    """Serves operators the configuration as a whole.
+    """Routes for the configuration as a whole.
 
     Args:
-        kernel: Where the parts are.
-        access: Knows operators.
+        kernel: Kernel that provides the components.
+        access: Authenticates operators.
     """
 
     def __init__(self, kernel: Kernel, access: Access) -> None:
@@ -158,7 +160,7 @@
         self._progress = kernel.need(ChangeProgress)
 
     def add_routes(self, app: Application) -> None:
-        """Add the routes to the application."""
+        """Register the routes."""
         app.router.add_get(_ROOT, self.show)
         app.router.add_post(_ROOT, self.apply)
         app.router.add_post(f'{_ROOT}/check', self.check)
@@ -167,15 +169,15 @@
         app.router.add_get(f'{_ROOT}/history', self.history)
 
     async def show(self, http: Request) -> Response:
-        """Show what is in force on this host."""
+        """Return the configuration in force on this host."""
         operator = self._access.authenticate(http)
         if isinstance(operator, Refusal):
-            return refuse_operator(operator)
+            return refusal_response(operator)
         accepted = self._configuration.accepted
         if accepted is None:
-            return refuse_operator(missing())
-        return reply(
-            ShownBody(
+            return refusal_response(no_configuration())
+        return json_response(
+            ConfigurationBody(
                 accepted.revision,
                 accepted.digest,
                 accepted.preset,
@@ -185,63 +187,72 @@
         )
 
     async def apply(self, http: Request) -> Response:
-        """Check a document and put it into force."""
-        ordered = await self._access.read(http, DocumentBody)
-        if isinstance(ordered, Refusal):
-            return refuse_operator(ordered)
-        body = ordered.body
+        """Validate a document and put it into force."""
+        authorized = await self._access.read(http, DocumentBody)
+        if isinstance(authorized, Refusal):
+            return refusal_response(authorized)
+        body = authorized.body
         document = read_document(body.text)
         if isinstance(document, tuple):
-            return refuse_document(document)
+            return problems_response(document)
         head = await self._changes.apply(
             document,
             None if body.preset is None else PresetName(body.preset),
-            ordered.operator,
-            revision_of(body.expected),
+            authorized.operator,
+            optional_revision(body.expected),
         )
-        return answer(head)
+        return outcome_response(head)
 
     async def check(self, http: Request) -> Response:
-        """Say what is wrong with a document."""
-        ordered = await self._access.read(http, DocumentBody, Role.READ)
-        if isinstance(ordered, Refusal):
-            return refuse_operator(ordered)
-        document = read_document(ordered.body.text)
+        """Validate a document without applying it."""
+        authorized = await self._access.read(http, DocumentBody, Role.READ)
+        if isinstance(authorized, Refusal):
+            return refusal_response(authorized)
+        document = read_document(authorized.body.text)
         problems = document if isinstance(document, tuple) else ()
-        return reply(CheckedBody(not problems, list_problems(problems)))
+        return json_response(
+            CheckResultBody(not problems, problem_bodies(problems))
+        )
 
     async def diff(self, http: Request) -> Response:
-        """Say what a document would change."""
-        ordered = await self._access.read(http, DocumentBody, Role.READ)
-        if isinstance(ordered, Refusal):
-            return refuse_operator(ordered)
-        document = read_document(ordered.body.text)
+        """List what a document would change."""
+        authorized = await self._access.read(http, DocumentBody, Role.READ)
+        if isinstance(authorized, Refusal):
+            return refusal_response(authorized)
+        document = read_document(authorized.body.text)
         if isinstance(document, tuple):
-            return refuse_document(document)
+            return problems_response(document)
         accepted = self._configuration.accepted
         if accepted is None:
-            return refuse_operator(missing())
-        found = compare(accepted.document, document)
-        return reply(
-            [DifferenceBody(one.subject, one.sentence) for one in found]
+            return refusal_response(no_configuration())
+        differences = compare(accepted.document, document)
+        return json_response(
+            [
+                DifferenceBody(difference.subject, difference.sentence)
+                for difference in differences
+            ]
         )
 
     async def progress(self, http: Request) -> Response:
-        """Say which hosts have a revision, and until when all have it."""
+        """Return which hosts have a change in force.
+
+        The query names the change: a revision, or a withdrawn version with
+        its epoch.
+        """
         operator = self._access.authenticate(http)
         if isinstance(operator, Refusal):
-            return refuse_operator(operator)
-        number = read_number(http, 'revision', NO_REVISION)
-        epoch = read_number(http, 'epoch', 0)
+            return refusal_response(operator)
+        number = read_query_number(http, 'revision', NO_REVISION)
+        epoch = read_query_number(http, 'epoch', 0)
         if isinstance(number, Refusal):
-            return refuse_operator(number)
+            return refusal_response(number)
         if isinstance(epoch, Refusal):
-            return refuse_operator(epoch)
+            return refusal_response(epoch)
         version = VersionId(http.query.get('version', ''))
         change = Change(Revision(number), version, Epoch(epoch))
         hosts = await self._progress.ask(change)
         in_force_in = self._configuration.in_force_in(change.revision)
-        return reply(
+        return json_response(
             ProgressBody(
                 revision=change.revision,
                 everywhere=all(entry.acknowledged for entry in hosts),
@@ -252,15 +263,15 @@
         )
 
     async def history(self, http: Request) -> Response:
-        """Show the newest changes, the newest last."""
+        """Return the most recent changes, the newest last."""
         operator = self._access.authenticate(http)
         if isinstance(operator, Refusal):
-            return refuse_operator(operator)
-        return answer(await self._store.history())
+            return refusal_response(operator)
+        return outcome_response(await self._store.history())
 
 
-def missing() -> Refusal:
-    """Say that no configuration is in force."""
+def no_configuration() -> Refusal:
+    """Return the refusal for a host without a configuration."""
     return Refusal(
         ResultCode.CONFIGURATION_MISSING,
         'No configuration is in force on this host; apply one first.',
@@ -269,7 +280,7 @@
 
 
 def _by_domain(hosts: tuple[HostProgress, ...]) -> tuple[DomainProgress, ...]:
-    """Sum up hosts by their domains."""
+    """Summarize the progress of hosts by failure domain."""
     domains: dict[str, list[HostProgress]] = {}
     for host in hosts:
         domains.setdefault(host.domain, []).append(host)
@@ -278,12 +289,12 @@
             domain,
             len(entries),
             sum(entry.acknowledged for entry in entries),
-            _missing_of(entries),
+            _unacknowledged(entries),
         )
         for domain, entries in domains.items()
     )
 
 
-def _missing_of(entries: list[HostProgress]) -> tuple[str, ...]:
-    """Return the hosts that have not acknowledged."""
+def _unacknowledged(entries: list[HostProgress]) -> tuple[str, ...]:
+    """Return the ids of hosts that have not acknowledged the change."""
     return tuple(entry.host for entry in entries if not entry.acknowledged)
--- a/src/nutmegroad/operators/operator_hosts.py
+++ b/src/nutmegroad/operators/operator_hosts.py
@@ -1,7 +1,7 @@
 """Operators' routes for the entry hosts.
 
-GET  /operators/hosts                the hosts, as this one sees them
-POST /operators/hosts/{host}/drain   have a host stop gracefully
+GET  /operators/hosts                list the hosts that this host knows
+POST /operators/hosts/{host}/drain   stop a host gracefully
 """
 
 from typing import Final
@@ -20,21 +20,25 @@
 from nutmegroad.kernel.stops import GracefulStop
 from nutmegroad.membership.members import Members
 from nutmegroad.operators._host_calls import DrainOrder, DrainReply, HostCalls
-from nutmegroad.operators.operator_access import Access, refuse_operator, reply
+from nutmegroad.operators.operator_access import (
+    Access,
+    json_response,
+    refusal_response,
+)
 
 _LOG: Final = part_logger('operators')
 _PATH: Final = '/operators/hosts'
 
 
 class HostBody(Struct, frozen=True):
-    """An entry host, as another one sees it.
+    """An entry host, as known by the host that replies.
 
     Attributes:
-        host: Its id.
+        host: Id of the host.
         domain: Its failure domain.
-        presence: Live, leaving or gone.
-        address: Where it listens to other hosts.
-        heard: Seconds since it was last heard.
+        presence: ``live``, ``leaving`` or ``gone``.
+        address: Address that it listens on for other hosts.
+        heard: Seconds since a message of it was last received.
     """
 
     host: str
@@ -44,23 +48,23 @@
     heard: float
 
 
-class DrainedBody(Struct, frozen=True):
-    """A host that stops.
+class DrainBody(Struct, frozen=True):
+    """Reply to a drain request: the host is stopping.
 
     Attributes:
-        host: Its id.
-        open_requests: How many requests it lets end.
+        host: Id of the host.
+        open_requests: Number of open requests that the host still completes.
     """
 
     host: str
     open_requests: int
 
 
-class DrainDesk:
-    """Has hosts stop gracefully, this one or others.
+class DrainService:
+    """Drains hosts: this one, or others through calls to them.
 
     Args:
-        kernel: Where the parts are.
+        kernel: Kernel that provides the components.
     """
 
     def __init__(self, kernel: Kernel) -> None:
@@ -68,45 +72,49 @@
         self._stop = kernel.need(GracefulStop)
         mesh = kernel.need(Mesh)
         self._calls = HostCalls(mesh)
-        mesh.handle(DrainOrder, self._take)
+        mesh.handle(DrainOrder, self._on_drain_order)
 
     async def drain(
         self,
         host: HostId,
         operator: OperatorId,
     ) -> DrainReply | Refusal:
-        """Have a host stop."""
+        """Have a host stop gracefully."""
         order = DrainOrder(host=host, operator=operator)
         if host == self._host:
-            return self._begin(order)
-        told = await self._calls.call(order)
-        if isinstance(told, DrainReply | Refusal):
-            return told
+            return self._start_drain(order)
+        reply = await self._calls.call(order)
+        if isinstance(reply, DrainReply | Refusal):
+            return reply
         return Refusal(
             ResultCode.PEER_REFUSED,
-            f'The host {host!r} answered with something else.',
+            f'The host {host!r} sent an unexpected reply to a drain order.',
         )
 
-    async def _take(self, sender: HostId, order: DrainOrder) -> Message | None:
-        """Take an order of another host."""
+    async def _on_drain_order(
+        self,
+        sender: HostId,
+        order: DrainOrder,
+    ) -> Message | None:
+        """Carry out or relay an order that another host sent."""
         if order.host == self._host:
-            return self._begin(order)
-        return await self._calls.hand_on(order)
+            return self._start_drain(order)
+        return await self._calls.relay(order)
 
-    def _begin(self, order: DrainOrder) -> DrainReply:
-        """Begin to stop; a stop that has begun goes on."""
-        _LOG.info('the operator %s has this host stop', order.operator)
+    def _start_drain(self, order: DrainOrder) -> DrainReply:
+        """Start to stop; no effect if the stop has already begun."""
+        _LOG.info('drain of this host requested by %s', order.operator)
         self._stop.ask()
         return DrainReply(self._host, self._stop.open_requests)
 
 
 @register('operator routes', 'hosts')
 class HostRoutes:
-    """Serves operators the hosts.
+    """Routes for the entry hosts.
 
     Args:
-        kernel: Where the parts are.
-        access: Knows operators.
+        kernel: Kernel that provides the components.
+        access: Authenticates operators.
     """
 
     def __init__(self, kernel: Kernel, access: Access) -> None:
@@ -114,42 +122,42 @@
         self._clock: Clock = kernel.clock
         self._members = kernel.need(Members)
         self._address = kernel.listening['peers']
-        self._desk = DrainDesk(kernel)
+        self._service = DrainService(kernel)
 
     def add_routes(self, app: Application) -> None:
-        """Add the routes to the application."""
+        """Register the routes."""
         app.router.add_get(_PATH, self.index)
         app.router.add_post(f'{_PATH}/{{host}}/drain', self.drain)
 
     async def index(self, http: Request) -> Response:
-        """List the hosts."""
+        """List the known hosts."""
         operator = self._access.authenticate(http)
         if isinstance(operator, Refusal):
-            return refuse_operator(operator)
-        return reply(self._hosts())
+            return refusal_response(operator)
+        return json_response(self._hosts())
 
     async def drain(self, http: Request) -> Response:
-        """Have a host stop."""
+        """Have a host stop gracefully."""
         operator = self._access.authenticate(http, Role.OPERATE)
         if isinstance(operator, Refusal):
-            return refuse_operator(operator)
+            return refusal_response(operator)
         host = HostId(http.match_info['host'])
         names = [entry.host for entry in self._hosts()]
         if host not in names:
-            return refuse_operator(
+            return refusal_response(
                 Refusal(
                     ResultCode.NOT_FOUND,
                     f'There is no host {host!r}; the choices are '
                     f'{", ".join(names)}.',
                 ),
             )
-        told = await self._desk.drain(host, operator)
-        if isinstance(told, Refusal):
-            return refuse_operator(told)
-        return reply(DrainedBody(told.host, told.open_requests))
+        outcome = await self._service.drain(host, operator)
+        if isinstance(outcome, Refusal):
+            return refusal_response(outcome)
+        return json_response(DrainBody(outcome.host, outcome.open_requests))
 
     def _hosts(self) -> list[HostBody]:
-        """Return all hosts that are known, this one among them."""
+        """Return all known hosts, including this one."""
         own = HostBody(
             self._members.host,
             self._members.domain,
@@ -164,7 +172,7 @@
         )
 
     def _body_of(self, member: Member) -> HostBody:
-        """Return a host as operators see it."""
+        """Return the response body for another host."""
         return HostBody(
             member.host,
             member.domain,
--- a/src/nutmegroad/operators/operator_presets.py
+++ b/src/nutmegroad/operators/operator_presets.py
@@ -1,7 +1,7 @@
 """Operators' routes for presets.
 
-GET  /operators/presets          all presets, and which one is in force
-GET  /operators/presets/{name}   one preset
+GET  /operators/presets          list the presets, and which one is in force
+GET  /operators/presets/{name}   return one preset
 POST /operators/preset           put another preset into force
 """
 
@@ -17,20 +17,21 @@
 from nutmegroad.kernel.registry import register
 from nutmegroad.operators.operator_access import (
     Access,
-    answer,
-    refuse_operator,
-    reply,
-    revision_of,
+    json_response,
+    optional_revision,
+    outcome_response,
+    refusal_response,
 )
-from nutmegroad.operators.operator_configuration import missing
+from nutmegroad.operators.operator_configuration import no_configuration
 
 
 class SwitchBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """A preset to be put into force.
+    """A preset to put into force.
 
     Attributes:
-        preset: Its name.
-        expected: The revision that the operator saw.
+        preset: Name of the preset.
+        expected: Revision that the change is based on; the change is refused
+            if another one is in force. None for any revision.
     """
 
     preset: str
@@ -38,13 +39,13 @@
 
 
 class PresetBody(Struct, frozen=True):
-    """A preset, as operators see it.
+    """A preset of the configuration in force.
 
     Attributes:
-        name: Its name.
-        in_force: Whether it is the one in force.
-        revision: The revision in which that is so.
-        entry: What it says.
+        name: Name of the preset.
+        in_force: Whether the preset is in force.
+        revision: Revision of the configuration in force.
+        entry: Entry of the preset in the document.
     """
 
     name: str
@@ -55,11 +56,11 @@
 
 @register('operator routes', 'presets')
 class PresetRoutes:
-    """Serves operators the presets.
+    """Routes for presets.
 
     Args:
-        kernel: Where the parts are.
-        access: Knows operators.
+        kernel: Kernel that provides the components.
+        access: Authenticates operators.
     """
 
     def __init__(self, kernel: Kernel, access: Access) -> None:
@@ -68,27 +69,26 @@
         self._changes = kernel.need(Changes)
 
     def add_routes(self, app: Application) -> None:
-        """Add the routes to the application."""
+        """Register the routes."""
         app.router.add_get('/operators/presets', self.index)
         app.router.add_get('/operators/presets/{name}', self.show)
         app.router.add_post('/operators/preset', self.switch)
 
     async def index(self, http: Request) -> Response:
         """List the presets."""
-        presets = self._presets(http)
-        return answer(presets)
+        return outcome_response(self._presets(http))
 
     async def show(self, http: Request) -> Response:
-        """Show one preset."""
+        """Return one preset."""
         presets = self._presets(http)
         if isinstance(presets, Refusal):
-            return refuse_operator(presets)
+            return refusal_response(presets)
         name = http.match_info['name']
-        found = next((one for one in presets if one.name == name), None)
-        if found is not None:
-            return reply(found)
-        choices = ', '.join(known.name for known in presets)
-        return refuse_operator(
+        named = next((body for body in presets if body.name == name), None)
+        if named is not None:
+            return json_response(named)
+        choices = ', '.join(body.name for body in presets)
+        return refusal_response(
             Refusal(
                 ResultCode.PRESET_UNKNOWN,
                 f'There is no preset {name!r}; the choices are {choices}.',
@@ -97,24 +97,24 @@
 
     async def switch(self, http: Request) -> Response:
         """Put another preset into force."""
-        ordered = await self._access.read(http, SwitchBody)
-        if isinstance(ordered, Refusal):
-            return refuse_operator(ordered)
+        authorized = await self._access.read(http, SwitchBody)
+        if isinstance(authorized, Refusal):
+            return refusal_response(authorized)
         head = await self._changes.switch(
-            PresetName(ordered.body.preset),
-            ordered.operator,
-            revision_of(ordered.body.expected),
+            PresetName(authorized.body.preset),
+            authorized.operator,
+            optional_revision(authorized.body.expected),
         )
-        return answer(head)
+        return outcome_response(head)
 
     def _presets(self, http: Request) -> tuple[PresetBody, ...] | Refusal:
-        """Return the presets, for an operator."""
+        """Authenticate the operator and return all presets."""
         operator = self._access.authenticate(http)
         if isinstance(operator, Refusal):
             return operator
         accepted = self._configuration.accepted
         if accepted is None:
-            return missing()
+            return no_configuration()
         return tuple(
             PresetBody(
                 entry.name,
--- a/src/nutmegroad/operators/operator_requests.py
+++ b/src/nutmegroad/operators/operator_requests.py
@@ -1,9 +1,9 @@
-"""Operators' route for what happened to a request.
+"""Operators' route for explanations of requests.
 
-GET  /operators/requests/{request}   its steps, wherever it was taken
+GET  /operators/requests/{request}   return the processing steps of a request
 
-A request's id begins with the host that took it, so any host knows whom to
-ask.
+The id of a request begins with the id of the host that received it, so every
+host knows which host to ask for the explanation.
 """
 
 from typing import Final
@@ -20,27 +20,31 @@
     ExplainReply,
     HostCalls,
 )
-from nutmegroad.operators.operator_access import Access, answer, refuse_operator
+from nutmegroad.operators.operator_access import (
+    Access,
+    outcome_response,
+    refusal_response,
+)
 from nutmegroad.records.explanations import Explanations, Step
 
 _PATH: Final = '/operators/requests/{request}'
 
 
 def host_of(request: RequestId) -> HostId:
-    """Return the host that an id names; empty if it names none.
+    """Return the host that received a request; empty for a malformed id.
 
-    An id is a host's name, its incarnation and a number of 64 bits:
+    An id consists of the id of the host, its incarnation and a 64-bit number:
     ``kent-hall-1.9f86d081884c7d65-c1dfd96eea8cc2b6``.
     """
     incarnation = request.rpartition('-')[0]
     return HostId(incarnation.rpartition('.')[0])
 
 
-class ExplainDesk:
-    """Finds out what happened to requests, here or on other hosts.
+class ExplanationService:
+    """Finds explanations of requests, on this host or on others.
 
     Args:
-        kernel: Where the parts are.
+        kernel: Kernel that provides the components.
     """
 
     def __init__(self, kernel: Kernel) -> None:
@@ -48,83 +52,83 @@
         self._explanations = kernel.need(Explanations)
         mesh = kernel.need(Mesh)
         self._calls = HostCalls(mesh)
-        mesh.handle(ExplainQuestion, self._take)
+        mesh.handle(ExplainQuestion, self._on_question)
 
     async def explain(
         self,
         request: RequestId,
     ) -> tuple[Step, ...] | Refusal:
-        """Return the steps of a request."""
-        steps = self._own(request)
+        """Return the processing steps of a request."""
+        steps = self._local_steps(request)
         if steps:
             return steps
         host = host_of(request)
         if not host or host == self._host:
             return _unknown(request, host)
         question = ExplainQuestion(host=host, request=request)
-        told = await self._calls.call(question)
-        if isinstance(told, Refusal):
+        reply = await self._calls.call(question)
+        if isinstance(reply, Refusal):
             return Refusal(
                 ResultCode.NOT_FOUND,
-                f'The request {request!r} was taken by the host {host!r}, '
-                f'which gives no answer: {told.reason}',
+                f'The request {request!r} was received by the host {host!r}, '
+                f'which did not reply: {reply.reason}',
             )
-        if isinstance(told, ExplainReply) and told.steps:
-            return told.steps
+        if isinstance(reply, ExplainReply) and reply.steps:
+            return reply.steps
         return _unknown(request, host)
 
-    async def _take(
+    async def _on_question(
         self,
         sender: HostId,
         question: ExplainQuestion,
     ) -> Message | None:
-        """Answer another host."""
+        """Answer or relay a question that another host sent."""
         if question.host == self._host:
-            return ExplainReply(self._own(question.request))
-        return await self._calls.hand_on(question)
+            return ExplainReply(self._local_steps(question.request))
+        return await self._calls.relay(question)
 
-    def _own(self, request: RequestId) -> tuple[Step, ...]:
-        """Return what this host knows of a request."""
+    def _local_steps(self, request: RequestId) -> tuple[Step, ...]:
+        """Return the steps that this host recorded for a request."""
         explanation = self._explanations.find(request)
         return () if explanation is None else tuple(explanation.steps)
 
 
 @register('operator routes', 'requests')
 class RequestRoutes:
-    """Serves operators the explanations of requests.
+    """Route for explanations of requests.
 
     Args:
-        kernel: Where the parts are.
-        access: Knows operators.
+        kernel: Kernel that provides the components.
+        access: Authenticates operators.
     """
 
     def __init__(self, kernel: Kernel, access: Access) -> None:
         self._access = access
-        self._desk = ExplainDesk(kernel)
+        self._service = ExplanationService(kernel)
 
     def add_routes(self, app: Application) -> None:
-        """Add the route to the application."""
+        """Register the route."""
         app.router.add_get(_PATH, self.explain)
 
     async def explain(self, http: Request) -> Response:
-        """Tell what happened to a request and why."""
+        """Return what happened to a request, and why."""
         operator = self._access.authenticate(http)
         if isinstance(operator, Refusal):
-            return refuse_operator(operator)
+            return refusal_response(operator)
         request = RequestId(http.match_info['request'])
-        return answer(await self._desk.explain(request))
+        return outcome_response(await self._service.explain(request))
 
 
 def _unknown(request: RequestId, host: HostId) -> Refusal:
-    """Say that nobody knows a request."""
+    """Return the refusal for a request without an explanation."""
     if not host:
         return Refusal(
             ResultCode.NOT_FOUND,
-            f'{request!r} is no id of a request; each reply to a caller has '
-            'one in its header Nutmegroad-Request.',
+            f'{request!r} is not a valid request id; each reply to a caller '
+            'has the id in its header Nutmegroad-Request.',
         )
     return Refusal(
         ResultCode.NOT_FOUND,
-        f'The host {host!r} knows no request {request!r}; a host keeps its '
-        'newest ones, while it runs.',
+        f'The host {host!r} knows no request {request!r}; a host retains its '
+        'most recent requests until it stops.',
     )
--- a/src/nutmegroad/operators/operator_rollouts.py
+++ b/src/nutmegroad/operators/operator_rollouts.py
@@ -1,8 +1,10 @@
-"""Operators' routes for roll-outs and for loading ahead.
+"""Operators' routes for rollouts and for preparing presets.
 
-GET  /operators/rollouts   roll-outs, the evidence, the reason of each step
-POST /operators/rollouts   start, pause, resume or abort one; lift quarantines
-POST /operators/prepared   have a preset's versions loaded before it holds
+GET  /operators/rollouts   return rollouts with the reason of each step, and
+                           quarantines
+POST /operators/rollouts   start, pause, resume or abort a rollout, or lift
+                           the quarantines of a version
+POST /operators/prepared   load the versions of a preset ahead of a switch
 """
 
 from aiohttp.web import Application, Request, Response
@@ -12,28 +14,32 @@
 from nutmegroad.foundations.types import VersionId
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
-from nutmegroad.operators.operator_access import Access, refuse_operator, reply
+from nutmegroad.operators.operator_access import (
+    Access,
+    json_response,
+    refusal_response,
+)
 from nutmegroad.rollouts.order_controller import OrderController
 from nutmegroad.rollouts.rollout_service import Action, RolloutService
 
 
-class RolloutBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """What is to become of a roll-out.
+class RolloutActionBody(Struct, frozen=True, forbid_unknown_fields=True):
+    """An action on the rollout of a version.
 
     Attributes:
-        version: ``model@version``.
-        action: What to do.
+        version: The version, as ``model@version``.
+        action: Action to take.
     """
 
     version: str
     action: Action
 
 
-class PreparedBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """A preset to load for ahead; it is the reply also.
+class PrepareBody(Struct, frozen=True, forbid_unknown_fields=True):
+    """A preset whose versions are loaded ahead; also the reply.
 
     Attributes:
-        preset: Its name; empty to stop preparing.
+        preset: Name of the preset; empty to stop preparing.
     """
 
     preset: str
@@ -41,54 +47,54 @@
 
 @register('operator routes', 'rollouts')
 class RolloutRoutes:
-    """Serves operators the roll-outs.
+    """Routes for rollouts and for preparing presets.
 
     Args:
-        kernel: Where the parts are.
-        access: Knows operators.
+        kernel: Kernel that provides the components.
+        access: Authenticates operators.
     """
 
     def __init__(self, kernel: Kernel, access: Access) -> None:
         self._access = access
         self._service = kernel.need(RolloutService)
-        self._keeper = kernel.need(OrderController)
+        self._order_controller = kernel.need(OrderController)
 
     def add_routes(self, app: Application) -> None:
-        """Add the routes to the application."""
+        """Register the routes."""
         app.router.add_get('/operators/rollouts', self.show)
         app.router.add_post('/operators/rollouts', self.act)
         app.router.add_post('/operators/prepared', self.prepare)
 
     async def show(self, http: Request) -> Response:
-        """Show roll-outs, the evidence and the reason of each step."""
+        """Return rollouts with the reason of each step, and quarantines."""
         operator = self._access.authenticate(http)
         if isinstance(operator, Refusal):
-            return refuse_operator(operator)
-        return reply(self._service.status())
+            return refusal_response(operator)
+        return json_response(self._service.status())
 
     async def act(self, http: Request) -> Response:
-        """Start, pause, resume or abort a roll-out, or lift quarantines."""
-        ordered = await self._access.read(http, RolloutBody)
-        if isinstance(ordered, Refusal):
-            return refuse_operator(ordered)
+        """Start, pause, resume or abort a rollout, or lift quarantines."""
+        authorized = await self._access.read(http, RolloutActionBody)
+        if isinstance(authorized, Refusal):
+            return refusal_response(authorized)
         refusal = await self._service.act(
-            VersionId(ordered.body.version),
-            ordered.body.action,
-            ordered.operator,
+            VersionId(authorized.body.version),
+            authorized.body.action,
+            authorized.operator,
         )
         if refusal is not None:
-            return refuse_operator(refusal)
-        return reply(self._service.status())
+            return refusal_response(refusal)
+        return json_response(self._service.status())
 
     async def prepare(self, http: Request) -> Response:
-        """Have a preset's versions loaded before it is in force."""
-        ordered = await self._access.read(http, PreparedBody)
-        if isinstance(ordered, Refusal):
-            return refuse_operator(ordered)
-        refusal = await self._keeper.prepare(
-            ordered.body.preset,
-            ordered.operator,
+        """Have the versions of a preset loaded before it is in force."""
+        authorized = await self._access.read(http, PrepareBody)
+        if isinstance(authorized, Refusal):
+            return refusal_response(authorized)
+        refusal = await self._order_controller.prepare(
+            authorized.body.preset,
+            authorized.operator,
         )
         if refusal is not None:
-            return refuse_operator(refusal)
-        return reply(ordered.body)
+            return refusal_response(refusal)
+        return json_response(authorized.body)
--- a/src/nutmegroad/operators/operator_withdrawals.py
+++ b/src/nutmegroad/operators/operator_withdrawals.py
@@ -1,7 +1,9 @@
 """Operators' routes for withdrawals.
 
-GET  /operators/withdrawals   what is withdrawn, and whether the table has it
-POST /operators/withdrawals   withdraw a version, with the table or without
+GET  /operators/withdrawals   list the withdrawals, and whether each one is
+                              in the table
+POST /operators/withdrawals   withdraw a version, even if the table is
+                              unavailable
 """
 
 from typing import Final
@@ -15,21 +17,26 @@
 from nutmegroad.foundations.types import Epoch, VersionId
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
-from nutmegroad.operators.operator_access import Access, refuse_operator, reply
+from nutmegroad.operators.operator_access import (
+    Access,
+    json_response,
+    refusal_response,
+)
 
 _PATH: Final = '/operators/withdrawals'
 _OK: Final = 200
 _ACCEPTED: Final = 202
 _IN_TABLE: Final = 'in the table'
-_SPREADING: Final = 'in force here and spreading, not yet in the table'
+_NOT_IN_TABLE: Final = 'in force here and spreading, not yet in the table'
 
 
 class WithdrawBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """A version to be withdrawn.
+    """A version to withdraw.
 
     Attributes:
-        version: ``model@version``.
-        epoch: Its epochs up to this one; None for the present one.
+        version: The version, as ``model@version``.
+        epoch: Epoch up to which the version is withdrawn; None for the
+            present one.
     """
 
     version: str
@@ -37,15 +44,16 @@
 
 
 class WithdrawalBody(Struct, frozen=True):
-    """A withdrawal, as operators see it.
+    """A withdrawal and whether it is recorded in the table.
 
     Attributes:
-        version: The version.
-        epoch: Its epochs up to this one are withdrawn.
-        in_table: Whether the table is known to have it.
-        state: The same as a sentence's end.
-        revision: The revision that has it; None if not known.
-        reason: Why the table does not have it; empty if it has.
+        version: The withdrawn version.
+        epoch: Epoch up to which the version is withdrawn.
+        in_table: Whether the withdrawal is known to be in the table.
+        state: ``in_table`` as text.
+        revision: Revision that records the withdrawal; None if unknown.
+        reason: Why the withdrawal is not known to be in the table; empty
+            otherwise.
     """
 
     version: str
@@ -58,11 +66,11 @@
 
 @register('operator routes', 'withdrawals')
 class WithdrawalRoutes:
-    """Serves operators the withdrawals.
+    """Routes for withdrawals.
 
     Args:
-        kernel: Where the parts are.
-        access: Knows operators.
+        kernel: Kernel that provides the components.
+        access: Authenticates operators.
     """
 
     def __init__(self, kernel: Kernel, access: Access) -> None:
@@ -71,7 +79,7 @@
         self._changes = kernel.need(Changes)
 
     def add_routes(self, app: Application) -> None:
-        """Add the routes to the application."""
+        """Register the routes."""
         app.router.add_get(_PATH, self.index)
         app.router.add_post(_PATH, self.withdraw)
 
@@ -79,44 +87,44 @@
         """List the withdrawals that this host knows."""
         operator = self._access.authenticate(http)
         if isinstance(operator, Refusal):
-            return refuse_operator(operator)
-        missing = self._configuration.unrecorded
-        listed = [
+            return refusal_response(operator)
+        unrecorded = self._configuration.unrecorded
+        bodies = [
             WithdrawalBody(
                 withdrawal.version,
                 withdrawal.epoch,
-                withdrawal not in missing,
-                _SPREADING if withdrawal in missing else _IN_TABLE,
+                withdrawal not in unrecorded,
+                _NOT_IN_TABLE if withdrawal in unrecorded else _IN_TABLE,
             )
             for withdrawal in self._configuration.withdrawals
         ]
-        return reply(listed)
+        return json_response(bodies)
 
     async def withdraw(self, http: Request) -> Response:
         """Withdraw a version."""
-        ordered = await self._access.read(http, WithdrawBody)
-        if isinstance(ordered, Refusal):
-            return refuse_operator(ordered)
-        epoch = ordered.body.epoch
+        authorized = await self._access.read(http, WithdrawBody)
+        if isinstance(authorized, Refusal):
+            return refusal_response(authorized)
+        epoch = authorized.body.epoch
         outcome = await self._changes.withdraw(
-            VersionId(ordered.body.version),
+            VersionId(authorized.body.version),
             None if epoch is None else Epoch(epoch),
-            ordered.operator,
+            authorized.operator,
         )
         if isinstance(outcome, Refusal):
-            return refuse_operator(outcome)
+            return refusal_response(outcome)
         status = _ACCEPTED if outcome.revision is None else _OK
-        return reply(_body_of(outcome), status)
+        return json_response(_body_of(outcome), status)
 
 
 def _body_of(outcome: Withdrawn) -> WithdrawalBody:
-    """Return what became of a withdrawal, truthfully."""
+    """Return the response body for the outcome of a withdrawal."""
     in_table = outcome.revision is not None
     return WithdrawalBody(
         outcome.version,
         outcome.epoch,
         in_table,
-        _IN_TABLE if in_table else _SPREADING,
+        _IN_TABLE if in_table else _NOT_IN_TABLE,
         outcome.revision,
         outcome.reason,
     )
--- a/src/nutmegroad/operators/operator_workspaces.py
+++ b/src/nutmegroad/operators/operator_workspaces.py
@@ -1,8 +1,8 @@
 """Operators' routes for workspaces.
 
-GET  /operators/workspaces          all workspaces
-GET  /operators/workspaces/{name}   one workspace
-POST /operators/workspaces/{name}   change some of its fields
+GET  /operators/workspaces          list the workspaces
+GET  /operators/workspaces/{name}   return one workspace
+POST /operators/workspaces/{name}   change fields of a workspace, or add one
 """
 
 from typing import Any, Final
@@ -19,24 +19,26 @@
 from nutmegroad.kernel.registry import register
 from nutmegroad.operators.operator_access import (
     Access,
-    answer,
-    refuse_document,
-    refuse_operator,
-    reply,
-    revision_of,
+    json_response,
+    optional_revision,
+    outcome_response,
+    problems_response,
+    refusal_response,
 )
-from nutmegroad.operators.operator_configuration import missing
+from nutmegroad.operators.operator_configuration import no_configuration
 
 _PATH: Final = '/operators/workspaces'
 
 
-class WorkspaceBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """A change of one workspace's entry.
+class WorkspaceChangeBody(Struct, frozen=True, forbid_unknown_fields=True):
+    """A change of the entry of one workspace.
 
     Attributes:
-        fields: The fields that change, as in the document; all others stay
-            as they are. A workspace that does not exist yet is added.
-        expected: The revision that the operator saw.
+        fields: The fields to change, named as in the document; all others
+            keep their values. A workspace that does not exist is added.
+        expected: Revision that the change is based on; the change is refused
+            if another one is in force. None for the newest revision that
+            this host can read.
     """
 
     fields: dict[str, Any]
@@ -45,11 +47,11 @@
 
 @register('operator routes', 'workspaces')
 class WorkspaceRoutes:
-    """Serves operators the workspaces.
+    """Routes for workspaces.
 
     Args:
-        kernel: Where the parts are.
-        access: Knows operators.
+        kernel: Kernel that provides the components.
+        access: Authenticates operators.
     """
 
     def __init__(self, kernel: Kernel, access: Access) -> None:
@@ -58,7 +60,7 @@
         self._changes = kernel.need(Changes)
 
     def add_routes(self, app: Application) -> None:
-        """Add the routes to the application."""
+        """Register the routes."""
         app.router.add_get(_PATH, self.index)
         app.router.add_get(f'{_PATH}/{{name}}', self.show)
         app.router.add_post(f'{_PATH}/{{name}}', self.change)
@@ -67,60 +69,60 @@
         """List the workspaces."""
         operator = self._access.authenticate(http)
         if isinstance(operator, Refusal):
-            return refuse_operator(operator)
+            return refusal_response(operator)
         accepted = self._configuration.accepted
         if accepted is None:
-            return refuse_operator(missing())
-        return reply(accepted.document.workspaces)
+            return refusal_response(no_configuration())
+        return json_response(accepted.document.workspaces)
 
     async def show(self, http: Request) -> Response:
-        """Show one workspace."""
+        """Return one workspace."""
         operator = self._access.authenticate(http)
         if isinstance(operator, Refusal):
-            return refuse_operator(operator)
+            return refusal_response(operator)
         name = http.match_info['name']
         entry = self._entry(name)
         if entry is None:
-            return refuse_operator(
+            return refusal_response(
                 Refusal(
                     ResultCode.NOT_FOUND,
                     f'There is no workspace {name!r} in the configuration.',
                 ),
             )
-        return reply(entry)
+        return json_response(entry)
 
     async def change(self, http: Request) -> Response:
-        """Change some fields of one workspace."""
-        ordered = await self._access.read(http, WorkspaceBody)
-        if isinstance(ordered, Refusal):
-            return refuse_operator(ordered)
+        """Change fields of one workspace, or add the workspace."""
+        authorized = await self._access.read(http, WorkspaceChangeBody)
+        if isinstance(authorized, Refusal):
+            return refusal_response(authorized)
         name = http.match_info['name']
-        present = self._entry(name)
-        fields = {} if present is None else msgspec.to_builtins(present)
+        current = self._entry(name)
+        fields = {} if current is None else msgspec.to_builtins(current)
         try:
             entry = msgspec.convert(
-                {**fields, **ordered.body.fields, 'name': name},
+                {**fields, **authorized.body.fields, 'name': name},
                 WorkspaceEntry,
             )
         except msgspec.ValidationError as problem:
-            return refuse_operator(
+            return refusal_response(
                 Refusal(
                     ResultCode.CONFIGURATION_INVALID,
-                    f'The workspace {name!r} is not valid: {problem}. Nothing '
+                    f'The workspace {name!r} is invalid: {problem}. Nothing '
                     'was changed.',
                 ),
             )
         outcome = await self._changes.set_workspace(
             entry,
-            ordered.operator,
-            revision_of(ordered.body.expected),
+            authorized.operator,
+            optional_revision(authorized.body.expected),
         )
         if isinstance(outcome, tuple):
-            return refuse_document(outcome)
-        return answer(outcome)
+            return problems_response(outcome)
+        return outcome_response(outcome)
 
     def _entry(self, name: str) -> WorkspaceEntry | None:
-        """Return a workspace's entry, or None."""
+        """Return the entry of a workspace, or None."""
         accepted = self._configuration.accepted
-        known = accepted.document.workspaces if accepted else ()
-        return next((entry for entry in known if entry.name == name), None)
+        entries = accepted.document.workspaces if accepted else ()
+        return next((entry for entry in entries if entry.name == name), None)
--- a/src/nutmegroad/operators/part.py
+++ b/src/nutmegroad/operators/part.py
@@ -1,4 +1,4 @@
-"""The part that listens to operators."""
+"""The kernel part that serves the operators' HTTP interface."""
 
 from aiohttp.typedefs import Handler
 from aiohttp.web import (
@@ -32,31 +32,35 @@
 
 
 def add_host_routes(app: Application, kernel: Kernel) -> None:
-    """Show metrics, and that a host which stops is not ready."""
+    """Add the metrics page, and fail readiness checks during a stop."""
     stop = kernel.need(GracefulStop)
     metrics = kernel.need(Metrics)
     publisher = kernel.need(CostPublisher)
 
     @middleware
-    async def fall(request: Request, handler: Handler) -> StreamResponse:
-        """Have readiness fall as soon as the stop begins."""
+    async def fail_readiness(
+        request: Request,
+        handler: Handler,
+    ) -> StreamResponse:
+        """Report the host as not ready as soon as its stop begins."""
         if request.path == '/readyz' and not stop.is_ready:
             return Response(status=_UNAVAILABLE, text='stopping\n')
         return await handler(request)
 
-    async def show(http: Request) -> Response:
-        """Show the metrics."""
+    async def show_metrics(http: Request) -> Response:
+        """Return the metrics in the Prometheus text format."""
         publisher.publish()
-        _show_members(kernel)
+        _publish_member_counts(kernel)
         return Response(body=metrics.render(), content_type='text/plain')
 
-    app.middlewares.append(fall)
-    app.router.add_get('/metrics', show)
+    app.middlewares.append(fail_readiness)
+    app.router.add_get('/metrics', show_metrics)
 
 
-def _show_members(kernel: Kernel) -> None:
-    """Count the other hosts by how they stand."""
-    presences = [one.presence for one in kernel.need(Members).members()]
+def _publish_member_counts(kernel: Kernel) -> None:
+    """Set the gauges of the number of other hosts by presence."""
+    members = kernel.need(Members).members()
+    presences = [member.presence for member in members]
     for presence in Presence:
         count = presences.count(presence)
         kernel.need(Metrics).state.members(presence, count)
@@ -64,7 +68,7 @@
 
 @register('part', 'operators')
 class OperatorsPart:
-    """Listens to operators."""
+    """Serves the operators' HTTP interface on its own listener."""
 
     needs = (
         Changes,
@@ -81,13 +85,13 @@
     )
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to listen."""
+        """Create the interface and start to listen."""
         access = Access(
             kernel.need(Configuration),
             kernel.settings.bootstrap_token,
         )
         kernel.provide(Access, access)
-        groups = registered('operator routes').values()
+        factories = registered('operator routes').values()
         interface = OperatorsInterface(
             kernel.settings.host,
             kernel.settings.domain,
@@ -95,7 +99,7 @@
             kernel.need(Directory),
             kernel.need(GracefulStop),
             access,
-            [make(kernel, access) for make in groups],
+            [factory(kernel, access) for factory in factories],
         )
         app = interface.application()
         add_host_routes(app, kernel)
