--- a/src/nutmegroad/cli/__init__.py
+++ b/src/nutmegroad/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command ``nutmegroad``, a client of the operators' interface."""
+"""Command line client ``nutmegroad`` of the operators' HTTP interface."""
--- a/src/nutmegroad/cli/__main__.py
+++ b/src/nutmegroad/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the program of this room."""
+"""Entry point of ``python -m nutmegroad.cli``."""
 
 import sys
 
--- a/src/nutmegroad/cli/_cli_client.py
+++ b/src/nutmegroad/cli/_cli_client.py
@@ -1,4 +1,4 @@
-"""The command line's side of the operators' HTTP interface."""
+"""HTTP client of the operators' interface."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,16 +18,17 @@
 from nutmegroad.foundations.results import ResultCode
 from nutmegroad.foundations.types import Address
 
-#: Where the operator's token comes from; flags can be read by others.
+#: Environment variable that holds the operator's token. There is no flag for
+#: it, since other users of the machine can read the flags of a process.
 TOKEN_VARIABLE: Final = 'NUTMEGROAD_TOKEN'
 
-_FIRST_ERROR: Final = 400
-_LONGEST_SHOWN: Final = 200
+_MIN_ERROR_STATUS: Final = 400
+_MAX_SHOWN_BYTES: Final = 200
 
 
 @unique
 class ExitCode(IntEnum):
-    """How the command line ends; ``docs/COMMANDS.md`` has the table."""
+    """Exit codes of the program; ``docs/COMMANDS.md`` lists them."""
 
     OK = 0
     REFUSED = 1
@@ -39,8 +40,8 @@
     NOT_IN_TIME = 7
 
 
-#: Exit codes of refusals that are not just ``REFUSED``.
-_EXITS: Final = (
+#: Exit codes of refusals with a more specific exit code than ``REFUSED``.
+_EXIT_CODES: Final = (
     (ResultCode.OPERATOR_UNAUTHENTICATED, ExitCode.NOT_PERMITTED),
     (ResultCode.OPERATOR_NOT_PERMITTED, ExitCode.NOT_PERMITTED),
     (ResultCode.CONFIGURATION_CONFLICT, ExitCode.CONFLICT),
@@ -48,13 +49,13 @@
 )
 
 
-class ErrorPart(Struct, frozen=True):
-    """The part of an error's body that the command line shows.
+class ErrorDetails(Struct, frozen=True):
+    """Fields of an error that the program prints.
 
     Attributes:
         code: Result code.
-        name: Its name.
-        message: One sentence.
+        name: Name of the result code.
+        message: Error message, in one sentence.
     """
 
     code: int
@@ -62,13 +63,13 @@
     message: str
 
 
-class ProblemPart(Struct, frozen=True):
-    """A field of a document that is wrong.
+class ProblemDetails(Struct, frozen=True):
+    """An invalid field of a document.
 
     Attributes:
-        path: The field's path.
-        wrong: What is wrong, with the bad value.
-        expected: What would be right.
+        path: Path of the field.
+        wrong: What is wrong, including the invalid value.
+        expected: What would be valid.
     """
 
     path: str
@@ -77,28 +78,28 @@
 
 
 class ErrorReply(Struct, frozen=True):
-    """A host's error.
+    """Body of an error response.
 
     Attributes:
-        error: What it is.
-        problems: What is wrong with a document, field by field.
+        error: The error.
+        problems: Invalid fields, if the error is about a document.
     """
 
-    error: ErrorPart
-    problems: tuple[ProblemPart, ...] = ()
+    error: ErrorDetails
+    problems: tuple[ProblemDetails, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A command that did not succeed; it is false.
+    """Failure of a command; always falsy.
 
     Attributes:
-        exit_code: How the program is to end.
-        sentence: What went wrong, for a person.
+        exit_code: Exit code of the program.
+        message: Error message for the user.
     """
 
     exit_code: ExitCode
-    sentence: str
+    message: str
 
     def __bool__(self) -> bool:
         """Return false, always."""
@@ -106,13 +107,13 @@
 
 
 class OperatorClient:
-    """Calls the first host that can be reached.
+    """Sends calls to the first host that can be reached.
 
     Args:
-        addresses: Operators' listeners of some hosts.
-        token: The operator's token.
-        timeout: Seconds that a call may take.
-        say: Shows a person how far a command has come.
+        addresses: Addresses of the operators' listeners of some hosts.
+        token: Token of the operator.
+        timeout: Maximum duration of a call, in seconds.
+        write_progress: Writes text about the progress of a command.
     """
 
     def __init__(
@@ -120,27 +121,27 @@
         addresses: tuple[Address, ...],
         token: str,
         timeout: float,
-        say: Callable[[str], object],
+        write_progress: Callable[[str], object],
     ) -> None:
         self._addresses = addresses
         self._token = token
         self._timeout = timeout
-        self._say = say
+        self._write_progress = write_progress
 
-    def say(self, text: str) -> None:
-        """Show how far the command has come."""
-        self._say(f'{text}\n')
+    def report_progress(self, text: str) -> None:
+        """Print the progress of the command."""
+        self._write_progress(f'{text}\n')
 
     async def get(self, path: str, **query: str | int) -> Any | Failure:
-        """Read something."""
+        """Send a GET request, and return the decoded reply."""
         return await self._call('GET', path, query, None)
 
     async def post(self, path: str, body: dict[str, Any]) -> Any | Failure:
-        """Ask for something; fields that are None are left out."""
-        given = {
+        """Send a POST request; fields that are None are omitted."""
+        fields = {
             name: field for name, field in body.items() if field is not None
         }
-        return await self._call('POST', path, {}, given)
+        return await self._call('POST', path, {}, fields)
 
     async def _call(
         self,
@@ -149,64 +150,64 @@
         query: dict[str, str | int],
         body: dict[str, Any] | None,
     ) -> Any | Failure:
-        """Make a call; try the next host only if none of it was sent."""
+        """Send a call; try the next host only if no connection was made."""
         problems: list[str] = []
         for address in self._addresses:
             url = f'http://{address}/operators/{path}'
             try:
-                return await self._ask(method, url, query, body)
+                return await self._send(method, url, query, body)
             except ClientConnectorError as problem:
                 problems.append(f'{address} ({problem.strerror})')
             except (ClientError, TimeoutError) as problem:
-                return Failure(ExitCode.UNREACHABLE, _broken(address, problem))
-        tried = ', '.join(problems)
+                return _interrupted(address, problem)
+        unreachable = ', '.join(problems)
         return Failure(
             ExitCode.UNREACHABLE,
-            f"No host could be reached: {tried}. Give the operators' "
+            f"No host could be reached: {unreachable}. Name the operators' "
             'listener of a running host with --operators.',
         )
 
     def _explain_token(self, url: str, failure: Failure) -> Failure:
-        """Add where the token came from to a failure for its sake."""
+        """Add the source of the token to a failure that the token caused."""
         if failure.exit_code is not ExitCode.NOT_PERMITTED:
             return failure
         state = 'set' if self._token else 'not set'
         return Failure(
             failure.exit_code,
-            f'{failure.sentence}\nThe token is taken from {TOKEN_VARIABLE}, '
-            f'which is {state}; {url} was asked.',
+            f'{failure.message}\nThe token is taken from {TOKEN_VARIABLE}, '
+            f'which is {state}; the request went to {url}.',
         )
 
-    async def _ask(
+    async def _send(
         self,
         method: str,
         url: str,
         query: dict[str, str | int],
         body: dict[str, Any] | None,
     ) -> Any | Failure:
-        """Make a call to one host."""
+        """Send a call to one host."""
         headers = {'Authorization': f'Bearer {self._token}'}
-        limit = ClientTimeout(total=self._timeout)
+        timeout = ClientTimeout(total=self._timeout)
         async with (
-            ClientSession(headers=headers, timeout=limit) as session,
+            ClientSession(headers=headers, timeout=timeout) as session,
             session.request(method, url, params=query, json=body) as response,
         ):
             content = await response.read()
-            if response.status >= _FIRST_ERROR:
-                return self._explain_token(url, read_failure(content))
+            if response.status >= _MIN_ERROR_STATUS:
+                return self._explain_token(url, parse_failure(content))
             return msgspec.json.decode(content)
 
 
-def read_failure(content: bytes) -> Failure:
-    """Return what an error's body says."""
+def parse_failure(content: bytes) -> Failure:
+    """Return the failure that the body of an error response describes."""
     try:
         reply = msgspec.json.decode(content, type=ErrorReply)
     except msgspec.DecodeError:
-        shown = content[:_LONGEST_SHOWN].decode(errors='replace')
+        shown = content[:_MAX_SHOWN_BYTES].decode(errors='replace')
         return Failure(
             ExitCode.REFUSED,
-            f'The host answered with something else than an error of its '
-            f'own: {shown!r}.',
+            f'The host replied with an error body that cannot be decoded: '
+            f'{shown!r}.',
         )
     lines = [f'{reply.error.name} ({reply.error.code}): {reply.error.message}']
     lines.extend(
@@ -214,20 +215,20 @@
         for problem in reply.problems
     )
     exit_code = ExitCode.REFUSED
-    for code, other in _EXITS:
+    for code, specific in _EXIT_CODES:
         if reply.error.code == code:
-            exit_code = other
+            exit_code = specific
     return Failure(exit_code, '\n'.join(lines))
 
 
-def _broken(address: Address, problem: Exception) -> str:
-    """Say that a call broke after it may have been sent."""
+def _interrupted(address: Address, problem: Exception) -> Failure:
+    """Return the failure of a call that may already have been sent."""
     if isinstance(problem, asyncio.TimeoutError):
-        return (
-            f'The host {address} did not answer in time; a change may have '
-            'taken effect: look at it before you try again.'
-        )
-    return (
-        f'The call to {address} broke off ({problem}); a change may have '
-        'taken effect: look at it before you try again.'
+        cause = f'The host {address} did not reply in time'
+    else:
+        cause = f'The call to {address} was interrupted ({problem})'
+    return Failure(
+        ExitCode.UNREACHABLE,
+        f'{cause}; a change may have taken effect: check the state before you '
+        'try again.',
     )
--- a/src/nutmegroad/cli/_cli_commands.py
+++ b/src/nutmegroad/cli/_cli_commands.py
@@ -1,4 +1,4 @@
-"""What the commands of the command line do."""
+"""Implementations of the commands of the command line."""
 
 import asyncio
 import hashlib
@@ -9,226 +9,235 @@
 from urllib.parse import quote
 
 from nutmegroad.cli._cli_client import ExitCode, Failure, OperatorClient
-from nutmegroad.cli._cli_output import cell, fields
+from nutmegroad.cli._cli_output import format_fields, format_value
 from nutmegroad.cli.log_stories import read_logs, story
 from nutmegroad.configuration.checks import read_document
 from nutmegroad.contracts.documents import Document
 
-#: Seconds between looks while a change comes into force.
-LOOK_PERIOD: Final = 0.25
+#: Seconds between polls of the progress of a change.
+POLL_INTERVAL: Final = 0.25
 
-#: Carries a command out; the reply is what is printed.
-Run = Callable[[OperatorClient, Namespace], Awaitable[Any | Failure]]
+#: Runs a command and returns the reply to print, or a failure.
+CommandFunction = Callable[
+    [OperatorClient, Namespace], Awaitable[Any | Failure]
+]
 
 
 def read_file(name: str) -> str | Failure:
-    """Return a file's text."""
+    """Return the text of a file."""
     try:
         return Path(name).read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as problem:
         return Failure(
             ExitCode.USAGE,
-            f'The file {name!r} can not be read: {problem}.',
+            f'The file {name!r} cannot be read: {problem}.',
         )
 
 
-async def check(client: OperatorClient, given: Namespace) -> Any | Failure:
-    """Check a document without a host."""
-    text = read_file(given.file)
+async def check(client: OperatorClient, args: Namespace) -> Any | Failure:
+    """Validate a document locally, without a host."""
+    text = read_file(args.file)
     if isinstance(text, Failure):
         return text
     document = read_document(text)
     if isinstance(document, Document):
-        return {'file': given.file, 'valid': True}
-    lines = [f'The document {given.file!r} is not valid:']
+        return {'file': args.file, 'valid': True}
+    lines = [f'The document {args.file!r} is invalid:']
     lines.extend(f'  {problem}' for problem in document)
     return Failure(ExitCode.INVALID, '\n'.join(lines))
 
 
-async def explain(client: OperatorClient, given: Namespace) -> Any | Failure:
-    """Tell what happened to a request, by its host or by logs."""
-    if not given.logs:
-        return await reading('requests/{request}', 'request')(client, given)
+async def explain(client: OperatorClient, args: Namespace) -> Any | Failure:
+    """Explain a request, from the records of its host or from logs."""
+    if not args.logs:
+        return await get_resource('requests/{request}', 'request')(client, args)
     try:
-        lines = read_logs(Path(name) for name in given.logs)
+        lines = read_logs(Path(name) for name in args.logs)
     except (OSError, UnicodeDecodeError) as problem:
-        return Failure(ExitCode.USAGE, f'A log can not be read: {problem}.')
-    told = story(lines, given.request)
-    if told:
-        return {'story': told}
+        return Failure(ExitCode.USAGE, f'A log file cannot be read: {problem}.')
+    entries = story(lines, args.request)
+    if entries:
+        return {'story': entries}
     return Failure(
         ExitCode.REFUSED,
-        f'No line of {", ".join(given.logs)} is about {given.request!r}.',
+        f'No line of {", ".join(args.logs)} has the request {args.request!r}.',
     )
 
 
-async def diff(client: OperatorClient, given: Namespace) -> Any | Failure:
-    """Say what a document would change."""
-    text = read_file(given.file)
+async def diff(client: OperatorClient, args: Namespace) -> Any | Failure:
+    """List what a document would change."""
+    text = read_file(args.file)
     if isinstance(text, Failure):
         return text
     return await client.post('configuration/diff', {'text': text})
 
 
-async def apply(client: OperatorClient, given: Namespace) -> Any | Failure:
+async def apply(client: OperatorClient, args: Namespace) -> Any | Failure:
     """Put a document into force."""
-    text = read_file(given.file)
+    text = read_file(args.file)
     if isinstance(text, Failure):
         return text
-    body = {'text': text, 'preset': given.preset, 'expected': given.expected}
+    body = {'text': text, 'preset': args.preset, 'expected': args.expected}
     head = await client.post('configuration', body)
-    return await _await_force(client, given, head)
+    return await _wait_until_in_force(client, args, head)
 
 
-async def switch(client: OperatorClient, given: Namespace) -> Any | Failure:
+async def switch(client: OperatorClient, args: Namespace) -> Any | Failure:
     """Put another preset into force."""
-    body = {'preset': given.preset, 'expected': given.expected}
+    body = {'preset': args.preset, 'expected': args.expected}
     head = await client.post('preset', body)
-    return await _await_force(client, given, head)
+    return await _wait_until_in_force(client, args, head)
 
 
-async def withdraw(client: OperatorClient, given: Namespace) -> Any | Failure:
+async def withdraw(client: OperatorClient, args: Namespace) -> Any | Failure:
     """Withdraw a version."""
-    reply = await client.post('withdrawals', {'version': given.version})
-    return await _await_force(client, given, reply)
+    reply = await client.post('withdrawals', {'version': args.version})
+    return await _wait_until_in_force(client, args, reply)
 
 
 async def set_workspace(
     client: OperatorClient,
-    given: Namespace,
+    args: Namespace,
 ) -> Any | Failure:
     """Change fields of a workspace."""
-    known = _plain_fields(given)
-    keys = await _key_fields(client, given)
+    changed = _plain_fields(args)
+    keys = await _key_fields(client, args)
     if isinstance(keys, Failure):
         return keys
-    known.update(keys)
-    if not known:
+    changed.update(keys)
+    if not changed:
         return Failure(
             ExitCode.USAGE,
-            'Give at least one field to change: --share, --concern, '
+            'Name at least one field to change: --share, --concern, '
             '--isolation, --versions, --key-file or --drop-old-key.',
         )
-    body = {'fields': known, 'expected': given.expected}
-    path = f'workspaces/{quote(given.workspace, safe="")}'
+    body = {'fields': changed, 'expected': args.expected}
+    path = f'workspaces/{quote(args.workspace, safe="")}'
     head = await client.post(path, body)
-    return await _await_force(client, given, head)
+    return await _wait_until_in_force(client, args, head)
 
 
-async def drain(client: OperatorClient, given: Namespace) -> Any | Failure:
+async def drain(client: OperatorClient, args: Namespace) -> Any | Failure:
     """Have a host stop gracefully."""
-    return await client.post(f'hosts/{quote(given.host, safe="")}/drain', {})
+    return await client.post(f'hosts/{quote(args.host, safe="")}/drain', {})
 
 
-async def rollout(client: OperatorClient, given: Namespace) -> Any | Failure:
-    """Start, pause, resume or abort a roll-out, or lift quarantines."""
-    body = {'version': given.version, 'action': given.action}
+async def rollout(client: OperatorClient, args: Namespace) -> Any | Failure:
+    """Start, pause, resume or abort a rollout, or lift quarantines."""
+    body = {'version': args.version, 'action': args.action}
     return await client.post('rollouts', body)
 
 
-async def prepare(client: OperatorClient, given: Namespace) -> Any | Failure:
-    """Have a preset's versions loaded before it is in force."""
-    return await client.post('prepared', {'preset': given.preset})
+async def prepare(client: OperatorClient, args: Namespace) -> Any | Failure:
+    """Have the versions of a preset loaded before it is in force."""
+    return await client.post('prepared', {'preset': args.preset})
 
 
-def reading(path: str, *names: str) -> Run:
-    """Return a run that reads a path; names fill its places."""
+def get_resource(path: str, *names: str) -> CommandFunction:
+    """Return a command that reads a path of the operators' interface.
 
-    async def run(client: OperatorClient, given: Namespace) -> Any | Failure:
-        """Read."""
-        parts = {name: quote(getattr(given, name), safe='') for name in names}
+    Args:
+        path: Path below ``/operators/``, with the names in braces.
+        names: Arguments of the command that are filled into the path.
+    """
+
+    async def run(client: OperatorClient, args: Namespace) -> Any | Failure:
+        """Read the path with the arguments filled in."""
+        parts = {name: quote(getattr(args, name), safe='') for name in names}
         return await client.get(path.format(**parts))
 
     return run
 
 
-def _plain_fields(given: Namespace) -> dict[str, Any]:
-    """Return the fields of a workspace that flags give as they are."""
+def _plain_fields(args: Namespace) -> dict[str, Any]:
+    """Return the fields of a workspace that flags set directly."""
     changed: dict[str, Any] = {
-        'share': given.share,
-        'concern': given.concern,
-        'isolation': given.isolation,
-        'versions': given.versions.split(',') if given.versions else None,
+        'share': args.share,
+        'concern': args.concern,
+        'isolation': args.isolation,
+        'versions': args.versions.split(',') if args.versions else None,
     }
     return {name: part for name, part in changed.items() if part is not None}
 
 
 async def _key_fields(
     client: OperatorClient,
-    given: Namespace,
+    args: Namespace,
 ) -> dict[str, str | None] | Failure:
-    """Return what flags change of a workspace's keys."""
+    """Return the key fields of a workspace that flags change."""
     changed: dict[str, str | None] = {}
-    if given.key_file:
-        text = read_file(given.key_file)
+    if args.key_file:
+        text = read_file(args.key_file)
         if isinstance(text, Failure):
             return text
         changed['key_hash'] = hashlib.sha256(text.strip().encode()).hexdigest()
-        present = await client.get(
-            f'workspaces/{quote(given.workspace, safe="")}',
+        current = await client.get(
+            f'workspaces/{quote(args.workspace, safe="")}',
         )
-        if isinstance(present, Failure):
-            return present
-        # Callers change over one by one: the key before holds meanwhile.
-        changed['old_key_hash'] = present['key_hash']
-    if given.drop_old_key:
+        if isinstance(current, Failure):
+            return current
+        # Callers switch to the new key one by one: the previous key stays
+        # valid meanwhile.
+        changed['old_key_hash'] = current['key_hash']
+    if args.drop_old_key:
         changed['old_key_hash'] = None
     return changed
 
 
-async def _await_force(
+async def _wait_until_in_force(
     client: OperatorClient,
-    given: Namespace,
+    args: Namespace,
     reply: Any | Failure,
 ) -> Any | Failure:
-    """Wait, if asked to, until every host has a change in force."""
-    if isinstance(reply, Failure) or given.wait is None:
+    """With ``--wait``, wait until every host has a change in force."""
+    if isinstance(reply, Failure) or args.wait is None:
         return reply
-    change = _change_of(reply)
-    shown = ''
+    query = _progress_query(reply)
+    reported = ''
     waited: float = 0
     progress: Any = {'domains': [], 'revision': reply.get('revision')}
-    while waited <= given.wait:
-        found = await client.get('configuration/progress', **change)
-        if isinstance(found, Failure):
-            return found
-        progress = found
+    while waited <= args.wait:
+        polled = await client.get('configuration/progress', **query)
+        if isinstance(polled, Failure):
+            return polled
+        progress = polled
         if progress['everywhere']:
             return progress
-        if show_domains(progress) != shown:
-            shown = show_domains(progress)
-            client.say(shown)
-        await asyncio.sleep(LOOK_PERIOD)
-        waited += LOOK_PERIOD
+        if format_domains(progress) != reported:
+            reported = format_domains(progress)
+            client.report_progress(reported)
+        await asyncio.sleep(POLL_INTERVAL)
+        waited += POLL_INTERVAL
     return Failure(
         ExitCode.NOT_IN_TIME,
-        f'The change is accepted, and not acknowledged everywhere after '
-        f'{given.wait} seconds:\n{show_progress(progress)}',
+        f'The change was accepted, but not acknowledged by every host within '
+        f'{args.wait} seconds:\n{format_progress(progress)}',
     )
 
 
-def _change_of(reply: Any) -> dict[str, Any]:
-    """Return what the progress of a change is asked by."""
+def _progress_query(reply: Any) -> dict[str, Any]:
+    """Return the query for the progress of a change."""
     if 'version' in reply:
-        # A withdrawal is in force by itself, also before the table has it.
+        # A withdrawal takes effect even before it is in the table, so its
+        # progress is not tied to a revision.
         return {'version': reply['version'], 'epoch': reply['epoch']}
     return {'revision': reply['revision']}
 
 
-def show_domains(reply: Any) -> str:
-    """Return how far a change has come, a line for each domain."""
+def format_domains(reply: Any) -> str:
+    """Format the progress of a change, one line per failure domain."""
     return '\n'.join(
         f'  {domain["domain"]}: {domain["acknowledged"]} of '
-        f'{domain["hosts"]} hosts, missing: {cell(domain["missing"])}'
+        f'{domain["hosts"]} hosts, missing: {format_value(domain["missing"])}'
         for domain in reply['domains']
     )
 
 
-def show_progress(reply: Any) -> str:
-    """Return how far a change has come, by domain; or the change itself."""
+def format_progress(reply: Any) -> str:
+    """Format the progress of a change by failure domain, or its reply."""
     if 'domains' not in reply:
-        return fields(reply)
-    lines = ['in force by failure domain:', show_domains(reply)]
+        return format_fields(reply)
+    lines = ['in force by failure domain:', format_domains(reply)]
     if reply.get('revision'):
         lines.insert(0, f'revision {reply["revision"]}')
     bound = reply.get('in_force_in')
--- a/src/nutmegroad/cli/_cli_numbers.py
+++ b/src/nutmegroad/cli/_cli_numbers.py
@@ -1,16 +1,17 @@
-"""Numbers that the command line's flags take."""
+"""Parsers of numeric command line flags."""
 
 import math
 from argparse import ArgumentTypeError
 
 
 def positive(text: str) -> float:
-    """Read a number above 0.
+    """Parse a finite number above 0.
 
     Raises:
-        ArgumentTypeError: If it is none; argparse shows the sentence.
+        ArgumentTypeError: If the text is not such a number; argparse prints
+            the message.
     """
-    message = f'{text!r} is no number above 0, such as 2.5'
+    message = f'{text!r} is not a number above 0, such as 2.5'
     try:
         number = float(text)
     except ValueError as problem:
--- a/src/nutmegroad/cli/_cli_output.py
+++ b/src/nutmegroad/cli/_cli_output.py
@@ -1,28 +1,35 @@
-"""What the command line prints: tables for people, JSON for programs."""
+"""Output formats of the command line: text for people, JSON for programs."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, Final
 
 import msgspec
 
-#: Prints a reply for people.
+#: Formats a reply as text for people.
 Renderer = Callable[[Any], str]
 
 _INDENT: Final = 2
-_GAP: Final = '  '
-
-#: Place of a quarantine's level, odd while it stands, in its array.
+_COLUMN_GAP: Final = '  '
+#: Text for an empty list.
+_EMPTY: Final = 'No entries.'
+
+#: Indexes of the fields of a quarantine, which is encoded as an array.
+_VERSION: Final = 0
+_EPOCH: Final = 1
+_TASK: Final = 2
+#: The level, which is odd while the quarantine is active.
 _LEVEL: Final = 3
+_REASON: Final = 5
 
 
-def as_json(reply: Any) -> str:
-    """Return a reply as indented JSON."""
+def format_json(reply: Any) -> str:
+    """Format a reply as indented JSON."""
     encoded = msgspec.json.encode(reply)
     return msgspec.json.format(encoded, indent=_INDENT).decode()
 
 
-def cell(content: Any) -> str:
-    """Return one value as text."""
+def format_value(content: Any) -> str:
+    """Format one value as text."""
     if content is None:
         return '-'
     if isinstance(content, bool):
@@ -30,46 +37,51 @@
     if isinstance(content, float):
         return f'{content:.3f}'
     if isinstance(content, list):
-        return ', '.join(cell(part) for part in content) or '-'
+        return ', '.join(format_value(part) for part in content) or '-'
     if isinstance(content, dict):
-        pairs = (f'{name}={cell(part)}' for name, part in content.items())
+        pairs = (
+            f'{name}={format_value(part)}' for name, part in content.items()
+        )
         return ', '.join(pairs) or '-'
     return str(content)
 
 
-def explanation(reply: Any) -> str:
-    """Print what happened to a request."""
+def format_explanation(reply: Any) -> str:
+    """Format the explanation of a request, from its host or from logs."""
     if 'story' in reply:
         return '\n'.join(reply['story'])
-    return steps(reply)
+    return format_steps(reply)
 
 
-def table(*columns: str) -> Renderer:
-    """Return a renderer of a list as a table of these columns."""
+def table_renderer(*columns: str) -> Renderer:
+    """Return a renderer that formats a list as a table of some columns."""
 
     def render(reply: Any) -> str:
-        """Return the table."""
-        rows = [[cell(row.get(name)) for name in columns] for row in reply]
+        """Format the table, with a header line."""
+        rows = [
+            [format_value(row.get(name)) for name in columns] for row in reply
+        ]
         if not rows:
-            return 'There is none.'
-        heads = [name.upper().replace('_', ' ') for name in columns]
-        return _align([heads, *rows])
+            return _EMPTY
+        headers = [name.upper().replace('_', ' ') for name in columns]
+        return _align([headers, *rows])
 
     return render
 
 
-def fields(reply: Any) -> str:
-    """Return a reply's fields, one a line."""
+def format_fields(reply: Any) -> str:
+    """Format the fields of a reply, one per line."""
     rows = [
-        [name.replace('_', ' '), cell(part)] for name, part in reply.items()
+        [name.replace('_', ' '), format_value(part)]
+        for name, part in reply.items()
     ]
     return _align(rows)
 
 
-def steps(reply: Any) -> str:
-    """Return the steps of a request, with seconds since its first."""
+def format_steps(reply: Any) -> str:
+    """Format the steps of a request, with seconds since the first one."""
     if not reply:
-        return 'There is none.'
+        return _EMPTY
     start = reply[0]['at']
     rows = [
         [f'{step["at"] - start:8.3f}s', step['part'], step['text']]
@@ -78,30 +90,30 @@
     return _align(rows)
 
 
-def status(reply: Any) -> str:
-    """Return how a host stands, and what keeps it from serving."""
+def format_status(reply: Any) -> str:
+    """Format the status of a host and the conditions that impair it."""
     plain = {name: part for name, part in reply.items() if name != 'conditions'}
-    lines = [fields(plain)]
+    lines = [format_fields(plain)]
     lines.extend(
-        f'{found["name"]} ({found["code"]}): {found["message"]}'
-        for found in reply['conditions']
+        f'{condition["name"]} ({condition["code"]}): {condition["message"]}'
+        for condition in reply['conditions']
     )
     return '\n'.join(lines)
 
 
-def configuration(reply: Any) -> str:
-    """Return a revision's fields, and its document as JSON."""
+def format_configuration(reply: Any) -> str:
+    """Format the fields of a revision, and its document as JSON."""
     plain = {name: part for name, part in reply.items() if name != 'document'}
-    return f'{fields(plain)}\n{as_json(reply["document"])}'
+    return f'{format_fields(plain)}\n{format_json(reply["document"])}'
 
 
-def history(reply: Any) -> str:
-    """Return the newest changes."""
-    return table('revision', 'author', 'summary')(reply['moves'])
+def format_history(reply: Any) -> str:
+    """Format the most recent changes."""
+    return table_renderer('revision', 'author', 'summary')(reply['moves'])
 
 
-def rollouts(reply: Any) -> str:
-    """Return the roll-outs, their last reasons, and quarantines."""
+def format_rollouts(reply: Any) -> str:
+    """Format rollouts with the reason of their last step, and quarantines."""
     rows = [
         {
             **entry,
@@ -110,20 +122,25 @@
         }
         for entry in reply['rollouts']
     ]
-    shown = table('version', 'phase', 'share', 'in_force', 'reason')(rows)
-    standing = [fact for fact in reply['quarantines'] if fact[_LEVEL] % 2 == 1]
+    rollout_table = table_renderer(
+        'version', 'phase', 'share', 'in_force', 'reason'
+    )(rows)
+    active = [
+        record for record in reply['quarantines'] if record[_LEVEL] % 2 == 1
+    ]
     lines = [
-        f'quarantine of {fact[0]} (epoch {fact[1]}) for {fact[2]}: {fact[5]}'
-        for fact in standing
+        f'quarantine of {record[_VERSION]} (epoch {record[_EPOCH]}) for '
+        f'{record[_TASK]}: {record[_REASON]}'
+        for record in active
     ]
-    return '\n'.join((shown, *lines))
+    return '\n'.join((rollout_table, *lines))
 
 
 def _align(rows: Sequence[Sequence[str]]) -> str:
-    """Return rows with their columns aligned."""
+    """Format rows with aligned columns."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     lines = (
-        _GAP.join(
+        _COLUMN_GAP.join(
             part.ljust(width) for part, width in zip(row, widths, strict=True)
         )
         for row in rows
--- a/src/nutmegroad/cli/_cli_table.py
+++ b/src/nutmegroad/cli/_cli_table.py
@@ -1,33 +1,33 @@
-"""The table of the command line's commands and their arguments."""
+"""Definitions of the commands of the command line and their arguments."""
 
 from dataclasses import dataclass
 from typing import Any, Final
 
 from nutmegroad.cli._cli_commands import (
-    Run,
+    CommandFunction,
     apply,
     check,
     diff,
     drain,
     explain,
+    format_progress,
+    get_resource,
     prepare,
-    reading,
     rollout,
     set_workspace,
-    show_progress,
     switch,
     withdraw,
 )
 from nutmegroad.cli._cli_numbers import positive
 from nutmegroad.cli._cli_output import (
     Renderer,
-    configuration,
-    explanation,
-    fields,
-    history,
-    rollouts,
-    status,
-    table,
+    format_configuration,
+    format_explanation,
+    format_fields,
+    format_history,
+    format_rollouts,
+    format_status,
+    table_renderer,
 )
 
 
@@ -36,33 +36,33 @@
     """An argument of a command.
 
     Attributes:
-        name: A flag, or a positional argument's name.
-        meaning: One line for ``--help``.
-        options: More keywords for argparse.
+        name: Flag, or name of a positional argument.
+        summary: Description in one line for ``--help``.
+        options: Additional keyword arguments of ``add_argument``.
     """
 
     name: str
-    meaning: str
+    summary: str
     options: tuple[tuple[str, Any], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A command.
+    """A command of the command line.
 
     Attributes:
-        words: Its words, such as ``preset switch``.
-        meaning: One line for ``--help``.
-        run: Carries it out.
-        render: Prints its reply for people.
-        arguments: Its arguments.
-        offline: It needs no host.
+        words: Words that select the command, such as ``preset switch``.
+        summary: Description in one line for ``--help``.
+        run: Runs the command.
+        render: Formats the reply as text for people.
+        arguments: Arguments of the command.
+        offline: Whether the command runs without a host.
     """
 
     words: tuple[str, ...]
-    meaning: str
-    run: Run
-    render: Renderer = fields
+    summary: str
+    run: CommandFunction
+    render: Renderer = format_fields
     arguments: tuple[Argument, ...] = ()
     offline: bool = False
 
@@ -74,18 +74,18 @@
 )
 _EXPECTED: Final = Argument(
     '--expected',
-    'refuse the change if another revision than this is in force',
+    'refuse the change unless this revision is in force',
     (('type', int), ('metavar', 'REVISION')),
 )
-_DOCUMENT: Final = Argument('file', 'the document, as TOML')
-_PRESET: Final = Argument('preset', "the preset's name")
+_DOCUMENT: Final = Argument('file', 'the document, in TOML')
+_PRESET: Final = Argument('preset', 'name of the preset')
 _VERSION: Final = Argument('version', 'the version, as model@version')
-_WORKSPACE: Final = Argument('workspace', "the workspace's name")
+_WORKSPACE: Final = Argument('workspace', 'name of the workspace')
 
 COMMANDS: Final = (
     Command(
         ('config', 'check'),
-        'check a document without a host',
+        'validate a document without a host',
         check,
         arguments=(_DOCUMENT,),
         offline=True,
@@ -93,30 +93,30 @@
     Command(
         ('config', 'show'),
         'show the configuration in force',
-        reading('configuration'),
-        configuration,
+        get_resource('configuration'),
+        format_configuration,
     ),
     Command(
         ('config', 'history'),
-        'show the newest changes',
-        reading('configuration/history'),
-        history,
+        'show the most recent changes',
+        get_resource('configuration/history'),
+        format_history,
     ),
     Command(
         ('config', 'diff'),
-        'say what a document would change',
+        'list what a document would change',
         diff,
-        table('subject', 'sentence'),
+        table_renderer('subject', 'sentence'),
         (_DOCUMENT,),
     ),
     Command(
         ('config', 'apply'),
-        'check a document and put it into force',
+        'validate a document and put it into force',
         apply,
-        show_progress,
+        format_progress,
         (
             _DOCUMENT,
-            Argument('--preset', 'the preset to be in force with it'),
+            Argument('--preset', 'the preset to put into force with it'),
             _EXPECTED,
             _WAIT,
         ),
@@ -124,100 +124,106 @@
     Command(
         ('preset', 'list'),
         'list the presets',
-        reading('presets'),
-        table('name', 'in_force'),
+        get_resource('presets'),
+        table_renderer('name', 'in_force'),
     ),
     Command(
         ('preset', 'show'),
         'show a preset',
-        reading('presets/{preset}', 'preset'),
+        get_resource('presets/{preset}', 'preset'),
         arguments=(_PRESET,),
     ),
     Command(
         ('preset', 'switch'),
         'put another preset into force',
         switch,
-        show_progress,
+        format_progress,
         (_PRESET, _EXPECTED, _WAIT),
     ),
     Command(
         ('preset', 'prepare'),
-        "have a preset's versions loaded before it is put into force",
+        'load the versions of a preset before it is put into force',
         prepare,
         arguments=(_PRESET,),
     ),
     Command(
         ('version', 'rollout'),
-        'start, pause, resume or abort a roll-out, or lift a quarantine',
+        'start, pause, resume or abort a rollout, or lift quarantines',
         rollout,
-        rollouts,
+        format_rollouts,
         (
             _VERSION,
             Argument(
                 'action',
-                'what to do',
+                'the action to take',
                 (('choices', ('start', 'pause', 'resume', 'abort', 'lift')),),
             ),
         ),
     ),
     Command(
         ('version', 'status'),
-        'show the roll-outs and their evidence',
-        reading('rollouts'),
-        rollouts,
+        'show the rollouts with the reasons of their steps, and quarantines',
+        get_resource('rollouts'),
+        format_rollouts,
     ),
     Command(
         ('version', 'withdraw'),
-        'give a version no new work, from now on and for good',
+        'permanently stop sending new requests to a version',
         withdraw,
-        show_progress,
+        format_progress,
         (_VERSION, _WAIT),
     ),
     Command(
         ('version', 'withdrawals'),
-        'list the withdrawn versions, and whether the table has each',
-        reading('withdrawals'),
-        table('version', 'epoch', 'in_table', 'state'),
+        'list the withdrawn versions, and whether each is in the table',
+        get_resource('withdrawals'),
+        table_renderer('version', 'epoch', 'in_table', 'state'),
     ),
     Command(
         ('workspace', 'list'),
         'list the workspaces',
-        reading('workspaces'),
-        table('name', 'share', 'concern', 'isolation', 'versions'),
+        get_resource('workspaces'),
+        table_renderer('name', 'share', 'concern', 'isolation', 'versions'),
     ),
     Command(
         ('workspace', 'show'),
         'show a workspace',
-        reading('workspaces/{workspace}', 'workspace'),
+        get_resource('workspaces/{workspace}', 'workspace'),
         arguments=(_WORKSPACE,),
     ),
     Command(
         ('workspace', 'set'),
         'change fields of a workspace',
         set_workspace,
-        show_progress,
+        format_progress,
         (
             _WORKSPACE,
-            Argument('--share', 'its weight', (('type', positive),)),
+            Argument(
+                '--share',
+                'its weight when capacity is short',
+                (('type', positive),),
+            ),
             Argument(
                 '--concern',
-                'the measure that it weighs most',
+                'the measure that matters most to it',
                 (('choices', ('cost', 'latency', 'exposure')),),
             ),
             Argument(
                 '--isolation',
-                'what it gets from an isolated host',
+                'whether an isolated host serves or refuses its requests',
                 (('choices', ('serve', 'refuse')),),
             ),
-            Argument('--versions', 'versions that it may use, with commas'),
+            Argument(
+                '--versions', 'versions that it may use, separated by commas'
+            ),
             Argument(
                 '--key-file',
-                "a file that holds its callers' new key; the key before "
-                'holds on beside it',
+                "a file with its callers' new key; the previous key stays "
+                'valid as well',
             ),
             Argument(
                 '--drop-old-key',
-                'have only the newest key hold',
+                'make only the newest key valid',
                 (('action', 'store_true'),),
             ),
             _EXPECTED,
@@ -226,42 +232,42 @@
     ),
     Command(
         ('host', 'list'),
-        'list the hosts, as one host sees them',
-        reading('hosts'),
-        table('host', 'domain', 'presence', 'address', 'heard'),
+        'list the hosts that the queried host knows',
+        get_resource('hosts'),
+        table_renderer('host', 'domain', 'presence', 'address', 'heard'),
     ),
     Command(
         ('host', 'drain'),
-        'have a host stop gracefully: no request is cut',
+        'stop a host gracefully, without interrupting requests',
         drain,
-        arguments=(Argument('host', "the host's id"),),
+        arguments=(Argument('host', 'id of the host'),),
     ),
     Command(
         ('upstream', 'list'),
-        'list the upstreams, as one host sees them',
-        reading('upstreams'),
-        table(
+        'list the upstreams that the queried host knows',
+        get_resource('upstreams'),
+        table_renderer(
             'upstream', 'domain', 'kind', 'presence', 'in_flight', 'versions'
         ),
     ),
     Command(
         ('explain',),
-        'tell what happened to a request and why',
+        'show what happened to a request, and why',
         explain,
-        explanation,
+        format_explanation,
         (
-            Argument('request', "the request's id"),
+            Argument('request', 'id of the request'),
             Argument(
                 '--logs',
-                'log files of the hosts, read in place of asking one',
+                'log files of the hosts, read instead of querying a host',
                 (('nargs', '+'), ('metavar', 'FILE')),
             ),
         ),
     ),
     Command(
         ('status',),
-        'show how a host stands, and what keeps it from serving',
-        reading('status'),
-        status,
+        'show the status of a host, and conditions that impair it',
+        get_resource('status'),
+        format_status,
     ),
 )
--- a/src/nutmegroad/cli/program.py
+++ b/src/nutmegroad/cli/program.py
@@ -1,7 +1,7 @@
-"""The command line ``nutmegroad``, a client of the operators' interface.
+"""The program ``nutmegroad``, a client of the operators' interface.
 
-The token comes by NUTMEGROAD_TOKEN only, since others on the machine can
-read a program's flags.
+The token is read from the variable NUTMEGROAD_TOKEN only, since other users
+of the machine can read the flags of a process.
 """
 
 import asyncio
@@ -19,26 +19,27 @@
     OperatorClient,
 )
 from nutmegroad.cli._cli_numbers import positive
-from nutmegroad.cli._cli_output import as_json
+from nutmegroad.cli._cli_output import format_json
 from nutmegroad.cli._cli_table import COMMANDS, Command
 from nutmegroad.foundations.types import Address
 from nutmegroad.kernel._setting_specs import read_targets
 
-#: Where operators' listeners are, with commas between.
+#: Environment variable with the addresses of operators' listeners, separated
+#: by commas.
 OPERATORS_VARIABLE: Final = 'NUTMEGROAD_OPERATORS'
-#: Seconds that one call to a host may take, unless told otherwise.
+#: Default timeout of one call to a host, in seconds.
 CALL_TIMEOUT: Final = 10.0
 
 _COMMAND: Final = 'command'
 
 
 def make_parser() -> ArgumentParser:
-    """Return the parser of all commands."""
+    """Return the argument parser with all commands."""
     parser = ArgumentParser(
         prog='nutmegroad',
         description='Operate a deployment of nutmegroad.',
         epilog=(
-            f'The token comes by {TOKEN_VARIABLE} and the hosts by '
+            f'The token is read from {TOKEN_VARIABLE}, the hosts from '
             f'--operators or {OPERATORS_VARIABLE}. Exit codes: '
             + ', '.join(
                 f'{code.value} {code.name.lower()}' for code in ExitCode
@@ -55,20 +56,23 @@
         '--operators',
         default='',
         metavar='IP:PORT,...',
-        help="operators' listeners of some hosts; the first reached is asked",
+        help=(
+            "operators' listeners of some hosts; the first one that can be "
+            'reached is used'
+        ),
     )
     parser.add_argument(
         '--format',
         choices=('text', 'json'),
         default='text',
-        help='text for people, JSON for programs',
+        help='text for people, or JSON for programs',
     )
     parser.add_argument(
         '--timeout',
         type=positive,
         default=CALL_TIMEOUT,
         metavar='SECONDS',
-        help=f'for one call to a host; {CALL_TIMEOUT} if not given',
+        help=f'timeout of one call to a host; {CALL_TIMEOUT} by default',
     )
     _add_commands(parser)
     return parser
@@ -78,35 +82,36 @@
     argv: Sequence[str] | None = None,
     environ: Mapping[str, str] | None = None,
 ) -> int:
-    """Carry one command out.
+    """Run one command.
 
     Args:
-        argv: Arguments without the program's name; None for our own.
-        environ: Environment; None for our own.
+        argv: Arguments without the program name; None for those of the
+            process.
+        environ: Environment variables; None for those of the process.
 
     Returns:
         The exit code, see ``ExitCode``.
     """
-    given = make_parser().parse_args(argv)
-    command: Command = getattr(given, _COMMAND)
+    args = make_parser().parse_args(argv)
+    command: Command = getattr(args, _COMMAND)
     variables = os.environ if environ is None else environ
-    reply = asyncio.run(_run(command, given, variables))
+    reply = asyncio.run(_run(command, args, variables))
     if isinstance(reply, Failure):
-        sys.stderr.write(f'{reply.sentence}\n')
+        sys.stderr.write(f'{reply.message}\n')
         return reply.exit_code
-    shown = as_json(reply) if given.format == 'json' else command.render(reply)
-    sys.stdout.write(f'{shown}\n')
+    render = format_json if args.format == 'json' else command.render
+    sys.stdout.write(f'{render(reply)}\n')
     return ExitCode.OK
 
 
 def _add_commands(parser: ArgumentParser) -> None:
-    """Add every command, grouped by its first word."""
+    """Add the parsers of all commands, grouped by their first word."""
     top = parser.add_subparsers(required=True, metavar='COMMAND')
     groups: dict[str, Any] = {}
     for command in COMMANDS:
         first, *rest = command.words
         if not rest:
-            _add_command(top.add_parser(first, help=command.meaning), command)
+            _add_command(top.add_parser(first, help=command.summary), command)
             continue
         if first not in groups:
             group = top.add_parser(first, help=f'{first} commands')
@@ -114,17 +119,17 @@
                 required=True,
                 metavar='COMMAND',
             )
-        leaf = groups[first].add_parser(rest[0], help=command.meaning)
+        leaf = groups[first].add_parser(rest[0], help=command.summary)
         _add_command(leaf, command)
 
 
 def _add_command(parser: ArgumentParser, command: Command) -> None:
-    """Add one command's arguments."""
-    parser.description = f'{command.meaning[0].upper()}{command.meaning[1:]}.'
+    """Add the arguments of one command to its parser."""
+    parser.description = f'{command.summary[0].upper()}{command.summary[1:]}.'
     for argument in command.arguments:
         parser.add_argument(
             argument.name,
-            help=argument.meaning,
+            help=argument.summary,
             **dict(argument.options),
         )
     parser.set_defaults(**{_COMMAND: command})
@@ -132,34 +137,34 @@
 
 async def _run(
     command: Command,
-    given: Namespace,
+    args: Namespace,
     environ: Mapping[str, str],
 ) -> Any | Failure:
-    """Carry a command out against the hosts that are named."""
+    """Run a command against the hosts that were named."""
     addresses: tuple[Address, ...] = ()
-    # What logs tell needs no host.
-    if not command.offline and not getattr(given, 'logs', None):
-        found = _addresses(given, environ)
-        if isinstance(found, Failure):
-            return found
-        addresses = found
+    # An explanation from logs needs no host either.
+    if not command.offline and not getattr(args, 'logs', None):
+        parsed = _addresses(args, environ)
+        if isinstance(parsed, Failure):
+            return parsed
+        addresses = parsed
     token = environ.get(TOKEN_VARIABLE, '')
     client = OperatorClient(
         addresses,
         token,
-        given.timeout,
-        # Progress goes beside the reply, which programs read.
+        args.timeout,
+        # Programs read the reply from stdout, so progress goes to stderr.
         sys.stderr.write,
     )
-    return await command.run(client, given)
+    return await command.run(client, args)
 
 
 def _addresses(
-    given: Namespace,
+    args: Namespace,
     environ: Mapping[str, str],
 ) -> tuple[Address, ...] | Failure:
-    """Return the operators' listeners that were named."""
-    text = given.operators or environ.get(OPERATORS_VARIABLE, '')
+    """Return the addresses of the operators' listeners that were named."""
+    text = args.operators or environ.get(OPERATORS_VARIABLE, '')
     try:
         addresses = read_targets(text)
     except ValueError:
@@ -169,7 +174,7 @@
     return Failure(
         ExitCode.USAGE,
         f'--operators (or {OPERATORS_VARIABLE}) is {text!r}; expected the '
-        "operators' listeners of some hosts as IPv4 numbers with ports, "
+        "operators' listeners of some hosts as IPv4 addresses with ports, "
         'such as "10.0.0.7:8081,10.0.0.8:8081".',
     )
 
