--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line against real hosts, in this process and in others."""
+"""Commands run against hosts, in this process and in others."""
 
 import asyncio
 import io
@@ -32,8 +32,8 @@
 
 
 @dataclass(frozen=True)
-class Ended:
-    """How a command ended."""
+class CommandResult:
+    """Exit code and output of a command."""
 
     code: int
     out: str
@@ -44,22 +44,24 @@
         return json.loads(self.out)
 
 
-def run(words: str, operators: str = '', token: str = OPERATOR) -> Ended:
-    """Run a command; ``redirect_*`` hold for the whole process."""
+def run_command(
+    words: str, operators: str = '', token: str = OPERATOR
+) -> CommandResult:
+    """Run a command; ``redirect_*`` affects the whole process."""
     out, err = io.StringIO(), io.StringIO()
     environ = {'NUTMEGROAD_OPERATORS': operators, 'NUTMEGROAD_TOKEN': token}
     with redirect_stdout(out), redirect_stderr(err):
         try:
             code = main(words.split(), environ)
-        except SystemExit as ended:
-            code = int(ended.code or 0)
-    return Ended(code, out.getvalue(), err.getvalue())
+        except SystemExit as exited:
+            code = int(exited.code or 0)
+    return CommandResult(code, out.getvalue(), err.getvalue())
 
 
 class CliTest(unittest.TestCase):
     """Commands that need no host."""
 
-    def test_the_page_lists_every_command_and_exit_code(self) -> None:
+    def test_documentation_lists_every_command_and_exit_code(self) -> None:
         page = (DOCS / 'COMMANDS.md').read_text()
         for command in COMMANDS:
             self.assertIn(f'`{" ".join(command.words)}', page)
@@ -70,7 +72,7 @@
         )
 
     def test_help_names_variables_and_exit_codes(self) -> None:
-        shown = run('--help')
+        shown = run_command('--help')
         self.assertEqual(shown.code, ExitCode.OK)
         for word in ('NUTMEGROAD_TOKEN', 'preset', '7 not_in_time'):
             self.assertIn(word, shown.out)
@@ -85,25 +87,25 @@
         )
         for words, bad, choices in cases:
             with self.subTest(words=words):
-                ended = run(words)
-                self.assertEqual(ended.code, ExitCode.USAGE)
-                self.assertIn(bad, ended.err)
-                self.assertIn(choices, ended.err)
+                result = run_command(words)
+                self.assertEqual(result.code, ExitCode.USAGE)
+                self.assertIn(bad, result.err)
+                self.assertIn(choices, result.err)
 
     def test_an_unreachable_host_is_named(self) -> None:
-        ended = run('status', '127.0.0.1:1')
-        self.assertEqual(ended.code, ExitCode.UNREACHABLE)
-        self.assertIn('127.0.0.1:1', ended.err)
+        result = run_command('status', '127.0.0.1:1')
+        self.assertEqual(result.code, ExitCode.UNREACHABLE)
+        self.assertIn('127.0.0.1:1', result.err)
 
     def test_a_document_is_checked_without_a_host(self) -> None:
         folder = self.enterContext(TemporaryDirectory())
         bad = Path(folder) / 'bad.toml'
         bad.write_text('format = 1\nname = "x"\n')
-        ended = run(f'config check {bad}')
-        self.assertEqual(ended.code, ExitCode.INVALID)
-        self.assertIn('versions', ended.err)
+        result = run_command(f'config check {bad}')
+        self.assertEqual(result.code, ExitCode.INVALID)
+        self.assertIn('versions', result.err)
         self.assertEqual(
-            run('config check examples/lesen/config.toml').code,
+            run_command('config check examples/lesen/config.toml').code,
             ExitCode.OK,
         )
 
@@ -117,11 +119,17 @@
         await self.host.open(stack)
         self.operators = str(self.host.kernel.listening['operators'])
 
-    async def run_cli(self, words: str, token: str = OPERATOR) -> Ended:
-        """Run a command while the host's loop goes on."""
-        return await asyncio.to_thread(run, words, self.operators, token)
+    async def run_cli(
+        self,
+        words: str,
+        token: str = OPERATOR,
+    ) -> CommandResult:
+        """Run a command in a thread, while the event loop serves the host."""
+        return await asyncio.to_thread(
+            run_command, words, self.operators, token
+        )
 
-    async def test_reading_commands_have_text_and_json(self) -> None:
+    async def test_read_commands_support_text_and_json(self) -> None:
         for command in COMMANDS:
             if command.arguments or command.offline:
                 continue
@@ -129,10 +137,10 @@
             with self.subTest(words=words):
                 shown = await self.run_cli(words)
                 self.assertEqual(shown.code, ExitCode.OK, shown.err)
-                ended = await self.run_cli(f'--format=json {words}')
-                self.assertIsNotNone(ended.reply)
+                result = await self.run_cli(f'--format=json {words}')
+                self.assertIsNotNone(result.reply)
 
-    async def test_changes_are_waited_for(self) -> None:
+    async def test_wait_flag_waits_until_changes_are_in_force(self) -> None:
         switched = await self.run_cli('preset switch peak --wait=20')
         self.assertEqual(switched.code, ExitCode.OK, switched.err)
         self.assertIn('shah-alam: 1 of 1 hosts', switched.out)
@@ -141,7 +149,7 @@
         gone = await self.run_cli('version withdraw brief-small@2 --wait=20')
         self.assertEqual(gone.code, ExitCode.OK, gone.err)
 
-    async def test_a_bad_preset_host_or_token_is_named(self) -> None:
+    async def test_unknown_preset_host_or_token_is_named(self) -> None:
         unknown = await self.run_cli('preset switch holiday')
         self.assertEqual(unknown.code, ExitCode.REFUSED)
         self.assertIn("'holiday'", unknown.err)
@@ -152,13 +160,13 @@
         self.assertEqual(refused.code, ExitCode.NOT_PERMITTED)
         self.assertIn('NUTMEGROAD_TOKEN, which is set', refused.err)
 
-    async def test_a_key_is_rolled_over(self) -> None:
+    async def test_a_workspace_key_is_rotated(self) -> None:
         folder = self.enterContext(TemporaryDirectory())
         new = Path(folder) / 'key'
         new.write_text('a-new-key')
         change = 'workspace set head-office'
-        ended = await self.run_cli(f'{change} --key-file={new}')
-        self.assertEqual(ended.code, ExitCode.OK, ended.err)
+        result = await self.run_cli(f'{change} --key-file={new}')
+        self.assertEqual(result.code, ExitCode.OK, result.err)
         old = self.host.headers()['Authorization']
         self.assertEqual(await self.models(old), 200)
         self.assertEqual(await self.models('Bearer a-new-key'), 200)
@@ -167,7 +175,7 @@
         self.assertEqual(await self.models('Bearer a-new-key'), 200)
 
     async def models(self, authorization: str) -> int:
-        """Return the status of a call with a key."""
+        """Return the HTTP status of a request with a key."""
         headers = {'Authorization': authorization}
         url = self.host.url('models')
         async with self.host.session.get(url, headers=headers) as response:
@@ -177,8 +185,8 @@
         stop = self.host.kernel.need(GracefulStop)
         asked: list[bool] = []
         stop.when_asked(lambda: asked.append(True))
-        ended = await self.run_cli('--format=json host drain h1')
-        self.assertEqual(ended.reply, {'host': 'h1', 'open_requests': 0})
+        result = await self.run_cli('--format=json host drain h1')
+        self.assertEqual(result.reply, {'host': 'h1', 'open_requests': 0})
         self.assertEqual(asked, [True])
 
     async def test_a_request_is_explained(self) -> None:
@@ -190,14 +198,14 @@
             headers=headers,
         ) as response:
             request = response.headers['Nutmegroad-Request']
-        ended = await self.run_cli(f'explain {request}')
-        self.assertIn('brief-small@2', ended.out)
+        result = await self.run_cli(f'explain {request}')
+        self.assertIn('brief-small@2', result.out)
         unknown = await self.run_cli(f'explain {request[:-1]}x')
         self.assertIn("The host 'h1' knows no request", unknown.err)
 
 
-async def ask(callers: Address) -> str:
-    """Have a request answered, and return its id."""
+async def send_request(callers: Address) -> str:
+    """Send a request to a callers' listener, and return its id."""
     headers = {'Authorization': f'Bearer {workspace_key("training")}'}
     messages = [{'role': 'user', 'content': 'swap?'}]
     body = {'model': 'galley-small@5', 'messages': messages}
@@ -210,7 +218,7 @@
 
 
 class ProcessesTest(unittest.IsolatedAsyncioTestCase):
-    """Commands against hosts in three domains, as processes."""
+    """Commands against hosts in three failure domains, run as processes."""
 
     async def test_any_host_explains_and_drains_any_other(self) -> None:
         processes = await self.enterAsyncContext(Processes())
@@ -219,20 +227,24 @@
         first, other = running.operators[0], running.operators[1]
         token = operator_token(running.document.operators[0].name)
 
-        def call(words: str) -> Ended:
-            return run(words, str(first), token)
+        def run_on_first(words: str) -> CommandResult:
+            return run_command(words, str(first), token)
 
         listed: list[Any] = []
         while len(listed) < len(running.hosts):
-            ended = await asyncio.to_thread(call, '--format=json host list')
-            listed = ended.reply
+            result = await asyncio.to_thread(
+                run_on_first, '--format=json host list'
+            )
+            listed = result.reply
         name = running.hosts[1].name
-        request = await ask(running.callers[1])
-        ended = await asyncio.to_thread(call, f'explain {request}')
-        self.assertIn('galley-small@5', ended.out, ended.err)
-        drained = await asyncio.to_thread(call, f'host drain {name}')
+        request = await send_request(running.callers[1])
+        result = await asyncio.to_thread(run_on_first, f'explain {request}')
+        self.assertIn('galley-small@5', result.out, result.err)
+        drained = await asyncio.to_thread(run_on_first, f'host drain {name}')
         self.assertEqual(drained.code, ExitCode.OK, drained.err)
         async with asyncio.timeout(30):
             self.assertEqual(await running.hosts[1].process.wait(), 0)
-        ended = await asyncio.to_thread(run, 'status', str(other), token)
-        self.assertEqual(ended.code, ExitCode.UNREACHABLE)
+        result = await asyncio.to_thread(
+            run_command, 'status', str(other), token
+        )
+        self.assertEqual(result.code, ExitCode.UNREACHABLE)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys that are changed without a stop: of the cluster and of workspaces."""
+"""Key rotation without downtime: cluster keys and workspace keys."""
 
 import asyncio
 import random
@@ -42,37 +42,42 @@
 CLAIM = SessionClaim('s', VersionId('m@1'), Epoch(0))
 WORKSPACE = WorkspaceId('w')
 
-#: A host's own key and the other one that it takes, step by step.
-STEPS = ((OLD, ''), (OLD, NEW), (NEW, OLD), (NEW, ''))
+#: Own key and additionally accepted key of a host, in each rotation step.
+ROTATION_STEPS = ((OLD, ''), (OLD, NEW), (NEW, OLD), (NEW, ''))
 
 
-class AnyRoster:
-    """Finds no incarnation too old."""
+class PermissiveRoster:
+    """Accepts every incarnation."""
 
     def newer_generation(self, identity: Identity) -> int:
         return 0
 
 
 def credentials(name: str, key: str, other: str) -> Credentials:
-    """Return a host's credentials."""
+    """Return the credentials of a host."""
     identity = Identity(
-        HostId(name), Incarnation(f'{name}.1'), 1, DomainId('d'), '127.0.0.1', 1
+        HostId(name),
+        Incarnation(f'{name}.1'),
+        1,
+        DomainId('d'),
+        '127.0.0.1',
+        1,
     )
     return Credentials(
         key.encode(),
         identity,
         random.Random(name),
-        AnyRoster(),
+        PermissiveRoster(),
         other.encode(),
     )
 
 
-async def is_linked(one: Credentials, other: Credentials) -> bool:
-    """Tell whether both sides of a handshake let each other in."""
+async def can_connect(one: Credentials, other: Credentials) -> bool:
+    """Return whether both sides of a handshake accept each other."""
     answered: asyncio.Future[bool] = asyncio.Future()
 
     async def accept(reader: StreamReader, writer: StreamWriter) -> None:
-        """Answer a handshake."""
+        """Answer the handshake of a connection."""
         try:
             await answer(HandshakeStream(reader, writer), other)
         except HandshakeError:
@@ -95,40 +100,45 @@
 
 
 class ClusterKeyTest(unittest.IsolatedAsyncioTestCase):
-    async def test_hosts_one_step_apart_link_both_ways(self) -> None:
-        for before, after in pairwise(STEPS):
+    async def test_hosts_one_rotation_step_apart_connect_both_ways(
+        self,
+    ) -> None:
+        for before, after in pairwise(ROTATION_STEPS):
             with self.subTest(before=before, after=after):
                 one = credentials('one', *before)
                 two = credentials('two', *after)
-                self.assertTrue(await is_linked(one, two))
-                self.assertTrue(await is_linked(two, one))
+                self.assertTrue(await can_connect(one, two))
+                self.assertTrue(await can_connect(two, one))
 
-    async def test_hosts_without_a_key_in_common_do_not(self) -> None:
+    async def test_hosts_without_a_common_key_do_not_connect(self) -> None:
         one = credentials('one', OLD, '')
         two = credentials('two', NEW, '')
-        self.assertFalse(await is_linked(one, two))
-        self.assertFalse(await is_linked(two, one))
+        self.assertFalse(await can_connect(one, two))
+        self.assertFalse(await can_connect(two, one))
 
-    def test_tokens_are_read_one_step_apart_and_signed_with_the_own(
-        self,
-    ) -> None:
-        for before, after in pairwise(STEPS):
+    def test_session_tokens_are_valid_one_rotation_step_apart(self) -> None:
+        """Tokens are signed with the own key: refused two steps apart."""
+        for before, after in pairwise(ROTATION_STEPS):
             with self.subTest(before=before, after=after):
-                self.assert_reads(SessionSigner(*before), SessionSigner(*after))
-                self.assert_reads(SessionSigner(*after), SessionSigner(*before))
+                self.assert_readable(
+                    SessionSigner(*before), SessionSigner(*after)
+                )
+                self.assert_readable(
+                    SessionSigner(*after), SessionSigner(*before)
+                )
         text = SessionSigner(NEW, OLD).sign(WORKSPACE, TaskName('t'), CLAIM)
         refused = SessionSigner(OLD).read(text, WORKSPACE)
         self.assertIsInstance(refused, Refusal)
 
-    def assert_reads(
+    def assert_readable(
         self, writer: SessionSigner, reader: SessionSigner
     ) -> None:
         text = writer.sign(WORKSPACE, TaskName('t'), CLAIM)
         self.assertIsInstance(reader.read(text, WORKSPACE), SessionToken)
 
-    def test_tickets_are_read_one_step_apart(self) -> None:
+    def test_tickets_are_valid_one_rotation_step_apart(self) -> None:
         ticket = Ticket(WORKSPACE, 'h', 'h.1', 1, 60)
-        for before, after in pairwise(STEPS):
+        for before, after in pairwise(ROTATION_STEPS):
             with self.subTest(before=before, after=after):
                 text = TicketSigner(*after).sign(ticket)
                 read = TicketSigner(*before).read(text, WORKSPACE)
@@ -136,22 +146,25 @@
 
 
 class WorkspaceKeyTest(unittest.TestCase):
-    def test_a_key_stands_for_one_workspace_only(self) -> None:
+    def test_a_key_belongs_to_one_workspace_only(self) -> None:
         document = document_of(version_of(VersionId('m@1')))
         for old in (hash_of('a'), hash_of('b')):
-            two = (entry('one', 'a', None), entry('two', 'b', old))
+            two = (
+                workspace_entry('one', 'a', None),
+                workspace_entry('two', 'b', old),
+            )
             changed = msgspec.structs.replace(document, workspaces=two)
             paths = [problem.path for problem in check_document(changed)]
             self.assertEqual(paths, ['$.workspaces[1].old_key_hash'])
 
-    def test_texts_that_are_no_text_are_compared_too(self) -> None:
+    def test_strings_with_lone_surrogates_are_accepted(self) -> None:
         self.assertFalse(is_same('\udcff', 'a'))
         self.assertEqual(hash_of('a'), hash_of('a'))
         self.assertNotEqual(hash_of('\udcff'), hash_of('a'))
 
 
-def entry(name: str, key: str, old: str | None) -> WorkspaceEntry:
-    """Return a workspace's entry."""
+def workspace_entry(name: str, key: str, old: str | None) -> WorkspaceEntry:
+    """Return the entry of a workspace."""
     return WorkspaceEntry(
         name=name,
         key_hash=hash_of(key),
@@ -161,7 +174,7 @@
 
 
 class RefusedHostTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_host_with_a_wrong_key_is_in_the_metrics(self) -> None:
+    async def test_wrong_cluster_key_is_counted_in_the_metrics(self) -> None:
         host = WholeHost(fast_engine())
         stack = await self.enterAsyncContext(AsyncExitStack())
         await host.open(stack)
--- a/tests/test_log_stories.py
+++ b/tests/test_log_stories.py
@@ -1,4 +1,4 @@
-"""The logs of all hosts tell one request's story."""
+"""Timelines of single requests from the logs of all hosts."""
 
 import json
 import tempfile
@@ -9,9 +9,9 @@
 from nutmegroad.cli.program import main
 
 
-def line(moment: float, part: str, event: str, **more: object) -> str:
+def line(time: float, part: str, event: str, **more: object) -> str:
     """Return a log line."""
-    return json.dumps({'time': moment, 'part': part, 'event': event, **more})
+    return json.dumps({'time': time, 'part': part, 'event': event, **more})
 
 
 TEXT = '\n'.join(
@@ -27,28 +27,28 @@
 )
 
 
-class StoryTest(unittest.TestCase):
-    """Which lines belong to a story."""
+class TimelineTest(unittest.TestCase):
+    """Lines that belong to a timeline."""
 
-    def test_story_joins_hosts_and_what_they_believed(self) -> None:
-        """In order of time; other hosts and older beliefs are left out."""
-        lines = sorted(read_lines(TEXT, 'f'), key=lambda each: each.moment)
-        told = story(lines, 'r1')
-        self.assertEqual(len(told), 3)
-        self.assertIn('-1.000 s  host-1  followers: store lost', told[0])
-        self.assertIn('code=X', told[1])
-        self.assertIn('host-2  relay: attempt', told[2])
+    def test_timeline_contains_all_hosts_and_their_state_changes(self) -> None:
+        """Lines of other hosts and older state changes are excluded."""
+        lines = sorted(read_lines(TEXT, 'f'), key=lambda each: each.timestamp)
+        timeline = story(lines, 'r1')
+        self.assertEqual(len(timeline), 3)
+        self.assertIn('-1.000 s  host-1  followers: store lost', timeline[0])
+        self.assertIn('code=X', timeline[1])
+        self.assertIn('host-2  relay: attempt', timeline[2])
 
-    def test_request_that_nobody_logged_has_no_story(self) -> None:
-        """An empty story, not an invented one."""
+    def test_unknown_request_has_an_empty_timeline(self) -> None:
+        """Lines of other requests are not used instead."""
         self.assertEqual(story(list(read_lines(TEXT, 'f')), 'r9'), [])
 
 
 class CommandTest(unittest.TestCase):
-    """``nutmegroad explain --logs`` needs no host."""
+    """``nutmegroad explain --logs``, which needs no host."""
 
-    def test_command_tells_the_story_or_says_that_there_is_none(self) -> None:
-        """Exit codes as in docs/COMMANDS.md."""
+    def test_command_prints_the_timeline_or_fails(self) -> None:
+        """The exit codes are those in docs/COMMANDS.md."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'all.log'
             path.write_text(TEXT)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Readiness: a host is sent no callers before it could serve them."""
+"""Readiness check: a host is not ready before it can serve callers."""
 
 import unittest
 from contextlib import AsyncExitStack
@@ -22,7 +22,7 @@
         async with self.host.session.get(url) as response:
             return response.status, await response.text()
 
-    async def test_a_host_that_knows_no_upstream_is_not_ready(self) -> None:
+    async def test_host_without_upstreams_is_not_ready(self) -> None:
         self.assertEqual(await self.readiness(), (200, 'ready\n'))
         self.host.kernel.need(Directory).update(())
         self.assertEqual(
@@ -30,11 +30,11 @@
             (503, 'no upstreams yet\n'),
         )
 
-    async def test_nor_is_one_that_has_heard_nothing_of_an_engine(self) -> None:
+    async def test_host_with_an_unreported_engine_is_not_ready(self) -> None:
         directory = self.host.kernel.need(Directory)
         known = directory.states()[0].info
-        fresh = replace(known, upstream=UpstreamId('fresh'))
-        directory.update((fresh,), whole=False)
+        unreported = replace(known, upstream=UpstreamId('fresh'))
+        directory.update((unreported,), whole=False)
         self.assertEqual(
             await self.readiness(),
             (503, 'no upstreams yet\n'),
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Engine orders are sent under the lease only, and reach the desired state."""
+"""Engine orders: sent only under a lease, towards the desired state."""
 
 import itertools
 import random
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import ClassVar, cast
 
-from msgspec.structs import replace as changed
+from msgspec.structs import replace as replace_fields
 
 from nutmegroad.configuration.leases import LeaseKeeper
 from nutmegroad.contracts.documents import Document, Withdrawal, WorkspaceEntry
@@ -53,18 +53,24 @@
 from tests.tables import MemoryTable
 
 DOMAIN = DomainId('d')
-TERM = 8
+LEASE_TERM = 8
 
 
 class Engines:
-    """Engines that obey at once; some ignore fencing numbers."""
+    """Engines that carry out orders immediately.
 
-    def __init__(self, *, checks: bool = True) -> None:
+    Args:
+        checks_fencing: Whether the engines refuse old fencing numbers.
+    """
+
+    def __init__(self, *, checks_fencing: bool = True) -> None:
         self.reports = {
-            UpstreamId(name): EngineReport((OLD,), 0, 0, 4, False, checks)
+            UpstreamId(name): EngineReport(
+                (OLD,), 0, 0, 4, False, checks_fencing
+            )
             for name in ('e1', 'e2', 'e3')
         }
-        self.obeyed: list[tuple[str, str, VersionId, int]] = []
+        self.executed: list[tuple[str, str, VersionId, int]] = []
         self.down = False
 
     async def order(
@@ -72,16 +78,20 @@
         upstream: UpstreamInfo,
         order: EngineOrder,
     ) -> Refusal | None:
-        """Check the gate, then obey unless the fencing number is old."""
+        """Check the gate, then execute the order if the engine accepts it."""
         refusal = order.gate()
         if refusal is not None:
             return refusal
         if self.down:
             return Refusal(ResultCode.UPSTREAM_UNREACHABLE, 'down')
-        return self.obey(upstream.upstream, order)
+        return self.execute(upstream.upstream, order)
 
-    def obey(self, engine: UpstreamId, order: EngineOrder) -> Refusal | None:
-        """Carry out an order."""
+    def execute(
+        self,
+        engine: UpstreamId,
+        order: EngineOrder,
+    ) -> Refusal | None:
+        """Execute an order, unless its fencing number is old."""
         report = self.reports[engine]
         if report.checks_fencing and order.fencing < report.fencing:
             return Refusal(ResultCode.ORDER_FENCED, 'old')
@@ -93,18 +103,18 @@
             versions=tuple(sorted(versions)),
             fencing=max(order.fencing, report.fencing),
         )
-        self.obeyed.append(
+        self.executed.append(
             (engine, order.action.value, order.version, order.fencing)
         )
         return None
 
     async def loads_per_minute(self) -> float | Refusal:
-        """Return the loads per minute that the weight store can take."""
+        """Return the maximum rate of loads of the weight store."""
         return 60
 
 
 class Host:
-    """Order components of one host."""
+    """The components of one host that send orders."""
 
     def __init__(self, case: 'OrderCase', name: str) -> None:
         numbers = itertools.count()
@@ -117,10 +127,10 @@
             case.table,
             clock,
             lambda: f'{name}{next(numbers)}',
-            TERM,
+            LEASE_TERM,
         )
         self._engines = case.engines
-        parts = OrderDependencies(
+        dependencies = OrderDependencies(
             self.configuration,
             self.directory,
             case.engines,  # type: ignore[arg-type]
@@ -129,33 +139,33 @@
             case.table,
             case.engines,
         )
-        self.controller = OrderController(parts, DOMAIN, clock, 2)
+        self.controller = OrderController(dependencies, DOMAIN, clock, 2)
 
-    async def act(self) -> None:
-        """Read the engines' reports, and send the orders that are due."""
+    async def run_round(self) -> None:
+        """Read the reports of the engines, and send orders that are due."""
         revision = self.configuration.revision
         self.configuration.confirm(revision, self.controller._clock.now())
         engines = self._engines.reports
-        self.directory.update(tuple(map(info_of, engines)))
+        self.directory.update(tuple(map(upstream_info, engines)))
         for engine, report in engines.items():
             self.directory.reported(engine, report)
         await self.controller.reconcile()
 
 
-def info_of(engine: UpstreamId) -> UpstreamInfo:
-    """Return an engine's entry of the host list."""
+def upstream_info(engine: UpstreamId) -> UpstreamInfo:
+    """Return the entry of an engine in the host list."""
     address = Address('127.0.0.1', 1)
     return UpstreamInfo(engine, DOMAIN, UpstreamKind.ENGINE, address)
 
 
-def allowing(document: Document, *versions: VersionId) -> Document:
-    """Return a document whose only workspace may use some versions."""
+def allow_versions(document: Document, *versions: VersionId) -> Document:
+    """Return a document with one workspace that may use some versions."""
     workspace = WorkspaceEntry(name='w', key_hash='0' * 64, versions=versions)
-    return changed(document, workspaces=(workspace,))
+    return replace_fields(document, workspaces=(workspace,))
 
 
 class OrderCase(unittest.IsolatedAsyncioTestCase):
-    """Two hosts, one table and three engines of one domain."""
+    """Two hosts, one table and three engines in one failure domain."""
 
     preload: ClassVar = {OLD: 3, NEW: 2}
 
@@ -168,84 +178,89 @@
         self.addAsyncCleanup(self.mesh.__aexit__, None, None, None)
         both = (version_of(OLD), version_of(NEW))
         plain = document_of(*both, preload=self.preload)
-        self.document = allowing(plain, OLD, NEW)
-        self.set_up(Engines())
+        self.document = allow_versions(plain, OLD, NEW)
+        self.create_hosts(Engines())
 
-    def set_up(self, engines: Engines) -> None:
-        """Create two hosts for some engines."""
+    def create_hosts(self, engines: Engines) -> None:
+        """Create two hosts that manage some engines."""
         self.engines = engines
-        self.one = Host(self, 'one')
-        self.two = Host(self, 'two')
+        self.first = Host(self, 'one')
+        self.second = Host(self, 'two')
 
     @property
     def clock(self) -> ManualClock:
         """The clock of all hosts."""
         return cast(ManualClock, self.mesh.clock)
 
-    async def turns(self, *hosts: Host, seconds: float) -> None:
-        """Let hosts act every two seconds."""
+    async def run_rounds(self, *hosts: Host, seconds: float) -> None:
+        """Run a round of some hosts every two seconds."""
         for _ in range(round(seconds / 2)):
             for host in hosts:
-                await host.act()
+                await host.run_round()
             await self.clock.advance(2)
 
     def copies(self, version: VersionId) -> int:
-        """Return how many engines have a version."""
+        """Return the number of engines that have a version loaded."""
         reports = self.engines.reports.values()
         return sum(version in report.versions for report in reports)
 
 
 class DesiredStateTest(OrderCase):
-    async def test_engines_get_what_the_preset_wants(self) -> None:
-        await self.turns(self.one, self.two, seconds=10)
+    async def test_engines_load_the_versions_of_the_preset(self) -> None:
+        await self.run_rounds(self.first, self.second, seconds=10)
         self.assertEqual((self.copies(OLD), self.copies(NEW)), (3, 2))
-        self.assertEqual(len(self.engines.obeyed), 2)
+        self.assertEqual(len(self.engines.executed), 2)
 
-    async def test_loads_keep_to_the_weight_stores_rate(self) -> None:
+    async def test_loads_are_limited_by_the_rate_of_the_weight_store(
+        self,
+    ) -> None:
         for _ in range(3):
-            await self.one.act()
-        self.assertEqual(len(self.engines.obeyed), 1)
+            await self.first.run_round()
+        self.assertEqual(len(self.engines.executed), 1)
         await self.clock.advance(1)
-        await self.one.act()
-        self.assertEqual(len(self.engines.obeyed), 2)
+        await self.first.run_round()
+        self.assertEqual(len(self.engines.executed), 2)
 
-    async def test_what_an_engine_lost_is_put_right(self) -> None:
-        self.set_up(Engines(checks=False))
-        await self.turns(self.one, seconds=10)
+    async def test_versions_that_engines_unloaded_are_loaded_again(
+        self,
+    ) -> None:
+        self.create_hosts(Engines(checks_fencing=False))
+        await self.run_rounds(self.first, seconds=10)
         late = EngineOrder(
             OrderAction.UNLOAD, NEW, FencingNumber(0), lambda: None
         )
         for engine in self.engines.reports:
-            self.engines.obey(engine, late)
+            self.engines.execute(engine, late)
         self.assertEqual(self.copies(NEW), 0)
-        await self.turns(self.one, seconds=10)
+        await self.run_rounds(self.first, seconds=10)
         self.assertEqual(self.copies(NEW), 2)
 
-    async def test_an_engine_that_is_down_gets_its_order_later(self) -> None:
+    async def test_orders_are_sent_again_once_an_engine_is_up(self) -> None:
         self.engines.down = True
-        await self.turns(self.one, seconds=10)
+        await self.run_rounds(self.first, seconds=10)
         self.engines.down = False
-        await self.turns(self.one, seconds=10)
+        await self.run_rounds(self.first, seconds=10)
         self.assertEqual(self.copies(NEW), 2)
 
     async def test_a_preset_is_prepared_before_it_is_in_force(self) -> None:
-        night = changed(
+        night = replace_fields(
             self.document.presets[0], name='night', preload={NEW: 3}
         )
         presets = (*self.document.presets, night)
-        more = changed(self.document, presets=presets)
-        put(self.one.configuration, more, revision=2)
-        refusal = await self.one.controller.prepare('nigth', OperatorId('op'))
+        more = replace_fields(self.document, presets=presets)
+        put(self.first.configuration, more, revision=2)
+        operator = OperatorId('op')
+        refusal = await self.first.controller.prepare('nigth', operator)
         self.assertIsNotNone(refusal)
-        await self.one.controller.prepare('night', OperatorId('op'))
-        await self.turns(self.one, seconds=12)
+        await self.first.controller.prepare('night', operator)
+        await self.run_rounds(self.first, seconds=12)
         self.assertEqual(self.copies(NEW), 3)
 
-    async def test_domains_share_a_count_out(self) -> None:
+    async def test_copies_are_divided_among_domains(self) -> None:
         domains = tuple(map(DomainId, 'abc'))
         counts = [
             desired_state(
-                self.one.configuration, domains, domain, '', frozenset()
+                self.first.configuration, domains, domain, '', frozenset()
             ).wanted[NEW]
             for domain in domains
         ]
@@ -256,118 +271,120 @@
     preload: ClassVar = {OLD: 3}
 
     async def asyncSetUp(self) -> None:
-        """Have the new version loaded although no workspace may use it."""
+        """Load the new version on one engine; no workspace may use it."""
         await super().asyncSetUp()
-        self.document = allowing(self.document, OLD)
-        self.set_up(Engines())
+        self.document = allow_versions(self.document, OLD)
+        self.create_hosts(Engines())
         engine = UpstreamId('e1')
         report = self.engines.reports[engine]
         both = replace(report, versions=(OLD, NEW))
         self.engines.reports[engine] = both
 
-    async def test_it_waits_for_work_of_all_hosts_to_end(self) -> None:
-        await self.turns(self.one, seconds=56)
+    async def test_unload_waits_for_requests_of_all_hosts(self) -> None:
+        await self.run_rounds(self.first, seconds=56)
         self.assertEqual(self.copies(NEW), 1)
-        await self.turns(self.one, seconds=8)
+        await self.run_rounds(self.first, seconds=8)
         self.assertEqual(self.copies(NEW), 0)
 
-    async def test_it_waits_for_work_in_flight(self) -> None:
-        await self.one.act()
-        state = self.one.directory.state(UpstreamId('e1'))
+    async def test_unload_waits_for_requests_in_flight(self) -> None:
+        await self.first.run_round()
+        state = self.first.directory.state(UpstreamId('e1'))
         if state is None:
-            self.fail('The engine is not known.')
-        with self.one.directory.in_flight(state, NEW):
-            await self.turns(self.one, seconds=100)
+            self.fail('The engine is unknown.')
+        with self.first.directory.in_flight(state, NEW):
+            await self.run_rounds(self.first, seconds=100)
             self.assertEqual(self.copies(NEW), 1)
-        await self.turns(self.one, seconds=4)
+        await self.run_rounds(self.first, seconds=4)
         self.assertEqual(self.copies(NEW), 0)
 
     async def test_without_a_configuration_nothing_is_unloaded(self) -> None:
-        configuration = self.one.configuration
+        configuration = self.first.configuration
         configuration._accepted = None
         configuration.confirm(NO_REVISION, self.clock.now())
-        await self.turns(self.one, seconds=100)
-        self.assertEqual(self.engines.obeyed, [])
+        await self.run_rounds(self.first, seconds=100)
+        self.assertEqual(self.engines.executed, [])
 
     async def test_an_allowed_version_is_never_unloaded(self) -> None:
-        for host in (self.one, self.two):
-            allowed = allowing(self.document, OLD, NEW)
+        for host in (self.first, self.second):
+            allowed = allow_versions(self.document, OLD, NEW)
             put(host.configuration, allowed, revision=2)
-        await self.turns(self.one, self.two, seconds=200)
+        await self.run_rounds(self.first, self.second, seconds=200)
         self.assertEqual(self.copies(NEW), 1)
         self.assertEqual(self.copies(OLD), 3)
 
 
 class LeaseTest(OrderCase):
-    async def test_only_the_holder_gives_orders(self) -> None:
-        await self.turns(self.one, self.two, seconds=20)
-        numbers = {order[-1] for order in self.engines.obeyed}
+    async def test_only_the_lease_holder_sends_orders(self) -> None:
+        await self.run_rounds(self.first, self.second, seconds=20)
+        numbers = {order[-1] for order in self.engines.executed}
         self.assertEqual(len(numbers), 1)
 
-    async def test_an_expired_holder_sends_nothing(self) -> None:
-        await self.one.act()
-        before = len(self.engines.obeyed)
-        await self.clock.jump(TERM)
-        lease = self.one.leases._held['orders/d']
+    async def test_no_order_is_sent_after_the_lease_expired(self) -> None:
+        await self.first.run_round()
+        before = len(self.engines.executed)
+        await self.clock.jump(LEASE_TERM)
+        lease = self.first.leases._held['orders/d']
         order = next(iter(self.missing()))
-        await self.one.controller._send(order, lease)
-        self.assertEqual(len(self.engines.obeyed), before)
+        await self.first.controller._send(order, lease)
+        self.assertEqual(len(self.engines.executed), before)
 
-    async def test_engines_that_ignore_numbers_want_more_time(self) -> None:
-        for checks, obeyed in ((True, 1), (False, 0)):
-            with self.subTest(checks=checks):
-                self.set_up(Engines(checks=checks))
+    async def test_engines_without_fencing_need_twice_the_margin(self) -> None:
+        for checks_fencing, expected in ((True, 1), (False, 0)):
+            with self.subTest(checks_fencing=checks_fencing):
+                self.create_hosts(Engines(checks_fencing=checks_fencing))
                 self.engines.down = True
-                await self.one.act()
-                lease = self.one.leases._held['orders/d']
+                await self.first.run_round()
+                lease = self.first.leases._held['orders/d']
                 # The time left exceeds the margin, but not twice the margin.
                 await self.clock.jump(lease.expires - self.clock.now() - 1)
                 self.engines.down = False
                 order = next(iter(self.missing()))
-                await self.one.controller._send(order, lease)
-                self.assertEqual(len(self.engines.obeyed), obeyed)
-                await self.one.leases.release('orders/d')
-
-    async def test_a_checking_engine_refuses_an_old_number(self) -> None:
-        await self.turns(self.one, self.two, seconds=4)
-        old = FencingNumber(self.engines.obeyed[0][-1])
-        await self.turns(self.two, seconds=2 * TERM)
-        engine = UpstreamId(self.engines.obeyed[0][0])
+                await self.first.controller._send(order, lease)
+                self.assertEqual(len(self.engines.executed), expected)
+                await self.first.leases.release('orders/d')
+
+    async def test_engine_refuses_an_old_fencing_number(self) -> None:
+        await self.run_rounds(self.first, self.second, seconds=4)
+        old = FencingNumber(self.engines.executed[0][-1])
+        await self.run_rounds(self.second, seconds=2 * LEASE_TERM)
+        engine = UpstreamId(self.engines.executed[0][0])
         new = EngineOrder(
             OrderAction.LOAD, NEW, FencingNumber(old + 1), lambda: None
         )
-        self.engines.obey(engine, new)
+        self.engines.execute(engine, new)
         late = EngineOrder(OrderAction.UNLOAD, NEW, old, lambda: None)
-        refusal = self.engines.obey(engine, late)
+        refusal = self.engines.execute(engine, late)
         self.assertEqual(
             getattr(refusal, 'code', None), ResultCode.ORDER_FENCED
         )
 
-    async def test_with_the_table_down_no_order_goes_out(self) -> None:
+    async def test_no_order_is_sent_while_the_table_is_unavailable(
+        self,
+    ) -> None:
         self.table.down = True
-        await self.turns(self.one, self.two, seconds=40)
-        self.assertEqual(self.engines.obeyed, [])
+        await self.run_rounds(self.first, self.second, seconds=40)
+        self.assertEqual(self.engines.executed, [])
 
-    async def test_another_host_goes_on_with_a_higher_number(self) -> None:
-        await self.one.act()
-        await self.turns(self.two, seconds=3 * TERM)
+    async def test_next_lease_holder_has_a_higher_fencing_number(self) -> None:
+        await self.first.run_round()
+        await self.run_rounds(self.second, seconds=3 * LEASE_TERM)
         self.assertEqual(self.copies(NEW), 2)
-        numbers = [order[-1] for order in self.engines.obeyed]
+        numbers = [order[-1] for order in self.engines.executed]
         self.assertLess(numbers[0], numbers[-1])
 
-    async def test_a_withdrawn_version_is_not_loaded_any_more(self) -> None:
-        await self.one.act()
-        lease = self.one.leases._held['orders/d']
+    async def test_withdrawn_version_is_not_loaded(self) -> None:
+        await self.first.run_round()
+        lease = self.first.leases._held['orders/d']
         order = next(iter(self.missing()))
-        before = len(self.engines.obeyed)
+        before = len(self.engines.executed)
         withdrawal = Withdrawal(version=NEW, epoch=0)
-        self.one.configuration.withdraw((withdrawal,))
-        await self.one.controller._send(order, lease)
-        self.assertEqual(len(self.engines.obeyed), before)
+        self.first.configuration.withdraw((withdrawal,))
+        await self.first.controller._send(order, lease)
+        self.assertEqual(len(self.engines.executed), before)
 
     def missing(self) -> list[PlannedOrder]:
-        """Return the loads that the first host would order."""
-        states = self.one.directory.states()
+        """Return the loads that the first host has yet to order."""
+        states = self.first.directory.states()
         inventory = Inventory(states, DOMAIN, PendingOrders())
         desired = DesiredState({NEW: 3}, frozenset((OLD, NEW)))
         return inventory.missing(desired)
