--- a/src/nutmegroad/cli/_cli_commands.py
+++ b/src/nutmegroad/cli/_cli_commands.py
@@ -50,11 +50,12 @@
 async def explain(client: OperatorClient, args: Namespace) -> Any | Failure:
     """Explain a request, from the records of its host or from logs."""
     if not args.logs:
-        return await get_resource('requests/{request}', 'request')(client, args)
+        read = get_resource('requests/{request}', 'request')
+        return await read(client, args)
     try:
         lines = read_logs(Path(name) for name in args.logs)
     except (OSError, UnicodeDecodeError) as problem:
-        return Failure(ExitCode.USAGE, f'A log file cannot be read: {problem}.')
+        return Failure(ExitCode.USAGE, f'A log cannot be read: {problem}.')
     entries = story(lines, args.request)
     if entries:
         return {'story': entries}
--- a/src/nutmegroad/cli/_cli_output.py
+++ b/src/nutmegroad/cli/_cli_output.py
@@ -92,7 +92,7 @@
 
 def format_status(reply: Any) -> str:
     """Format the status of a host and the conditions that impair it."""
-    plain = {name: part for name, part in reply.items() if name != 'conditions'}
+    plain = {key: part for key, part in reply.items() if key != 'conditions'}
     lines = [format_fields(plain)]
     lines.extend(
         f'{condition["name"]} ({condition["code"]}): {condition["message"]}'
@@ -103,7 +103,7 @@
 
 def format_configuration(reply: Any) -> str:
     """Format the fields of a revision, and its document as JSON."""
-    plain = {name: part for name, part in reply.items() if name != 'document'}
+    plain = {key: part for key, part in reply.items() if key != 'document'}
     return f'{format_fields(plain)}\n{format_json(reply["document"])}'
 
 
--- a/src/nutmegroad/cli/log_stories.py
+++ b/src/nutmegroad/cli/log_stories.py
@@ -49,7 +49,7 @@
 
     def as_text(self, start: float) -> str:
         """Format the line, with its time relative to a start time."""
-        pairs = ' '.join(f'{name}={text}' for name, text in self.fields.items())
+        pairs = ' '.join(f'{key}={text}' for key, text in self.fields.items())
         return (
             f'{self.timestamp - start:+9.3f} s  {self.origin}  '
             f'{self.part}: {self.event}  {pairs}'
--- a/src/nutmegroad/operators/_host_calls.py
+++ b/src/nutmegroad/operators/_host_calls.py
@@ -11,7 +11,12 @@
 
 from nutmegroad.contracts.peers import Member, Mesh, Message
 from nutmegroad.foundations.results import Refusal, ResultCode
-from nutmegroad.foundations.types import HostId, OperatorId, Presence, RequestId
+from nutmegroad.foundations.types import (
+    HostId,
+    OperatorId,
+    Presence,
+    RequestId,
+)
 from nutmegroad.records.explanations import Step
 
 #: Name under which the control cost of operators' calls is accounted.
--- a/src/nutmegroad/operators/interface.py
+++ b/src/nutmegroad/operators/interface.py
@@ -229,7 +229,8 @@
             conditions.append(_condition(code, message))
         if configuration.unrecorded:
             message = 'Some withdrawals are not known to be in the table.'
-            conditions.append(_condition(ResultCode.TABLE_UNAVAILABLE, message))
+            code = ResultCode.TABLE_UNAVAILABLE
+            conditions.append(_condition(code, message))
         return tuple(conditions)
 
 
