--- a/src/nutmegroad/quality/ratings.py
+++ b/src/nutmegroad/quality/ratings.py
@@ -1,10 +1,10 @@
-"""Ratings of answers, read back by a few hosts and told to the others.
+"""Ratings of answers, read by a few hosts and forwarded to the others.
 
-The feed is one log in one order. What a host knows of it is a position and
-the tallies of all ratings up to there, so the same position always means
-the same tallies: of two states the further one holds, and a message that
-is late, doubled or out of order does no harm. Two hosts of each failure
-domain read the feed; every host that learns a further state passes it on.
+The feed is a totally ordered log. The state of a host is a position and the
+tallies of all ratings up to it, so equal positions mean equal tallies: of two
+states the one with the higher position is kept, and a message that is late,
+duplicated or out of order does no harm. Two hosts of each failure domain read
+the feed; every host that receives a higher position forwards the state.
 """
 
 import random
@@ -24,17 +24,20 @@
 
 _LOG: Final = part_logger('ratings')
 
-#: Who reads the feed.
+#: Duty of reading the feed.
 FEED_DUTY: Final = DutyName('ratings')
-#: Hosts of a domain that read it, so that one may fail unnoticed.
-FEED_HOLDERS: Final = 2
-#: Hosts to which each host passes a state on: few enough for its budget of
-#: bytes, and enough that a state reaches a domain of 44 in four steps.
+#: Number of hosts per domain that read the feed, so that one may fail without
+#: effect.
+FEED_READERS: Final = 2
+#: Number of hosts to which each host forwards a state: small enough for its
+#: budget of bytes, and large enough for a state to reach a domain of 44 hosts
+#: in four steps.
 FANOUT: Final = 3
 
-#: Parts of the scale of scores: each is 0.05 wide.
+#: Number of buckets of scores, each 0.05 wide.
 BUCKETS: Final = 20
 
+#: Decimal digits to which sums of scores are rounded.
 _SCORE_DIGITS: Final = 6
 
 #: A version and a task class.
@@ -42,16 +45,16 @@
 
 
 class RatingTally(Struct, frozen=True, array_like=True):
-    """Ratings of one version for one task class, summed.
+    """Sums of the ratings of one version for one task class.
 
     Attributes:
         version: The version that wrote the answers.
-        task: Their task class.
-        count: How many ratings.
+        task: Task class of the answers.
+        count: Number of ratings.
         total: Sum of the scores.
-        squares: Sum of the scores' squares.
-        buckets: How many scores fell into each of ``BUCKETS`` equal parts
-            of the scale, so that a test can look at single scores.
+        squares: Sum of the squared scores.
+        buckets: Histogram of the scores in ``BUCKETS`` equal buckets, for
+            statistical tests that need single scores.
     """
 
     version: VersionId
@@ -63,22 +66,22 @@
 
     @property
     def key(self) -> RatingKey:
-        """Return what it is about."""
+        """Version and task class of the ratings."""
         return self.version, self.task
 
     def plus(self, score: float) -> 'RatingTally':
-        """Return it with one rating more."""
+        """Return the tally with one more rating."""
         return RatingTally(
             self.version,
             self.task,
             self.count + 1,
             round(self.total + score, _SCORE_DIGITS),
             round(self.squares + score * score, _SCORE_DIGITS),
-            _drop_in(self.buckets, score),
+            _increment_bucket(self.buckets, score),
         )
 
     def since(self, earlier: 'RatingTally') -> 'RatingTally':
-        """Return what came after an earlier tally."""
+        """Return the difference to an earlier tally."""
         return RatingTally(
             self.version,
             self.task,
@@ -89,16 +92,16 @@
         )
 
 
-#: Is told which ratings are new, summed by version and task class.
+#: Called with new ratings, summed by version and task class.
 RatingListener = Callable[[RatingTally], None]
 
 
 class RatingState(Message, frozen=True, tag='rating-state'):
-    """What a host knows of the feed.
+    """State of a host: all ratings up to a position of the feed.
 
     Attributes:
-        position: Last position that the tallies hold.
-        tallies: All ratings up to there.
+        position: Last position that the tallies include.
+        tallies: Tallies of all ratings up to the position.
     """
 
     part: ClassVar[str] = 'ratings'
@@ -109,21 +112,21 @@
 
 
 class FeedDuty(Protocol):
-    """What the feed needs of the duties."""
+    """The part of ``Duties`` that the feed uses."""
 
     def is_mine(self, duty: DutyName, count: int = 1) -> bool:
-        """Tell whether this host holds a duty."""
+        """Return whether this host is one of ``count`` holders of a duty."""
 
 
 class RatingFeed:
-    """Follows the feed, and tells listeners what is new.
+    """Tracks the feed, and notifies listeners of new ratings.
 
     Args:
         ratings: The rating service.
-        mesh: The other hosts.
-        duties: Says whether this host reads the feed.
+        mesh: Links to the other hosts.
+        duties: Duties of this host; decide whether it reads the feed.
         clock: The host's clock.
-        randomness: Chooses to whom a state is passed on.
+        randomness: Selects the hosts to which a state is forwarded.
         period: Seconds between reads.
     """
 
@@ -145,50 +148,54 @@
         self._position = 0
         self._tallies: dict[RatingKey, RatingTally] = {}
         self._listeners: list[RatingListener] = []
-        mesh.handle(RatingState, self._learn)
+        mesh.handle(RatingState, self._receive_state)
 
     @property
     def position(self) -> int:
-        """Return the last position that is known here."""
+        """Last position whose ratings this host has received."""
         return self._position
 
     def tallies(self) -> tuple[RatingTally, ...]:
-        """Return all ratings that are known, summed."""
+        """Return the tallies of all ratings received."""
         return tuple(self._tallies.values())
 
     def listen(self, listener: RatingListener) -> None:
-        """Tell a listener what is new from now on, and what is known."""
+        """Add a listener; call it with all known and later new ratings."""
         self._listeners.append(listener)
         for tally in self._tallies.values():
             listener(tally)
 
     async def run(self) -> None:
-        """Read the feed until cancelled, while that is this host's duty."""
+        """Read the feed until cancelled, whenever this host holds the duty."""
         while True:
-            if self._duties.is_mine(FEED_DUTY, FEED_HOLDERS):
+            if self._duties.is_mine(FEED_DUTY, FEED_READERS):
                 await self.poll()
             await self._clock.sleep(self._period)
 
     async def poll(self) -> Refusal | None:
-        """Read what is new in the feed, and pass it on."""
+        """Read new ratings from the feed, and forward them.
+
+        Returns:
+            The refusal if the feed could not be read.
+        """
         page = await self._ratings.feed(self._position)
         if isinstance(page, Refusal):
-            _LOG.info('feed not read: %s', page.reason)
+            _LOG.info('cannot read the ratings feed: %s', page.reason)
             return page
-        # A state may have come from another host while the read was away.
+        # Another host's state may have been received during the read.
         fresh = [rating for rating in page if rating.position > self._position]
         if fresh:
-            self._take(_fold(self._tallies, fresh), fresh[-1].position)
+            self._apply(_add_ratings(self._tallies, fresh), fresh[-1].position)
         return None
 
-    async def _learn(self, sender: HostId, state: RatingState) -> None:
+    async def _receive_state(self, sender: HostId, state: RatingState) -> None:
         if state.position <= self._position:
             return
-        self._take(
+        self._apply(
             {tally.key: tally for tally in state.tallies}, state.position
         )
 
-    def _take(
+    def _apply(
         self,
         tallies: dict[RatingKey, RatingTally],
         position: int,
@@ -200,14 +207,14 @@
             earlier = before.get(tally.key, RatingTally(*tally.key))
             fresh = tally.since(earlier)
             if fresh.count > 0:
-                self._tell(fresh)
-        self._pass_on()
+                self._notify(fresh)
+        self._forward_state()
 
-    def _tell(self, fresh: RatingTally) -> None:
+    def _notify(self, fresh: RatingTally) -> None:
         for listener in self._listeners:
             listener(fresh)
 
-    def _pass_on(self) -> None:
+    def _forward_state(self) -> None:
         state = RatingState(self._position, self.tallies())
         hosts = [member.host for member in self._mesh.members()]
         count = min(FANOUT, len(hosts))
@@ -216,26 +223,28 @@
 
 
 def score_of(bucket: int) -> float:
-    """Return the score in the middle of a bucket."""
+    """Return the score at the centre of a bucket."""
     return (bucket + 0.5) / BUCKETS
 
 
-def _drop_in(buckets: tuple[int, ...], score: float) -> tuple[int, ...]:
-    """Return the buckets with one score more."""
+def _increment_bucket(
+    buckets: tuple[int, ...], score: float
+) -> tuple[int, ...]:
+    """Return the histogram with one more score."""
     chosen = min(max(int(score * BUCKETS), 0), BUCKETS - 1)
     return tuple(
         count + (number == chosen) for number, count in enumerate(buckets)
     )
 
 
-def _fold(
+def _add_ratings(
     tallies: dict[RatingKey, RatingTally],
     ratings: list[Rating],
 ) -> dict[RatingKey, RatingTally]:
     """Return the tallies with ratings added, in the order of the feed."""
-    folded = dict(tallies)
+    updated = dict(tallies)
     for rating in ratings:
         key = (rating.version, rating.task)
-        tally = folded.get(key, RatingTally(*key))
-        folded[key] = tally.plus(rating.score)
-    return folded
+        tally = updated.get(key, RatingTally(*key))
+        updated[key] = tally.plus(rating.score)
+    return updated
--- a/src/nutmegroad/quality/ratings_part.py
+++ b/src/nutmegroad/quality/ratings_part.py
@@ -1,4 +1,4 @@
-"""The part that follows the ratings of answers."""
+"""Part that reads the feed of ratings and shares it with other hosts."""
 
 from typing import Final
 
@@ -15,12 +15,12 @@
 
 @register('part', 'ratings')
 class RatingsPart:
-    """Provides the feed; ``rating_samples`` hands answers in."""
+    """Provides the feed; ``rating_samples`` submits answers for rating."""
 
     needs = (Ratings, Mesh, Duties)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to follow."""
+        """Start to read the feed."""
         feed = RatingFeed(
             kernel.need(Ratings),
             kernel.need(Mesh),
--- a/src/nutmegroad/quality/trials.py
+++ b/src/nutmegroad/quality/trials.py
@@ -1,4 +1,7 @@
-"""Which requests a version in roll-out gets from the planner."""
+"""Rules that decide which requests the planner sends to a canary version.
+
+A canary version is a version in a rollout.
+"""
 
 from typing import Final, Protocol
 
@@ -9,38 +12,39 @@
 from nutmegroad.foundations.types import VersionId
 
 _HASH_BITS: Final = 64
-_HASHES: Final = 2**_HASH_BITS
+_HASH_VALUES: Final = 2**_HASH_BITS
 
 
-class TrialRule(Protocol):
-    """Says which requests a version in roll-out may get."""
+class CanaryRule(Protocol):
+    """Decides which requests may go to a version in a rollout."""
 
     def allows(self, version: VersionId, request: ModelRequest) -> bool:
-        """Tell whether a request may go to a version."""
+        """Return whether a request may go to a version."""
 
 
 class PresetShares:
-    """Gives a version in roll-out the whole share of the preset in force.
+    """Gives a version in a rollout the full share of the preset in force.
 
     Args:
-        configuration: What is in force.
+        configuration: Configuration in force.
     """
 
     def __init__(self, configuration: Configuration) -> None:
         self._configuration = configuration
 
     def allows(self, version: VersionId, request: ModelRequest) -> bool:
-        """Tell whether a request is one of the version's share.
+        """Return whether a request falls into the version's share.
 
-        All hosts draw the same for the same request.
+        The decision is a hash of the version and the request, so all hosts
+        decide alike.
         """
         drawn = xxhash.xxh64_intdigest(
             f'{version}/{request.request}'.encode(),
         )
-        return drawn / _HASHES < self._share(version)
+        return drawn / _HASH_VALUES < self._share(version)
 
     def _share(self, version: VersionId) -> float:
-        """Return the preset's share."""
+        """Return a version's share in the preset; 0 if it has none."""
         accepted = self._configuration.accepted
         rollouts = () if accepted is None else accepted.preset_entry.rollouts
         for entry in rollouts:
@@ -50,11 +54,11 @@
 
 
 class Trials:
-    """The rule for versions in roll-out; another part may replace it.
+    """Holds the rule for versions in a rollout; another part may replace it.
 
     Args:
-        rule: The rule to begin with.
+        rule: The initial rule.
     """
 
-    def __init__(self, rule: TrialRule) -> None:
+    def __init__(self, rule: CanaryRule) -> None:
         self.rule = rule
--- a/tests/test_ratings.py
+++ b/tests/test_ratings.py
@@ -1,4 +1,4 @@
-"""Ratings are counted once, whoever read them and however they came."""
+"""Tests that each rating counts once, whichever host has read it."""
 
 import random
 import unittest
@@ -27,10 +27,10 @@
         self.scores = scores
 
     async def submit(self, answer: RatedAnswer) -> Refusal | None:
-        """Take nothing."""
+        """Accept the answer and ignore it."""
 
     async def feed(self, after: int) -> tuple[Rating, ...] | Refusal:
-        """Return what comes after a position."""
+        """Return the ratings after a position."""
         return tuple(
             Rating(place + 1, RequestId(str(place)), TASK, VERSION, score)
             for place, score in enumerate(self.scores)
@@ -39,10 +39,10 @@
 
 
 class AlwaysMine:
-    """Duties that this host holds."""
+    """Duties all held by this host."""
 
     def is_mine(self, duty: DutyName, count: int = 1) -> bool:
-        """Say yes."""
+        """Return true."""
         return True
 
 
@@ -51,10 +51,10 @@
     mesh: MemoryMesh,
     host: HostId,
 ) -> RatingFeed:
-    """Return a host's feed."""
+    """Return the feed of a host that has joined the mesh."""
     peer = mesh.join(host, DomainId('d'))
-    chance = random.Random(host)
-    return RatingFeed(service, peer, AlwaysMine(), mesh.clock, chance, 1)
+    randomness = random.Random(host)
+    return RatingFeed(service, peer, AlwaysMine(), mesh.clock, randomness, 1)
 
 
 class RatingFeedTest(unittest.IsolatedAsyncioTestCase):
@@ -62,20 +62,21 @@
         clock = ManualClock()
         faults = NetworkFaults(duplicate=0.5, reorder=0.5, reorder_delay=3)
         service = ListedRatings([0.5, 1.0])
-        heard: dict[int, list[RatingTally]] = {0: [], 1: [], 2: []}
+        received: dict[int, list[RatingTally]] = {0: [], 1: [], 2: []}
         async with MemoryMesh(clock, random.Random(3), faults) as mesh:
             feeds = [
-                feed_of(service, mesh, HostId(f'h{number}')) for number in heard
+                feed_of(service, mesh, HostId(f'h{number}'))
+                for number in received
             ]
             for number, feed in enumerate(feeds):
-                feed.listen(heard[number].append)
+                feed.listen(received[number].append)
             for _ in range(8):
                 await feeds[0].poll()
                 await feeds[1].poll()
                 service.scores.append(0.25)
                 await clock.advance(0.5)
             await clock.advance(5)
-        for tallies in heard.values():
+        for tallies in received.values():
             self.assertEqual(sum(tally.count for tally in tallies), 9)
             total = sum(tally.total for tally in tallies)
             self.assertAlmostEqual(total, 1.5 + 7 * 0.25)
