--- a/src/nutmegroad/quality/__init__.py
+++ b/src/nutmegroad/quality/__init__.py
@@ -1,1 +1,1 @@
-"""How good versions are, and which plan is the cheapest that will do."""
+"""Quality estimates of versions, and the planner that relies on them."""
--- a/src/nutmegroad/quality/_bounds.py
+++ b/src/nutmegroad/quality/_bounds.py
@@ -1,8 +1,9 @@
-"""How far an estimated mean may be from the true one.
+"""Confidence bounds of a mean score.
 
-The bound is Student's, over a prior of the mean and of the variance: the
-scores of a version lie close together, and a bound that does not learn how
-close (Hoeffding's, Wilson's) is five times as wide as the truth.
+The bounds are quantiles of Student's distribution, with a prior of the mean
+and of the variance. The scores of a version lie close together; bounds that do
+not learn the variance (Hoeffding's, Wilson's) are five times as wide as the
+actual uncertainty.
 """
 
 from dataclasses import dataclass
@@ -11,29 +12,29 @@
 from statistics import NormalDist
 from typing import Final
 
-#: Ratings that the declared quality counts for.
+#: Weight of the declared quality, as a number of ratings.
 PRIOR_WEIGHT: Final = 4.0
-#: Ratings that the supposed spread counts for.
-SPREAD_WEIGHT: Final = 4.0
-#: Supposed standard deviation of single scores before any rating; it is
-#: twice that of the stand-ins, so that a new version is held for uncertain.
-PRIOR_SPREAD: Final = 0.1
-#: Steps of the degrees of freedom for which quantiles are kept.
-_FREEDOM_STEP: Final = 0.5
-#: Coefficients of the expansion of Cornish and Fisher.
-_FIRST: Final = 4
-_SECOND: Final = 96
-_INNER: Final = 16
+#: Weight of the prior standard deviation, as a number of ratings.
+DEVIATION_WEIGHT: Final = 4.0
+#: Prior standard deviation of single scores; twice that of the stand-ins, so
+#: that a new version counts as uncertain.
+PRIOR_DEVIATION: Final = 0.1
+#: Step to which degrees of freedom are rounded, so that quantiles are cached.
+_DEGREES_STEP: Final = 0.5
+#: Constants of the Cornish-Fisher expansion.
+_FIRST_DIVISOR: Final = 4
+_SECOND_DIVISOR: Final = 96
+_SECOND_COEFFICIENT: Final = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What ratings say, summed up.
+    """Summary of ratings.
 
     Attributes:
-        count: Ratings that it is worth, after decay.
-        mean: Their mean score.
-        variance: The variance of single scores.
+        count: Effective number of ratings, after decay.
+        mean: Mean score.
+        variance: Variance of single scores.
     """
 
     count: float = 0
@@ -43,55 +44,61 @@
 
 @dataclass(frozen=True, slots=True)
 class Posterior:
-    """What is believed of a mean.
+    """Posterior distribution of a mean score.
 
     Attributes:
-        mean: The middle.
+        mean: Centre of the distribution.
         error: Standard error of the mean.
-        freedom: Degrees of freedom.
+        degrees: Degrees of freedom of Student's distribution.
     """
 
     mean: float
     error: float
-    freedom: float
+    degrees: float
 
     def bound(self, confidence: float) -> float:
-        """Return what the mean exceeds with that confidence, from 0 to 1.
+        """Return a lower bound of the mean, limited to 0 to 1.
 
-        A confidence below one half gives an upper bound.
+        Args:
+            confidence: Probability that the mean exceeds the bound; a
+                probability below one half gives an upper bound.
         """
-        reach = student_quantile(confidence, self.freedom) * self.error
+        reach = student_quantile(confidence, self.degrees) * self.error
         return min(1, max(0, self.mean - reach))
 
 
 def posterior(declared: float, evidence: Evidence) -> Posterior:
-    """Return what is believed, from the declared quality and ratings."""
+    """Return the posterior of the declared quality and ratings."""
     weight = PRIOR_WEIGHT + evidence.count
     gap = evidence.mean - declared
     mean = (PRIOR_WEIGHT * declared + evidence.count * evidence.mean) / weight
-    freedom = SPREAD_WEIGHT + evidence.count
-    squares = SPREAD_WEIGHT * PRIOR_SPREAD * PRIOR_SPREAD
+    degrees = DEVIATION_WEIGHT + evidence.count
+    squares = DEVIATION_WEIGHT * PRIOR_DEVIATION * PRIOR_DEVIATION
     squares += evidence.count * evidence.variance
-    # A declared quality far from the ratings makes both less sure.
+    # A declared quality far from the ratings makes both less certain.
     squares += PRIOR_WEIGHT * evidence.count / weight * gap * gap
-    return Posterior(mean, sqrt(squares / freedom / weight), freedom)
+    return Posterior(mean, sqrt(squares / degrees / weight), degrees)
 
 
-def student_quantile(confidence: float, freedom: float) -> float:
+def student_quantile(confidence: float, degrees: float) -> float:
     """Return a quantile of Student's distribution.
 
-    The expansion of Cornish and Fisher is off by less than 0.02 from four
-    degrees of freedom on, for confidences between 0.02 and 0.98.
+    The error of the Cornish-Fisher expansion is below 0.02 from four degrees
+    of freedom on, for confidences between 0.02 and 0.98.
     """
-    return _quantile(confidence, round(freedom / _FREEDOM_STEP))
+    return _quantile(confidence, round(degrees / _DEGREES_STEP))
 
 
 @cache
 def _quantile(confidence: float, steps: int) -> float:
-    """Work out a quantile once for each step of the freedom."""
-    freedom = max(steps, 1) * _FREEDOM_STEP
+    """Compute a quantile, once for each step of the degrees of freedom."""
+    degrees = max(steps, 1) * _DEGREES_STEP
     normal = NormalDist().inv_cdf(confidence)
     square = normal * normal
-    first = normal * (square + 1) / _FIRST
-    second = normal * (square * (5 * square + _INNER) + 3) / _SECOND
-    return normal + first / freedom + second / (freedom * freedom)
+    first = normal * (square + 1) / _FIRST_DIVISOR
+    second = (
+        normal
+        * (square * (5 * square + _SECOND_COEFFICIENT) + 3)
+        / _SECOND_DIVISOR
+    )
+    return normal + first / degrees + second / (degrees * degrees)
--- a/src/nutmegroad/quality/_plan_choice.py
+++ b/src/nutmegroad/quality/_plan_choice.py
@@ -1,7 +1,7 @@
-"""How one request's version is chosen among those that it may use.
+"""Choice of a request's version among those that it may use.
 
-Everything here is a function of typed values, so that it can be measured
-alone.
+Everything here is a pure function of typed values, so that it can be tested in
+isolation.
 """
 
 from collections.abc import Iterable
@@ -13,17 +13,18 @@
 from nutmegroad.contracts.requests import ModelRequest
 from nutmegroad.quality.estimates import Estimate
 
-#: Half a step of the scores' scale: a version is not held for worse than
-#: the target on a difference that the scale does not show.
-RESOLUTION: Final = 0.005
-#: Ratings from which on a version's evidence is old enough for workspaces
-#: that weigh exposure most.
-SEASONED: Final = 20.0
+#: Half a step of the scores' scale: a version does not count as worse than the
+#: target for a difference that the scale does not resolve.
+SCORE_RESOLUTION: Final = 0.005
+#: Number of ratings from which the mean of an unproven version is used rather
+#: than its declared quality, and from which a version may count as proven for
+#: workspaces that care most about exposure.
+MIN_SEASONED_RATINGS: Final = 20.0
 
 
 @unique
 class Standing(Enum):
-    """What the evidence says of a version against a target."""
+    """Result of comparing a version's evidence with a target."""
 
     PROVEN = 'proven'
     UNDECIDED = 'undecided'
@@ -32,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A version that may answer.
+    """A version that a request may use.
 
     Attributes:
-        entry: Its entry in the document.
-        estimate: What is believed of it.
-        standing: Whether it meets the target.
-        price: Cost of a usual request of the task class.
-        in_use: Whether most requests got it until now.
+        entry: Entry of the version in the configuration document.
+        estimate: Quality estimate for the request's task class.
+        standing: Whether the estimate meets the target.
+        price: Estimated cost of a request of this size on the version.
+        in_use: Whether most requests of this kind have been sent to it so far.
     """
 
     entry: VersionEntry
@@ -49,8 +50,8 @@
     in_use: bool = False
 
     @property
-    def believed(self) -> bool:
-        """Whether its owner's word may stand in for evidence."""
+    def is_eligible(self) -> bool:
+        """Whether the evidence does not rule out that it meets the target."""
         return self.standing is not Standing.FAILED
 
 
@@ -61,19 +62,23 @@
     *,
     in_use: bool,
 ) -> Standing:
-    """Return what the evidence says of a version.
+    """Compare a version's estimate with a target.
 
     Args:
-        estimate: What is believed of it.
+        estimate: Quality estimate of the version.
         target: Quality that answers must reach.
-        concern: What the workspace weighs most.
-        in_use: Whether it is the one in use, which less may keep.
+        concern: The measure that the workspace cares most about.
+        in_use: Whether the version is in use; less confidence is then required
+            to keep it.
     """
-    bound = estimate.keep if in_use else estimate.lower
-    seasoned = estimate.ratings >= SEASONED or concern is not Concern.EXPOSURE
+    bound = estimate.lower_in_use if in_use else estimate.lower
+    seasoned = (
+        estimate.ratings >= MIN_SEASONED_RATINGS
+        or concern is not Concern.EXPOSURE
+    )
     if bound >= target and seasoned:
         return Standing.PROVEN
-    if estimate.upper < target - RESOLUTION:
+    if estimate.upper < target - SCORE_RESOLUTION:
         return Standing.FAILED
     return Standing.UNDECIDED
 
@@ -81,9 +86,10 @@
 def choose(candidates: Iterable[Candidate], target: float) -> Candidate | None:
     """Return the cheapest version that meets a target, or None.
 
-    A proven version goes first. Where none is proven, the middle of what is
-    believed decides, which is the owner's word before there are ratings;
-    last, the owner's word alone, where the evidence leaves it open.
+    A proven version is preferred. If there is none, the estimated mean
+    decides, or the declared quality of a version with few ratings. If no
+    version qualifies by that, the declared quality alone decides, unless the
+    evidence contradicts it.
     """
     cheapest = sorted(candidates, key=_price_of)
     for fits in (_is_proven, _is_likely, _is_declared):
@@ -98,24 +104,24 @@
     candidates: Iterable[Candidate],
     chosen: Candidate | None,
 ) -> str:
-    """Say which versions were weighed, and why each was left out."""
-    words = [f'target {request.target:g}']
-    dearer = []
+    """Return a description of the versions that were compared."""
+    parts = [f'target {request.target:g}']
+    more_expensive = []
     for candidate in sorted(candidates, key=_price_of):
         if chosen is None or candidate.price <= chosen.price:
-            words.append(_describe(candidate, taken=candidate is chosen))
+            parts.append(_describe(candidate, is_chosen=candidate is chosen))
         else:
-            dearer.append(candidate.entry.id)
-    if dearer:
-        names = ', '.join(dearer)
-        words.append(f'dearer, not needed: {names}')
-    return '; '.join(words)
+            more_expensive.append(candidate.entry.id)
+    if more_expensive:
+        names = ', '.join(more_expensive)
+        parts.append(f'more expensive, not needed: {names}')
+    return '; '.join(parts)
 
 
-def _describe(candidate: Candidate, *, taken: bool) -> str:
-    """Say how one version was weighed."""
+def _describe(candidate: Candidate, *, is_chosen: bool) -> str:
+    """Return a description of one version and its estimate."""
     estimate = candidate.estimate
-    verdict = 'taken' if taken else 'left out'
+    verdict = 'chosen' if is_chosen else 'not chosen'
     return (
         f'{candidate.entry.id} {candidate.standing.value}, {verdict} '
         f'({estimate.lower:.3f} <= {estimate.mean:.3f} <= '
@@ -125,31 +131,32 @@
 
 
 def _is_proven(candidate: Candidate, target: float) -> bool:
-    """Tell whether the evidence says that a version is good enough."""
+    """Return whether the evidence shows that a version meets the target."""
     return candidate.standing is Standing.PROVEN
 
 
 def _is_likely(candidate: Candidate, target: float) -> bool:
-    """Tell whether a version is rather good enough than not.
+    """Return whether a version is more likely than not to meet the target.
 
-    Of one with few ratings its owner's word is taken: a few low scores at
-    the start would else turn all requests away from it.
+    For a version with few ratings the declared quality decides: otherwise a
+    few low scores at the start would divert all requests from it.
     """
     estimate = candidate.estimate
     likely = estimate.mean >= target
     if candidate.in_use:
-        # It leaves on evidence against it, not for lack of more.
-        likely = 2 * estimate.mean - estimate.keep >= target
-    if estimate.ratings < SEASONED:
+        # A version in use is replaced because of evidence against it, not for
+        # lack of evidence.
+        likely = 2 * estimate.mean - estimate.lower_in_use >= target
+    if estimate.ratings < MIN_SEASONED_RATINGS:
         likely = estimate.declared >= target
-    return candidate.believed and likely
+    return candidate.is_eligible and likely
 
 
 def _is_declared(candidate: Candidate, target: float) -> bool:
-    """Tell whether a version's owner says that it is good enough."""
-    return candidate.believed and candidate.estimate.declared >= target
+    """Return whether the declared quality of a version meets the target."""
+    return candidate.is_eligible and candidate.estimate.declared >= target
 
 
 def _price_of(candidate: Candidate) -> float:
-    """Return a candidate's price."""
+    """Return the price of a candidate."""
     return candidate.price
--- a/src/nutmegroad/quality/cascades.py
+++ b/src/nutmegroad/quality/cascades.py
@@ -1,9 +1,9 @@
-"""When a cheap version is tried first, and a dear one only if need be.
+"""Cascades: try a cheap version first, an expensive one if a check fails.
 
-A cascade pays only if something tells good answers of the cheap version
-from bad ones at once; ratings come too late for that. A check is any such
-thing. It has a measured power, or it is not used: without any, a cascade
-is the cheap version's quality at more than its cost.
+A cascade is worthwhile only if a check can distinguish good from bad answers
+of the cheap version immediately; ratings come too late for that. A check whose
+power is not known is not used: without power, a cascade has the quality of the
+cheap version at more than its cost.
 """
 
 from collections.abc import Mapping
@@ -17,29 +17,30 @@
 from nutmegroad.foundations.types import TaskName, VersionId
 from nutmegroad.quality._plan_choice import Candidate
 
-#: Rated answers below which a check's power counts as unmeasured.
-FEWEST_RATED: Final = 100
-#: What a check's verdict must be for the next step to be spared.
-PASSED: Final = 0.5
-#: Cost that a second of waiting is worth, by what a workspace weighs most.
-SECOND_PRICE: Final[Mapping[Concern, float]] = MappingProxyType(
+#: Number of rated answers below which the power of a check counts as unknown.
+MIN_RATED: Final = 100
+#: Minimum confidence of a check at which the next step is skipped.
+PASS_THRESHOLD: Final = 0.5
+#: Cost charged for a second of waiting, by the workspace's main concern; there
+#: are no cascades for other concerns.
+COST_PER_SECOND: Final[Mapping[Concern, float]] = MappingProxyType(
     {Concern.COST: 0, Concern.LATENCY: 1},
 )
 
 
 @dataclass(frozen=True, slots=True)
 class CheckPower:
-    """What ratings say of a check on a version's answers.
+    """Power of a check to detect good answers of a version, from ratings.
 
     Attributes:
-        passed: Share of answers that it passes.
-        quality: Lower bound of the mean quality of those.
-        rated: Rated answers that this rests on.
+        pass_rate: Fraction of the answers that pass the check.
+        quality: Lower bound of the mean quality of answers that pass.
+        rated: Number of rated answers that the power was estimated from.
         cost: Cost of a check.
-        seconds: Time that the first step and the check take.
+        seconds: Seconds that the first step and the check take.
     """
 
-    passed: float
+    pass_rate: float
     quality: float
     rated: int
     cost: float = 0
@@ -47,80 +48,87 @@
 
 
 class AnswerCheck(Protocol):
-    """Tells good answers from bad ones, before anybody has rated them."""
+    """Distinguishes good answers from bad ones before they are rated."""
 
     def power(self, version: VersionId, task: TaskName) -> CheckPower | None:
-        """Return its measured power, or None if it has none."""
+        """Return the estimated power of the check, or None if unknown."""
 
     def judge(self, request: ModelRequest, end: AttemptEnd) -> float:
-        """Return how sure it is that an answer is good, from 0 to 1."""
+        """Return the confidence, from 0 to 1, that an answer is good."""
 
 
 class NoCheck:
-    """Checks nothing: no check has shown power yet."""
+    """Passes no answer; the default, as no check has shown power yet."""
 
     def power(self, version: VersionId, task: TaskName) -> CheckPower | None:
-        """Claim none."""
+        """Return None: the check has no power."""
 
     def judge(self, request: ModelRequest, end: AttemptEnd) -> float:
-        """Pass nothing."""
+        """Return 0: no answer passes."""
         return 0
 
 
 @dataclass(frozen=True, slots=True)
 class Cascade:
-    """A cheap version with a check, before the one that else answers.
+    """A cheap version with a check, followed by a more expensive version.
 
     Attributes:
-        cheap: The version that is tried first.
-        dear: The version that answers if the check fails.
-        power: What is known of the check.
+        cheap: The version of the first step.
+        expensive: The version that answers if the check fails.
+        power: Power of the check on answers of the cheap version.
     """
 
     cheap: Candidate
-    dear: Candidate
+    expensive: Candidate
     power: CheckPower
 
     @property
     def cost(self) -> float:
-        """Return the expected cost."""
-        escalated = (1 - self.power.passed) * self.dear.price
+        """Expected cost of a request."""
+        escalated = (1 - self.power.pass_rate) * self.expensive.price
         return self.cheap.price + self.power.cost + escalated
 
     @property
     def quality(self) -> float:
-        """Return a lower bound of the expected quality."""
-        escalated = (1 - self.power.passed) * self.dear.estimate.lower
-        return self.power.passed * self.power.quality + escalated
+        """Lower bound of the expected quality."""
+        escalated = (1 - self.power.pass_rate) * self.expensive.estimate.lower
+        return self.power.pass_rate * self.power.quality + escalated
 
-    def pays(self, request: ModelRequest) -> bool:
-        """Tell whether it is worth its wait and meets the target."""
-        price = SECOND_PRICE.get(request.concern)
+    def is_worthwhile(self, request: ModelRequest) -> bool:
+        """Return whether it saves cost, waiting included, at the target."""
+        price = COST_PER_SECOND.get(request.concern)
         if price is None or not request.repeatable:
-            # A second version would run what may run once only.
+            # The second step would execute the request a second time.
             return False
-        if self.power.rated < FEWEST_RATED:
+        if self.power.rated < MIN_RATED:
             return False
-        wait = price * self.power.seconds
-        cheaper = self.cost + wait < self.dear.price
+        wait_cost = price * self.power.seconds
+        cheaper = self.cost + wait_cost < self.expensive.price
         return cheaper and self.power.quality >= request.target
 
 
 def best_cascade(
     request: ModelRequest,
     candidates: tuple[Candidate, ...],
-    dear: Candidate,
+    expensive: Candidate,
     check: AnswerCheck,
 ) -> Cascade | None:
-    """Return the cheapest cascade that pays, or None."""
+    """Return the cheapest worthwhile cascade, or None.
+
+    Args:
+        request: The request.
+        candidates: Versions that may take the first step.
+        expensive: The version that answers if the check fails.
+        check: Checks the answers of the first step.
+    """
     found = []
     for cheap in candidates:
-        if cheap.price >= dear.price:
+        if cheap.price >= expensive.price:
             continue
         power = check.power(cheap.entry.version, request.task)
         if power is None:
             continue
-        cascade = Cascade(cheap, dear, power)
-        if cascade.pays(request):
+        cascade = Cascade(cheap, expensive, power)
+        if cascade.is_worthwhile(request):
             found.append(cascade)
     return min(found, key=lambda cascade: cascade.cost, default=None)
--- a/src/nutmegroad/quality/estimates.py
+++ b/src/nutmegroad/quality/estimates.py
@@ -1,9 +1,9 @@
-"""What is believed of each version's quality now, for the planner.
+"""Current quality estimates of all versions, for the planner.
 
-An estimate joins the quality that the document declares, as a prior, with
-what ratings say. Evidence on a pair that is no longer rated while others
-are loses its weight with time, so that a version once found wanting is
-tried again some day; while no ratings come at all, nothing ages.
+An estimate combines the quality that the configuration declares, as a prior,
+with ratings. If a version and task class are no longer rated while others are,
+their evidence loses weight with time, so that a version once found to be poor
+is eventually tried again. While no ratings arrive at all, nothing ages.
 """
 
 from dataclasses import dataclass
@@ -16,119 +16,122 @@
 from nutmegroad.quality._bounds import Evidence, posterior
 from nutmegroad.quality.quality_book import (
     Cell,
-    Pair,
-    QualityBook,
+    CellKey,
     QualityState,
+    QualityTracker,
 )
 
-#: Confidence with which a version must meet the target to be taken up.
-ENTER: Final = 0.95
-#: Confidence that keeps a version that is in use; less, against flapping.
-STAY: Final = 0.7
-#: Seconds in which evidence that nothing renews loses half its weight.
+#: Confidence with which a version must meet the target to come into use.
+ENTRY_CONFIDENCE: Final = 0.95
+#: The same for a version in use; lower, to avoid flapping.
+RETENTION_CONFIDENCE: Final = 0.7
+#: Seconds in which evidence without new ratings loses half its weight.
 HALF_LIFE: Final = 3600.0
-#: Seconds to which ages are rounded, so that estimates can be kept.
+#: Seconds to which ages are rounded down, so that estimates can be cached.
 _AGE_STEP: Final = 300.0
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """What is believed of a version for a task class.
+    """Estimated mean quality of a version for a task class.
 
     Attributes:
-        declared: What its owner says, from 0 to 1.
-        mean: The middle of what is believed.
+        declared: Quality that the version's owner declares, from 0 to 1.
+        mean: Estimated mean.
         error: Standard error of the mean.
-        lower: Exceeded with confidence ``ENTER``.
-        keep: Exceeded with confidence ``STAY``.
-        upper: Not exceeded with confidence ``ENTER``.
-        ratings: Ratings that it rests on, after decay.
+        lower: Lower bound of the mean with ``ENTRY_CONFIDENCE``.
+        lower_in_use: Lower bound with ``RETENTION_CONFIDENCE``, for a version
+            in use.
+        upper: Upper bound of the mean with ``ENTRY_CONFIDENCE``.
+        ratings: Effective number of ratings, after decay.
     """
 
     declared: float
     mean: float
     error: float
     lower: float
-    keep: float
+    lower_in_use: float
     upper: float
     ratings: float
 
 
 class Estimates:
-    """The estimates of one host.
+    """Quality estimates of a host, cached until new ratings or revisions.
 
     Args:
-        configuration: Declares qualities and epochs.
+        configuration: Configuration in force; declares qualities and epochs.
         clock: The host's clock.
     """
 
     def __init__(self, configuration: Configuration, clock: Clock) -> None:
         self._configuration = configuration
         self._clock = clock
-        self._book = QualityBook(self._epoch_of)
-        self._known: dict[Pair, Estimate] = {}
-        self._heard: dict[Pair, float] = {}
-        self._last_heard = clock.now()
-        self._changes = 0
-        self._aged = self._last_heard
-        self._seen = 0
+        self._tracker = QualityTracker(self._epoch_of)
+        self._cache: dict[CellKey, Estimate] = {}
+        self._rated_at: dict[CellKey, float] = {}
+        self._last_rating = clock.now()
+        self._generation = 0
+        self._aged_at = self._last_rating
+        self._cached_position = 0
         self._frozen = False
-        configuration.listen(self._configured)
+        configuration.listen(self._invalidate_all)
 
     @property
-    def book(self) -> QualityBook:
-        """The ratings that were taken in."""
-        return self._book
+    def tracker(self) -> QualityTracker:
+        """Tracker of the ratings that the estimates are based on."""
+        return self._tracker
 
     @property
-    def stamp(self) -> int:
-        """A number that grows whenever an estimate may have changed."""
-        return self._changes
+    def generation(self) -> int:
+        """Counter that increases whenever an estimate may have changed."""
+        return self._generation
 
     @property
-    def silence(self) -> float:
-        """Seconds since any rating was taken in."""
-        return self._clock.now() - self._last_heard
+    def seconds_since_rating(self) -> float:
+        """Seconds since the last new ratings."""
+        return self._clock.now() - self._last_rating
 
     def estimate(self, version: VersionId, task: TaskName) -> Estimate:
-        """Return what is believed of a version for a task class."""
-        pair = (version, task)
-        known = self._known.get(pair)
-        if known is None:
-            known = self._work_out(version, task)
-            self._known[pair] = known
-        return known
+        """Return the estimate of a version for a task class."""
+        key = (version, task)
+        cached = self._cache.get(key)
+        if cached is None:
+            cached = self._compute(version, task)
+            self._cache[key] = cached
+        return cached
 
     def take(self, ratings: tuple[Rating, ...]) -> bool:
-        """Take ratings of the feed in; tell whether any was new."""
-        return self._changed() if self._book.take(ratings) else False
+        """Add ratings from the feed; return whether any was new."""
+        return self._invalidate() if self._tracker.add(ratings) else False
 
     def merge(self, state: QualityState) -> bool:
-        """Take another host's state in; tell whether it was news."""
-        return self._changed() if self._book.merge(state) else False
+        """Merge another host's state; return whether it had read further."""
+        return self._invalidate() if self._tracker.merge(state) else False
 
-    def _work_out(self, version: VersionId, task: TaskName) -> Estimate:
-        """Join prior and ratings."""
+    def _compute(self, version: VersionId, task: TaskName) -> Estimate:
+        """Combine the declared quality with the ratings."""
         entry = self._configuration.entry(version)
         declared = entry.quality.get(task, 0) if entry else 0
-        cell = self._book.cell(version, task)
+        cell = self._tracker.cell(version, task)
         evidence = Evidence() if cell is None else self._aged_evidence(cell)
-        belief = posterior(declared, evidence)
+        distribution = posterior(declared, evidence)
         return Estimate(
             declared=declared,
-            mean=belief.mean,
-            error=belief.error,
-            lower=belief.bound(ENTER),
-            keep=belief.bound(STAY),
-            upper=belief.bound(1 - ENTER),
+            mean=distribution.mean,
+            error=distribution.error,
+            lower=distribution.bound(ENTRY_CONFIDENCE),
+            lower_in_use=distribution.bound(RETENTION_CONFIDENCE),
+            upper=distribution.bound(1 - ENTRY_CONFIDENCE),
             ratings=evidence.count,
         )
 
     def _aged_evidence(self, cell: Cell) -> Evidence:
-        """Return a cell's evidence, worth less if it is no longer renewed."""
+        """Return a cell's evidence, with less weight if it has aged."""
         evidence = cell.sums.evidence
-        heard = self._heard.get((cell.version, cell.task), self._last_heard)
-        age = max(0, self._last_heard - heard)
+        rated_at = self._rated_at.get(
+            (cell.version, cell.task), self._last_rating
+        )
+        age = max(0, self._last_rating - rated_at)
         remaining = 0.5 ** (age // _AGE_STEP * _AGE_STEP / HALF_LIFE)
         return Evidence(
             evidence.count * remaining,
@@ -136,30 +139,34 @@
             evidence.variance,
         )
 
-    def _changed(self) -> bool:
-        """Forget the estimates that may differ now."""
-        self._last_heard = self._clock.now()
-        self._changes += 1
-        for cell in self._book.cells():
-            if cell.position > self._seen:
-                pair = (cell.version, cell.task)
-                self._heard[pair] = self._last_heard
-                self._known.pop(pair, None)
-        self._seen = self._book.position
-        stale = self._last_heard - self._aged > _AGE_STEP
-        # A freeze also puts cells back that got no new rating.
-        if stale or self._frozen != self._book.frozen:
-            self._frozen = self._book.frozen
-            self._aged = self._last_heard
-            self._known.clear()
+    def _invalidate(self) -> bool:
+        """Remove outdated estimates from the cache after new ratings.
+
+        Returns:
+            True, so that callers can return the result.
+        """
+        self._last_rating = self._clock.now()
+        self._generation += 1
+        for cell in self._tracker.cells():
+            if cell.position > self._cached_position:
+                key = (cell.version, cell.task)
+                self._rated_at[key] = self._last_rating
+                self._cache.pop(key, None)
+        self._cached_position = self._tracker.position
+        stale = self._last_rating - self._aged_at > _AGE_STEP
+        # A freeze also restores cells without a new rating.
+        if stale or self._frozen != self._tracker.frozen:
+            self._frozen = self._tracker.frozen
+            self._aged_at = self._last_rating
+            self._cache.clear()
         return True
 
-    def _configured(self) -> None:
-        """Forget all estimates: priors and epochs may differ now."""
-        self._changes += 1
-        self._known.clear()
+    def _invalidate_all(self) -> None:
+        """Clear the cache: declared qualities and epochs may have changed."""
+        self._generation += 1
+        self._cache.clear()
 
     def _epoch_of(self, version: VersionId) -> Epoch:
-        """Return a version's epoch today."""
+        """Return the current epoch of a version."""
         entry = self._configuration.entry(version)
         return Epoch(entry.epoch if entry else 0)
--- a/src/nutmegroad/quality/part.py
+++ b/src/nutmegroad/quality/part.py
@@ -1,4 +1,4 @@
-"""The parts that estimate quality and have answers rated."""
+"""Parts that estimate quality and submit answers for rating."""
 
 from typing import Final
 
@@ -19,49 +19,49 @@
     QualitySharer,
     QualityStore,
 )
-from nutmegroad.quality.rating_samples import RatingSamples
+from nutmegroad.quality.rating_samples import RatingSampler
 from nutmegroad.quality.trials import PresetShares, Trials
 
 #: Seconds between two updates of the metrics.
-_SHOW_PERIOD: Final = 15.0
-#: Seconds that a starting host gives itself to find peers.
+_METRICS_PERIOD: Final = 15.0
+#: Seconds that a starting host takes to find peers before it asks them.
 JOIN_PERIOD: Final = 2.0
-#: The duty of reading the feed and of storing what it says.
+#: Duty to read the feed and to store the resulting state.
 FEED_DUTY: Final = DutyName('ratings-feed')
 
 
 @register('part', 'quality')
 class QualityPart:
-    """Provides the estimates and the rule for roll-outs."""
+    """Provides the estimates and the rule for versions in a rollout."""
 
     needs = (Configuration, Metrics)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin with the declared qualities alone."""
+        """Start with the declared qualities alone."""
         configuration = kernel.need(Configuration)
         metrics = kernel.need(Metrics)
         estimates = Estimates(configuration, kernel.clock)
         kernel.provide(Estimates, estimates)
         kernel.provide(Trials, Trials(PresetShares(configuration)))
 
-        async def show_often() -> None:
-            """Keep the metrics in step until cancelled."""
+        async def update_periodically() -> None:
+            """Update the metrics until cancelled."""
             while True:
-                show(estimates, configuration, metrics)
-                await kernel.clock.sleep(_SHOW_PERIOD)
+                update_metrics(estimates, configuration, metrics)
+                await kernel.clock.sleep(_METRICS_PERIOD)
 
-        kernel.spawn(show_often(), 'quality metrics')
+        kernel.spawn(update_periodically(), 'quality metrics')
 
 
 @register('part', 'rating')
 class RatingPart:
-    """Has answers rated, reads the ratings and shares what they say."""
+    """Submits answers for rating, reads the ratings and shares estimates."""
 
     needs = (Observers, Ratings, Objects, Estimates, Mesh, Duties)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to sample, to share and to read."""
-        self._start_samples(kernel)
+        """Start to sample answers, to share estimates and to read ratings."""
+        self._start_sampling(kernel)
         sharer = QualitySharer(
             kernel.need(Mesh),
             kernel.need(Estimates),
@@ -69,12 +69,12 @@
             kernel.randomness,
         )
         kernel.spawn(sharer.run(), 'quality marks')
-        kernel.spawn(sharer.follow(), 'quality sharing')
+        kernel.spawn(sharer.run_fetches(), 'quality sharing')
         self._start_reading(kernel, sharer)
         self._start_storing(kernel)
 
     def _start_reading(self, kernel: Kernel, sharer: QualitySharer) -> None:
-        """Read the feed where that is our duty."""
+        """Start to read the feed while this host holds the duty."""
         estimates, clock = kernel.need(Estimates), kernel.clock
         duties = kernel.need(Duties)
         store = QualityStore(kernel.need(Objects), estimates)
@@ -85,46 +85,46 @@
             lambda: duties.is_mine(FEED_DUTY),
         )
 
-        async def read_on() -> None:
-            """Read on from where a peer's or the stored state ends."""
+        async def read_feed() -> None:
+            """Read on from the state of a peer, or else the stored state."""
             await clock.sleep(JOIN_PERIOD)
-            if not await sharer.fetch():
+            if not await sharer.fetch_initial():
                 await store.load()
             await reader.run()
 
-        kernel.spawn(read_on(), 'rating feed')
+        kernel.spawn(read_feed(), 'rating feed')
 
     def _start_storing(self, kernel: Kernel) -> None:
-        """Store the state now and then, where that is our duty."""
+        """Start to store the state while this host holds the duty."""
         duties = kernel.need(Duties)
         store = QualityStore(kernel.need(Objects), kernel.need(Estimates))
 
-        async def store_often() -> None:
-            """Store the state until cancelled."""
+        async def store_periodically() -> None:
+            """Store the state periodically until cancelled."""
             while True:
                 await kernel.clock.sleep(STORE_PERIOD)
                 if duties.is_mine(FEED_DUTY):
                     await store.save()
 
-        kernel.spawn(store_often(), 'quality store')
+        kernel.spawn(store_periodically(), 'quality store')
 
-    def _start_samples(self, kernel: Kernel) -> None:
-        """Watch attempts, and hand a share of the answers in."""
-        samples = RatingSamples(
+    def _start_sampling(self, kernel: Kernel) -> None:
+        """Start to observe attempts and to submit a sample of the answers."""
+        sampler = RatingSampler(
             kernel.need(Ratings),
             kernel.need(Estimates),
             kernel.need(Configuration),
             kernel.clock,
             kernel.randomness,
         )
-        samples.count = kernel.need(Metrics).quality.sampled
-        kernel.need(Observers).add(samples)
-        kernel.spawn(samples.run(), 'rating samples')
+        sampler.count_outcome = kernel.need(Metrics).quality.sampled
+        kernel.need(Observers).add(sampler)
+        kernel.spawn(sampler.run(), 'rating samples')
 
 
 @register('planner', 'adaptive')
 def adaptive_planner(kernel: Kernel) -> AdaptivePlanner:
-    """Make the planner for a host."""
+    """Create the planner of a host."""
     return AdaptivePlanner(
         kernel.need(Configuration),
         kernel.need(Estimates),
@@ -133,26 +133,28 @@
     )
 
 
-def show(
+def update_metrics(
     estimates: Estimates,
     configuration: Configuration,
     metrics: Metrics,
 ) -> None:
-    """Put what is believed into the metrics."""
+    """Set the metrics to the current estimates."""
     quality = metrics.quality
     quality.forget()
-    book = estimates.book
-    quality.service(book.position, estimates.silence, frozen=book.frozen)
+    tracker = estimates.tracker
+    quality.service(
+        tracker.position, estimates.seconds_since_rating, frozen=tracker.frozen
+    )
     accepted = configuration.accepted
     if accepted is None:
         return
     for entry in accepted.preset_entry.tasks:
         task = TaskName(entry.task)
         for version in map(VersionId, entry.versions):
-            known = estimates.estimate(version, task)
+            estimate = estimates.estimate(version, task)
             bounds = {
-                'lower': known.lower,
-                'mean': known.mean,
-                'upper': known.upper,
+                'lower': estimate.lower,
+                'mean': estimate.mean,
+                'upper': estimate.upper,
             }
-            quality.estimate(version, task, bounds, known.ratings)
+            quality.estimate(version, task, bounds, estimate.ratings)
--- a/src/nutmegroad/quality/plans.py
+++ b/src/nutmegroad/quality/plans.py
@@ -1,9 +1,9 @@
-"""The adaptive planner: the cheapest version whose quality is enough.
+"""Adaptive planner: selects the cheapest version of sufficient quality.
 
-It follows the ratings (see ``estimates``), and spends a small share of the
-traffic on versions that would save cost if they turned out to be good. The
-work for a workspace, task class and target is kept until an estimate or
-the configuration changes.
+It relies on the estimates from ratings (see ``estimates``), and uses a small
+fraction of the traffic to explore versions that would save cost if they turned
+out to be good. The evaluation of the versions is cached for similar requests
+until an estimate or the configuration changes.
 """
 
 import random
@@ -25,7 +25,7 @@
     standing_of,
 )
 from nutmegroad.quality.cascades import (
-    PASSED,
+    PASS_THRESHOLD,
     AnswerCheck,
     Cascade,
     NoCheck,
@@ -35,24 +35,24 @@
 from nutmegroad.quality.prices import cost_of
 from nutmegroad.quality.trials import Trials
 
-#: Share of a task's requests that may try a cheaper, uncertain version.
+#: Fraction of a task's requests that may explore a cheaper, uncertain version.
 EXPLORED: Final = 0.02
-#: Requests that may wait to explore; bounds a burst after a quiet time.
-_MOST_BUDGET: Final = 1.0
-#: Workspaces, tasks and targets whose plans are kept.
-_MOST_KEPT: Final = 4096
-#: The least standard error with which a version is tried.
-_LEAST_DOUBT: Final = 0.002
-#: Seconds for which a refusal for lack of a plan stands.
-_COME_BACK: Final = 30.0
+#: Maximum exploration budget, in requests; bounds a burst after a quiet time.
+_MAX_BUDGET: Final = 1.0
+#: Maximum number of cached evaluations.
+_MAX_CACHED: Final = 4096
+#: Standard error above which a version is worth exploring.
+_MIN_ERROR: Final = 0.002
+#: Seconds after which a request refused for lack of a plan may be retried.
+_RETRY_AFTER: Final = 30.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Key:
-    """What requests have in common that are planned alike.
+class _CacheKey:
+    """Properties that determine the evaluation of the versions.
 
-    Which version is cheaper may turn on the lengths, so these are in it
-    too, as powers of two.
+    Which version is cheaper may depend on the lengths of prompt and answer, so
+    these are part of the key, rounded to powers of two.
     """
 
     task: TaskName
@@ -64,85 +64,85 @@
 
 
 @dataclass(slots=True)
-class _Prepared:
-    """The work that is kept for a key.
+class _Evaluation:
+    """Evaluation of the versions for a key.
 
     Attributes:
-        stamp: The estimates that it was done with.
+        generation: Generation of the estimates that were used.
         candidates: Steady versions.
-        trials: Versions in roll-out that may turn out to be good.
-        chosen: What most requests get.
-        cascade: A cheaper version before that one; None for none.
-        hopeful: Cheaper versions that may turn out to be good.
-        reason: Why, in words.
+        canaries: Versions in a rollout that have not failed the target.
+        chosen: The version of most requests; None if none is good enough.
+        cascade: A cascade that ends with the chosen version, if worthwhile.
+        explorable: Versions that are worth exploring, the first one first.
+        reason: Explanation of the choice, for operators.
     """
 
-    stamp: int
+    generation: int
     candidates: tuple[Candidate, ...]
-    trials: tuple[Candidate, ...]
+    canaries: tuple[Candidate, ...]
     chosen: Candidate | None
     cascade: Cascade | None
-    hopeful: tuple[Candidate, ...]
+    explorable: tuple[Candidate, ...]
     reason: str
 
 
 class AdaptivePlanner:
-    """Takes the cheapest version whose lower bound meets the target.
+    """Selects the cheapest version that meets the target, and explores.
 
     Args:
-        configuration: What is in force.
-        estimates: What is believed of versions.
-        trials: Bounds versions in roll-out.
-        randomness: Draws trials.
-        explored: Share of requests that may explore.
-        check: Judges the cheap answers of cascades.
+        configuration: Configuration in force.
+        estimates: Quality estimates of the versions.
+        canary_policy: Decides which requests go to versions in a rollout.
+        randomness: Source of the draws for exploration.
+        exploration: Fraction of requests that may explore.
+        check: Checks the answers of a cascade's cheap version.
     """
 
     def __init__(
         self,
         configuration: Configuration,
         estimates: Estimates,
-        trials: Trials,
+        canary_policy: Trials,
         randomness: random.Random,
-        explored: float = EXPLORED,
+        exploration: float = EXPLORED,
         check: AnswerCheck | None = None,
     ) -> None:
         self._configuration = configuration
         self._estimates = estimates
-        self._trials = trials
+        self._canary_policy = canary_policy
         self._randomness = randomness
-        self._explored = explored
+        self._exploration = exploration
         self._check = NoCheck() if check is None else check
-        self._kept: dict[_Key, _Prepared] = {}
+        self._cache: dict[_CacheKey, _Evaluation] = {}
         self._accepted: Accepted | None = None
         self._entries_by_id: dict[VersionId, VersionEntry] = {}
         self._budget: dict[TaskName, float] = {}
 
     def plan(self, request: ModelRequest) -> Plan | Refusal:
-        """Return a plan of one step."""
+        """Return a plan of one step, or of two if a cascade is worthwhile."""
         if request.session is not None:
             return self._pinned(request, request.session.version)
-        prepared = self._prepare(request)
-        trial = self._trial(request, prepared)
-        if trial is not None:
-            return _plan(request, trial, f'trial; {prepared.reason}')
-        explored = self._explore(request, prepared)
+        evaluation = self._evaluate(request)
+        canary = self._canary(request, evaluation)
+        if canary is not None:
+            return _plan_of(request, canary, f'canary; {evaluation.reason}')
+        explored = self._explore(request, evaluation)
         if explored is not None:
-            words = f'explores {explored.entry.id}; {prepared.reason}'
-            return _plan(request, explored, words)
-        if prepared.chosen is None:
-            return self._refuse(request, prepared)
-        if prepared.cascade is not None:
-            return _stepped(prepared.cascade, prepared.reason)
-        return _plan(request, prepared.chosen, prepared.reason)
+            reason = f'explores {explored.entry.id}; {evaluation.reason}'
+            return _plan_of(request, explored, reason)
+        if evaluation.chosen is None:
+            return self._refuse(request, evaluation)
+        if evaluation.cascade is not None:
+            return _cascade_plan(evaluation.cascade, evaluation.reason)
+        return _plan_of(request, evaluation.chosen, evaluation.reason)
 
     def estimate(self, request: ModelRequest, end: AttemptEnd) -> float:
-        """Return how sure the check is of a cascade's cheap answer."""
+        """Return the check's confidence in the answer of a cascade's step."""
         return self._check.judge(request, end)
 
-    def _prepare(self, request: ModelRequest) -> _Prepared:
-        """Return the work for a request, done anew if anything changed."""
-        key = _Key(
+    def _evaluate(self, request: ModelRequest) -> _Evaluation:
+        """Return the evaluation for a request, from the cache if current."""
+        key = _CacheKey(
             request.task,
             request.target,
             request.concern,
@@ -150,42 +150,47 @@
             request.prompt_tokens.bit_length(),
             request.output_tokens.bit_length(),
         )
-        known = self._kept.get(key)
-        if known is not None and known.stamp == self._estimates.stamp:
-            return known
-        before = None if known is None else known.chosen
-        prepared = self._weigh(request, before)
-        if len(self._kept) >= _MOST_KEPT:
-            self._kept.clear()
-        self._kept[key] = prepared
-        return prepared
-
-    def _weigh(
+        cached = self._cache.get(key)
+        if (
+            cached is not None
+            and cached.generation == self._estimates.generation
+        ):
+            return cached
+        previous = None if cached is None else cached.chosen
+        evaluation = self._evaluate_versions(request, previous)
+        if len(self._cache) >= _MAX_CACHED:
+            self._cache.clear()
+        self._cache[key] = evaluation
+        return evaluation
+
+    def _evaluate_versions(
         self,
         request: ModelRequest,
-        before: Candidate | None,
-    ) -> _Prepared:
-        """Weigh all versions that a request may use."""
-        used = None if before is None else before.entry.id
+        previous: Candidate | None,
+    ) -> _Evaluation:
+        """Evaluate all versions that a request may use."""
+        previous_id = None if previous is None else previous.entry.id
         steady: list[Candidate] = []
-        trials: list[Candidate] = []
+        canaries: list[Candidate] = []
         for entry in self._entries(request):
-            candidate = self._candidate(request, entry, in_use=entry.id == used)
+            candidate = self._candidate(
+                request, entry, in_use=entry.id == previous_id
+            )
             if entry.stage is Stage.STEADY:
                 steady.append(candidate)
-            elif candidate.believed:
-                trials.append(candidate)
-        everyone = [*steady, *trials]
-        # A caller that names only versions in roll-out means just these.
-        chosen = choose(steady or everyone, request.target)
-        return _Prepared(
-            stamp=self._estimates.stamp,
+            elif candidate.is_eligible:
+                canaries.append(candidate)
+        compared = [*steady, *canaries]
+        # If only versions in a rollout are allowed, the caller has named them.
+        chosen = choose(steady or compared, request.target)
+        return _Evaluation(
+            generation=self._estimates.generation,
             candidates=tuple(steady),
-            trials=tuple(trials),
+            canaries=tuple(canaries),
             chosen=chosen,
             cascade=self._cascade(request, steady, chosen),
-            hopeful=_hopeful(request, steady, chosen),
-            reason=explain(request, everyone, chosen),
+            explorable=_explorable(request, steady, chosen),
+            reason=explain(request, compared, chosen),
         )
 
     def _cascade(
@@ -194,7 +199,7 @@
         candidates: list[Candidate],
         chosen: Candidate | None,
     ) -> Cascade | None:
-        """Return a cascade that ends with the chosen version, if one pays."""
+        """Return a worthwhile cascade that ends with the chosen version."""
         accepted = self._configuration.accepted
         if chosen is None or accepted is None:
             return None
@@ -210,7 +215,7 @@
         *,
         in_use: bool,
     ) -> Candidate:
-        """Weigh one version."""
+        """Return the evaluation of one version."""
         estimate = self._estimates.estimate(entry.version, request.task)
         standing = standing_of(
             estimate,
@@ -222,12 +227,12 @@
         return Candidate(entry, estimate, standing, price, in_use)
 
     def _entries(self, request: ModelRequest) -> Iterator[VersionEntry]:
-        """Yield the versions that may answer and are not withdrawn."""
+        """Yield the allowed versions that are not withdrawn."""
         accepted = self._configuration.accepted
         if accepted is not self._accepted:
             self._accepted = accepted
-            known = () if accepted is None else accepted.document.versions
-            self._entries_by_id = {entry.version: entry for entry in known}
+            entries = () if accepted is None else accepted.document.versions
+            self._entries_by_id = {entry.version: entry for entry in entries}
         for version in request.versions:
             entry = self._entries_by_id.get(version)
             if entry is None:
@@ -239,64 +244,67 @@
     def _refuse(
         self,
         request: ModelRequest,
-        prepared: _Prepared,
+        evaluation: _Evaluation,
     ) -> Refusal:
-        """Say why there is no plan: nothing is left, or nothing is enough."""
-        if prepared.candidates or prepared.trials:
-            return _no_plan(request, prepared.reason)
+        """Return the refusal: versions withdrawn, or none good enough."""
+        if evaluation.candidates or evaluation.canaries:
+            return _no_plan(request, evaluation.reason)
         for version in request.versions:
             entry = self._entries_by_id.get(version)
             epoch = Epoch(entry.epoch) if entry else Epoch(0)
             if self._configuration.is_withdrawn(version, epoch):
                 return Refusal(
                     ResultCode.VERSION_WITHDRAWN,
-                    f'The version {version} has been withdrawn, and no other '
-                    'one may answer.',
+                    f'Version {version} has been withdrawn, and no other '
+                    'allowed version is available.',
                 )
-        return _no_plan(request, prepared.reason)
+        return _no_plan(request, evaluation.reason)
 
-    def _trial(
+    def _canary(
         self,
         request: ModelRequest,
-        prepared: _Prepared,
+        evaluation: _Evaluation,
     ) -> Candidate | None:
-        """Return a version in roll-out if this request is one of its share."""
-        for candidate in prepared.trials:
-            if self._trials.rule.allows(candidate.entry.version, request):
+        """Return a version in a rollout whose share includes the request."""
+        for candidate in evaluation.canaries:
+            if self._canary_policy.rule.allows(
+                candidate.entry.version, request
+            ):
                 return candidate
         return None
 
     def _explore(
         self,
         request: ModelRequest,
-        prepared: _Prepared,
+        evaluation: _Evaluation,
     ) -> Candidate | None:
-        """Return a cheaper version that is worth a try now, if any.
+        """Return a version to explore with this request, if any.
 
-        Each request adds a little to a budget and a try costs one, so that no
-        run of luck makes the share larger. A version is tried if a draw
-        from what is believed of it meets the target.
+        Each request adds the exploration fraction to the task's budget, and an
+        exploration takes one from it, so that chance cannot increase the
+        fraction. A version is explored if a random draw from its estimate
+        meets the target.
         """
-        if not prepared.hopeful:
+        if not evaluation.explorable:
             return None
-        budget = self._budget.get(request.task, 0) + self._explored
-        self._budget[request.task] = min(budget, _MOST_BUDGET)
-        if budget < _MOST_BUDGET:
+        budget = self._budget.get(request.task, 0) + self._exploration
+        self._budget[request.task] = min(budget, _MAX_BUDGET)
+        if budget < _MAX_BUDGET:
             return None
-        tried = self._draw(request, prepared)
-        if tried is not None:
-            self._budget[request.task] -= _MOST_BUDGET
-        return tried
+        explored = self._draw(request, evaluation)
+        if explored is not None:
+            self._budget[request.task] -= _MAX_BUDGET
+        return explored
 
     def _draw(
         self,
         request: ModelRequest,
-        prepared: _Prepared,
+        evaluation: _Evaluation,
     ) -> Candidate | None:
-        """Draw from what is believed of each version that may be tried."""
-        if prepared.chosen is None:
-            return prepared.hopeful[0]
-        for candidate in prepared.hopeful:
+        """Return the first explorable version whose draw meets the target."""
+        if evaluation.chosen is None:
+            return evaluation.explorable[0]
+        for candidate in evaluation.explorable:
             estimate = candidate.estimate
             drawn = self._randomness.gauss(estimate.mean, estimate.error)
             if drawn >= request.target:
@@ -308,24 +316,24 @@
         request: ModelRequest,
         version: VersionId,
     ) -> Plan | Refusal:
-        """Return the plan that keeps a session on its version."""
+        """Return the plan that pins a session to its version."""
         entry = self._configuration.entry(version)
         if entry is None:
             return _no_plan(request, f'the session keeps {version}')
         candidate = self._candidate(request, entry, in_use=True)
-        return _plan(request, candidate, 'the session keeps its version')
+        return _plan_of(request, candidate, 'the session keeps its version')
 
 
-def _hopeful(
+def _explorable(
     request: ModelRequest,
     candidates: list[Candidate],
     chosen: Candidate | None,
 ) -> tuple[Candidate, ...]:
-    """Return versions that are worth a try, the first one first.
+    """Return the versions that are worth exploring, the cheapest first.
 
-    These are the cheaper ones of which too little is known. Where no
-    version is good enough it is the best one: were it never tried, no
-    rating would ever tell that it is good again.
+    These are the versions cheaper than the chosen one whose estimates are
+    uncertain. If no version is good enough, it is the best one: without any
+    requests, no rating would ever show that it is good again.
     """
     if request.concern is Concern.EXPOSURE or not candidates:
         return ()
@@ -336,18 +344,18 @@
         for candidate in candidates
         if candidate.price < chosen.price
         and candidate.standing is Standing.UNDECIDED
-        and candidate.estimate.error > _LEAST_DOUBT
+        and candidate.estimate.error > _MIN_ERROR
     ]
     return tuple(sorted(found, key=lambda candidate: candidate.price))
 
 
 def _mean_of(candidate: Candidate) -> float:
-    """Return the middle of what is believed of a candidate."""
+    """Return the estimated mean quality of a candidate."""
     return candidate.estimate.mean
 
 
-def _plan(request: ModelRequest, candidate: Candidate, reason: str) -> Plan:
-    """Return the plan that asks one version."""
+def _plan_of(request: ModelRequest, candidate: Candidate, reason: str) -> Plan:
+    """Return the plan that requests one version."""
     entry = candidate.entry
     return Plan(
         steps=(entry.version,),
@@ -358,22 +366,22 @@
     )
 
 
-def _stepped(cascade: Cascade, reason: str) -> Plan:
-    """Return the plan that tries the cheap version first."""
+def _cascade_plan(cascade: Cascade, reason: str) -> Plan:
+    """Return the plan that requests the cheap version first."""
     return Plan(
-        steps=(cascade.cheap.entry.version, cascade.dear.entry.version),
-        accept=(PASSED,),
+        steps=(cascade.cheap.entry.version, cascade.expensive.entry.version),
+        accept=(PASS_THRESHOLD,),
         cost=cascade.cost,
         quality=cascade.quality,
-        reason=f'cascade, passed {cascade.power.passed:.2f}; {reason}',
+        reason=f'cascade, pass rate {cascade.power.pass_rate:.2f}; {reason}',
     )
 
 
 def _no_plan(request: ModelRequest, reason: str) -> Refusal:
-    """Say that no version is good enough."""
+    """Return the refusal for lack of a version that is good enough."""
     return Refusal(
         ResultCode.NO_PLAN,
-        f'No version that may answer meets the target {request.target:g} of '
-        f'the task {request.task!r}: {reason}.',
-        retry_after=_COME_BACK,
+        f'No allowed version meets the target {request.target:g} of the task '
+        f'{request.task!r}: {reason}.',
+        retry_after=_RETRY_AFTER,
     )
--- a/src/nutmegroad/quality/quality_book.py
+++ b/src/nutmegroad/quality/quality_book.py
@@ -1,11 +1,11 @@
-"""Quality by version and task class, worked out from ratings.
-
-The state is a function of the rating service's feed alone: it takes the
-ratings in the order of their positions, and decays by their number, not by
-time. Hosts that have read the feed to the same position therefore hold the
-same state, and merging two states is taking, for each cell, the one that
-has read further. Nothing is counted twice, no host has counters of its
-own, and a host that is gone leaves nothing behind that must be folded.
+"""Quality by version and task class, computed from ratings.
+
+The state depends on the rating service's feed alone: ratings are added in the
+order of their positions, and their weight decays by their number, not by time.
+Hosts that have read the feed up to the same position therefore hold the same
+state. To merge two states is to keep, for each cell, the one that has read
+further. Nothing is counted twice, no host has counters of its own, and a host
+that has left leaves no counts to be merged.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,51 +19,56 @@
 from nutmegroad.foundations.types import Epoch, TaskName, VersionId
 from nutmegroad.quality._bounds import Evidence
 
-#: What remains of a rating's weight with each rating after it; 0.98 lets
-#: the last fifty or so count, worth 99 even ones.
+#: Factor on a rating's weight with each later rating. At 0.98 about the last
+#: 50 ratings count, with the effective sample size of 99 equal weights.
 DECAY: Final = 0.98
-#: Scores that are judged together before they count, by their median, so
-#: that one wrong score among them does not speak.
-BATCH: Final = 5
-#: The most by which one score may differ from the mean it is added to.
-INFLUENCE: Final = 0.3
-#: The weight from which on a mean is firm enough to be deviated from.
-FIRM: Final = 10.0
-#: The weight below which a freeze makes a cell forget what it learned.
-YOUNG: Final = 20.0
-#: A batch deviates by more than this, and by more than ``DEVIATIONS``.
-LEAST_SHIFT: Final = 0.08
-DEVIATIONS: Final = 6.0
-#: What a deviating batch leaves of the weight, so that a mean moves soon.
-SHIFT_KEEPS: Final = 0.25
-#: Feed positions for which a deviation speaks about the rating service.
-WINDOW: Final = 200
-#: Feed positions after which a new level that is steady is believed.
+#: Number of scores that are judged together, by their median, before they
+#: count, so that one wrong score among them does not decide.
+BATCH_SIZE: Final = 5
+#: Maximum distance to a reliable mean at which a score counts unclipped.
+MAX_INFLUENCE: Final = 0.3
+#: Weight from which a mean is reliable enough to judge new scores by it.
+RELIABLE_WEIGHT: Final = 10.0
+#: Weight below which a freeze resets a cell that has nothing to restore.
+MIN_RETAINED_WEIGHT: Final = 20.0
+#: A batch deviates if its median differs from the reference mean by more than
+#: ``MIN_SHIFT`` and by more than ``SHIFT_DEVIATIONS`` standard errors.
+MIN_SHIFT: Final = 0.08
+SHIFT_DEVIATIONS: Final = 6.0
+#: Fraction of the weight that remains after a deviating batch, so that the
+#: mean adapts quickly.
+SHIFT_WEIGHT_FACTOR: Final = 0.25
+#: Feed positions during which a deviation is evidence on the rating service.
+DEVIATION_WINDOW: Final = 200
+#: Feed positions after which a frozen tracker accepts a new, steady level.
 FREEZE_LIMIT: Final = 400
-#: Scores scatter if their variance is so many times what it was, and more
-#: than the second number.
-SCATTER: Final = 4.0
-LEAST_SCATTER: Final = 0.02
-#: The share of versions that must move at once, the share of them at which
-#: the service counts as right again, and the fewest versions to judge by.
-SERVICE_SHARE: Final = 0.75
-CALM_SHARE: Final = 0.5
-FEWEST_VERSIONS: Final = 2
-#: Pairs that are kept; the longest unrated goes first.
-MOST_CELLS: Final = 512
-
-#: Names a cell.
-Pair = tuple[VersionId, TaskName]
+#: Scores scatter if their variance exceeds both ``SCATTER_FACTOR`` times the
+#: reference variance and ``MIN_SCATTER_VARIANCE``.
+SCATTER_FACTOR: Final = 4.0
+MIN_SCATTER_VARIANCE: Final = 0.02
+#: Fraction of the versions that must deviate together for the rating service
+#: to count as faulty, the fraction at which it counts as correct again, and
+#: the minimum number of deviating versions.
+FREEZE_FRACTION: Final = 0.75
+UNFREEZE_FRACTION: Final = 0.5
+MIN_FREEZE_VERSIONS: Final = 2
+#: Maximum number of cells; the one with the oldest rating is evicted first.
+MAX_CELLS: Final = 512
+
+#: Identifies a cell.
+CellKey = tuple[VersionId, TaskName]
 
 
 class Sums(Struct, frozen=True, array_like=True):
-    """Decayed sums of a pair's ratings.
+    """Statistics of the ratings of a version for a task class.
+
+    The weight of a rating decays with each later one.
 
     Attributes:
-        weight: Sum of the ratings' weights.
-        squares: Sum of the squares of their weights.
-        mean: Mean score.
-        variance: Variance of single scores.
+        weight: Sum of the weights of the ratings.
+        squares: Sum of the squared weights.
+        mean: Weighted mean of the scores.
+        variance: Weighted variance of single scores.
     """
 
     weight: float = 0
@@ -73,47 +78,47 @@
 
     @property
     def evidence(self) -> Evidence:
-        """Return what the sums are worth."""
+        """Mean and variance, with their effective sample size."""
         if not self.squares:
             return Evidence()
         count = self.weight * self.weight / self.squares
         return Evidence(count, self.mean, self.variance)
 
     def add(self, score: float) -> 'Sums':
-        """Return the sums with one more score."""
+        """Return the statistics with one more score."""
         weight = self.weight * DECAY + 1
         step = score - self.mean
         mean = self.mean + step / weight
-        spread = self.variance + step * (score - mean) / weight
+        variance = self.variance + step * (score - mean) / weight
         return Sums(
             weight,
             self.squares * DECAY * DECAY + 1,
             mean,
-            spread * (1 - 1 / weight) if self.weight else 0,
+            variance * (1 - 1 / weight) if self.weight else 0,
         )
 
-    def thin(self) -> 'Sums':
-        """Return the sums worth less, after a deviation."""
+    def discounted(self) -> 'Sums':
+        """Return the statistics with less weight, as after a deviation."""
         return Sums(
-            self.weight * SHIFT_KEEPS,
-            self.squares * SHIFT_KEEPS,
+            self.weight * SHIFT_WEIGHT_FACTOR,
+            self.squares * SHIFT_WEIGHT_FACTOR,
             self.mean,
             self.variance,
         )
 
 
 class Cell(Struct, frozen=True, array_like=True):
-    """What is known of one version for one task class.
+    """State of one version for one task class.
 
     Attributes:
         version: The version.
         task: The task class.
-        epoch: The version's epoch.
-        position: Feed position of its last rating.
-        total: Ratings ever taken in.
-        sums: Their decayed sums.
-        batch: Scores that wait to be judged together.
-        held: The sums as they were before a deviation; None for none.
+        epoch: Epoch of the version that the ratings belong to.
+        position: Feed position of the last rating.
+        total: Number of ratings received in this epoch.
+        sums: Weighted statistics of the ratings.
+        batch: Scores not yet judged.
+        held: The statistics before a deviation; None if there was none.
         held_at: Feed position of that deviation.
     """
 
@@ -129,23 +134,23 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Return what makes one state of a cell newer than another."""
+        """Sort key of the states of a cell; the newer state is higher."""
         return self.epoch, self.position
 
     @property
     def reference(self) -> Sums:
-        """Return the sums that a batch is held against."""
+        """Statistics with which a batch is compared."""
         return self.sums if self.held is None else self.held
 
 
-class Verdict(Struct, frozen=True, array_like=True):
-    """How the last batch of a version compared with its past.
+class BatchVerdict(Struct, frozen=True, array_like=True):
+    """Result of comparing the last batch of a version with its past.
 
     Attributes:
         version: The version.
-        position: Where in the feed the batch was whole.
-        deviates: Whether it was unlike what was known.
-        scatters: Whether its scores lay further apart than before.
+        position: Feed position at which the batch was judged.
+        deviates: Whether its median or its variance was unlike earlier scores.
+        scatters: Whether its variance was larger than that of earlier scores.
     """
 
     version: VersionId
@@ -155,48 +160,51 @@
 
 
 class QualityState(Struct, frozen=True):
-    """A state that can be sent and merged.
+    """State of a tracker, as it is sent, stored and merged.
 
     Attributes:
-        position: How far in the feed it has read.
-        frozen: Feed position since which the rating service is held for
-            wrong; 0 while it is not.
-        cells: Cells; only the changed ones in a difference.
-        verdicts: The last batch of each version.
+        position: Feed position up to which the ratings were added.
+        frozen: Feed position since which the rating service counts as
+            faulty; 0 if it does not.
+        cells: Cells; in a difference, only those that have changed.
+        verdicts: The last verdict on each version.
     """
 
     position: int = 0
     frozen: int = 0
     cells: tuple[Cell, ...] = ()
-    verdicts: tuple[Verdict, ...] = ()
+    verdicts: tuple[BatchVerdict, ...] = ()
+
 
+class QualityTracker:
+    """Adds ratings from the feed, and merges states of other hosts.
 
-class QualityBook:
-    """Takes ratings in and merges states.
+    If most versions deviate together, the rating service counts as faulty
+    rather than the versions, and the statistics are frozen.
 
     Args:
-        epoch_of: Returns a version's epoch today.
+        epoch_of: Returns the current epoch of a version.
     """
 
     def __init__(self, epoch_of: Callable[[VersionId], Epoch]) -> None:
         self._epoch_of = epoch_of
         self._position = 0
         self._frozen = 0
-        self._cells: dict[Pair, Cell] = {}
-        self._verdicts: dict[VersionId, Verdict] = {}
+        self._cells: dict[CellKey, Cell] = {}
+        self._verdicts: dict[VersionId, BatchVerdict] = {}
 
     @property
     def position(self) -> int:
-        """How far in the feed it has read."""
+        """Feed position up to which the ratings were added."""
         return self._position
 
     @property
     def frozen(self) -> bool:
-        """Whether the rating service is held for wrong."""
+        """Whether the statistics are frozen, as the service seems faulty."""
         return bool(self._frozen)
 
     def cell(self, version: VersionId, task: TaskName) -> Cell | None:
-        """Return a cell of the version's present epoch, or None."""
+        """Return a cell of the version's current epoch, or None."""
         cell = self._cells.get((version, task))
         if cell is None or cell.epoch < self._epoch_of(version):
             return None
@@ -206,18 +214,18 @@
         """Return all cells."""
         return tuple(self._cells.values())
 
-    def take(self, ratings: Iterable[Rating]) -> bool:
-        """Take ratings in, in order; tell whether any was new."""
+    def add(self, ratings: Iterable[Rating]) -> bool:
+        """Add ratings in the feed's order; return whether any was new."""
         before = self._position
         for rating in ratings:
-            # A page that came twice, or crossed another, changes nothing.
+            # A page received twice, or after a later one, has no effect.
             if rating.position > self._position:
                 self._position = rating.position
-                self._take(rating)
+                self._add_rating(rating)
         return self._position > before
 
     def state(self, after: int = 0) -> QualityState:
-        """Return what has changed since a feed position."""
+        """Return the state, with the cells changed since a feed position."""
         return QualityState(
             self._position,
             self._frozen,
@@ -226,20 +234,20 @@
         )
 
     def merge(self, state: QualityState) -> bool:
-        """Take another host's state in; tell whether it had read further."""
+        """Merge another host's state; return whether it had read further."""
         if state.position <= self._position:
             return False
         self._position = state.position
         self._frozen = state.frozen
         self._verdicts = {entry.version: entry for entry in state.verdicts}
         for cell in state.cells:
-            known = self._cells.get((cell.version, cell.task))
-            if known is None or cell.rank > known.rank:
+            own = self._cells.get((cell.version, cell.task))
+            if own is None or cell.rank > own.rank:
                 self._cells[cell.version, cell.task] = cell
         return True
 
-    def _take(self, rating: Rating) -> None:
-        """Take one rating in."""
+    def _add_rating(self, rating: Rating) -> None:
+        """Add one rating."""
         cell = self.cell(rating.version, rating.task)
         if cell is None:
             epoch = self._epoch_of(rating.version)
@@ -255,57 +263,57 @@
             cell.held,
             cell.held_at,
         )
-        # A first batch has nothing to be judged by.
-        if len(cell.batch) >= BATCH or cell.sums.weight < FIRM:
-            cell = self._judge(cell)
+        # Below the reliable weight there is nothing to judge a batch by.
+        if len(cell.batch) >= BATCH_SIZE or cell.sums.weight < RELIABLE_WEIGHT:
+            cell = self._judge_batch(cell)
         self._cells[cell.version, cell.task] = cell
-        if len(self._cells) > MOST_CELLS:
+        if len(self._cells) > MAX_CELLS:
             oldest = min(self._cells.values(), key=_position_of)
             self._cells.pop((oldest.version, oldest.task))
 
-    def _judge(self, cell: Cell) -> Cell:
-        """Judge a batch, and take it in unless the service is wrong."""
-        past = cell.reference
-        deviates = _deviates(cell, past)
-        if past.weight >= FIRM:
-            scatters = _scatters(cell, past)
-            self._verdicts[cell.version] = Verdict(
+    def _judge_batch(self, cell: Cell) -> Cell:
+        """Judge a batch, and add it unless the statistics are frozen."""
+        reference_sums = cell.reference
+        deviates = _deviates(cell, reference_sums)
+        if reference_sums.weight >= RELIABLE_WEIGHT:
+            scatters = _scatters(cell, reference_sums)
+            self._verdicts[cell.version] = BatchVerdict(
                 cell.version,
                 cell.position,
                 deviates or scatters,
                 scatters,
             )
-            self._watch_service()
+            self._update_freeze()
         if self._frozen:
-            return _emptied(cell, cell.reference, None, 0)
-        sums = cell.sums.thin() if deviates else cell.sums
+            return _new_cell(cell, cell.reference, None, 0)
+        sums = cell.sums.discounted() if deviates else cell.sums
         held, held_at = cell.held, cell.held_at
         if deviates and held is None:
             held, held_at = cell.sums, cell.position
-        elif held is not None and cell.position - held_at > WINDOW:
+        elif held is not None and cell.position - held_at > DEVIATION_WINDOW:
             held, held_at = None, 0
         for score in cell.batch:
-            sums = sums.add(_bounded(score, sums))
-        return _emptied(cell, sums, held, held_at)
-
-    def _watch_service(self) -> None:
-        """Freeze while most versions move at once."""
-        recent = self._recent()
-        moved = sum(entry.deviates for entry in recent)
-        share = moved / len(recent) if recent else 0
+            sums = sums.add(_clipped(score, sums))
+        return _new_cell(cell, sums, held, held_at)
+
+    def _update_freeze(self) -> None:
+        """Freeze while most versions deviate together."""
+        recent = self._recent_verdicts()
+        deviating = sum(entry.deviates for entry in recent)
+        fraction = deviating / len(recent) if recent else 0
         if self._frozen:
-            if share <= CALM_SHARE:
+            if fraction <= UNFREEZE_FRACTION:
                 self._frozen = 0
             elif self._position - self._frozen > FREEZE_LIMIT:
-                self._settle(recent)
+                self._reset_if_steady(recent)
             return
-        if moved >= FEWEST_VERSIONS and share >= SERVICE_SHARE:
+        if deviating >= MIN_FREEZE_VERSIONS and fraction >= FREEZE_FRACTION:
             self._freeze()
 
-    def _recent(self) -> list[Verdict]:
-        """Return the verdicts since versions began to move."""
-        since = self._position - WINDOW
-        began = min(
+    def _recent_verdicts(self) -> list[BatchVerdict]:
+        """Return the verdicts since the first recent deviation."""
+        since = self._position - DEVIATION_WINDOW
+        first_deviation = min(
             (
                 entry.position
                 for entry in self._verdicts.values()
@@ -313,67 +321,70 @@
             ),
             default=since,
         )
-        # What was normal before that says nothing of the service now.
+        # Earlier verdicts say nothing about the service now.
         return [
             entry
             for entry in self._verdicts.values()
-            if entry.position >= began
+            if entry.position >= first_deviation
         ]
 
     def _freeze(self) -> None:
-        """Put back what was known before versions began to move."""
+        """Restore the statistics from before the deviations."""
         self._frozen = self._position
-        for pair, cell in self._cells.items():
+        for key, cell in self._cells.items():
             if cell.held is not None:
-                self._cells[pair] = _emptied(cell, cell.held, None, 0)
-            elif cell.sums.weight < YOUNG:
-                # All that a young cell knows may have come since.
-                self._cells[pair] = _emptied(cell, Sums(), None, 0)
+                self._cells[key] = _new_cell(cell, cell.held, None, 0)
+            elif cell.sums.weight < MIN_RETAINED_WEIGHT:
+                # All ratings of a cell of low weight may have come since.
+                self._cells[key] = _new_cell(cell, Sums(), None, 0)
 
-    def _settle(self, recent: list[Verdict]) -> None:
-        """Begin anew from the declared qualities if a new level is steady.
+    def _reset_if_steady(self, recent: list[BatchVerdict]) -> None:
+        """Reset all cells, and unfreeze, if the new level is steady.
 
-        Scores that scatter are no level; they are never believed.
+        The estimates then start from the declared qualities. Scores that
+        scatter are no steady level and are never accepted.
         """
         scattered = sum(entry.scatters for entry in recent)
-        if scattered > (1 - SERVICE_SHARE) * len(recent):
+        if scattered > (1 - FREEZE_FRACTION) * len(recent):
             return
         self._frozen = 0
         self._verdicts.clear()
-        for pair, cell in self._cells.items():
-            self._cells[pair] = _emptied(cell, Sums(), None, 0)
+        for key, cell in self._cells.items():
+            self._cells[key] = _new_cell(cell, Sums(), None, 0)
 
 
 def _position_of(cell: Cell) -> int:
-    """Return when a cell was last rated."""
+    """Return the feed position of a cell's last rating."""
     return cell.position
 
 
-def _deviates(cell: Cell, past: Sums) -> bool:
-    """Tell whether a cell's batch is far from its past."""
-    if past.weight < FIRM:
+def _deviates(cell: Cell, reference_sums: Sums) -> bool:
+    """Return whether a cell's batch has a median far from the earlier mean."""
+    if reference_sums.weight < RELIABLE_WEIGHT:
         return False
     size = len(cell.batch)
-    shift = abs(median(cell.batch) - past.mean)
-    expected = DEVIATIONS * sqrt(past.variance / size)
-    return shift > max(LEAST_SHIFT, expected)
+    shift = abs(median(cell.batch) - reference_sums.mean)
+    expected = SHIFT_DEVIATIONS * sqrt(reference_sums.variance / size)
+    return shift > max(MIN_SHIFT, expected)
 
 
-def _scatters(cell: Cell, past: Sums) -> bool:
-    """Tell whether a cell's batch lies further apart than its past."""
-    return pvariance(cell.batch) > max(LEAST_SCATTER, SCATTER * past.variance)
+def _scatters(cell: Cell, reference_sums: Sums) -> bool:
+    """Return whether a cell's batch varies more than earlier scores."""
+    return pvariance(cell.batch) > max(
+        MIN_SCATTER_VARIANCE, SCATTER_FACTOR * reference_sums.variance
+    )
 
 
-def _bounded(score: float, sums: Sums) -> float:
-    """Return a score that moves a firm mean by so much at most."""
-    if sums.weight < FIRM:
+def _clipped(score: float, sums: Sums) -> float:
+    """Return a score clipped to the neighbourhood of a reliable mean."""
+    if sums.weight < RELIABLE_WEIGHT:
         return score
-    lowest = sums.mean - INFLUENCE
-    return min(sums.mean + INFLUENCE, max(lowest, score))
+    lower_limit = sums.mean - MAX_INFLUENCE
+    return min(sums.mean + MAX_INFLUENCE, max(lower_limit, score))
 
 
-def _emptied(cell: Cell, sums: Sums, held: Sums | None, held_at: int) -> Cell:
-    """Return a cell with other sums and no scores that wait."""
+def _new_cell(cell: Cell, sums: Sums, held: Sums | None, held_at: int) -> Cell:
+    """Return a cell with other statistics and an empty batch."""
     return Cell(
         cell.version,
         cell.task,
--- a/src/nutmegroad/quality/quality_sharing.py
+++ b/src/nutmegroad/quality/quality_sharing.py
@@ -1,10 +1,11 @@
-"""How hosts read the ratings and share what they say.
-
-One host of each failure domain reads the feed. The others learn from each
-other: now and then a host tells a few others how far its state has read,
-and whoever is behind asks for the cells that have changed since. A host
-that starts asks the same question from position 0; if no peer answers it
-takes the newest state from the object store, and reads on from there.
+"""Reads the ratings, and shares the estimates' state among the hosts.
+
+One host of each failure domain reads the feed. The others receive its state by
+gossip: hosts periodically advertise to a few peers the feed position up to
+which they have read, and a host that is behind fetches the cells that have
+changed since its own position. A starting host fetches from position 0; if no
+peer answers, it loads the newest state from the object store. It reads on from
+there.
 """
 
 import asyncio
@@ -24,34 +25,36 @@
 from nutmegroad.quality.quality_book import QualityState
 
 _LOG: Final = part_logger('quality')
-#: Whose cost the messages are.
+#: Part to which the cost of the messages is charged.
 QUALITY_PART: Final = 'quality'
 #: Seconds between reads of the feed.
 READ_PERIOD: Final = 5.0
-#: Seconds between two rounds of telling others how far one has read.
-MARK_PERIOD: Final = 5.0
-#: Seconds between two fetches of what has changed: 18 KB at 22 versions and
-#: 8 task classes if all have, so 1.8 KB a second at most.
+#: Seconds between two rounds of advertising the host's feed position.
+ADVERTISE_PERIOD: Final = 5.0
+#: Seconds between two fetches of changed cells. With 22 versions and 8 task
+#: classes a fetch is 18 KB if all cells have changed, thus 1.8 KB/s at most.
 FETCH_PERIOD: Final = 10.0
-#: Hosts that are told in a round.
+#: Number of hosts to which a host advertises in a round.
 FANOUT: Final = 3
-#: Seconds that a peer may take to answer.
+#: Timeout of a fetch, in seconds.
 ASK_TIMEOUT: Final = 2.0
-#: Peers that a starting host asks.
-MOST_ASKED: Final = 3
-#: Pages of the feed that are read in one go.
-MOST_PAGES: Final = 50
-#: Seconds between two states in the object store, which never forgets.
+#: Maximum number of peers that a starting host asks for their state.
+MAX_ASKED_PEERS: Final = 3
+#: Maximum number of pages of the feed read without a pause.
+MAX_PAGES: Final = 50
+#: Seconds between two stored states; the object store never deletes any.
 STORE_PERIOD: Final = 3600.0
+#: Prefix of the names of stored states.
 STORE_PREFIX: Final = 'quality/'
-_DIGITS: Final = 20
+#: Digits of the position in an object's name; makes names sort by position.
+_POSITION_DIGITS: Final = 20
 
 
 class QualityMark(Message, frozen=True, tag='quality-mark'):
-    """Tells how far the sender has read.
+    """Advertises the position up to which the sender has read the feed.
 
     Attributes:
-        position: Feed position.
+        position: Feed position of the sender's state.
     """
 
     part: ClassVar[str] = QUALITY_PART
@@ -61,10 +64,10 @@
 
 
 class QualityAsk(Message, frozen=True, tag='quality-ask'):
-    """Asks for what has changed.
+    """Requests the cells that have changed since a position.
 
     Attributes:
-        position: How far the asker has read.
+        position: Feed position of the requesting host's state.
     """
 
     part: ClassVar[str] = QUALITY_PART
@@ -73,10 +76,10 @@
 
 
 class QualityReply(Message, frozen=True, tag='quality-reply'):
-    """Brings what has changed.
+    """Reply to ``QualityAsk``.
 
     Attributes:
-        state: Cells that changed since the asker's position.
+        state: State with the cells changed since the requested position.
     """
 
     part: ClassVar[str] = QUALITY_PART
@@ -85,20 +88,20 @@
 
 
 class RatingListener(Protocol):
-    """Learns from ratings; it must be quick and never raise."""
+    """Receives ratings; implementations must be fast and must not raise."""
 
-    def take(self, ratings: tuple[Rating, ...]) -> bool:
-        """Take a page of ratings in, in the feed's order."""
+    def add_ratings(self, ratings: tuple[Rating, ...]) -> bool:
+        """Add a page of ratings, in the feed's order."""
 
 
 class FeedReader:
-    """Reads the feed, if that is this host's duty.
+    """Reads the feed while this host holds the duty to do so.
 
     Args:
         ratings: The rating service.
-        estimates: Take the ratings in.
+        estimates: Estimates to which the ratings are added.
         clock: The host's clock.
-        is_mine: Tells whether this host is to read now.
+        is_mine: Returns whether this host holds the duty.
     """
 
     def __init__(
@@ -114,34 +117,34 @@
         self._is_mine = is_mine
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Read periodically until cancelled."""
         while True:
             await self.read()
             await self._clock.sleep(READ_PERIOD)
 
     async def read(self) -> None:
-        """Read what is new, page by page."""
+        """Read new ratings, page by page."""
         if not self._is_mine():
             return
-        for _ in range(MOST_PAGES):
-            position = self._estimates.book.position
+        for _ in range(MAX_PAGES):
+            position = self._estimates.tracker.position
             page = await self._ratings.feed(position)
             if isinstance(page, Refusal):
-                _LOG.warning('ratings not read: %s', page.reason)
+                _LOG.warning('cannot read the ratings feed: %s', page.reason)
                 return
-            # Meanwhile a peer's state may have come; old positions pass by.
+            # Ratings that a peer's state has brought meanwhile are skipped.
             if not self._estimates.take(page):
                 return
 
 
 class QualitySharer:
-    """Keeps the estimates of hosts in step.
+    """Synchronizes the estimates of the hosts.
 
     Args:
-        mesh: Links to other hosts.
-        estimates: What this host believes.
+        mesh: Links to the other hosts.
+        estimates: Estimates of this host.
         clock: The host's clock.
-        randomness: Chooses whom to tell.
+        randomness: Selects the hosts to advertise to and to fetch from.
     """
 
     def __init__(
@@ -156,75 +159,80 @@
         self._clock = clock
         self._randomness = randomness
         self._ahead: HostId | None = None
-        self._woken = asyncio.Event()
-        mesh.handle(QualityMark, self._marked)
-        mesh.handle(QualityAsk, self._asked)
+        self._ahead_found = asyncio.Event()
+        mesh.handle(QualityMark, self._receive_mark)
+        mesh.handle(QualityAsk, self._answer_ask)
 
     async def run(self) -> None:
-        """Tell others how far this host has read until cancelled."""
+        """Advertise the feed position periodically until cancelled."""
         while True:
-            await self._clock.sleep(MARK_PERIOD)
-            self.mark()
+            await self._clock.sleep(ADVERTISE_PERIOD)
+            self.advertise()
 
-    async def follow(self) -> None:
-        """Ask whoever is ahead until cancelled."""
+    async def run_fetches(self) -> None:
+        """Fetch from hosts that are ahead until cancelled."""
         while True:
-            await self._woken.wait()
-            self._woken.clear()
+            await self._ahead_found.wait()
+            self._ahead_found.clear()
             ahead = self._ahead
             if ahead is not None:
-                await self.ask(ahead)
+                await self.fetch_from(ahead)
                 await self._clock.sleep(FETCH_PERIOD)
 
-    def mark(self) -> None:
-        """Tell a few hosts how far this one has read."""
+    def advertise(self) -> None:
+        """Advertise this host's feed position to a few hosts."""
         hosts = self._hosts()
         chosen = self._randomness.sample(hosts, min(FANOUT, len(hosts)))
         for host in chosen:
             self._mesh.tell(host, QualityMark(self._position))
 
-    async def ask(self, host: HostId) -> bool:
-        """Fetch what a host knows more; tell whether it was news."""
+    async def fetch_from(self, host: HostId) -> bool:
+        """Fetch the changes from a host; return whether it had any."""
         question = QualityAsk(self._position)
         reply = await self._mesh.ask(host, question, ASK_TIMEOUT)
         if not isinstance(reply, QualityReply):
             return False
         return self._estimates.merge(reply.state)
 
-    async def fetch(self) -> bool:
-        """Fetch a state from any peer, for a host that starts."""
+    async def fetch_initial(self) -> bool:
+        """Fetch a state from any peer; return whether one was ahead.
+
+        A starting host does so once.
+        """
         hosts = self._hosts()
-        for host in self._randomness.sample(hosts, min(MOST_ASKED, len(hosts))):
-            if await self.ask(host):
+        for host in self._randomness.sample(
+            hosts, min(MAX_ASKED_PEERS, len(hosts))
+        ):
+            if await self.fetch_from(host):
                 return True
         return False
 
     @property
     def _position(self) -> int:
-        return self._estimates.book.position
+        return self._estimates.tracker.position
 
     def _hosts(self) -> list[HostId]:
         return [member.host for member in self._mesh.members()]
 
-    async def _marked(self, host: HostId, mark: QualityMark) -> None:
-        """Remember who is ahead; answer one who is behind with a mark."""
+    async def _receive_mark(self, host: HostId, mark: QualityMark) -> None:
+        """Note a host that is ahead; advertise to one that is behind."""
         if mark.position > self._position:
             self._ahead = host
-            self._woken.set()
+            self._ahead_found.set()
         elif mark.position < self._position:
             self._mesh.tell(host, QualityMark(self._position))
 
-    async def _asked(self, host: HostId, ask: QualityAsk) -> QualityReply:
-        """Return what has changed since the asker's position."""
-        return QualityReply(self._estimates.book.state(ask.position))
+    async def _answer_ask(self, host: HostId, ask: QualityAsk) -> QualityReply:
+        """Return the state with the cells changed since a position."""
+        return QualityReply(self._estimates.tracker.state(ask.position))
 
 
 class QualityStore:
-    """Keeps a state in the object store, for when all hosts restart.
+    """Stores the state in the object store, for a restart of all hosts.
 
     Args:
         objects: The object store.
-        estimates: What this host believes.
+        estimates: Estimates of this host.
     """
 
     def __init__(self, objects: Objects, estimates: Estimates) -> None:
@@ -233,22 +241,23 @@
         self._stored = 0
 
     async def save(self) -> None:
-        """Store the state, unless nothing has come since."""
-        book = self._estimates.book
-        if book.position == self._stored:
+        """Store the state, unless it is unchanged since the last time."""
+        tracker = self._estimates.tracker
+        if tracker.position == self._stored:
             return
-        content = msgspec.msgpack.encode(book.state())
-        position = book.position
-        name = f'{STORE_PREFIX}{position:0{_DIGITS}}'
+        content = msgspec.msgpack.encode(tracker.state())
+        position = tracker.position
+        name = f'{STORE_PREFIX}{position:0{_POSITION_DIGITS}}'
         refusal = await self._objects.put(name, content)
-        # Another host may have stored the same position a little otherwise.
+        # Another host may have stored a slightly different state for the same
+        # position.
         if refusal is None:
             self._stored = position
             return
-        _LOG.warning('estimates not stored: %s', refusal.reason)
+        _LOG.warning('cannot store the estimates: %s', refusal.reason)
 
     async def load(self) -> bool:
-        """Take the newest stored state in; tell whether it was news."""
+        """Load the newest stored state; return whether it was ahead."""
         names = await self._objects.names(STORE_PREFIX)
         if isinstance(names, Refusal) or not names:
             return False
@@ -258,6 +267,8 @@
         try:
             state = msgspec.msgpack.decode(content, type=QualityState)
         except msgspec.DecodeError as problem:
-            _LOG.error('stored estimates %s not read: %s', names[-1], problem)
+            _LOG.error(
+                'cannot decode the stored estimates %s: %s', names[-1], problem
+            )
             return False
         return self._estimates.merge(state)
--- a/src/nutmegroad/quality/rating_samples.py
+++ b/src/nutmegroad/quality/rating_samples.py
@@ -1,11 +1,11 @@
-"""Hands a share of the answers to the rating service.
-
-The share follows what a rating would tell: an estimate that may change a
-plan is worth more ratings than one that is firm and far from the target.
-Handing in is off the request path: a bounded queue, one task, and a bound
-on the rate. An answer is handed in once at most; if that fails, it is
-given up, so the content of a request that may not be repeated never goes
-out twice.
+"""Submits a sample of the answers to the rating service.
+
+The sampling rate depends on the value of a rating: an estimate that may change
+a plan is worth more ratings than one that is certain and far from the target.
+Answers are submitted outside the request path, through a bounded queue, by one
+task, and at a limited rate. An answer is submitted at most once, and dropped
+if that fails, so the content of a request that must not be repeated is never
+sent twice.
 """
 
 import asyncio
@@ -25,46 +25,50 @@
 from nutmegroad.quality.estimates import Estimate, Estimates
 
 _LOG: Final = part_logger('rating samples')
-#: Share of answers rated where the estimate is firm and clear.
-SETTLED_SHARE: Final = 0.1
-#: Share where the target lies within the estimate's bounds.
-UNCERTAIN_SHARE: Final = 0.3
-#: A bound that is less than this above the target counts as uncertain: a
-#: version that slowly gets worse would else be noticed late.
-NEAR: Final = 0.02
-#: Ratings below which a pair is new, and all its answers are rated.
-FEW_RATINGS: Final = 20.0
-#: A version with less than this share of its task's answers is rare.
-RARE: Final = 0.1
-#: What remains of the weight of an answer with each one after it.
+#: Fraction of answers rated if the estimate is clearly on one side of the
+#: target.
+SETTLED_FRACTION: Final = 0.1
+#: Fraction of answers rated if the target is within the estimate's bounds.
+UNCERTAIN_FRACTION: Final = 0.3
+#: An estimate also counts as uncertain if its lower bound is above the target
+#: by less than this; otherwise a slow decline of a version is noticed late.
+TARGET_MARGIN: Final = 0.02
+#: Number of ratings of a version and task class below which all its answers
+#: are rated.
+MIN_RATINGS: Final = 20.0
+#: Fraction of a task's answers below which a version is rare, and all its
+#: answers are rated.
+RARE_FRACTION: Final = 0.1
+#: Factor on the weight of an answer with each later answer of the task.
 _USE_DECAY: Final = 0.99
-#: Answers that may wait to be handed in.
+#: Maximum number of answers that wait to be submitted.
 QUEUE_LIMIT: Final = 64
-#: Answers that a host hands in each second, on average, and at once.
+#: Maximum rate of a host's submissions, in answers per second, and the maximum
+#: burst, in answers.
 RATE: Final = 0.1
 BURST: Final = 20.0
-#: The same for versions in roll-out, all of whose answers are worth a rating
-#: to the guard against bad versions.
-TRIAL_RATE: Final = 1.0
-TRIAL_BURST: Final = 100.0
-#: Answers that are remembered as handed in.
-_REMEMBERED: Final = 4096
+#: The same for versions in a rollout: the exposure guard needs ratings of all
+#: their answers.
+CANARY_RATE: Final = 1.0
+CANARY_BURST: Final = 100.0
+#: Maximum number of submitted answers that are remembered.
+_MAX_REMEMBERED: Final = 4096
 
-_Named = tuple[RequestId, VersionId]
+_AnswerKey = tuple[RequestId, VersionId]
 
 
 class SampleShares:
-    """Says which share of a pair's answers is worth a rating.
+    """Computes the sampling rate of the answers of a version and task class.
 
-    A version that gets few of its task's requests, such as one that is
-    being explored, has each of its answers rated while it is uncertain.
+    All answers of a version with few ratings are rated, and all answers of one
+    that gets few of its task's requests, such as one that is being explored.
     """
 
     def __init__(self) -> None:
         self._used: dict[TaskName, dict[VersionId, float]] = {}
 
-    def note(self, version: VersionId, task: TaskName) -> float:
-        """Count an answer; return the version's share of its task."""
+    def record(self, version: VersionId, task: TaskName) -> float:
+        """Count an answer; return the version's fraction of its task."""
         used = self._used.setdefault(task, {})
         for other in used:
             used[other] *= _USE_DECAY
@@ -78,26 +82,33 @@
         estimate: Estimate,
         target: float,
     ) -> float:
-        """Count an answer; return how likely it should be rated."""
-        used = self.note(version, task)
-        if estimate.ratings < FEW_RATINGS:
+        """Count an answer; return the probability with which to rate it.
+
+        Args:
+            version: The version that wrote the answer.
+            task: Task class of the answer.
+            estimate: Quality estimate of the version for the task class.
+            target: Quality target of the task class.
+        """
+        used = self.record(version, task)
+        if estimate.ratings < MIN_RATINGS:
             return 1
-        if used < RARE:
+        if used < RARE_FRACTION:
             return 1
-        if estimate.lower - NEAR < target <= estimate.upper:
-            return UNCERTAIN_SHARE
-        return SETTLED_SHARE
+        if estimate.lower - TARGET_MARGIN < target <= estimate.upper:
+            return UNCERTAIN_FRACTION
+        return SETTLED_FRACTION
 
 
-class RatingSamples:
-    """Chooses answers and hands them in; an observer of attempts.
+class RatingSampler:
+    """Observes attempts, and submits a sample of their answers for rating.
 
     Args:
         ratings: The rating service.
-        estimates: Tell what is worth a rating.
-        configuration: Tells the targets.
+        estimates: Quality estimates, on which the sampling rates depend.
+        configuration: Configuration in force; states the quality targets.
         clock: The host's clock.
-        randomness: Draws the sample.
+        randomness: Source of the draws for the sample.
     """
 
     def __init__(
@@ -108,115 +119,119 @@
         clock: Clock,
         randomness: random.Random,
     ) -> None:
-        #: Is told what became of each answer that was chosen.
-        self.count: Callable[[str], None] = _count_nowhere
+        #: Called with the outcome of each sampled answer.
+        self.count_outcome: Callable[[str], None] = _ignore_outcome
         self._ratings = ratings
         self._estimates = estimates
         self._configuration = configuration
         self._clock = clock
         self._randomness = randomness
         self._queue: asyncio.Queue[RatedAnswer] = asyncio.Queue(QUEUE_LIMIT)
-        self._shares = SampleShares()
-        self._known: OrderedDict[_Named, None] = OrderedDict()
-        self._steady = _TokenBucket(clock, RATE, BURST)
-        self._trials = _TokenBucket(clock, TRIAL_RATE, TRIAL_BURST)
+        self._sampling_rates = SampleShares()
+        self._remembered: OrderedDict[_AnswerKey, None] = OrderedDict()
+        self._steady_bucket = _TokenBucket(clock, RATE, BURST)
+        self._canary_bucket = _TokenBucket(clock, CANARY_RATE, CANARY_BURST)
 
     def started(self, start: AttemptStart) -> None:
-        """Take no notice of a start."""
+        """Ignore the start of an attempt."""
 
     def ended(self, end: AttemptEnd) -> None:
-        """Queue a whole answer if it is one of the sample."""
+        """Queue a complete answer if it is in the sample."""
         if end.code is not ResultCode.OK or not end.text:
             return
         start = end.start
-        on_trial = self._is_on_trial(start.version)
-        if self._randomness.random() >= self._share(start, on_trial=on_trial):
+        is_canary = self._is_canary(start.version)
+        if self._randomness.random() >= self._sampling_rate(
+            start, is_canary=is_canary
+        ):
             return
         if not self._is_first(start):
-            self.count('repeated')
+            self.count_outcome('repeated')
             return
-        bucket = self._trials if on_trial else self._steady
+        bucket = self._canary_bucket if is_canary else self._steady_bucket
         if not bucket.take():
-            self.count('above_rate')
+            self.count_outcome('above_rate')
             return
         answer = RatedAnswer(start.request, start.task, start.version, end.text)
         try:
             self._queue.put_nowait(answer)
         except asyncio.QueueFull:
-            self.count('queue_full')
+            self.count_outcome('queue_full')
 
     async def run(self) -> None:
-        """Hand queued answers in until cancelled."""
+        """Submit queued answers until cancelled."""
         while True:
             answer = await self._queue.get()
             refusal = await self._ratings.submit(answer)
             if isinstance(refusal, Refusal):
-                # It may have arrived all the same, so it isn't sent again.
-                self.count('failed')
-                _LOG.warning('answer not handed in: %s', refusal.reason)
+                # The service may have received it, so it is not sent again.
+                self.count_outcome('failed')
+                _LOG.warning(
+                    'cannot submit an answer for rating: %s', refusal.reason
+                )
             else:
-                self.count('submitted')
+                self.count_outcome('submitted')
 
-    def _is_on_trial(self, version: VersionId) -> bool:
-        """Tell whether a version is in roll-out."""
+    def _is_canary(self, version: VersionId) -> bool:
+        """Return whether a version is in a rollout."""
         entry = self._configuration.entry(version)
         return entry is not None and entry.stage is Stage.ROLLOUT
 
-    def _share(self, start: AttemptStart, *, on_trial: bool) -> float:
-        """Return how likely an answer should be rated."""
+    def _sampling_rate(self, start: AttemptStart, *, is_canary: bool) -> float:
+        """Return the probability with which to have an answer rated."""
         estimate = self._estimates.estimate(start.version, start.task)
-        share = self._shares.share(
+        rate = self._sampling_rates.share(
             start.version,
             start.task,
             estimate,
             self._target(start.task),
         )
-        return 1 if on_trial else share
+        return 1 if is_canary else rate
 
     def _target(self, task: TaskName) -> float:
-        """Return a task class's target."""
+        """Return the quality target of a task class."""
         accepted = self._configuration.accepted
         entry = None if accepted is None else accepted.document.task(task)
         return 0 if entry is None else entry.target
 
     def _is_first(self, start: AttemptStart) -> bool:
-        """Remember an answer; tell whether it is new."""
-        named = (start.request, start.version)
-        if named in self._known:
+        """Remember an answer; return whether it is new."""
+        key = (start.request, start.version)
+        if key in self._remembered:
             return False
-        self._known[named] = None
-        if len(self._known) > _REMEMBERED:
-            self._known.popitem(last=False)
+        self._remembered[key] = None
+        if len(self._remembered) > _MAX_REMEMBERED:
+            self._remembered.popitem(last=False)
         return True
 
 
 class _TokenBucket:
-    """Bounds a rate.
+    """Token bucket that limits a rate.
 
     Args:
         clock: The host's clock.
-        rate: Tokens that come in a second.
-        burst: The most that may be saved up.
+        rate: Tokens added per second.
+        burst: Maximum number of tokens.
     """
 
     def __init__(self, clock: Clock, rate: float, burst: float) -> None:
         self._clock = clock
         self._rate = rate
         self._burst = burst
-        self._left = burst
+        self._tokens = burst
         self._filled_at = clock.now()
 
     def take(self) -> bool:
-        """Take one off, if there is one."""
+        """Take a token; return false if there is none."""
         now = self._clock.now()
         earned = (now - self._filled_at) * self._rate
-        self._left = min(self._burst, self._left + earned)
+        self._tokens = min(self._burst, self._tokens + earned)
         self._filled_at = now
-        if self._left < 1:
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
-def _count_nowhere(outcome: str) -> None:
-    """Count nothing."""
+def _ignore_outcome(outcome: str) -> None:
+    """Ignore the outcome of a sampled answer."""
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -1,4 +1,4 @@
-"""Tests of estimates and of the adaptive planner."""
+"""Tests of the quality estimates and of the adaptive planner."""
 
 import random
 import unittest
@@ -49,7 +49,7 @@
 
 
 class _PlannerTest(unittest.TestCase):
-    explored = 0.0
+    exploration = 0.0
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -62,7 +62,7 @@
             self.estimates,
             Trials(PresetShares(self.configuration)),
             self.randomness,
-            self.explored,
+            self.exploration,
         )
 
     def rate(
@@ -72,7 +72,7 @@
         mean: float,
         count: int,
     ) -> None:
-        position = self.estimates.book.position
+        position = self.estimates.tracker.position
         ratings = [
             Rating(
                 position + 1 + number,
@@ -94,7 +94,7 @@
         return [self.plan(task).steps[0] for _ in range(count)]
 
     def configure(self, entry: VersionEntry, share: float) -> None:
-        """Put a version in roll-out beside the others."""
+        """Add a version in a rollout to the configuration."""
         base = accepted(SCENARIOS[0])
         preset = structs.replace(
             base.preset_entry,
@@ -125,29 +125,29 @@
             with self.subTest(task=task):
                 self.assertEqual(self.plan(task).steps, (version,))
 
-    def test_a_version_below_the_target_is_left(self) -> None:
+    def test_a_version_below_the_target_is_replaced(self) -> None:
         self.rate(MEDIUM, SUMMARY, 0.9, 60)
         self.assertEqual(self.plan(SUMMARY).steps, (MEDIUM,))
         self.rate(MEDIUM, SUMMARY, 0.6, 20)
         self.assertEqual(self.plan(SUMMARY).steps, (LARGE,))
 
-    def test_a_cheap_version_proven_good_is_taken(self) -> None:
+    def test_a_cheap_version_proven_good_is_chosen(self) -> None:
         self.rate(SMALL, SUMMARY, 0.93, 80)
         plan = self.plan(SUMMARY)
         self.assertEqual(plan.steps, (SMALL,))
         self.assertGreaterEqual(plan.quality, 0.88)
 
-    def test_a_proven_version_goes_before_a_cheaper_promise(self) -> None:
+    def test_a_proven_version_precedes_a_cheaper_declared_one(self) -> None:
         self.rate(LARGE, SUMMARY, 0.96, 80)
         self.assertEqual(self.plan(SUMMARY).steps, (LARGE,))
 
-    def test_nothing_good_enough_is_refused_with_its_reason(self) -> None:
+    def test_the_refusal_without_a_good_version_has_a_reason(self) -> None:
         for version in VERSIONS:
             self.rate(version, DOSSIER, 0.7, 80)
         refusal = self.planner.plan(request_of(DOSSIER))
         assert isinstance(refusal, Refusal)
         self.assertIs(refusal.code, ResultCode.NO_PLAN)
-        self.assertIn('brief-large@6 failed, left out', refusal.reason)
+        self.assertIn('brief-large@6 failed, not chosen', refusal.reason)
         self.assertGreater(refusal.retry_after, 0)
 
     def test_a_session_keeps_its_version(self) -> None:
@@ -156,25 +156,25 @@
         plan = self.plan(DOSSIER, session=claim, versions=(SMALL,))
         self.assertEqual(plan.steps, (SMALL,))
 
-    def test_a_request_left_with_withdrawn_versions_is_told_so(self) -> None:
+    def test_the_refusal_of_withdrawn_versions_says_so(self) -> None:
         withdrawals = [Withdrawal(version=one, epoch=0) for one in VERSIONS]
         self.configuration.withdraw(tuple(withdrawals))
         refusal = self.planner.plan(request_of(TAG))
         assert isinstance(refusal, Refusal)
         self.assertIs(refusal.code, ResultCode.VERSION_WITHDRAWN)
 
-    def test_a_withdrawn_version_is_no_candidate(self) -> None:
+    def test_a_withdrawn_version_is_not_chosen(self) -> None:
         self.configuration.withdraw((Withdrawal(version=SMALL, epoch=0),))
         self.assertEqual(self.plan(TAG).steps, (MEDIUM,))
 
-    def test_exposure_needs_seasoned_evidence_to_change(self) -> None:
+    def test_exposure_requires_more_ratings_for_a_change(self) -> None:
         self.rate(LARGE, TAG, 0.97, 60)
         self.rate(SMALL, TAG, 0.99, 16)
         plan = self.plan(TAG, concern=Concern.EXPOSURE)
         self.assertEqual(plan.steps, (LARGE,))
         self.assertEqual(self.plan(TAG).steps, (SMALL,))
 
-    def test_it_does_not_flap_about_the_target(self) -> None:
+    def test_the_choice_does_not_flap_near_the_target(self) -> None:
         self.rate(MEDIUM, SUMMARY, 0.9, 200)
         self.rate(LARGE, SUMMARY, 0.96, 60)
         self.plan(SUMMARY)
@@ -189,11 +189,11 @@
 
     def test_the_reason_names_every_candidate(self) -> None:
         reason = self.plan(SUMMARY).reason
-        self.assertIn('brief-small@2 undecided, left out', reason)
-        self.assertIn('brief-medium@4 undecided, taken', reason)
-        self.assertIn('dearer, not needed: brief-large@6', reason)
+        self.assertIn('brief-small@2 undecided, not chosen', reason)
+        self.assertIn('brief-medium@4 undecided, chosen', reason)
+        self.assertIn('more expensive, not needed: brief-large@6', reason)
 
-    def test_a_trial_gets_its_share_and_no_more(self) -> None:
+    def test_a_canary_version_gets_its_share_and_no_more(self) -> None:
         entry = VersionEntry(
             id='brief-medium@5',
             price_in=0.5,
@@ -218,27 +218,27 @@
 
 
 class ExplorationTest(_PlannerTest):
-    explored = 0.02
+    exploration = 0.02
 
-    def test_a_cheaper_unproven_version_gets_a_bounded_share(self) -> None:
+    def test_a_cheaper_unproven_version_is_explored_in_bounds(self) -> None:
         self.rate(LARGE, SUMMARY, 0.96, 80)
-        tried = self.versions(SUMMARY, 2000).count(MEDIUM)
-        self.assertGreater(tried, 10)
-        self.assertLessEqual(tried, 41)
+        explored = self.versions(SUMMARY, 2000).count(MEDIUM)
+        self.assertGreater(explored, 10)
+        self.assertLessEqual(explored, 41)
 
-    def test_a_version_known_to_be_bad_is_not_tried(self) -> None:
+    def test_a_version_known_to_be_bad_is_not_explored(self) -> None:
         self.rate(SMALL, DOSSIER, 0.6, 80)
         self.rate(MEDIUM, DOSSIER, 0.6, 80)
         self.rate(LARGE, DOSSIER, 0.96, 80)
         self.assertEqual(set(self.versions(DOSSIER, 500)), {LARGE})
 
-    def test_bad_luck_of_few_ratings_is_not_drawn_against(self) -> None:
-        # Its bound is below the target, but one draw of a hundred is not.
+    def test_a_failed_version_is_not_explored_on_a_lucky_draw(self) -> None:
+        # Its upper bound is below the target; one draw in a hundred is above.
         self.rate(MEDIUM, DOSSIER, 0.84, 3)
         self.rate(LARGE, DOSSIER, 0.96, 80)
         self.assertEqual(set(self.versions(DOSSIER, 2000)), {LARGE})
 
-    def test_exposure_explores_nothing(self) -> None:
+    def test_there_is_no_exploration_with_concern_for_exposure(self) -> None:
         self.rate(LARGE, SUMMARY, 0.96, 80)
         plans = {
             self.plan(SUMMARY, concern=Concern.EXPOSURE).steps
@@ -246,20 +246,20 @@
         }
         self.assertEqual(plans, {(LARGE,)})
 
-    def test_where_all_are_bad_the_best_is_still_probed(self) -> None:
+    def test_the_best_of_only_bad_versions_is_still_explored(self) -> None:
         for version in VERSIONS:
             self.rate(version, DOSSIER, 0.7, 80)
         plans = [self.planner.plan(request_of(DOSSIER)) for _ in range(500)]
-        probes = [plan for plan in plans if isinstance(plan, Plan)]
-        self.assertGreaterEqual(len(probes), 9)
-        self.assertLessEqual(len(probes), 10)
+        explorations = [plan for plan in plans if isinstance(plan, Plan)]
+        self.assertGreaterEqual(len(explorations), 9)
+        self.assertLessEqual(len(explorations), 10)
 
 
 _Case = tuple[str, CheckPower, dict[str, object]]
 
 
-class _PowerfulCheck(NoCheck):
-    """A check with a power as if it had been measured."""
+class _FixedPowerCheck(NoCheck):
+    """A check whose power on the small version is given."""
 
     def __init__(self, power: CheckPower) -> None:
         self._power = power
@@ -269,27 +269,27 @@
 
 
 class CascadeTest(_PlannerTest):
-    def stepped(self, power: CheckPower, **changes: object) -> Plan:
+    def cascade_plan(self, power: CheckPower, **changes: object) -> Plan:
         planner = AdaptivePlanner(
             self.configuration,
             self.estimates,
             Trials(PresetShares(self.configuration)),
             self.randomness,
             0,
-            _PowerfulCheck(power),
+            _FixedPowerCheck(power),
         )
         plan = planner.plan(request_of(SUMMARY, **changes))
         assert isinstance(plan, Plan)
         return plan
 
-    def test_it_is_priced_with_its_escalations(self) -> None:
+    def test_its_cost_includes_escalations(self) -> None:
         single = self.plan(SUMMARY)
-        plan = self.stepped(CheckPower(0.6, 0.9, 500))
+        plan = self.cascade_plan(CheckPower(0.6, 0.9, 500))
         self.assertEqual(plan.steps, (SMALL, MEDIUM))
         cheap = 0.08 + 0.12
         self.assertAlmostEqual(plan.cost, cheap + 0.4 * single.cost)
 
-    def test_it_stays_off_where_it_does_not_pay(self) -> None:
+    def test_it_is_used_only_if_worthwhile(self) -> None:
         strong = CheckPower(0.6, 0.9, 500)
         slow = CheckPower(0.6, 0.9, 500, seconds=3)
         cases: list[_Case] = [
@@ -302,9 +302,9 @@
         ]
         for name, power, changes in cases:
             with self.subTest(name):
-                plan = self.stepped(power, **changes)
+                plan = self.cascade_plan(power, **changes)
                 self.assertEqual(plan.steps, (MEDIUM,))
-        self.assertEqual(len(self.stepped(slow).steps), 2)
+        self.assertEqual(len(self.cascade_plan(slow).steps), 2)
 
 
 class EstimatesTest(_PlannerTest):
@@ -315,17 +315,17 @@
         self.rate(MEDIUM, TAG, 0.96, 5)
         self.assertLess(self.estimates.estimate(SMALL, TAG).ratings, 1)
 
-    def test_the_stamp_grows_with_ratings_and_configuration(self) -> None:
-        before = self.estimates.stamp
+    def test_ratings_and_configuration_increase_the_generation(self) -> None:
+        before = self.estimates.generation
         self.rate(SMALL, TAG, 0.9, 1)
-        self.assertGreater(self.estimates.stamp, before)
-        before = self.estimates.stamp
+        self.assertGreater(self.estimates.generation, before)
+        before = self.estimates.generation
         self.configuration.withdraw((Withdrawal(version=SMALL, epoch=0),))
-        self.assertGreater(self.estimates.stamp, before)
+        self.assertGreater(self.estimates.generation, before)
 
 
 class BaselineTest(_PlannerTest):
-    def test_baselines_look_at_price_alone(self) -> None:
+    def test_baselines_consider_prices_alone(self) -> None:
         request = request_of(DOSSIER)
         for planner, expected in (
             (most_expensive(self.configuration), {LARGE}),
--- a/tests/test_quality_sharing.py
+++ b/tests/test_quality_sharing.py
@@ -1,4 +1,4 @@
-"""Tests of reading, sharing and storing estimates."""
+"""Tests of reading the ratings, and of sharing and storing estimates."""
 
 import asyncio
 import random
@@ -26,7 +26,7 @@
 
 
 class ListedRatings:
-    """A rating service with a feed that may be down."""
+    """A rating service whose feed may be unavailable."""
 
     def __init__(self, count: int) -> None:
         self.down = False
@@ -37,12 +37,12 @@
         ]
 
     async def submit(self, answer: RatedAnswer) -> Refusal | None:
-        """Take it."""
+        """Accept the answer and ignore it."""
 
     async def feed(self, after: int) -> tuple[Rating, ...] | Refusal:
         self.feeds += 1
         if self.down:
-            return Refusal(ResultCode.RATINGS_UNAVAILABLE, 'It is down.')
+            return Refusal(ResultCode.RATINGS_UNAVAILABLE, 'Unavailable.')
         return tuple(self._rated[after : after + _PAGE])
 
 
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class Host:
-    """One host's objects."""
+    """The objects of one host."""
 
     estimates: Estimates
     sharer: QualitySharer
@@ -72,7 +72,7 @@
 
     @property
     def position(self) -> int:
-        return self.estimates.book.position
+        return self.estimates.tracker.position
 
 
 class _HostsTest(unittest.IsolatedAsyncioTestCase):
@@ -101,7 +101,7 @@
             self.clock,
             lambda: reads,
         )
-        for run in (sharer.run(), sharer.follow(), reader.run()):
+        for run in (sharer.run(), sharer.run_fetches(), reader.run()):
             self.spawn(run)
         self.hosts[name] = Host(estimates, sharer, reader)
         return self.hosts[name]
@@ -112,7 +112,7 @@
 
 
 class SharingTest(_HostsTest):
-    async def test_one_host_reads_and_all_know(self) -> None:
+    async def test_ratings_read_by_one_host_reach_all_hosts(self) -> None:
         hosts = [
             self.host(f'h{number}', f'd{number % 3}', reads=number == 0)
             for number in range(9)
@@ -125,50 +125,50 @@
                 hosts[0].estimates.estimate(SMALL, TAG),
             )
 
-    async def test_a_domain_without_the_platform_hears_of_others(self) -> None:
+    async def test_a_domain_without_a_reader_receives_the_state(self) -> None:
         self.host('near', 'one', reads=True)
-        far = self.host('far', 'two')
+        remote = self.host('far', 'two')
         self.mesh.cut_domain(DomainId('two'))
         await self.clock.advance(30)
-        self.assertEqual(far.position, 0)
+        self.assertEqual(remote.position, 0)
         self.mesh.heal_domain(DomainId('two'))
         await self.clock.advance(30)
-        self.assertEqual(far.position, 95)
+        self.assertEqual(remote.position, 95)
 
-    async def test_a_host_that_starts_fetches_from_a_peer(self) -> None:
+    async def test_a_starting_host_fetches_from_a_peer(self) -> None:
         self.host('old', 'one', reads=True)
         await self.clock.advance(10)
         fresh = self.host('new', 'one')
-        fetching = asyncio.create_task(fresh.sharer.fetch())
+        fetching = asyncio.create_task(fresh.sharer.fetch_initial())
         await self.clock.advance(1)
         self.assertTrue(await fetching)
         self.assertEqual(fresh.position, 95)
 
-    async def test_one_who_is_behind_is_told_so(self) -> None:
+    async def test_a_host_that_is_behind_is_notified(self) -> None:
         self.host('old', 'one', reads=True)
         await self.clock.advance(11)
         fresh = self.host('new', 'one')
-        fresh.sharer.mark()
-        # Less than the time until anybody tells of itself.
+        fresh.sharer.advertise()
+        # Less than the time until the next periodic advertisement.
         await self.clock.advance(2)
         self.assertEqual(fresh.position, 95)
 
-    async def test_fetches_are_spaced_whoever_tells_of_more(self) -> None:
-        reader = self.host('old', 'one')
+    async def test_fetches_are_spaced_despite_advertisements(self) -> None:
+        source = self.host('old', 'one')
         self.host('new', 'one')
         fetched = 0
         seen = 0
         for position in range(1, 31):
             rating = Rating(position, RequestId(''), TAG, SMALL, 0.9)
-            reader.estimates.take((rating,))
-            reader.sharer.mark()
+            source.estimates.take((rating,))
+            source.sharer.advertise()
             await self.clock.advance(1)
             fetched += self.hosts['new'].position > seen
             seen = self.hosts['new'].position
         self.assertLessEqual(fetched, 3)
         self.assertGreater(seen, 20)
 
-    async def test_a_feed_that_is_down_loses_nothing(self) -> None:
+    async def test_an_outage_of_the_feed_loses_no_ratings(self) -> None:
         self.ratings.down = True
         host = self.host('one', 'one', reads=True)
         await self.clock.advance(20)
@@ -184,19 +184,19 @@
 
 
 class StoreTest(_HostsTest):
-    async def test_all_hosts_may_restart(self) -> None:
+    async def test_the_state_survives_a_restart_of_all_hosts(self) -> None:
         objects = MemoryObjects()
         host = self.host('one', 'one', reads=True)
         await self.clock.advance(10)
         await QualityStore(objects, host.estimates).save()
         fresh = self.estimates()
         self.assertTrue(await QualityStore(objects, fresh).load())
-        self.assertEqual(fresh.book.state(), host.estimates.book.state())
+        self.assertEqual(fresh.tracker.state(), host.estimates.tracker.state())
 
-    async def test_a_stored_state_that_is_torn_is_passed_over(self) -> None:
+    async def test_a_corrupt_stored_state_is_ignored(self) -> None:
         objects = MemoryObjects()
         objects.stored['quality/1'] = b'\x91'
         fresh = self.estimates()
         with self.assertLogs('absl', 'ERROR'):
             self.assertFalse(await QualityStore(objects, fresh).load())
-        self.assertEqual(fresh.book.position, 0)
+        self.assertEqual(fresh.tracker.position, 0)
--- a/tests/test_rating_samples.py
+++ b/tests/test_rating_samples.py
@@ -1,4 +1,4 @@
-"""Tests of handing answers in for rating."""
+"""Tests of submitting a sample of the answers for rating."""
 
 import asyncio
 import random
@@ -27,14 +27,14 @@
 from nutmegroad.quality.rating_samples import (
     BURST,
     QUEUE_LIMIT,
-    RatingSamples,
+    RatingSampler,
     SampleShares,
 )
 from nutmegroad.testing.virtual import ManualClock
 
 
-class SlowRatings:
-    """A rating service that takes answers in when it is told to."""
+class GatedRatings:
+    """A rating service that accepts answers once a test opens it."""
 
     def __init__(self, refusal: Refusal | None = None) -> None:
         self.answers: list[RatedAnswer] = []
@@ -67,69 +67,69 @@
     return AttemptEnd(start, code, 0.1, 1, 10, 10, 0.1, 'some text')
 
 
-class RatingSamplesTest(unittest.IsolatedAsyncioTestCase):
+class RatingSamplerTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
         self.configuration = Configuration(self.clock, 8)
         self.configuration.take(accepted(SCENARIOS[0]))
         self.counts: Counter[str] = Counter()
 
-    def samples(self, ratings: SlowRatings) -> RatingSamples:
-        made = RatingSamples(
+    def sampler(self, ratings: GatedRatings) -> RatingSampler:
+        sampler = RatingSampler(
             ratings,
             Estimates(self.configuration, self.clock),
             self.configuration,
             self.clock,
             random.Random(1),
         )
-        made.count = lambda outcome: self.counts.update([outcome])
-        task = asyncio.create_task(made.run())
+        sampler.count_outcome = lambda outcome: self.counts.update([outcome])
+        task = asyncio.create_task(sampler.run())
         self.addCleanup(task.cancel)
-        return made
+        return sampler
 
-    async def test_a_request_never_waits_for_the_service(self) -> None:
-        ratings = SlowRatings()
-        samples = self.samples(ratings)
+    async def test_a_request_never_waits_for_the_rating_service(self) -> None:
+        ratings = GatedRatings()
+        sampler = self.sampler(ratings)
         for number in range(300):
             await self.clock.advance(20)
-            samples.ended(end_of(number))
-        # One is under way, the queue is full, and the rest are counted.
+            sampler.ended(end_of(number))
+        # One is being submitted, the queue is full, the rest are counted.
         self.assertEqual(self.counts['queue_full'], 300 - QUEUE_LIMIT - 1)
         ratings.open.set()
         await self.clock.settle()
         self.assertEqual(len(ratings.answers), QUEUE_LIMIT + 1)
 
-    async def test_an_answer_is_handed_in_once_at_most(self) -> None:
+    async def test_an_answer_is_submitted_at_most_once(self) -> None:
         refusal = Refusal(ResultCode.RATINGS_UNAVAILABLE, 'The reply is lost.')
-        ratings = SlowRatings(refusal)
+        ratings = GatedRatings(refusal)
         ratings.open.set()
-        samples = self.samples(ratings)
-        samples.ended(end_of(1))
-        samples.ended(end_of(1, attempt=2))
+        sampler = self.sampler(ratings)
+        sampler.ended(end_of(1))
+        sampler.ended(end_of(1, attempt=2))
         await self.clock.advance(60)
         self.assertEqual(len(ratings.answers), 1)
         self.assertEqual(self.counts, {'repeated': 1, 'failed': 1})
 
-    async def test_only_whole_answers_are_handed_in(self) -> None:
-        ratings = SlowRatings()
+    async def test_only_complete_answers_are_submitted(self) -> None:
+        ratings = GatedRatings()
         ratings.open.set()
-        samples = self.samples(ratings)
-        samples.ended(end_of(1, ResultCode.ANSWER_CUT))
+        sampler = self.sampler(ratings)
+        sampler.ended(end_of(1, ResultCode.ANSWER_CUT))
         await self.clock.settle()
         self.assertEqual(ratings.answers, [])
 
-    async def test_the_rate_is_bounded(self) -> None:
-        ratings = SlowRatings()
+    async def test_the_submission_rate_is_limited(self) -> None:
+        ratings = GatedRatings()
         ratings.open.set()
-        samples = self.samples(ratings)
+        sampler = self.sampler(ratings)
         for number in range(200):
-            samples.ended(end_of(number))
+            sampler.ended(end_of(number))
             await asyncio.sleep(0)
         await self.clock.settle()
         self.assertEqual(len(ratings.answers), BURST)
         self.assertEqual(self.counts['above_rate'], 200 - BURST)
 
-    async def test_all_answers_of_a_trial_are_rated(self) -> None:
+    async def test_all_answers_of_a_canary_version_are_rated(self) -> None:
         base = accepted(SCENARIOS[0])
         trial = structs.replace(
             base.document.versions[0],
@@ -139,27 +139,27 @@
         self.configuration.take(
             replace(base, document=document, revision=Revision(2)),
         )
-        ratings = SlowRatings()
+        ratings = GatedRatings()
         ratings.open.set()
-        samples = self.samples(ratings)
+        sampler = self.sampler(ratings)
         for number in range(60):
-            samples.ended(end_of(number))
+            sampler.ended(end_of(number))
             await self.clock.settle()
         self.assertEqual(len(ratings.answers), 60)
 
 
 class SampleSharesTest(unittest.TestCase):
-    def test_uncertain_and_rare_pairs_are_rated_more(self) -> None:
+    def test_uncertain_and_rare_versions_are_rated_more(self) -> None:
         shares = SampleShares()
         task = TaskName('t')
-        often, seldom = VersionId('m@1'), VersionId('m@2')
+        frequent, rare = VersionId('m@1'), VersionId('m@2')
         clear = Estimate(0.9, 0.95, 0.01, 0.93, 0.94, 0.97, 90)
         unclear = Estimate(0.9, 0.9, 0.01, 0.88, 0.89, 0.92, 90)
         new = Estimate(0.9, 0.9, 0.05, 0.8, 0.85, 1, 3)
         for _ in range(200):
-            settled = shares.share(often, task, clear, 0.9)
-        uncertain = shares.share(often, task, unclear, 0.9)
+            settled = shares.share(frequent, task, clear, 0.9)
+        uncertain = shares.share(frequent, task, unclear, 0.9)
         self.assertLess(settled, uncertain)
         self.assertLess(uncertain, 1)
-        self.assertEqual(shares.share(often, task, new, 0.9), 1)
-        self.assertEqual(shares.share(seldom, task, clear, 0.9), 1)
+        self.assertEqual(shares.share(frequent, task, new, 0.9), 1)
+        self.assertEqual(shares.share(rare, task, clear, 0.9), 1)
