--- a/src/nutmegroad/quality/quality_book.py
+++ b/src/nutmegroad/quality/quality_book.py
@@ -329,7 +329,7 @@
         ]
 
     def _freeze(self) -> None:
-        """Restore the statistics from before the deviations."""
+        """Freeze, and restore the statistics from before the deviations."""
         self._frozen = self._position
         for key, cell in self._cells.items():
             if cell.held is not None:
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -93,7 +93,7 @@
     def versions(self, task: TaskName, count: int) -> list[VersionId]:
         return [self.plan(task).steps[0] for _ in range(count)]
 
-    def configure(self, entry: VersionEntry, share: float) -> None:
+    def add_rollout(self, entry: VersionEntry, share: float) -> None:
         """Add a version in a rollout to the configuration."""
         base = accepted(SCENARIOS[0])
         preset = structs.replace(
@@ -201,7 +201,7 @@
             quality={SUMMARY: 0.9},
             stage=Stage.ROLLOUT,
         )
-        self.configure(entry, 0.1)
+        self.add_rollout(entry, 0.1)
         versions = (*VERSIONS, entry.version)
         plans = [
             self.plan(
@@ -212,7 +212,7 @@
             for number in range(1000)
         ]
         self.assertAlmostEqual(plans.count(entry.version), 100, delta=30)
-        self.configure(entry, 0.1)
+        self.add_rollout(entry, 0.1)
         only = self.plan(SUMMARY, versions=(entry.version,))
         self.assertEqual(only.steps, (entry.version,))
 
@@ -333,6 +333,6 @@
             (static_share(self.configuration, random.Random(1)), set(VERSIONS)),
         ):
             plans = [planner.plan(request) for _ in range(50)]
-            taken = {plan.steps[0] for plan in plans if isinstance(plan, Plan)}
+            chosen = {plan.steps[0] for plan in plans if isinstance(plan, Plan)}
             with self.subTest(expected=expected):
-                self.assertEqual(taken, expected)
+                self.assertEqual(chosen, expected)
--- a/tests/test_rating_samples.py
+++ b/tests/test_rating_samples.py
@@ -131,11 +131,11 @@
 
     async def test_all_answers_of_a_canary_version_are_rated(self) -> None:
         base = accepted(SCENARIOS[0])
-        trial = structs.replace(
+        canary = structs.replace(
             base.document.versions[0],
             stage=Stage.ROLLOUT,
         )
-        document = structs.replace(base.document, versions=(trial,))
+        document = structs.replace(base.document, versions=(canary,))
         self.configuration.take(
             replace(base, document=document, revision=Revision(2)),
         )
