--- a/src/nutmegroad/callers/session_names.py
+++ b/src/nutmegroad/callers/session_names.py
@@ -1,11 +1,11 @@
-"""Sessions that callers name themselves, each held to one version.
-
-A row of the table, written once and never changed, decides: of requests
-that begin one session at two hosts, the first to write wins, and the other
-takes the winner's version before it sends anything. As a row never changes
-it may be remembered without end: here, and at two hosts of the domain that
-are found by rendezvous hashing, so that known sessions go on without the
-table.
+"""Sessions that callers name themselves, each bound to one version.
+
+A session has one row in the table, which is written once and never changed.
+If requests start the same session at two hosts, the first write wins, and
+the other host uses the winner's version before it sends anything. As a row
+never changes, a cached copy is always valid. The row is cached by the host
+that used it and by two hosts of the domain that rendezvous hashing selects,
+so that known sessions continue while the table is unavailable.
 """
 
 import asyncio
@@ -32,24 +32,26 @@
 
 _PREFIX: Final = 'session/'
 
-#: Sessions that a host remembers, the last used.
-REMEMBERED: Final = 20_000
+#: Maximum number of sessions that a host caches; the least recently used is
+#: evicted.
+MAX_CACHED: Final = 20_000
 
-#: Hosts of a domain that remember each session.
-HOLDERS: Final = 2
+#: Number of hosts of a domain that are selected to cache a session.
+CACHE_HOLDERS: Final = 2
 
-#: Seconds to wait for another host's memory.
+#: Seconds to wait for the reply of another host's cache.
 PEER_TIMEOUT: Final = 0.25
 
-#: Seconds after which a session that could not begin is worth another try.
-COME_BACK: Final = 2.0
+#: Seconds after which a caller should retry if the version of its session
+#: cannot be determined.
+UNKNOWN_RETRY_AFTER: Final = 2.0
 
 
 class SessionQuestion(Message, frozen=True, tag='session-question'):
-    """Asks what another host remembers of a session.
+    """Asks another host for the cached row of a session.
 
     Attributes:
-        key: Key of its row.
+        key: Key of the row.
     """
 
     part: ClassVar[str] = 'sessions'
@@ -58,11 +60,11 @@
 
 
 class SessionMemory(Message, frozen=True, tag='session-memory'):
-    """What a host remembers of a session.
+    """The cached row of a session.
 
     Attributes:
-        key: Key of its row.
-        text: Content of its row; empty if it is not known.
+        key: Key of the row.
+        text: Content of the row; empty if it is not cached.
     """
 
     part: ClassVar[str] = 'sessions'
@@ -72,13 +74,13 @@
 
 
 class SessionNames:
-    """Finds and begins sessions by their callers' names.
+    """Finds and starts sessions by the names that callers gave them.
 
     Args:
-        table: Decides which version a session has.
-        mesh: Reaches the hosts that remember.
-        duties: Tells which hosts those are.
-        invariants: What must always hold.
+        table: Stores the version of each session.
+        mesh: Connects this host to the hosts that cache sessions.
+        duties: Selects the hosts that cache a session.
+        invariants: Checks that the row of a session never changes.
     """
 
     def __init__(
@@ -92,102 +94,108 @@
         self._mesh = mesh
         self._duties = duties
         self._invariants = invariants
-        self._known: OrderedDict[str, str] = OrderedDict()
+        self._cache: OrderedDict[str, str] = OrderedDict()
         mesh.handle(SessionQuestion, self._answer)
-        mesh.handle(SessionMemory, self._remember_for_others)
+        mesh.handle(SessionMemory, self._store_from_peer)
 
     async def find(
         self,
         workspace: WorkspaceId,
         name: str,
     ) -> SessionToken | Refusal | None:
-        """Return a session, None if there is none, or why that is unknown."""
+        """Find a session by its name.
+
+        Returns:
+            The session, None if there is none, or a refusal if the table is
+            unavailable and no cache has the session.
+        """
         key = _key(workspace, name)
-        text = self._recall(key) or await self._ask_holders(key)
+        text = self._cached_text(key) or await self._ask_peers(key)
         if text:
-            return self._take(key, text)
+            return self._store(key, text)
         row = await self._table.read(key)
         if isinstance(row, Refusal):
             return _unknown(name)
-        return self._take(key, row.text) if row.version > ABSENT else None
+        return self._store(key, row.text) if row.version > ABSENT else None
 
     async def begin(self, token: SessionToken) -> SessionToken | Refusal:
-        """Begin a session, or return the one that was begun before."""
+        """Start a session, or return the one that was started before."""
         key = _key(WorkspaceId(token.workspace), token.name)
         wanted = msgspec.json.encode(token).decode()
         written = await self._table.commit((RowWrite(key, wanted, ABSENT),))
         if isinstance(written, Conflict):
             row: Row | Refusal = written.row
         elif isinstance(written, Refusal):
-            # The write may have taken effect; whoever's row is there, counts.
+            # The write may have taken effect, so the row that is stored
+            # decides, whichever host wrote it.
             row = await self._table.read(key)
         else:
             row = written[0]
         if isinstance(row, Refusal) or row.version == ABSENT:
             return _unknown(token.name)
-        held = self._take(key, row.text)
+        stored = self._store(key, row.text)
         message = SessionMemory(key, row.text)
-        for host in self._holders(key):
+        for host in self._cache_peers(key):
             self._mesh.tell(host, message)
-        return held
+        return stored
 
-    def _take(self, key: str, text: str) -> SessionToken:
-        """Remember a session's row."""
-        before = self._known.get(key)
+    def _store(self, key: str, text: str) -> SessionToken:
+        """Cache the row of a session, and return the session."""
+        before = self._cache.get(key)
         self._invariants.check(
             'session-row-never-changes',
             before is None or before == text,
             key,
         )
-        self._known[key] = text
-        self._known.move_to_end(key)
-        if len(self._known) > REMEMBERED:
-            self._known.popitem(last=False)
+        self._cache[key] = text
+        self._cache.move_to_end(key)
+        if len(self._cache) > MAX_CACHED:
+            self._cache.popitem(last=False)
         return msgspec.json.decode(text, type=SessionToken)
 
-    def _recall(self, key: str) -> str:
-        """Return what this host remembers; empty for nothing."""
-        return self._known.get(key, '')
+    def _cached_text(self, key: str) -> str:
+        """Return the row that this host has cached; empty if none."""
+        return self._cache.get(key, '')
 
-    async def _ask_holders(self, key: str) -> str:
-        """Return what the first holder that knows remembers."""
+    async def _ask_peers(self, key: str) -> str:
+        """Return the row from the first peer that has it; empty if none."""
         question = SessionQuestion(key)
         asks = [
             self._mesh.ask(host, question, PEER_TIMEOUT)
-            for host in self._holders(key)
+            for host in self._cache_peers(key)
         ]
         for reply in await asyncio.gather(*asks):
             if isinstance(reply, SessionMemory) and _is_session(reply.text):
                 return reply.text
         return ''
 
-    def _holders(self, key: str) -> tuple[HostId, ...]:
-        """Return the other hosts that remember a session."""
+    def _cache_peers(self, key: str) -> tuple[HostId, ...]:
+        """Return the connected peers that are selected to cache a session."""
         duty = DutyName(key)
-        holders = self._duties.holders(duty, HOLDERS)
-        linked = {member.host for member in self._mesh.members()}
-        return tuple(host for host in holders if host in linked)
+        holders = self._duties.holders(duty, CACHE_HOLDERS)
+        connected = {member.host for member in self._mesh.members()}
+        return tuple(host for host in holders if host in connected)
 
     async def _answer(
         self,
         host: HostId,
         question: SessionQuestion,
     ) -> SessionMemory:
-        """Tell another host what this one remembers."""
-        return SessionMemory(question.key, self._recall(question.key))
+        """Answer another host from this host's cache."""
+        return SessionMemory(question.key, self._cached_text(question.key))
 
-    async def _remember_for_others(
+    async def _store_from_peer(
         self,
         host: HostId,
         memory: SessionMemory,
     ) -> None:
-        """Remember a session that another host has begun."""
+        """Cache a session that another host has started."""
         if _is_session(memory.text):
-            self._take(memory.key, memory.text)
+            self._store(memory.key, memory.text)
 
 
 def _is_session(text: str) -> bool:
-    """Tell whether another host's text is a session's row."""
+    """Return whether text from another host is the row of a session."""
     try:
         msgspec.json.decode(text, type=SessionToken)
     except msgspec.DecodeError:
@@ -196,17 +204,18 @@
 
 
 def _key(workspace: WorkspaceId, name: str) -> RowKey:
-    """Return the row of a session."""
-    # A slash in either must not make it another session's key.
+    """Return the key of a session's row."""
+    # Slashes are escaped. Otherwise a slash in the workspace or the name
+    # could give the key of another session.
     parts = (quote(part, safe='') for part in (workspace, name))
     return RowKey(_PREFIX + '/'.join(parts))
 
 
 def _unknown(name: str) -> Refusal:
-    """Say that it can not be known which version a session has."""
+    """Return the refusal if a session's version cannot be determined."""
     return Refusal(
         ResultCode.TABLE_UNAVAILABLE,
-        f'Which version the session {name!r} has can not be known now, so '
-        'the request was not sent. A session by token needs no table.',
-        retry_after=COME_BACK,
+        f'The version of the session {name!r} cannot be determined now, so '
+        'the request was not sent. A session token works without the table.',
+        retry_after=UNKNOWN_RETRY_AFTER,
     )
--- a/src/nutmegroad/callers/session_pins.py
+++ b/src/nutmegroad/callers/session_pins.py
@@ -1,4 +1,4 @@
-"""Holds a caller's requests to the one version of their session."""
+"""Pins the requests of a session to the version of the session."""
 
 from dataclasses import replace
 
@@ -13,13 +13,13 @@
 
 
 class SessionPins:
-    """Pins requests to their sessions' versions, and signs tokens.
+    """Pins requests to the versions of their sessions, and issues tokens.
 
     Args:
-        names: Sessions that callers name themselves.
+        names: The sessions that callers name themselves.
         dispatcher: Chooses the version of a new session.
-        configuration: Knows the versions' epochs.
-        signer: Signs tokens.
+        configuration: Provides the epochs of versions.
+        signer: Signs session tokens.
     """
 
     def __init__(
@@ -35,10 +35,14 @@
         self._signer = signer
 
     async def pin(self, intake: Intake) -> Intake | Refusal:
-        """Hold a session of the caller's own name to its one version.
+        """Pin a request to the version of the session that it names.
+
+        A request without a session, or with a session token, is returned
+        unchanged: a token names its version already.
 
         Returns:
-            The request held to the version, or why it was not sent.
+            The pinned request, or the refusal if its version cannot be
+            determined.
         """
         model = intake.model
         if model.session is not None or not intake.session:
@@ -48,12 +52,16 @@
             token = await self._begin(intake.session, model)
         if isinstance(token, Refusal):
             return token
-        held = token.claim
-        pinned = replace(model, session=held, versions=(held.version,))
+        claim = token.claim
+        pinned = replace(model, session=claim, versions=(claim.version,))
         return replace(intake, model=pinned)
 
     def token(self, intake: Intake, version: VersionId) -> str:
-        """Return the token that holds a session to its version."""
+        """Return the token that binds a session to a version.
+
+        A request without a session gets a token for a new one, named after
+        the request.
+        """
         model = intake.model
         claim = model.session
         if claim is None:
@@ -66,7 +74,7 @@
         name: str,
         model: ModelRequest,
     ) -> SessionToken | Refusal:
-        """Choose a version and begin a session, unless another host did."""
+        """Choose a version and start a session, unless another host has."""
         version = self._dispatcher.choose_session_version(model)
         if isinstance(version, Refusal):
             return version
@@ -81,6 +89,6 @@
         )
 
     def _epoch(self, version: VersionId) -> Epoch:
-        """Return the present epoch of a version."""
+        """Return the current epoch of a version; 0 if it is unknown."""
         entry = self._configuration.entry(version)
         return Epoch(entry.epoch if entry else 0)
--- a/src/nutmegroad/callers/sessions.py
+++ b/src/nutmegroad/callers/sessions.py
@@ -1,7 +1,7 @@
-"""Session tokens: a session's version, signed, so that nothing is stored.
+"""Session tokens: the signed version of a session, without stored state.
 
-Any host of the deployment reads a token that any other host signed, so a
-session outlives hosts and cuts.
+Every host of the deployment can verify a token that another host signed, so
+a session survives the loss of hosts and network partitions.
 """
 
 from typing import Final
@@ -14,21 +14,22 @@
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Epoch, TaskName, VersionId, WorkspaceId
 
-#: Tokens begin with this; other values are names of the caller's own.
+#: Prefix of tokens. Any other value of the session header is a name that the
+#: caller chose.
 TOKEN_PREFIX: Final = 'nrs1.'
 
 _SALT: Final = 'nutmegroad-session'
 
 
 class SessionToken(Struct, frozen=True):
-    """What a token holds.
+    """The content of a session token, and of a named session's table row.
 
     Attributes:
-        name: The session's name.
-        workspace: Whose session it is.
-        task: The task class of its first request.
-        version: The version that it keeps.
-        epoch: The version's epoch when the session began.
+        name: Name of the session.
+        workspace: Workspace that the session belongs to.
+        task: Task class of the session's first request.
+        version: Version that the session is bound to.
+        epoch: Epoch of that version when the session started.
     """
 
     name: str
@@ -39,7 +40,7 @@
 
     @property
     def claim(self) -> SessionClaim:
-        """Return what the session is held to."""
+        """The name, version and epoch, as a model request carries them."""
         return SessionClaim(
             self.name,
             VersionId(self.version),
@@ -48,16 +49,16 @@
 
 
 class SessionSigner:
-    """Signs and reads session tokens.
+    """Signs and verifies session tokens.
 
     Args:
-        key: Secret that the deployment's hosts share.
-        old_key: Another one that holds while the key is changed; empty for
-            none.
+        key: Secret that all hosts of the deployment share.
+        old_key: Previous secret, still accepted while the key is rotated;
+            empty if there is none.
     """
 
     def __init__(self, key: str, old_key: str = '') -> None:
-        # It reads what any of these signed, and signs with the last.
+        # The serializer verifies with all keys and signs with the last.
         keys = [old_key, key] if old_key else [key]
         self._serializer = URLSafeSerializer(keys, salt=_SALT)
 
@@ -82,7 +83,12 @@
         text: str,
         workspace: WorkspaceId,
     ) -> SessionToken | Refusal:
-        """Return what a token holds, if it is ours and the workspace's."""
+        """Verify a token and return its content.
+
+        Args:
+            text: The token, with its prefix.
+            workspace: The workspace that the token must belong to.
+        """
         try:
             token = self._load(text.removeprefix(TOKEN_PREFIX))
         except (BadData, msgspec.ValidationError):
@@ -92,11 +98,11 @@
         return token
 
     def _load(self, text: str) -> SessionToken:
-        """Read a token's fields, checking the signature first."""
+        """Verify the signature of a token, then decode its fields."""
         return msgspec.convert(self._serializer.loads(text), SessionToken)
 
     def _dump(self, token: SessionToken) -> str:
-        """Sign a token's fields."""
+        """Encode and sign the fields of a token."""
         signed = self._serializer.dumps(msgspec.to_builtins(token))
         if isinstance(signed, bytes):
             return signed.decode()
@@ -104,7 +110,7 @@
 
 
 def _invalid() -> Refusal:
-    """Say that a token is not one of ours."""
+    """Return the refusal of an invalid session token."""
     return Refusal(
         ResultCode.SESSION_INVALID,
         'The session token is not valid for this workspace.',
--- a/tests/test_session_processes.py
+++ b/tests/test_session_processes.py
@@ -1,4 +1,8 @@
-"""A named session on real processes: two hosts at once, a kill, a switch."""
+"""Tests of named sessions on real processes.
+
+Guards against a session that changes its version when it starts at two hosts
+at the same time, when a host is killed, or when the preset changes.
+"""
 
 import asyncio
 import signal
@@ -31,7 +35,7 @@
 
 
 class SessionProcessTest(unittest.IsolatedAsyncioTestCase):
-    """Three hosts, of which one is killed."""
+    """A deployment of three hosts, one of which is killed."""
 
     async def asyncSetUp(self) -> None:
         stack = AsyncExitStack()
@@ -41,8 +45,10 @@
         self.session = await stack.enter_async_context(ClientSession())
         self.token = operator_token(self.running.document.operators[0].name)
 
-    async def ask(self, host: Address, name: str, model: str) -> str:
-        """Return the version that answers a session at a host."""
+    async def answering_version(
+        self, host: Address, name: str, model: str
+    ) -> str:
+        """Send a request of a session to a host; return the version used."""
         url = f'http://{host}/v1/chat/completions'
         body = {
             'model': model,
@@ -59,40 +65,47 @@
         self.assertEqual(reply.status, 200, content)
         return str(msgspec.json.decode(content)['model'])
 
-    async def begin(self, name: str) -> str:
+    async def start_session(self, name: str) -> str:
         """Begin a session at two hosts at once, for two versions."""
         one, two, _ = self.running.callers
-        asks = (self.ask(one, name, MODELS[0]), self.ask(two, name, MODELS[1]))
-        versions = set(await asyncio.gather(*asks))
+        requests = (
+            self.answering_version(one, name, MODELS[0]),
+            self.answering_version(two, name, MODELS[1]),
+        )
+        versions = set(await asyncio.gather(*requests))
         self.assertEqual(len(versions), 1, name)
         return versions.pop()
 
-    async def assert_kept(self, begun: dict[str, str]) -> None:
-        """Ask for the other version at the hosts that are left."""
-        for name, version in begun.items():
+    async def assert_bound(self, started: dict[str, str]) -> None:
+        """Check that each host ignores a request for the other version."""
+        for name, version in started.items():
             other = next(model for model in MODELS if model != version)
             for host in self.running.callers:
-                self.assertEqual(await self.ask(host, name, other), version)
+                self.assertEqual(
+                    await self.answering_version(host, name, other), version
+                )
 
-    async def preset_at(self, operators: Address) -> str:
-        """Return the preset that a host has in force."""
+    async def preset_in_force(self, operators: Address) -> str:
+        """Return the name of the preset in force at a host."""
         token = self.token
         presets: Any = await operate(operators, 'presets', token=token)
         return next(str(one['name']) for one in presets if one['in_force'])
 
-    async def test_it_keeps_one_version_from_first_to_last(self) -> None:
-        versions = await asyncio.gather(*(self.begin(name) for name in NAMES))
-        begun = dict(zip(NAMES, versions, strict=True))
-        await self.assert_kept(begun)
+    async def test_session_keeps_its_version(self) -> None:
+        versions = await asyncio.gather(
+            *(self.start_session(name) for name in NAMES)
+        )
+        started = dict(zip(NAMES, versions, strict=True))
+        await self.assert_bound(started)
         killed = self.running.hosts.pop(0)
         killed.signal(signal.SIGKILL)
         await killed.process.wait()
-        await self.assert_kept(begun)
+        await self.assert_bound(started)
         operators = self.running.operators
         body = {'preset': 'maintenance'}
         await operate(operators[0], 'preset', body, self.token)
         async with asyncio.timeout(30):
             for address in operators:
-                while await self.preset_at(address) != 'maintenance':
+                while await self.preset_in_force(address) != 'maintenance':
                     await asyncio.sleep(0.05)
-        await self.assert_kept(begun)
+        await self.assert_bound(started)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,4 +1,8 @@
-"""Sessions that callers name are held to one version by the table."""
+"""Tests of named sessions and session tokens.
+
+Guards against two hosts that bind one session to different versions, and
+against sessions that cross from one workspace to another.
+"""
 
 import asyncio
 import random
@@ -24,33 +28,33 @@
 
 DOMAIN = DomainId('shah-alam')
 SHOP = WorkspaceId('shop')
-DOWN = Refusal(ResultCode.TABLE_UNAVAILABLE, 'down', Ran.UNKNOWN)
+UNAVAILABLE = Refusal(ResultCode.TABLE_UNAVAILABLE, 'down', Ran.UNKNOWN)
 
 
-def token_of(version: str, name: str = 's') -> SessionToken:
-    """Return what a session would be begun with."""
+def make_token(version: str, name: str = 's') -> SessionToken:
+    """Return the content of a new session."""
     return SessionToken(name, SHOP, 'tag', version, 0)
 
 
 @dataclass
 class MemoryTable:
-    """A table of one row a key, which can be down or lose replies."""
+    """An in-memory table that can be unavailable or lose write replies."""
 
     rows: dict[RowKey, Row] = field(default_factory=dict)
-    is_down: bool = False
+    is_unavailable: bool = False
     loses_replies: bool = False
     reads: int = 0
 
     async def read(self, key: RowKey) -> Row | Refusal:
-        """Return a row."""
+        """Return a row, and count the read."""
         self.reads += 1
         await asyncio.sleep(0)
-        if self.is_down:
-            return DOWN
+        if self.is_unavailable:
+            return UNAVAILABLE
         return self.rows.get(key, Row(key, '', ABSENT))
 
     async def scan(self, prefix: str) -> tuple[Row, ...] | Refusal:
-        """Find nothing."""
+        """Return no rows."""
         return ()
 
     async def commit(
@@ -59,20 +63,20 @@
     ) -> tuple[Row, ...] | Conflict | Refusal:
         """Write one row."""
         await asyncio.sleep(0)
-        if self.is_down:
-            return DOWN
+        if self.is_unavailable:
+            return UNAVAILABLE
         write = writes[0]
         present = self.rows.get(write.key)
         if present is not None:
             return Conflict(present)
         row = Row(write.key, write.text, RowVersion(1))
         self.rows[write.key] = row
-        return DOWN if self.loses_replies else (row,)
+        return UNAVAILABLE if self.loses_replies else (row,)
 
 
 @dataclass(frozen=True)
-class Everybody:
-    """A membership in which all hosts are live."""
+class AllLive:
+    """A membership in which all hosts are always live."""
 
     host: HostId
     hosts: tuple[HostId, ...]
@@ -82,8 +86,8 @@
         return self.hosts
 
 
-class NamesTest(unittest.IsolatedAsyncioTestCase):
-    """Three hosts of a domain and one table."""
+class NamedSessionTest(unittest.IsolatedAsyncioTestCase):
+    """Three hosts of a failure domain that share a table."""
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
@@ -91,64 +95,66 @@
         self.mesh = MemoryMesh(self.clock, random.Random(2))
         await self.enterAsyncContext(self.mesh)
         hosts = tuple(HostId(name) for name in ('a', 'b', 'c'))
-        self.names = [self.join(host, hosts) for host in hosts]
+        self.sessions = [self.make_sessions(host, hosts) for host in hosts]
 
-    def join(self, host: HostId, hosts: tuple[HostId, ...]) -> SessionNames:
+    def make_sessions(
+        self, host: HostId, hosts: tuple[HostId, ...]
+    ) -> SessionNames:
         return SessionNames(
             self.table,
             self.mesh.join(host, DOMAIN),
-            Duties(Everybody(host, hosts)),
+            Duties(AllLive(host, hosts)),
             StrictInvariants(),
         )
 
-    async def run_work(self, work: Any) -> Any:
+    async def run_until_done(self, work: Any) -> Any:
         task = asyncio.create_task(work)
         await self.clock.advance(1)
         return await task
 
     async def find(self, host: int, name: str = 's') -> Any:
-        return await self.run_work(self.names[host].find(SHOP, name))
+        return await self.run_until_done(self.sessions[host].find(SHOP, name))
 
     async def begin(self, host: int, version: str, name: str = 's') -> Any:
-        work = self.names[host].begin(token_of(version, name))
-        return await self.run_work(work)
+        work = self.sessions[host].begin(make_token(version, name))
+        return await self.run_until_done(work)
 
-    async def test_first_requests_at_two_hosts_end_on_one_version(
+    async def test_concurrent_starts_agree_on_one_version(
         self,
     ) -> None:
-        both = asyncio.gather(
-            self.names[0].begin(token_of('v@1')),
-            self.names[1].begin(token_of('v@2')),
+        pending = asyncio.gather(
+            self.sessions[0].begin(make_token('v@1')),
+            self.sessions[1].begin(make_token('v@2')),
         )
         await self.clock.advance(1)
-        one, other = await both
+        one, other = await pending
         assert isinstance(one, SessionToken)
         self.assertEqual(one, other)
         self.assertEqual(await self.find(2), one)
 
-    async def test_a_lost_reply_is_read_back(self) -> None:
+    async def test_row_is_read_after_a_lost_reply(self) -> None:
         self.table.loses_replies = True
-        held = await self.begin(0, 'v@1')
-        self.assertEqual(held, token_of('v@1'))
+        started = await self.begin(0, 'v@1')
+        self.assertEqual(started, make_token('v@1'))
 
-    async def test_a_known_session_goes_on_at_all_without_the_table(
+    async def test_known_session_continues_without_the_table(
         self,
     ) -> None:
         await self.begin(0, 'v@1')
-        self.table.is_down = True
+        self.table.is_unavailable = True
         for host in range(3):
             with self.subTest(host=host):
-                self.assertEqual(await self.find(host), token_of('v@1'))
+                self.assertEqual(await self.find(host), make_token('v@1'))
 
-    async def test_a_new_session_without_the_table_is_not_run(self) -> None:
-        self.table.is_down = True
+    async def test_new_session_is_refused_without_the_table(self) -> None:
+        self.table.is_unavailable = True
         outcomes = [await self.find(0), await self.begin(0, 'v@1')]
         for outcome in outcomes:
             assert isinstance(outcome, Refusal)
             self.assertIs(outcome.ran, Ran.NOT_RUN)
             self.assertGreater(outcome.retry_after, 0)
 
-    async def test_what_is_remembered_costs_no_read(self) -> None:
+    async def test_cached_session_is_not_read_again(self) -> None:
         await self.begin(0, 'v@1')
         reads = self.table.reads
         for other in ('b', 'c'):
@@ -156,37 +162,37 @@
         await self.find(0)
         self.assertEqual(self.table.reads, reads)
 
-    async def test_a_session_that_nobody_began_is_none(self) -> None:
+    async def test_unknown_session_is_none(self) -> None:
         self.assertIsNone(await self.find(0))
 
-    async def test_sessions_of_two_workspaces_are_two(self) -> None:
+    async def test_workspaces_have_separate_sessions(self) -> None:
         await self.begin(0, 'v@1')
-        other = self.names[0].find(WorkspaceId('other'), 's')
-        self.assertIsNone(await self.run_work(other))
+        other = self.sessions[0].find(WorkspaceId('other'), 's')
+        self.assertIsNone(await self.run_until_done(other))
 
-    async def test_a_slash_does_not_reach_another_workspace(self) -> None:
+    async def test_slash_in_a_name_stays_within_the_workspace(self) -> None:
         await self.begin(0, 'v@1', 'x/s')
-        other = self.names[1].find(WorkspaceId('shop/x'), 's')
-        self.assertIsNone(await self.run_work(other))
+        other = self.sessions[1].find(WorkspaceId('shop/x'), 's')
+        self.assertIsNone(await self.run_until_done(other))
 
 
 class TokenTest(unittest.TestCase):
-    """Tokens that any host can read."""
+    """Signed session tokens."""
 
-    def test_a_token_holds_for_its_workspace_and_key_only(self) -> None:
-        held = token_of('v@1')
+    def test_token_is_valid_for_its_workspace_and_key_only(self) -> None:
+        token = make_token('v@1')
         text = SessionSigner('a-key-of-the-deployment').sign(
             SHOP,
             'tag',  # type: ignore[arg-type]
-            held.claim,
+            token.claim,
         )
         same = SessionSigner('a-key-of-the-deployment')
         other = SessionSigner('another-key-altogether')
-        self.assertEqual(same.read(text, SHOP), held)
-        wrongs = (
+        self.assertEqual(same.read(text, SHOP), token)
+        refusals = (
             same.read(text, WorkspaceId('other')),
             other.read(text, SHOP),
             same.read(f'{text}x', SHOP),
         )
-        for wrong in wrongs:
-            self.assertIsInstance(wrong, Refusal)
+        for refusal in refusals:
+            self.assertIsInstance(refusal, Refusal)
