--- a/src/nutmegroad/callers/__init__.py
+++ b/src/nutmegroad/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' interface: requests in, answers and refusals out."""
+"""The HTTP interface for callers: model requests, services and sessions."""
--- a/src/nutmegroad/callers/_caller_guard.py
+++ b/src/nutmegroad/callers/_caller_guard.py
@@ -1,4 +1,4 @@
-"""What stands before every caller's request: the state of the host's stop."""
+"""Middleware that handles callers' requests while the host stops."""
 
 import asyncio
 from typing import Final
@@ -19,90 +19,97 @@
 from nutmegroad.foundations.types import RequestId
 from nutmegroad.kernel.stops import GracefulStop, ended_by_stop
 
-#: Where a request keeps the stream of its answer.
+#: Key under which an HTTP request stores the stream of its answer.
 STREAM_KEY: Final = RequestKey('stream', EventStream)
 
-_NO_REQUEST: Final = RequestId('-')
+_NO_REQUEST_ID: Final = RequestId('-')
 
 
-class CallerGuard:
-    """Refuses new work while the host stops, and counts what is open.
+class StopGuard:
+    """Refuses new requests while the host stops, and counts open ones.
 
     Args:
-        stop: The host's stop.
-        metrics: Where requests are counted.
+        stop: The host's graceful stop.
+        metrics: Counts refusals and open requests.
     """
 
     def __init__(self, stop: GracefulStop, metrics: Metrics) -> None:
         self._stop = stop
         self._metrics = metrics
 
-    def protect(self, app: Application) -> None:
-        """Stand before all handlers of an application."""
+    def install(self, app: Application) -> None:
+        """Add the middleware to an application."""
         app.middlewares.append(self._make_middleware())
-        app.on_response_prepare.append(self._say_goodbye)
+        app.on_response_prepare.append(self._announce_close)
 
     def _make_middleware(self) -> Middleware:
-        """Return the middleware."""
+        """Return the middleware function."""
 
         @middleware
         async def guard(request: Request, handler: Handler) -> StreamResponse:
-            """Let a request through, or refuse it as not run."""
+            """Pass a request on, or refuse it as not executed."""
             refusal = self._stop.refusal()
             if refusal is not None:
                 self._metrics.refused(refusal.code)
-                return refuse(refusal, _NO_REQUEST)
+                return refuse(refusal, _NO_REQUEST_ID)
             with self._stop.request():
                 return await self._handle(request, handler)
 
         return guard
 
     async def _handle(self, http: Request, handler: Handler) -> StreamResponse:
-        """Run a handler; if the stop ends it, say so to the caller."""
-        self._show_open()
+        """Run a handler; if the stop cancels it, reply with a refusal."""
+        self._report_open()
         try:
             return await handler(http)
         except ConnectionResetError:
-            # A caller that was cut, or has gone: there is nobody to tell.
+            # The caller's connection was aborted or closed, so no reply can
+            # be sent.
             stream: EventStream | None = http.get(STREAM_KEY)
             if stream is None or stream.response is None:
                 raise
             return stream.response
         except asyncio.CancelledError:
-            # A caller that went away cancels too, and hears nothing more.
+            # A caller that disconnects also cancels the handler. It gets no
+            # reply.
             if self._stop.gate_refusal() is None or _is_gone(http):
                 raise
         finally:
-            self._show_open()
+            self._report_open()
         task = asyncio.current_task()
         if task is not None:
             task.uncancel()
-        return await self._end(http, ended_by_stop())
+        return await self._reply_stopped(http, ended_by_stop())
 
-    async def _end(self, http: Request, refusal: Refusal) -> StreamResponse:
-        """Say why a request ends before its answer has."""
+    async def _reply_stopped(
+        self,
+        http: Request,
+        refusal: Refusal,
+    ) -> StreamResponse:
+        """Refuse a request that the stop has cancelled."""
         self._metrics.refused(ResultCode.HOST_STOPPING)
         stream: EventStream | None = http.get(STREAM_KEY)
         if stream is not None and stream.response is not None:
             return await stream.fail(refusal)
-        return refuse(refusal, _NO_REQUEST)
+        return refuse(refusal, _NO_REQUEST_ID)
 
-    async def _say_goodbye(
+    async def _announce_close(
         self,
         http: Request,
         response: StreamResponse,
     ) -> None:
-        """Have clients open no more requests on a connection."""
+        """Close the connection after this reply if the host is stopping."""
         if not self._stop.is_ready:
-            # The library has written this header already.
+            # aiohttp has prepared the headers before it calls this hook, so
+            # ``force_close`` alone would not set this one.
             response.headers['Connection'] = 'close'
             response.force_close()
 
-    def _show_open(self) -> None:
-        """Show how many requests are open."""
+    def _report_open(self) -> None:
+        """Update the metric of open requests."""
         self._metrics.state.in_flight(self._stop.open_requests)
 
 
 def _is_gone(http: Request) -> bool:
-    """Tell whether a caller has closed its connection."""
+    """Return whether the caller's connection is closed or closing."""
     return http.transport is None or http.transport.is_closing()
--- a/src/nutmegroad/callers/_caller_parts.py
+++ b/src/nutmegroad/callers/_caller_parts.py
@@ -1,4 +1,4 @@
-"""What the callers' interface hands requests to."""
+"""The components that the callers' HTTP interface uses."""
 
 import random
 from dataclasses import dataclass
@@ -13,18 +13,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerParts:
-    """What the callers' interface hands requests to.
+class CallerContext:
+    """The components that the callers' HTTP interface uses.
 
     Attributes:
-        configuration: What is in force.
+        configuration: The configuration in force.
         models: Answers model requests.
         services: Makes calls to plain services.
         issuer: Issues tickets.
-        forwarder: Hands requests on to the issuers of their tickets.
+        forwarder: Forwards requests to the hosts that issued their tickets.
         metrics: Counts refusals.
         clock: The host's clock.
-        randomness: Names requests.
+        randomness: Source of random request ids.
     """
 
     configuration: Configuration
--- a/src/nutmegroad/callers/_caller_requests.py
+++ b/src/nutmegroad/callers/_caller_requests.py
@@ -1,4 +1,4 @@
-"""A caller's request as it was read, and where pieces of its answer go."""
+"""A caller's complete request, its forwarded headers and its answer sink."""
 
 import math
 from collections.abc import Mapping
@@ -10,8 +10,8 @@
 from nutmegroad.foundations.types import RequestId, VersionId
 from nutmegroad.routing.attempts import Sink
 
-#: Headers that matter when a request is handed on to another host.
-_PASSED: Final = (
+#: Headers that are passed on when a request is forwarded to another host.
+_FORWARDED: Final = (
     'Authorization',
     'Content-Type',
     'Idempotency-Key',
@@ -19,23 +19,23 @@
     'Nutmegroad-Session',
     'Nutmegroad-Ticket',
 )
-_MILLISECONDS: Final = 1000
+_MS_PER_SECOND: Final = 1000
 
 
 @dataclass(frozen=True, slots=True)
-class CallerRequest:
-    """A request that was read whole.
+class IncomingRequest:
+    """A caller's request after its body has been read.
 
     Attributes:
-        request: Its id.
-        workspace: Who asks.
+        request_id: Id of the request.
+        workspace: The caller's workspace.
         method: HTTP method.
-        target: Path.
+        target: Path of the request.
         headers: HTTP headers.
         content: Body.
     """
 
-    request: RequestId
+    request_id: RequestId
     workspace: WorkspaceEntry
     method: str
     target: str
@@ -44,13 +44,14 @@
 
 
 class DetachableSink:
-    """A sink whose caller may leave while the answer is still written.
+    """A sink whose caller may disconnect while the answer is being written.
 
-    Within its context the caller is there; afterwards pieces are dropped,
-    so that a run that goes on without its caller is not broken off.
+    Pieces are written to the caller within the sink's context and dropped
+    afterwards. A request that is executed to its end after its caller
+    disconnected therefore does not fail on a write.
 
     Args:
-        inner: The caller's stream.
+        inner: The stream to the caller.
     """
 
     def __init__(self, inner: Sink) -> None:
@@ -58,7 +59,7 @@
         self._open = False
 
     def __enter__(self) -> Self:
-        """Begin to pass pieces on."""
+        """Start to write pieces to the caller."""
         self._open = True
         return self
 
@@ -68,15 +69,15 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Pass on no more."""
+        """Drop all further pieces."""
         self._open = False
 
     def begin_version(self, version: VersionId) -> None:
-        """Learn which version writes what comes next."""
+        """Record which version writes the pieces that follow."""
         self._inner.begin_version(version)
 
     async def write(self, text: str) -> None:
-        """Pass a piece on, unless the caller has left."""
+        """Write a piece, unless the caller has disconnected."""
         if not self._open:
             return
         try:
@@ -85,12 +86,17 @@
             self._open = False
 
 
-def passed_headers(
+def forwarded_headers(
     headers: Mapping[str, str],
     seconds: float,
 ) -> dict[str, str]:
-    """Return the headers to hand on, with the seconds that are left."""
-    passed = {name: headers[name] for name in _PASSED if name in headers}
-    left = max(1, math.floor(seconds * _MILLISECONDS))
-    passed['Nutmegroad-Deadline-Ms'] = str(left)
-    return passed
+    """Return the headers of a request that is forwarded to another host.
+
+    Args:
+        headers: Headers of the caller's request.
+        seconds: Seconds left until the deadline, sent as its new deadline.
+    """
+    forwarded = {name: headers[name] for name in _FORWARDED if name in headers}
+    left_ms = max(1, math.floor(seconds * _MS_PER_SECOND))
+    forwarded['Nutmegroad-Deadline-Ms'] = str(left_ms)
+    return forwarded
--- a/src/nutmegroad/callers/_http_edge.py
+++ b/src/nutmegroad/callers/_http_edge.py
@@ -1,7 +1,7 @@
-"""What stands before all routes: a request's name, and an end for every fault.
+"""Middleware that assigns request ids, reads bodies and handles errors.
 
-Each reply carries the request's id; whatever goes wrong in a route is a
-refusal with a code, and a line in the log under the same id.
+Every reply carries the id of its request. If a route fails, the caller gets a
+refusal with a result code, and the log has a line with the same id.
 """
 
 import asyncio
@@ -20,174 +20,189 @@
 
 from nutmegroad.callers._caller_guard import STREAM_KEY
 from nutmegroad.callers._http_listener import (
-    NO_REQUEST,
+    NO_REQUEST_ID,
     Connection,
-    internal,
-    refusal_of,
+    http_error_refusal,
+    internal_error,
 )
 from nutmegroad.callers.answer_streams import EventStream
-from nutmegroad.callers.replies import code_of, refuse
+from nutmegroad.callers.replies import REQUEST_HEADER, code_of, refuse
 from nutmegroad.foundations.logs import about_request, part_logger
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import RequestId
 from nutmegroad.kernel.core import Kernel
 
-_HEADER: Final = 'Nutmegroad-Request'
 _NONCE_BITS: Final = 64
 
 
-class HttpEdge:
-    """Stands before the routes of one listener.
+class RequestMiddleware:
+    """Middleware for all routes of one listener.
 
     Args:
-        part: Prefix of its lines in the log.
-        name: Returns a new request id.
-        count: Counts a refusal that was made here.
+        part: Prefix of the middleware's log lines.
+        new_id: Returns a new request id.
+        count_refusal: Counts a refusal that the middleware makes.
     """
 
     def __init__(
         self,
         part: str,
-        name: Callable[[], RequestId],
-        count: Callable[[ResultCode], None],
+        new_id: Callable[[], RequestId],
+        count_refusal: Callable[[ResultCode], None],
     ) -> None:
         self._log = part_logger(part)
-        self._name = name
-        self._count = count
+        self._new_id = new_id
+        self._count_refusal = count_refusal
 
-    def protect(self, app: Application) -> None:
-        """Stand before all routes and other middlewares."""
+    def install(self, app: Application) -> None:
+        """Add the middleware to an application, outside all others."""
         app.middlewares.insert(0, self._make_middleware())
 
     def _make_middleware(self) -> Middleware:
-        """Return the middleware."""
+        """Return the middleware function."""
 
         @middleware
-        async def edge(request: Request, handler: Handler) -> StreamResponse:
-            """Name a request, and see to its end."""
+        async def handle(request: Request, handler: Handler) -> StreamResponse:
+            """Assign an id to a request, and return its reply."""
             if isinstance(request.protocol, Connection):
-                request.protocol.headers_arrived()
-            name = self._name()
-            with about_request(name):
-                reply = await self._answer(request, handler, name)
+                request.protocol.headers_received()
+            request_id = self._new_id()
+            with about_request(request_id):
+                reply = await self._answer(request, handler, request_id)
             if not reply.prepared:
-                _show_name(reply, name)
+                _set_request_id(reply, request_id)
             return reply
 
-        return edge
+        return handle
 
     async def _answer(
         self,
         http: Request,
         handler: Handler,
-        request: RequestId,
+        request_id: RequestId,
     ) -> StreamResponse:
-        """Return a route's reply, or the refusal that its failure is."""
+        """Return the reply of a route, or a refusal if the route fails."""
         try:
             return await handler(http)
-        except HTTPException as problem:
-            return self._refuse(refusal_of(problem), request)
-        except RequestPayloadError as problem:
-            return self._refuse(_broken(problem), request)
-        except Exception as problem:
-            if isinstance(problem, ConnectionError):
-                # The caller has gone: there is nobody to tell.
+        except HTTPException as error:
+            return self._refuse(http_error_refusal(error), request_id)
+        except RequestPayloadError as error:
+            return self._refuse(_truncated_body(error), request_id)
+        except Exception as error:
+            if isinstance(error, ConnectionError):
+                # The caller has disconnected, so no reply can be sent.
                 raise
-            self._log.exception('a request failed')
-        return await self._fail(http, request)
+            self._log.exception('unhandled error in a request handler')
+        return await self._fail(http, request_id)
 
-    async def _fail(self, http: Request, request: RequestId) -> StreamResponse:
-        """Tell a caller that the host failed, also in mid-stream."""
+    async def _fail(
+        self,
+        http: Request,
+        request_id: RequestId,
+    ) -> StreamResponse:
+        """Reply with an internal error, also within a started stream."""
         stream: EventStream | None = http.get(STREAM_KEY)
         if stream is not None and stream.response is not None:
-            self._count(ResultCode.INTERNAL)
-            return await stream.fail(internal())
-        return self._refuse(internal(), request)
+            self._count_refusal(ResultCode.INTERNAL)
+            return await stream.fail(internal_error())
+        return self._refuse(internal_error(), request_id)
 
-    def _refuse(self, refusal: Refusal, request: RequestId) -> StreamResponse:
-        """Return a refusal, and count it."""
-        self._count(refusal.code)
-        return refuse(refusal, request)
+    def _refuse(
+        self,
+        refusal: Refusal,
+        request_id: RequestId,
+    ) -> StreamResponse:
+        """Count a refusal, and return its reply."""
+        self._count_refusal(refusal.code)
+        return refuse(refusal, request_id)
 
 
 def protect(
     kernel: Kernel,
     app: Application,
     part: str,
-    count: Callable[[ResultCode], None],
+    count_refusal: Callable[[ResultCode], None],
 ) -> None:
-    """Name each request of a listener, and see to its end."""
+    """Add a `RequestMiddleware` to the application of a listener.
+
+    Args:
+        kernel: Provides the host's incarnation and randomness for request
+            ids.
+        app: The application.
+        part: Prefix of the middleware's log lines.
+        count_refusal: Counts a refusal that the middleware makes.
+    """
 
-    def name() -> RequestId:
+    def new_id() -> RequestId:
         """Return a new request id."""
         nonce = f'{kernel.randomness.getrandbits(_NONCE_BITS):016x}'
         return RequestId(f'{kernel.incarnation}-{nonce}')
 
-    HttpEdge(part, name, count).protect(app)
+    RequestMiddleware(part, new_id, count_refusal).install(app)
 
 
 class BodyReader:
-    """Reads whole bodies before the routes do, within limits.
+    """Middleware that reads complete bodies before the routes run.
 
     Args:
-        seconds: Time that a body may take.
-        count: Counts refusals, also those of the routes.
+        timeout: Seconds that a body may take to arrive.
+        count_refusal: Counts refusals, including those of the routes.
     """
 
     def __init__(
         self,
-        seconds: float,
-        count: Callable[[ResultCode], None],
+        timeout: float,
+        count_refusal: Callable[[ResultCode], None],
     ) -> None:
-        self._seconds = seconds
-        self._count = count
+        self._timeout = timeout
+        self._count_refusal = count_refusal
 
     def protect(self, app: Application) -> None:
-        """Stand before all routes of an application."""
+        """Add the middleware to an application."""
         app.middlewares.append(self._make_middleware())
 
     def _make_middleware(self) -> Middleware:
-        """Return the middleware."""
+        """Return the middleware function."""
 
         @middleware
         async def read(request: Request, handler: Handler) -> StreamResponse:
-            """Read a body, which the request keeps."""
+            """Read the body, which aiohttp caches for the route."""
             try:
-                async with asyncio.timeout(self._seconds):
+                async with asyncio.timeout(self._timeout):
                     await request.read()
             except TimeoutError:
-                self._count(ResultCode.BODY_TOO_SLOW)
-                return refuse(_slow(self._seconds), NO_REQUEST)
+                self._count_refusal(ResultCode.BODY_TOO_SLOW)
+                return refuse(_slow_body(self._timeout), NO_REQUEST_ID)
             reply = await handler(request)
             code = code_of(reply)
             if code is not None:
-                self._count(code)
+                self._count_refusal(code)
             return reply
 
         return read
 
 
-def _show_name(reply: StreamResponse, name: RequestId) -> None:
-    """Have a reply carry a request's id, if it carries none.
+def _set_request_id(reply: StreamResponse, request_id: RequestId) -> None:
+    """Set the request id of a reply that has none.
 
-    What another host answered carries the id under which it did so, which
-    is the one that was billed and can be explained.
+    The reply of another host keeps the id that the other host assigned,
+    because the request was billed and can be explained under that id.
     """
-    if reply.headers.get(_HEADER, NO_REQUEST) == NO_REQUEST:
-        reply.headers[_HEADER] = name
+    if reply.headers.get(REQUEST_HEADER, NO_REQUEST_ID) == NO_REQUEST_ID:
+        reply.headers[REQUEST_HEADER] = request_id
 
 
-def _broken(problem: Exception) -> Refusal:
-    """Say that a body ended wrongly."""
+def _truncated_body(error: Exception) -> Refusal:
+    """Return the refusal of a truncated or wrongly encoded body."""
     return Refusal(
         ResultCode.BODY_MALFORMED,
-        f'The body broke off or is not encoded as it says: {problem}.',
+        f'The body is truncated or does not match its encoding: {error}.',
     )
 
 
-def _slow(seconds: float) -> Refusal:
-    """Say that a body took too long."""
+def _slow_body(seconds: float) -> Refusal:
+    """Return the refusal of a body that did not arrive in time."""
     return Refusal(
         ResultCode.BODY_TOO_SLOW,
-        f'The body took more than {seconds} seconds.',
+        f'The body did not arrive within {seconds} seconds.',
     )
--- a/src/nutmegroad/callers/_http_listener.py
+++ b/src/nutmegroad/callers/_http_listener.py
@@ -1,7 +1,7 @@
-"""An HTTP listener that answers what is no proper request with a code too.
+"""An HTTP listener that also answers invalid requests with result codes.
 
-The library's own replies are text for people; callers get the same JSON for
-every refusal, whoever found what was wrong.
+aiohttp answers its own errors as text for people. Here they become the same
+JSON as every other refusal, so that callers get one format.
 """
 
 import asyncio
@@ -26,20 +26,22 @@
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
 
-#: Seconds that a listener's last replies may take when it closes.
-LAST_REPLIES: Final = 1.0
-#: Seconds from a connection to the end of its first request's headers.
-HEADER_SECONDS: Final = 10.0
-#: Seconds that a connection may be idle between requests; more than the
-#: 60 s that balancers usually keep one.
-KEEPALIVE_SECONDS: Final = 75.0
-#: Bytes of a request line or a header, and how many headers there may be.
-LONGEST_LINE: Final = 8190
-MOST_HEADERS: Final = 64
+#: Seconds that replies in progress may take when a listener closes.
+SHUTDOWN_TIMEOUT: Final = 1.0
+#: Seconds from the start of a connection to the end of its first request's
+#: headers.
+HEADER_TIMEOUT: Final = 10.0
+#: Seconds that a connection may be idle between requests. Longer than the
+#: 60 s for which load balancers usually keep an idle connection.
+KEEPALIVE_TIMEOUT: Final = 75.0
+#: Maximum bytes of a request line or of one header.
+MAX_LINE_BYTES: Final = 8190
+#: Maximum number of headers of a request.
+MAX_HEADERS: Final = 64
 
 _LOG: Final = part_logger('http')
-#: In place of a request's id where nothing has named it yet.
-NO_REQUEST: Final = RequestId('-')
+#: Request id of a reply to a request that has not been assigned one.
+NO_REQUEST_ID: Final = RequestId('-')
 _SERVER_ERROR: Final = 500
 _NOT_FOUND: Final = 404
 _NOT_ALLOWED: Final = 405
@@ -47,10 +49,10 @@
 
 
 class Connection(RequestHandler):
-    """One connection of a caller or an operator.
+    """One HTTP connection from a caller or an operator.
 
     Args:
-        server: Knows all connections and the application.
+        server: The aiohttp server, which tracks all connections.
     """
 
     __slots__ = ('_header_timer',)
@@ -60,26 +62,26 @@
             server,
             loop=asyncio.get_running_loop(),
             access_log=None,  # type: ignore[arg-type]
-            keepalive_timeout=KEEPALIVE_SECONDS,
-            max_line_size=LONGEST_LINE,
-            max_field_size=LONGEST_LINE,
-            max_headers=MOST_HEADERS,
+            keepalive_timeout=KEEPALIVE_TIMEOUT,
+            max_line_size=MAX_LINE_BYTES,
+            max_field_size=MAX_LINE_BYTES,
+            max_headers=MAX_HEADERS,
         )
         self._header_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin, and give the first request's headers their time."""
+        """Start the timeout of the first request's headers."""
         super().connection_made(transport)
         loop = asyncio.get_running_loop()
-        self._header_timer = loop.call_later(HEADER_SECONDS, self.force_close)
+        self._header_timer = loop.call_later(HEADER_TIMEOUT, self.force_close)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End."""
-        self.headers_arrived()
+        """Cancel the timeout of the first request's headers."""
+        self.headers_received()
         super().connection_lost(exc)
 
-    def headers_arrived(self) -> None:
-        """Learn that the first request's headers have come."""
+    def headers_received(self) -> None:
+        """Cancel the timeout, as a request's headers have been received."""
         if self._header_timer is not None:
             self._header_timer.cancel()
             self._header_timer = None
@@ -91,30 +93,31 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> StreamResponse:
-        """Refuse what the library could not make a request of.
+        """Return the refusal of a request that aiohttp could not handle.
 
         Raises:
-            ConnectionError: If a reply has begun already, or nobody is
-                there to get one.
+            ConnectionError: If a reply has started already, or the caller
+                has disconnected.
         """
         if request.writer.output_size > 0 or isinstance(exc, ConnectionError):
             raise ConnectionError from exc
-        refusal = _unreadable(exc)
+        refusal = _unreadable_request(exc)
         if status == _SERVER_ERROR and not isinstance(exc, UnicodeError):
-            _LOG.error('a request failed: %r', exc)
-            refusal = internal()
-        reply = refuse(refusal, NO_REQUEST)
+            _LOG.error('request could not be handled: %r', exc)
+            refusal = internal_error()
+        reply = refuse(refusal, NO_REQUEST_ID)
         reply.force_close()
         return reply
 
     def log_exception(self, *args: Any, **kw: Any) -> None:
-        """Log what the library did not expect, in our own form."""
-        problem = kw.get('exc_info')
-        if isinstance(problem, RequestPayloadError):
-            # The rest of a body that was refused already.
-            _LOG.info('a body was not read to its end: %s', problem.args)
+        """Log an exception that aiohttp reports, as a line of this part."""
+        error = kw.get('exc_info')
+        if isinstance(error, RequestPayloadError):
+            # The request was already refused, and aiohttp failed to read the
+            # rest of its body.
+            _LOG.info('request body not read to its end: %s', error.args)
             return
-        _LOG.error('a connection failed: %r', problem)
+        _LOG.error('connection failed: %r', error)
 
     async def finish_response(
         self,
@@ -122,14 +125,14 @@
         resp: StreamResponse,
         start_time: float | None,
     ) -> tuple[StreamResponse, bool]:
-        """Send a reply; the library's own errors become refusals."""
+        """Send a reply, replacing aiohttp's own error pages by refusals."""
         if isinstance(resp, HTTPException):
-            resp = refuse(refusal_of(resp), NO_REQUEST)
+            resp = refuse(http_error_refusal(resp), NO_REQUEST_ID)
         return await super().finish_response(request, resp, start_time)
 
 
 class Listener(Protocol):
-    """Serves applications."""
+    """Serves HTTP applications."""
 
     async def listen(
         self,
@@ -140,12 +143,13 @@
         """Serve an application until the kernel closes.
 
         Returns:
-            Where it listens; the port is known even if 0 was asked for.
+            The address listened on; its port is the actual one if the
+            requested port was 0.
         """
 
 
 class SocketListener:
-    """Serves applications on TCP sockets."""
+    """Serves HTTP applications on TCP sockets."""
 
     async def listen(
         self,
@@ -159,12 +163,12 @@
 
 @register('part', 'listener')
 class ListenerPart:
-    """Provides what serves the applications of the other parts."""
+    """Provides the listener that serves the applications of other parts."""
 
     needs = ()
 
     async def open(self, kernel: Kernel) -> None:
-        """Serve on sockets."""
+        """Provide a listener on TCP sockets."""
         kernel.provide(Listener, SocketListener())
 
 
@@ -173,22 +177,23 @@
     app: Application,
     address: Address,
 ) -> Address:
-    """Serve an application until the kernel closes.
+    """Serve an application on a TCP socket until the kernel closes.
 
     Returns:
-        Where it listens; the port is known even if 0 was asked for.
+        The address listened on; its port is the actual one if the requested
+        port was 0.
     """
     runner = AppRunner(
         app,
-        # The graceful stop has waited for what was open before this.
-        shutdown_timeout=LAST_REPLIES,
+        # The graceful stop has waited for open requests before this closes.
+        shutdown_timeout=SHUTDOWN_TIMEOUT,
         handler_cancellation=True,
     )
     await runner.setup()
     kernel.stack.push_async_callback(runner.cleanup)
     server = runner.server
     if server is None:
-        raise RuntimeError('the runner was set up')
+        raise RuntimeError('the aiohttp runner has no server after its setup')
     listener = await asyncio.get_running_loop().create_server(
         lambda: Connection(server),
         address.ip,
@@ -199,48 +204,49 @@
     return Address(ip, port)
 
 
-def refusal_of(problem: HTTPException) -> Refusal:
-    """Return what a library's own error says, with a code."""
-    if problem.status in {_NOT_FOUND, _NOT_ALLOWED}:
+def http_error_refusal(error: HTTPException) -> Refusal:
+    """Return the refusal that corresponds to an error of aiohttp."""
+    if error.status in {_NOT_FOUND, _NOT_ALLOWED}:
         return Refusal(
             ResultCode.ROUTE_UNKNOWN,
-            f'There is no such path or method: {problem.reason}.',
+            f'There is no such path or method: {error.reason}.',
         )
-    if problem.status == _TOO_LARGE:
+    if error.status == _TOO_LARGE:
         return Refusal(
             ResultCode.BODY_TOO_LARGE,
-            f'The body is too large: {problem.text}.',
+            f'The body is too large: {error.text}.',
         )
     return Refusal(
         ResultCode.FIELD_INVALID,
-        f'The request can not be served: {problem.reason}.',
+        f'The request cannot be processed: {error.reason}.',
     )
 
 
-def internal() -> Refusal:
-    """Say that the program itself failed."""
+def internal_error() -> Refusal:
+    """Return the refusal of a request that failed by a fault of the host."""
     return Refusal(
         ResultCode.INTERNAL,
-        'The host failed at this request; its log tells more under the '
-        "request's id.",
+        'The request failed with an internal error; the log of this host has '
+        "the details under the request's id.",
         Ran.UNKNOWN,
     )
 
 
-def _unreadable(exc: BaseException | None) -> Refusal:
-    """Say what is wrong with what is no request."""
+def _unreadable_request(exc: BaseException | None) -> Refusal:
+    """Return the refusal of bytes that cannot be parsed as a request."""
     if isinstance(exc, LineTooLong):
         return Refusal(
             ResultCode.FIELD_INVALID,
-            f'A line of the headers has more than {LONGEST_LINE} bytes.',
+            f'A header line is longer than {MAX_LINE_BYTES} bytes.',
         )
     if isinstance(exc, UnicodeError):
-        # The library fails at showing a header that it can not read.
+        # aiohttp raises this when it puts an undecodable header into its
+        # own error message.
         return Refusal(
             ResultCode.FIELD_INVALID,
-            'A header holds bytes that are no text.',
+            'A header contains bytes that are not text.',
         )
     return Refusal(
         ResultCode.BODY_MALFORMED,
-        'What came is no HTTP/1.1 request that can be read.',
+        'The received bytes are not a valid HTTP/1.1 request.',
     )
--- a/src/nutmegroad/callers/_http_statuses.py
+++ b/src/nutmegroad/callers/_http_statuses.py
@@ -7,8 +7,8 @@
 
 _UNAVAILABLE: Final = 503
 
-#: HTTP status by result code; any other is 503.
-_STATUS: Final = MappingProxyType(
+#: HTTP status of each result code; codes that are not listed get 503.
+_STATUSES: Final = MappingProxyType(
     {
         ResultCode.BODY_MALFORMED: 400,
         ResultCode.FIELD_INVALID: 400,
@@ -48,5 +48,5 @@
 
 
 def status_of(code: ResultCode) -> int:
-    """Return the HTTP status of a refusal."""
-    return _STATUS.get(code, _UNAVAILABLE)
+    """Return the HTTP status of a refusal with this result code."""
+    return _STATUSES.get(code, _UNAVAILABLE)
--- a/src/nutmegroad/callers/_request_counts.py
+++ b/src/nutmegroad/callers/_request_counts.py
@@ -1,4 +1,4 @@
-"""Counts how callers' requests ended."""
+"""Counts model requests by outcome and logs refusals."""
 
 from typing import Final
 
@@ -15,20 +15,27 @@
     metrics: Metrics,
     intake: Intake,
     outcome: Answer | Refusal,
-    spent: RequestUsage,
+    usage: RequestUsage,
 ) -> None:
-    """Count a model request that has ended, and log a refusal."""
+    """Count a model request that has ended, and log it if it was refused.
+
+    Args:
+        metrics: Receives the counts.
+        intake: The request.
+        outcome: Its answer or refusal.
+        usage: Its cost.
+    """
     model = intake.model
     code = ResultCode.OK
     if isinstance(outcome, Refusal):
         code = outcome.code
         metrics.refused(code)
         _LOG.info(
-            '%s of %s refused: %s',
+            'request for task %s of workspace %s refused: %s',
             model.task,
             model.workspace,
             code.name,
             request=model.request,
         )
     metrics.request_ended(model.workspace, model.task, code)
-    metrics.charged(model.workspace, model.task, spent.cost)
+    metrics.charged(model.workspace, model.task, usage.cost)
--- a/src/nutmegroad/callers/answer_streams.py
+++ b/src/nutmegroad/callers/answer_streams.py
@@ -1,4 +1,4 @@
-"""Streams of answers to callers, as server-sent events."""
+"""Streams answers to callers as server-sent events."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -8,7 +8,7 @@
 from aiohttp.web import Request, StreamResponse
 
 from nutmegroad.callers.replies import (
-    CHUNK,
+    CHUNK_OBJECT,
     REQUEST_HEADER,
     Chunk,
     ChunkChoice,
@@ -21,123 +21,126 @@
 from nutmegroad.foundations.types import RequestId, VersionId
 from nutmegroad.routing.request_progress import Answer
 
-#: Headers of ours begin with this.
-_OURS: Final = 'Nutmegroad-'
+#: Prefix of the headers that nutmegroad defines.
+_HEADER_PREFIX: Final = 'Nutmegroad-'
 
-#: Bytes below which a transport takes a write without having us wait; half
-#: of what asyncio's transports buffer.
-_ROOM: Final = 32_768
+#: Buffered bytes below which a write returns without waiting for the caller
+#: to read; half of the high-water mark of asyncio's transports.
+_WRITE_LIMIT: Final = 32_768
 
-#: Stands for a piece's text where its event is made ready.
-_MARK: Final = 'text-of-the-piece'
+#: Placeholder for the text of a piece in the template of its event.
+_TEXT_PLACEHOLDER: Final = 'text-of-the-piece'
 
 #: Seconds that a caller may take to read what is buffered for it.
-PATIENCE: Final = 30.0
+READ_TIMEOUT: Final = 30.0
 
 
 class EventStream:
     """Streams an answer to a caller as server-sent events.
 
-    The HTTP reply begins with the first piece, so that a refusal before it
-    still has its own status. An answer that is cut ends with an ``error``
-    event and without ``[DONE]``.
+    The HTTP reply starts with the first piece, so that a refusal before it
+    can still set the HTTP status. An answer that is cut off ends with an
+    ``error`` event and without ``[DONE]``.
 
-    A caller that reads slowly holds the engine's stream up, as the
-    transport's buffer is bounded; one that reads nothing for long is cut.
+    A caller that reads slowly slows the engine's stream down, as the
+    transport's buffer is bounded. If it does not read what is buffered within
+    the timeout, its connection is aborted.
 
     Args:
         http: The caller's HTTP request.
-        request: The request's id.
-        token_of: Returns the session's token for a version.
-        metrics: Where callers that were cut are counted.
-        patience: Seconds that a caller may take to read what is buffered.
+        request: Id of the request.
+        make_token: Returns the session token for a version.
+        metrics: Counts the callers whose connection was aborted.
+        read_timeout: Seconds that a caller may take to read what is buffered.
     """
 
     def __init__(
         self,
         http: Request,
         request: RequestId,
-        token_of: Callable[[VersionId], str],
+        make_token: Callable[[VersionId], str],
         metrics: Metrics,
-        patience: float = PATIENCE,
+        read_timeout: float = READ_TIMEOUT,
     ) -> None:
         self._http = http
         self._request = request
-        self._token_of = token_of
+        self._make_token = make_token
         self._metrics = metrics
-        self._patience = patience
-        self._adopted: dict[str, str] = {}
-        self._before = b''
-        self._after = b''
+        self._read_timeout = read_timeout
+        self._adopted_headers: dict[str, str] = {}
+        self._chunk_start = b''
+        self._chunk_end = b''
         self.begin_version(VersionId(''))
         self._response: StreamResponse | None = None
 
     @property
     def response(self) -> StreamResponse | None:
-        """Return the reply, or None if it has not begun."""
+        """The HTTP reply, or None if it has not started."""
         return self._response
 
     def begin_version(self, version: VersionId) -> None:
-        """Learn which version writes what comes next."""
+        """Record which version writes the pieces that follow."""
         self._version = version
-        # All pieces of an answer are alike but for their text.
-        choice = ChunkChoice(0, Delta(_MARK))
-        chunk = Chunk(self._request, CHUNK, version, (choice,))
-        quoted = msgspec.json.encode(_MARK)
+        # The events of one version differ only in their text, so the JSON
+        # around the text is encoded once.
+        choice = ChunkChoice(0, Delta(_TEXT_PLACEHOLDER))
+        chunk = Chunk(self._request, CHUNK_OBJECT, version, (choice,))
+        quoted = msgspec.json.encode(_TEXT_PLACEHOLDER)
         halves = msgspec.json.encode(chunk).split(quoted)
-        self._before = halves[0]
-        self._after = halves[1]
+        self._chunk_start = halves[0]
+        self._chunk_end = halves[1]
 
-    def adopt(self, headers: Mapping[str, str]) -> None:
-        """Show an answer that another run of the request gave.
+    def adopt_headers(self, headers: Mapping[str, str]) -> None:
+        """Use the headers of a reply that another execution produced.
 
         Args:
-            headers: The headers of its reply; they name the request under
-                which it ran and is billed, and the first one.
+            headers: Headers of that reply. They name the request under which
+                the answer was executed and billed, and the first request if
+                the answer is repeated.
         """
-        self._adopted = {
+        self._adopted_headers = {
             name: given
             for name, given in headers.items()
-            if name.startswith(_OURS)
+            if name.startswith(_HEADER_PREFIX)
         }
-        named = self._adopted.get(REQUEST_HEADER)
+        named = self._adopted_headers.get(REQUEST_HEADER)
         if named is not None:
             self._request = RequestId(named)
-            # The events made ready name the request, which is another now.
+            # The encoded start of an event contains the request's id.
             self.begin_version(self._version)
 
     async def write(self, text: str) -> None:
         """Send a piece."""
         quoted = msgspec.json.encode(text)
-        await self._send(b''.join((self._before, quoted, self._after)))
+        await self._send(b''.join((self._chunk_start, quoted, self._chunk_end)))
 
     async def finish(self, answer: Answer) -> StreamResponse:
-        """Send the end of a whole answer."""
+        """Send the end of a complete answer."""
         chunk = Chunk(
             self._request,
-            CHUNK,
+            CHUNK_OBJECT,
             answer.version,
             (ChunkChoice(0, Delta(), answer.finish),),
             usage_of(answer),
-            self._token_of(answer.version),
+            self._make_token(answer.version),
         )
-        last = b''.join((msgspec.json.encode(chunk), b'\n\ndata: [DONE]'))
-        response = await self._send(last)
+        payload = b''.join((msgspec.json.encode(chunk), b'\n\ndata: [DONE]'))
+        response = await self._send(payload)
         await response.write_eof()
         return response
 
     async def fail(self, refusal: Refusal) -> StreamResponse:
-        """Send why the answer is not whole."""
+        """Send the refusal that ends an incomplete answer."""
         response = await self._send(error_body(refusal), b'event: error\n')
         await response.write_eof()
         return response
 
     async def _begin(self) -> StreamResponse:
-        """Begin the reply, now that its version is known."""
+        """Start the HTTP reply, now that its version is known."""
         headers = {REQUEST_HEADER: str(self._request)}
         if self._version:
-            headers['Nutmegroad-Session'] = self._token_of(self._version)
-        headers |= self._adopted
+            headers['Nutmegroad-Session'] = self._make_token(self._version)
+        headers |= self._adopted_headers
         response = StreamResponse(headers=headers)
         response.content_type = 'text/event-stream'
         self._response = response
@@ -145,41 +148,53 @@
         return response
 
     async def _send(self, payload: bytes, event: bytes = b'') -> StreamResponse:
-        """Send one event, and begin the reply if need be.
+        """Send one event, and start the HTTP reply if it has not started.
+
+        Args:
+            payload: Data of the event.
+            event: The line that names the type of the event; empty for none.
 
         Raises:
-            ConnectionResetError: If the caller reads nothing for long.
+            ConnectionResetError: If the caller does not read within the
+                timeout.
         """
         response = self._response
         if response is None:
             response = await self._begin()
-        sent = b''.join((event, b'data: ', payload, b'\n\n'))
-        if self._has_room(len(sent)):
-            # Nothing is waited for, so nothing has to be bounded.
-            await response.write(sent)
+        content = b''.join((event, b'data: ', payload, b'\n\n'))
+        if self._is_writable(len(content)):
+            # The write does not wait, so it needs no timeout.
+            await response.write(content)
         else:
-            await self._send_slowly(response, sent)
+            await self._send_with_timeout(response, content)
         return response
 
-    def _has_room(self, size: int) -> bool:
-        """Tell whether the transport takes so many bytes at once."""
+    def _is_writable(self, size: int) -> bool:
+        """Return whether a write of ``size`` bytes returns without waiting."""
         transport = self._http.transport
         if transport is None:
             return False
-        return transport.get_write_buffer_size() + size < _ROOM
+        return transport.get_write_buffer_size() + size < _WRITE_LIMIT
 
-    async def _send_slowly(self, response: StreamResponse, sent: bytes) -> None:
+    async def _send_with_timeout(
+        self,
+        response: StreamResponse,
+        content: bytes,
+    ) -> None:
         """Send to a caller that reads slowly.
 
         Raises:
-            ConnectionResetError: If it reads nothing for long.
+            ConnectionResetError: If the caller does not read within the
+                timeout.
         """
         try:
-            async with asyncio.timeout(self._patience):
-                await response.write(sent)
+            async with asyncio.timeout(self._read_timeout):
+                await response.write(content)
         except TimeoutError as error:
             self._metrics.reply_dropped('slow_caller')
             if self._http.transport is not None:
                 self._http.transport.abort()
-            message = 'The caller has read nothing for too long.'
+            message = (
+                f'The caller did not read within {self._read_timeout} seconds.'
+            )
             raise ConnectionResetError(message) from error
--- a/src/nutmegroad/callers/intake.py
+++ b/src/nutmegroad/callers/intake.py
@@ -1,4 +1,4 @@
-"""Turns what a caller sent into a typed request, or says what is wrong."""
+"""Parses and validates callers' model requests."""
 
 import hashlib
 from collections.abc import Mapping
@@ -24,32 +24,33 @@
     WorkspaceId,
 )
 
-#: Words of the prompt that count as its prefix.
+#: Number of words at the start of a prompt that form its prefix.
 PREFIX_WORDS: Final = 64
 
-#: The most that a caller may ask for, in milliseconds.
-LONGEST_DEADLINE_MS: Final = 3_600_000
+#: Longest deadline that a caller may set, in milliseconds.
+MAX_DEADLINE_MS: Final = 3_600_000
 
-#: Characters of an idempotency key or a session's name.
-LONGEST_NAME: Final = 200
+#: Maximum characters of an idempotency key, a session's name and other short
+#: texts.
+MAX_NAME_LENGTH: Final = 200
 
-#: Tokens that a caller may ask for.
-MOST_TOKENS: Final = 1_000_000
+#: Maximum tokens that a caller may request for an answer.
+MAX_TOKENS: Final = 1_000_000
 
 _BEARER: Final = 'Bearer '
-_MILLISECONDS: Final = 1000
+_MS_PER_SECOND: Final = 1000
 
 
-ShortText = Annotated[str, Meta(max_length=LONGEST_NAME)]
-TokenCount = Annotated[int, Meta(ge=1, le=MOST_TOKENS)]
+ShortText = Annotated[str, Meta(max_length=MAX_NAME_LENGTH)]
+TokenCount = Annotated[int, Meta(ge=1, le=MAX_TOKENS)]
 
 
 class ChatMessage(Struct, frozen=True):
     """One message of a conversation.
 
     Attributes:
-        role: Who speaks.
-        content: What is said.
+        role: Role of the author, such as ``user``.
+        content: Text of the message.
     """
 
     role: ShortText
@@ -57,19 +58,20 @@
 
 
 class ChatBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """The model API's body, as far as we take it.
+    """The supported fields of a model API request body.
 
     Attributes:
         model: A task class, a model, or ``model@version``.
         messages: The conversation.
-        stream: Whether the answer is to be streamed.
-        max_tokens: Tokens that the answer may have.
-        temperature: Passed on.
-        top_p: Passed on.
-        stop: Passed on.
-        user: Passed on.
-        nutmegroad_task: The task class, where ``model`` names a model.
-        nutmegroad_tokens: Passed on; tells a stand-in how much to write.
+        stream: Whether to stream the answer.
+        max_tokens: Maximum tokens of the answer; None for the task's limit.
+        temperature: Passed to the engine unchanged.
+        top_p: Passed to the engine unchanged.
+        stop: Passed to the engine unchanged.
+        user: Passed to the engine unchanged.
+        nutmegroad_task: The task class if ``model`` names a model.
+        nutmegroad_tokens: Passed to the engine unchanged; sets the length of
+            a stand-in engine's answer.
     """
 
     model: ShortText
@@ -86,13 +88,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Intake:
-    """A request that was understood.
+    """A parsed model request.
 
     Attributes:
-        model: The request, for the dispatcher.
-        stream: Whether its answer is to be streamed.
-        session: The session's name; empty for none.
-        fingerprint: Hash of its content.
+        model: The request for the dispatcher.
+        stream: Whether to stream the answer.
+        session: Name of the session; empty if there is none.
+        fingerprint: Hash of the request's body.
     """
 
     model: ModelRequest
@@ -105,22 +107,27 @@
     headers: Mapping[str, str],
     accepted: Accepted | None,
 ) -> WorkspaceEntry | Refusal:
-    """Return the workspace whose key the caller brought."""
+    """Return the workspace whose key the caller sent, or a refusal.
+
+    Args:
+        headers: HTTP headers.
+        accepted: The configuration in force; None if there is none yet.
+    """
     if accepted is None:
         return Refusal(
             ResultCode.CONFIGURATION_MISSING,
             'This host has no configuration yet.',
             retry_after=1,
         )
-    given = headers.get('Authorization', '').removeprefix(_BEARER)
-    key_hash = hash_of(given)
+    key = headers.get('Authorization', '').removeprefix(_BEARER)
+    key_hash = hash_of(key)
     for entry in accepted.document.workspaces:
         if any(is_same(key_hash, known) for known in entry.key_hashes):
             return entry
     return Refusal(
         ResultCode.UNAUTHENTICATED,
-        'The Authorization header must bring a workspace key as '
-        '"Bearer KEY"; this one is missing or unknown.',
+        'The Authorization header must contain a workspace key as '
+        '"Bearer KEY"; the key is missing or unknown.',
     )
 
 
@@ -128,27 +135,32 @@
     headers: Mapping[str, str],
     default: float,
 ) -> float | Refusal:
-    """Return the seconds that a caller will wait."""
+    """Return the seconds until the deadline that a caller set.
+
+    Args:
+        headers: HTTP headers.
+        default: Seconds to return if the caller set no deadline.
+    """
     text = headers.get('Nutmegroad-Deadline-Ms')
     if text is None:
         return default
-    if text.isascii() and text.isdigit() and len(text) < LONGEST_NAME:
-        asked = int(text)
-        if 0 < asked <= LONGEST_DEADLINE_MS:
-            return asked / _MILLISECONDS
+    if text.isascii() and text.isdigit() and len(text) < MAX_NAME_LENGTH:
+        milliseconds = int(text)
+        if 0 < milliseconds <= MAX_DEADLINE_MS:
+            return milliseconds / _MS_PER_SECOND
     return Refusal(
         ResultCode.FIELD_INVALID,
         f'Nutmegroad-Deadline-Ms must be a whole number from 1 to '
-        f'{LONGEST_DEADLINE_MS}, not {text[:LONGEST_NAME]!r}.',
+        f'{MAX_DEADLINE_MS}, not {text[:MAX_NAME_LENGTH]!r}.',
     )
 
 
 class IntakeReader:
-    """Understands callers' model requests.
+    """Parses and validates callers' model requests.
 
     Args:
-        configuration: What is in force.
-        signer: Reads session tokens.
+        configuration: The configuration in force.
+        signer: Verifies session tokens.
         clock: The host's clock.
     """
 
@@ -169,12 +181,19 @@
         workspace: WorkspaceEntry,
         request: RequestId,
     ) -> Intake | Refusal:
-        """Return the typed request."""
+        """Parse a model request.
+
+        Args:
+            headers: HTTP headers.
+            content: Body.
+            workspace: The caller's workspace.
+            request: Id of the request.
+        """
         accepted = self._configuration.accepted
         body = _decode(content)
         if accepted is None or isinstance(body, Refusal):
             return body if isinstance(body, Refusal) else _no_configuration()
-        task = _task_of(body, accepted)
+        task = _find_task(body, accepted)
         if isinstance(task, Refusal):
             return task
         session = self._session(headers, workspace)
@@ -184,7 +203,7 @@
         deadline = deadline_seconds(headers, task.deadline)
         if isinstance(deadline, Refusal):
             return deadline
-        versions = _versions(body, task, workspace, accepted, claim)
+        versions = _allowed_versions(body, task, workspace, accepted, claim)
         if isinstance(versions, Refusal):
             return versions
         model = ModelRequest(
@@ -192,7 +211,7 @@
             workspace=WorkspaceId(workspace.name),
             concern=workspace.concern,
             task=TaskName(task.name),
-            target=_target(task, workspace, accepted),
+            target=_quality_target(task, workspace, accepted),
             versions=versions,
             repeatable=task.repeatable,
             deadline=self._clock.now() + deadline,
@@ -202,9 +221,9 @@
                 body.max_tokens or task.max_tokens,
                 task.output_tokens,
             ),
-            prefix=_prefix(body),
+            prefix=_prefix_hash(body),
             key=IdempotencyKey(
-                headers.get('Idempotency-Key', '')[:LONGEST_NAME],
+                headers.get('Idempotency-Key', '')[:MAX_NAME_LENGTH],
             ),
             session=claim,
             body=_upstream_body(body, task),
@@ -217,10 +236,14 @@
         headers: Mapping[str, str],
         workspace: WorkspaceEntry,
     ) -> tuple[str, SessionClaim | None] | Refusal:
-        """Return the session's name and what it is held to."""
+        """Return the name of a request's session and its claim.
+
+        The name is empty if there is no session. The claim is None unless
+        the caller sent a session token.
+        """
         text = headers.get('Nutmegroad-Session', '')
         if not text.startswith(TOKEN_PREFIX):
-            return text[:LONGEST_NAME], None
+            return text[:MAX_NAME_LENGTH], None
         token = self._signer.read(text, WorkspaceId(workspace.name))
         if isinstance(token, Refusal):
             return token
@@ -228,13 +251,13 @@
 
 
 def _decode(content: bytes) -> ChatBody | Refusal:
-    """Read the body."""
+    """Decode a request's body."""
     try:
         return msgspec.json.decode(content, type=ChatBody)
-    except msgspec.ValidationError as problem:
+    except msgspec.ValidationError as error:
         return Refusal(
             ResultCode.FIELD_INVALID,
-            f'The body is not as the model API has it: {problem}.',
+            f'The body is not a valid model API request: {error}.',
         )
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return Refusal(
@@ -244,7 +267,7 @@
 
 
 def _no_configuration() -> Refusal:
-    """Say that the host has no configuration."""
+    """Return the refusal of a request to a host without configuration."""
     return Refusal(
         ResultCode.CONFIGURATION_MISSING,
         'This host has no configuration yet.',
@@ -252,25 +275,25 @@
     )
 
 
-def _task_of(body: ChatBody, accepted: Accepted) -> TaskEntry | Refusal:
-    """Return the task class that a body names."""
+def _find_task(body: ChatBody, accepted: Accepted) -> TaskEntry | Refusal:
+    """Return the task class of a request."""
     name = TaskName(body.nutmegroad_task or body.model)
     task = accepted.document.task(name)
     if task is not None:
         return task
-    if body.nutmegroad_task is None and _named(body.model, accepted):
-        # A model named without a task: it is held to no quality target.
+    if body.nutmegroad_task is None and _model_versions(body.model, accepted):
+        # A request for a model without a task class has no quality target.
         return TaskEntry(name='direct', target=0)
     choices = ', '.join(entry.name for entry in accepted.document.tasks)
     return Refusal(
         ResultCode.TASK_UNKNOWN,
-        f'There is no task class or model {name!r}; task classes are '
+        f'There is no task class or model {name!r}; the task classes are '
         f'{choices}.',
     )
 
 
-def _named(model: str, accepted: Accepted) -> tuple[VersionId, ...]:
-    """Return the versions that a model's name stands for."""
+def _model_versions(model: str, accepted: Accepted) -> tuple[VersionId, ...]:
+    """Return the versions of a model, given as ``model[@version]``."""
     return tuple(
         entry.version
         for entry in accepted.document.versions
@@ -278,28 +301,33 @@
     )
 
 
-def _versions(
+def _allowed_versions(
     body: ChatBody,
     task: TaskEntry,
     workspace: WorkspaceEntry,
     accepted: Accepted,
     claim: SessionClaim | None,
 ) -> tuple[VersionId, ...] | Refusal:
-    """Return the versions that may answer."""
+    """Return the versions that may answer a request.
+
+    A session is restricted to its version. Otherwise the versions are those
+    of the requested model, or else those that the preset lists for the task
+    class, as far as the workspace may use them.
+    """
     if claim is not None:
         return (claim.version,)
-    named = _named(body.model, accepted)
-    if not named:
-        named = _preset_versions(task, accepted)
+    candidates = _model_versions(body.model, accepted)
+    if not candidates:
+        candidates = _preset_versions(task, accepted)
     allowed = tuple(
-        version for version in named if version in workspace.versions
+        version for version in candidates if version in workspace.versions
     )
     if allowed:
         return allowed
     return Refusal(
         ResultCode.VERSION_NOT_ALLOWED,
         f'The workspace {workspace.name!r} may use none of the versions '
-        f'that {body.model!r} stands for under the preset '
+        f'that {body.model!r} refers to under the preset '
         f'{accepted.preset!r}.',
     )
 
@@ -308,19 +336,23 @@
     task: TaskEntry,
     accepted: Accepted,
 ) -> tuple[VersionId, ...]:
-    """Return the versions that the preset gives a task class."""
+    """Return the versions that the preset lists for a task class."""
     for entry in accepted.preset_entry.tasks:
         if entry.task == task.name:
             return tuple(VersionId(version) for version in entry.versions)
     return ()
 
 
-def _target(
+def _quality_target(
     task: TaskEntry,
     workspace: WorkspaceEntry,
     accepted: Accepted,
 ) -> float:
-    """Return the quality target: workspace before preset before task."""
+    """Return the quality target of a request.
+
+    The workspace's target takes precedence over the preset's, and that over
+    the task class's.
+    """
     if task.name in workspace.targets:
         return workspace.targets[task.name]
     for entry in accepted.preset_entry.tasks:
@@ -330,7 +362,11 @@
 
 
 def _priority(headers: Mapping[str, str], task: TaskEntry) -> int:
-    """Return the priority; a caller may lower its own, not raise it."""
+    """Return the priority; smaller numbers are more urgent.
+
+    A caller may make its request less urgent than the task class, but not
+    more urgent.
+    """
     text = headers.get('Nutmegroad-Priority', '')
     if len(text) == 1 and text.isascii() and text.isdigit():
         return max(task.priority, int(text))
@@ -338,24 +374,24 @@
 
 
 def _count_words(body: ChatBody) -> int:
-    """Estimate the tokens of the prompt."""
+    """Estimate the tokens of the prompt by its number of words."""
     return sum(len(message.content.split()) for message in body.messages)
 
 
-def _prefix(body: ChatBody) -> int:
-    """Hash the prompt's first words."""
+def _prefix_hash(body: ChatBody) -> int:
+    """Return a hash of the prompt's first words."""
     text = ' '.join(message.content for message in body.messages)
     words = text.split(maxsplit=PREFIX_WORDS)[:PREFIX_WORDS]
     return xxhash.xxh64_intdigest(' '.join(words).encode())
 
 
 def _upstream_body(body: ChatBody, task: TaskEntry) -> dict[str, object]:
-    """Return what goes to an engine, without the model."""
-    plain = {
-        name: given
-        for name, given in msgspec.to_builtins(body).items()
-        if given is not None and name not in {'model', 'stream'}
+    """Return the body to send to an engine, without ``model``."""
+    fields = {
+        name: field
+        for name, field in msgspec.to_builtins(body).items()
+        if field is not None and name not in {'model', 'stream'}
     }
-    plain['max_tokens'] = body.max_tokens or task.max_tokens
-    plain['nutmegroad_task'] = task.name
-    return plain
+    fields['max_tokens'] = body.max_tokens or task.max_tokens
+    fields['nutmegroad_task'] = task.name
+    return fields
--- a/src/nutmegroad/callers/interface.py
+++ b/src/nutmegroad/callers/interface.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: model requests, plain services, tickets."""
+"""The callers' HTTP routes: model requests, plain services and tickets."""
 
 import asyncio
 from collections.abc import Mapping
@@ -14,11 +14,11 @@
 )
 
 from nutmegroad.callers._caller_guard import STREAM_KEY
-from nutmegroad.callers._caller_parts import CallerParts
+from nutmegroad.callers._caller_parts import CallerContext
 from nutmegroad.callers._caller_requests import (
-    CallerRequest,
     DetachableSink,
-    passed_headers,
+    IncomingRequest,
+    forwarded_headers,
 )
 from nutmegroad.callers.answer_streams import EventStream
 from nutmegroad.callers.intake import authenticate
@@ -30,7 +30,7 @@
     refuse,
     replay,
 )
-from nutmegroad.callers.service_routes import ServiceCallIn, check_key
+from nutmegroad.callers.service_routes import IncomingServiceCall, check_key
 from nutmegroad.contracts.documents import WorkspaceEntry
 from nutmegroad.contracts.upstreams import ServiceReply
 from nutmegroad.foundations.logs import present_request
@@ -49,26 +49,30 @@
 
 
 class CallersInterface:
-    """Serves callers.
+    """Answers the HTTP requests of callers.
 
     Args:
-        parts: What requests are handed to.
-        prefix: Begins the ids of this host's requests.
-        body_timeout: Seconds that a body may take.
+        context: The components that answer requests.
+        prefix: Prefix of the request ids that this host assigns.
+        body_timeout: Seconds that a body may take to arrive.
     """
 
     def __init__(
         self,
-        parts: CallerParts,
+        context: CallerContext,
         prefix: str,
         body_timeout: float,
     ) -> None:
-        self._parts = parts
+        self._context = context
         self._prefix = prefix
         self._body_timeout = body_timeout
 
     def application(self, max_body: int) -> Application:
-        """Return the aiohttp application."""
+        """Return the aiohttp application.
+
+        Args:
+            max_body: Maximum bytes of a body.
+        """
         app = Application(client_max_size=max_body)
         app.router.add_post(_CHAT, self.chat)
         app.router.add_get('/v1/models', self.models)
@@ -78,26 +82,26 @@
 
     async def chat(self, http: Request) -> StreamResponse:
         """Answer a model request."""
-        arrived = await self._arrive(http)
-        if isinstance(arrived, Response):
-            return arrived
-        call = _model_call(self._parts.models, arrived)
+        incoming = await self._read_request(http)
+        if isinstance(incoming, Response):
+            return incoming
+        call = _model_call(self._context.models, incoming)
         if isinstance(call, Refusal):
-            return self._refuse(call, arrived.request)
+            return self._refuse(call, incoming.request_id)
         if not call.intake.stream:
-            outcome = await self._parts.models.run(call, NullSink())
-            return await self._model_reply(arrived, call, outcome)
-        stream = _make_stream(http, call, self._parts)
+            outcome = await self._context.models.run(call, NullSink())
+            return await self._model_reply(incoming, call, outcome)
+        stream = _make_stream(http, call, self._context)
         with DetachableSink(stream) as sink:
-            outcome = await self._parts.models.run(call, sink)
-        return await self._stream_end(arrived, call, outcome, stream)
+            outcome = await self._context.models.run(call, sink)
+        return await self._finish_stream(incoming, call, outcome, stream)
 
     async def models(self, http: Request) -> Response:
         """List the versions that the workspace may use."""
-        request = self._name()
+        request_id = self._request_id()
         workspace = self._workspace(http.headers)
         if isinstance(workspace, Refusal):
-            return self._refuse(workspace, request)
+            return self._refuse(workspace, request_id)
         listed = [
             {'id': version, 'object': 'model'} for version in workspace.versions
         ]
@@ -105,42 +109,42 @@
         return Response(body=body, content_type=JSON_TYPE)
 
     async def ticket(self, http: Request) -> Response:
-        """Issue a ticket for one request that may not be repeated."""
-        request = self._name()
+        """Issue a ticket for one request that must not be repeated."""
+        request_id = self._request_id()
         workspace = self._workspace(http.headers)
         if isinstance(workspace, Refusal):
-            return self._refuse(workspace, request)
-        ticket = self._parts.issuer.issue(WorkspaceId(workspace.name))
+            return self._refuse(workspace, request_id)
+        ticket = self._context.issuer.issue(WorkspaceId(workspace.name))
         if isinstance(ticket, Refusal):
-            return self._refuse(ticket, request)
+            return self._refuse(ticket, request_id)
         body = msgspec.json.encode({'ticket': ticket})
         return Response(body=body, content_type=JSON_TYPE)
 
     async def service(self, http: Request) -> StreamResponse:
         """Make a call to a plain service."""
-        arrived = await self._arrive(http)
-        if isinstance(arrived, Response):
-            return arrived
-        call = _service_call(arrived)
-        outcome = await self._parts.services.run(call)
+        incoming = await self._read_request(http)
+        if isinstance(incoming, Response):
+            return incoming
+        call = _service_call(incoming)
+        outcome = await self._context.services.run(call)
         if isinstance(outcome, ForwardRequired):
-            seconds = self._parts.services.seconds(call)
+            seconds = self._context.services.timeout(call)
             if isinstance(seconds, Refusal):
-                return self._refuse(seconds, arrived.request)
-            return await self._forward(arrived, outcome, seconds)
-        return self._reply(arrived.request, outcome)
+                return self._refuse(seconds, incoming.request_id)
+            return await self._forward(incoming, outcome, seconds)
+        return self._reply(incoming.request_id, outcome)
 
     async def answer_forwarded(
         self,
         message: ForwardedRequest,
     ) -> ForwardedReply:
-        """Answer a request that another host handed on to this one."""
-        request = self._name()
+        """Answer a request that another host forwarded to this one."""
+        request_id = self._request_id()
         workspace = self._workspace(message.headers)
         if isinstance(workspace, Refusal):
-            return forwarded_reply(self._refuse(workspace, request))
-        arrived = CallerRequest(
-            request,
+            return forwarded_reply(self._refuse(workspace, request_id))
+        incoming = IncomingRequest(
+            request_id,
             workspace,
             message.method,
             message.target,
@@ -148,48 +152,52 @@
             message.content,
         )
         if message.target != _CHAT:
-            outcome = await self._parts.services.run(_service_call(arrived))
-            return forwarded_reply(self._reply(request, outcome))
-        call = _model_call(self._parts.models, arrived)
+            outcome = await self._context.services.run(_service_call(incoming))
+            return forwarded_reply(self._reply(request_id, outcome))
+        call = _model_call(self._context.models, incoming)
         if isinstance(call, Refusal):
-            return forwarded_reply(self._refuse(call, request))
-        outcome = await self._parts.models.run(call, NullSink())
-        return forwarded_reply(self._reply(request, outcome, call))
+            return forwarded_reply(self._refuse(call, request_id))
+        outcome = await self._context.models.run(call, NullSink())
+        return forwarded_reply(self._reply(request_id, outcome, call))
 
-    def _name(self) -> RequestId:
-        """Return the request's id, or a new one."""
+    def _request_id(self) -> RequestId:
+        """Return the id assigned to the current request, or a new one."""
         present = present_request()
         if present is not None:
             return present
-        nonce = f'{self._parts.randomness.getrandbits(_NONCE_BITS):016x}'
+        nonce = f'{self._context.randomness.getrandbits(_NONCE_BITS):016x}'
         return RequestId(f'{self._prefix}-{nonce}')
 
     def _workspace(
         self,
         headers: Mapping[str, str],
     ) -> WorkspaceEntry | Refusal:
-        """Return the caller's workspace."""
-        return authenticate(headers, self._parts.configuration.accepted)
+        """Return the workspace of the caller's key."""
+        return authenticate(headers, self._context.configuration.accepted)
+
+    def _refuse(self, refusal: Refusal, request_id: RequestId) -> Response:
+        """Count a refusal, and return its reply."""
+        self._context.metrics.refused(refusal.code)
+        return refuse(refusal, request_id)
 
-    def _refuse(self, refusal: Refusal, request: RequestId) -> Response:
-        """Return the reply of a refusal, and count it."""
-        self._parts.metrics.refused(refusal.code)
-        return refuse(refusal, request)
+    async def _read_request(self, http: Request) -> IncomingRequest | Response:
+        """Authenticate a caller and read its complete request.
 
-    async def _arrive(self, http: Request) -> CallerRequest | Response:
-        """Read a request whole, from a caller that is known."""
-        request = self._name()
+        Returns:
+            The request, or the reply that refuses it.
+        """
+        request_id = self._request_id()
         workspace = self._workspace(http.headers)
         if isinstance(workspace, Refusal):
-            return self._refuse(workspace, request)
-        wrong = check_key(http.headers)
-        if wrong is not None:
-            return self._refuse(wrong, request)
-        content = await self._body(http)
+            return self._refuse(workspace, request_id)
+        invalid = check_key(http.headers)
+        if invalid is not None:
+            return self._refuse(invalid, request_id)
+        content = await self._read_body(http)
         if isinstance(content, Refusal):
-            return self._refuse(content, request)
-        return CallerRequest(
-            request,
+            return self._refuse(content, request_id)
+        return IncomingRequest(
+            request_id,
             workspace,
             http.method,
             http.path,
@@ -197,80 +205,92 @@
             content,
         )
 
-    async def _body(self, http: Request) -> bytes | Refusal:
-        """Read a body within its limits of size and time."""
+    async def _read_body(self, http: Request) -> bytes | Refusal:
+        """Read a body within the limits of size and time."""
         try:
             async with asyncio.timeout(self._body_timeout):
                 return await http.read()
-        except HTTPRequestEntityTooLarge as problem:
+        except HTTPRequestEntityTooLarge as error:
             return Refusal(
                 ResultCode.BODY_TOO_LARGE,
-                f'The body is too large: {problem.reason}.',
+                f'The body is too large: {error.reason}.',
             )
         except TimeoutError:
             return Refusal(
                 ResultCode.BODY_TOO_SLOW,
-                f'The body took more than {self._body_timeout} seconds.',
+                f'The body did not arrive within {self._body_timeout} seconds.',
             )
 
     async def _model_reply(
         self,
-        arrived: CallerRequest,
+        incoming: IncomingRequest,
         call: ModelCall,
         outcome: Outcome,
     ) -> Response:
-        """Return the reply to a request that wants no stream."""
+        """Return the reply to a model request as one complete response."""
         if isinstance(outcome, ForwardRequired):
-            seconds = call.intake.model.deadline - self._parts.clock.now()
-            return await self._forward(arrived, outcome, seconds)
-        return self._reply(arrived.request, outcome, call)
+            seconds = call.intake.model.deadline - self._context.clock.now()
+            return await self._forward(incoming, outcome, seconds)
+        return self._reply(incoming.request_id, outcome, call)
 
-    async def _stream_end(
+    async def _finish_stream(
         self,
-        arrived: CallerRequest,
+        incoming: IncomingRequest,
         call: ModelCall,
         outcome: Outcome,
         stream: EventStream,
     ) -> StreamResponse:
-        """End a stream, or show an answer that did not come as one."""
-        ended = outcome.reply if isinstance(outcome, RequestResult) else None
-        if isinstance(ended, Refusal) and stream.response is not None:
-            return await stream.fail(ended)
-        if isinstance(ended, ServiceReply) and call.answer is not None:
+        """End a stream, or stream an answer that came as one response.
+
+        The answer of another host, or of an earlier request with the same
+        key or ticket, comes as one response.
+        """
+        result = outcome.reply if isinstance(outcome, RequestResult) else None
+        if isinstance(result, Refusal) and stream.response is not None:
+            return await stream.fail(result)
+        if isinstance(result, ServiceReply) and call.answer is not None:
             return await stream.finish(call.answer)
-        reply = await self._model_reply(arrived, call, outcome)
+        reply = await self._model_reply(incoming, call, outcome)
         if reply.status != _OK or not isinstance(reply.body, bytes):
             return reply
         answer = read_answer(reply.body)
-        stream.adopt(reply.headers)
+        stream.adopt_headers(reply.headers)
         stream.begin_version(answer.version)
         await stream.write(answer.text)
         return await stream.finish(answer)
 
     def _reply(
         self,
-        request: RequestId,
+        request_id: RequestId,
         outcome: Outcome,
         call: ModelCall | None = None,
     ) -> Response:
-        """Return the reply to a request that was not handed on."""
+        """Return the reply to a request that is answered on this host.
+
+        Args:
+            request_id: Id of the request.
+            outcome: Its outcome.
+            call: The request if it is a model request, otherwise None.
+        """
         if isinstance(outcome, ForwardRequired):
             outcome = Refusal(
                 ResultCode.TICKET_INVALID,
-                'The ticket was handed on to a host that did not issue it.',
+                'The request was forwarded to a host that did not issue its '
+                'ticket.',
             )
         if isinstance(outcome, Refusal):
-            return self._refuse(outcome, request)
+            return self._refuse(outcome, request_id)
         if isinstance(outcome, FirstAnswer):
-            return replay(outcome, request)
+            return replay(outcome, request_id)
         if isinstance(outcome.reply, Refusal):
             if call is None:
-                return self._refuse(outcome.reply, request)
-            # A model request is counted with its outcome.
-            return refuse(outcome.reply, request)
-        headers = {'Nutmegroad-Request': str(request)}
+                return self._refuse(outcome.reply, request_id)
+            # The refusal of a model request that was executed has been
+            # counted with the outcome of the request.
+            return refuse(outcome.reply, request_id)
+        headers = {'Nutmegroad-Request': str(request_id)}
         if call is not None and call.answer is not None:
-            token = self._parts.models.session_token(
+            token = self._context.models.session_token(
                 call,
                 call.answer.version,
             )
@@ -284,22 +304,28 @@
 
     async def _forward(
         self,
-        arrived: CallerRequest,
-        elsewhere: ForwardRequired,
+        incoming: IncomingRequest,
+        forward: ForwardRequired,
         seconds: float,
     ) -> Response:
-        """Have the issuer of the request's ticket answer it."""
+        """Forward a request to the host that issued its ticket.
+
+        Args:
+            incoming: The request.
+            forward: Names the host that issued the ticket.
+            seconds: Seconds left until the deadline of the request.
+        """
         message = ForwardedRequest(
-            host=elsewhere.ticket.host,
+            host=forward.ticket.host,
             seconds=seconds,
-            target=arrived.target,
-            method=arrived.method,
-            headers=passed_headers(arrived.headers, seconds),
-            content=arrived.content,
+            target=incoming.target,
+            method=incoming.method,
+            headers=forwarded_headers(incoming.headers, seconds),
+            content=incoming.content,
         )
-        reply = await self._parts.forwarder.forward(elsewhere.ticket, message)
+        reply = await self._context.forwarder.forward(forward.ticket, message)
         if isinstance(reply, Refusal):
-            return self._refuse(reply, arrived.request)
+            return self._refuse(reply, incoming.request_id)
         return Response(
             status=reply.status,
             body=reply.content,
@@ -308,45 +334,48 @@
         )
 
 
-def _service_call(arrived: CallerRequest) -> ServiceCallIn:
-    """Return the call that a request is."""
-    named = arrived.target.removeprefix(_SERVICES)
-    service, _, path = named.partition('/')
-    return ServiceCallIn(
-        arrived.request,
-        arrived.workspace,
+def _service_call(incoming: IncomingRequest) -> IncomingServiceCall:
+    """Return the service call that a request asks for."""
+    below = incoming.target.removeprefix(_SERVICES)
+    service, _, path = below.partition('/')
+    return IncomingServiceCall(
+        incoming.request_id,
+        incoming.workspace,
         ServiceName(service),
         path,
-        arrived.method,
-        arrived.headers,
-        arrived.content,
+        incoming.method,
+        incoming.headers,
+        incoming.content,
     )
 
 
 def _model_call(
     models: ModelRoutes,
-    arrived: CallerRequest,
+    incoming: IncomingRequest,
 ) -> ModelCall | Refusal:
-    """Return the model request that a request is."""
+    """Parse a model request; return a refusal if it is invalid."""
     return models.read(
-        arrived.headers,
-        arrived.content,
-        arrived.workspace,
-        arrived.request,
+        incoming.headers,
+        incoming.content,
+        incoming.workspace,
+        incoming.request_id,
     )
 
 
 def _make_stream(
     http: Request,
     call: ModelCall,
-    parts: CallerParts,
+    context: CallerContext,
 ) -> EventStream:
-    """Return the stream of an answer, known to the host's stop too."""
+    """Return the stream for an answer, and store it in the HTTP request.
+
+    The middlewares find it there when they have to end a started stream.
+    """
     stream = EventStream(
         http,
         call.intake.model.request,
-        lambda version: parts.models.session_token(call, version),
-        parts.metrics,
+        lambda version: context.models.session_token(call, version),
+        context.metrics,
     )
     http[STREAM_KEY] = stream
     return stream
--- a/src/nutmegroad/callers/model_routes.py
+++ b/src/nutmegroad/callers/model_routes.py
@@ -1,4 +1,4 @@
-"""Model requests, from the caller's HTTP request to the run."""
+"""Handles model requests, from the caller's HTTP request to the result."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
@@ -27,16 +27,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ModelParts:
-    """What model requests are handed to.
+class ModelContext:
+    """The components that answer model requests.
 
     Attributes:
-        reader: Understands them.
-        dispatcher: Answers them.
-        runner: Has each run at most once.
-        pins: Holds sessions to their versions.
-        explanations: Keeps what happened.
-        metrics: Counts what happens.
+        reader: Parses and validates requests.
+        dispatcher: Answers requests.
+        runner: Executes each request at most once.
+        pins: Pins the requests of a session to its version.
+        explanations: Records how each request was handled.
+        metrics: Counts requests and their cost.
         clock: The host's clock.
     """
 
@@ -51,18 +51,19 @@
 
 @dataclass(slots=True)
 class ModelCall:
-    """A model request on its way, and its whole answer at the end.
+    """A model request in progress, and its answer once it is complete.
 
     Attributes:
         intake: The request.
-        ticket: The caller's ticket; empty for none.
-        spent: What it has cost so far.
-        answer: The answer, once it is whole and was written here.
+        ticket: The caller's ticket; empty if there is none.
+        usage: Tokens and cost so far.
+        answer: The complete answer if this host executed the request,
+            otherwise None.
     """
 
     intake: Intake
     ticket: str
-    spent: RequestUsage = field(default_factory=RequestUsage)
+    usage: RequestUsage = field(default_factory=RequestUsage)
     answer: Answer | None = None
 
 
@@ -70,11 +71,11 @@
     """Answers callers' model requests.
 
     Args:
-        parts: What they are handed to.
+        context: The components that answer them.
     """
 
-    def __init__(self, parts: ModelParts) -> None:
-        self._parts = parts
+    def __init__(self, context: ModelContext) -> None:
+        self._context = context
 
     def read(
         self,
@@ -83,25 +84,32 @@
         workspace: WorkspaceEntry,
         request: RequestId,
     ) -> ModelCall | Refusal:
-        """Return the request that a caller sent."""
-        intake = self._parts.reader.read(headers, content, workspace, request)
+        """Parse a caller's model request.
+
+        Args:
+            headers: HTTP headers.
+            content: Body.
+            workspace: The caller's workspace.
+            request: Id of the request.
+        """
+        intake = self._context.reader.read(headers, content, workspace, request)
         if isinstance(intake, Refusal):
             return intake
         return ModelCall(intake, headers.get('Nutmegroad-Ticket', ''))
 
     async def run(self, call: ModelCall, sink: Sink) -> Outcome:
-        """Answer a request; pieces go to the sink."""
-        pinned = await self._parts.pins.pin(call.intake)
+        """Answer a request, and write the pieces of the answer to a sink."""
+        pinned = await self._context.pins.pin(call.intake)
         if isinstance(pinned, Refusal):
             return pinned
         call.intake = pinned
         model = pinned.model
 
-        async def work(fence: Fence) -> RequestResult:
-            """Have the dispatcher answer."""
+        async def execute(fence: Fence) -> RequestResult:
+            """Execute the request."""
             return await self._answer(call, sink, fence)
 
-        order = ClaimRequest(
+        claim = ClaimRequest(
             request=model.request,
             workspace=model.workspace,
             fingerprint=pinned.fingerprint,
@@ -110,15 +118,15 @@
             key=model.key,
             ticket=call.ticket,
         )
-        return await self._parts.runner.run(
-            order,
-            work,
+        return await self._context.runner.run(
+            claim,
+            execute,
             lambda: self._record(call, ResultCode.ANSWER_CUT),
         )
 
     def session_token(self, call: ModelCall, version: VersionId) -> str:
-        """Return the token that holds a session to its version."""
-        return self._parts.pins.token(call.intake, version)
+        """Return the token that binds a request's session to a version."""
+        return self._context.pins.token(call.intake, version)
 
     async def _answer(
         self,
@@ -126,19 +134,20 @@
         sink: Sink,
         fence: Fence,
     ) -> RequestResult:
-        """Have the dispatcher answer, and sum up what is billed."""
+        """Have the dispatcher answer, and return the result to be billed."""
         model = replace(call.intake.model, fence=fence)
-        outcome: Answer | Refusal = _caller_gone()
+        # Remains the outcome if the request is cancelled.
+        outcome: Answer | Refusal = _caller_disconnected()
         try:
-            outcome = await self._parts.dispatcher.answer(
+            outcome = await self._context.dispatcher.answer(
                 model,
                 sink,
-                self._parts.explanations.begin(model.request),
-                call.spent,
+                self._context.explanations.begin(model.request),
+                call.usage,
             )
         finally:
-            metrics = self._parts.metrics
-            count_request(metrics, call.intake, outcome, call.spent)
+            metrics = self._context.metrics
+            count_request(metrics, call.intake, outcome, call.usage)
         if isinstance(outcome, Refusal):
             return RequestResult(outcome, self._record(call, outcome.code))
         call.answer = outcome
@@ -147,25 +156,25 @@
         return RequestResult(reply, self._record(call, ResultCode.OK))
 
     def _record(self, call: ModelCall, code: ResultCode) -> BillingRecord:
-        """Return what is billed; the biller adds all attempts' cost."""
+        """Return the billing record; the biller adds the attempts' cost."""
         model = call.intake.model
-        spent = call.spent
+        usage = call.usage
         return BillingRecord(
             request=model.request,
             workspace=model.workspace,
             task=model.task,
-            at=self._parts.clock.wall(),
-            version=spent.version,
+            at=self._context.clock.wall(),
+            version=usage.version,
             outcome=code.name,
-            prompt_tokens=spent.prompt_tokens,
-            output_tokens=spent.output_tokens,
+            prompt_tokens=usage.prompt_tokens,
+            output_tokens=usage.output_tokens,
         )
 
 
-def _caller_gone() -> Refusal:
-    """Say how a request ended whose caller went away."""
+def _caller_disconnected() -> Refusal:
+    """Return the refusal of a request whose caller has disconnected."""
     return Refusal(
         ResultCode.ANSWER_CUT,
-        'The caller went away before the answer had ended.',
+        'The caller disconnected before the answer was complete.',
         Ran.UNKNOWN,
     )
--- a/src/nutmegroad/callers/part.py
+++ b/src/nutmegroad/callers/part.py
@@ -1,12 +1,12 @@
-"""The part that listens to callers."""
+"""The kernel part that serves the callers' HTTP interface."""
 
-from nutmegroad.callers._caller_guard import CallerGuard
-from nutmegroad.callers._caller_parts import CallerParts
+from nutmegroad.callers._caller_guard import StopGuard
+from nutmegroad.callers._caller_parts import CallerContext
 from nutmegroad.callers._http_edge import protect
 from nutmegroad.callers._http_listener import Listener
 from nutmegroad.callers.intake import IntakeReader
 from nutmegroad.callers.interface import CallersInterface
-from nutmegroad.callers.model_routes import ModelParts, ModelRoutes
+from nutmegroad.callers.model_routes import ModelContext, ModelRoutes
 from nutmegroad.callers.service_routes import ServiceRoutes
 from nutmegroad.callers.session_names import SessionNames
 from nutmegroad.callers.session_pins import SessionPins
@@ -30,7 +30,7 @@
 
 @register('part', 'callers')
 class CallersPart:
-    """Listens to callers."""
+    """Serves callers over HTTP."""
 
     needs = (
         Dispatcher,
@@ -44,7 +44,7 @@
     )
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to listen."""
+        """Build the interface and start to listen."""
         signer = SessionSigner(
             kernel.settings.cluster_key,
             kernel.settings.cluster_key_old,
@@ -56,7 +56,7 @@
             Runner(kernel.need(AtMostOnce), biller, kernel.need(RecordSender)),
         )
         interface = CallersInterface(
-            self._parts(kernel, runner, signer),
+            self._make_context(kernel, runner, signer),
             kernel.incarnation,
             kernel.settings.body_timeout,
         )
@@ -64,7 +64,7 @@
         app = interface.application(kernel.settings.max_body)
         stop = kernel.need(GracefulStop)
         metrics = kernel.need(Metrics)
-        CallerGuard(stop, metrics).protect(app)
+        StopGuard(stop, metrics).install(app)
         protect(kernel, app, 'callers', metrics.refused)
         kernel.listening['callers'] = await kernel.need(Listener).listen(
             kernel,
@@ -72,18 +72,18 @@
             kernel.settings.callers,
         )
 
-    def _parts(
+    def _make_context(
         self,
         kernel: Kernel,
         runner: Runner,
         signer: SessionSigner,
-    ) -> CallerParts:
-        """Return what requests are handed to."""
+    ) -> CallerContext:
+        """Return the components that answer requests."""
         configuration = kernel.need(Configuration)
         explanations = kernel.need(Explanations)
         metrics = kernel.need(Metrics)
         dispatcher = kernel.need(Dispatcher)
-        models = ModelParts(
+        models = ModelContext(
             reader=IntakeReader(configuration, signer, kernel.clock),
             dispatcher=dispatcher,
             runner=runner,
@@ -103,7 +103,7 @@
             explanations,
             kernel.clock,
         )
-        return CallerParts(
+        return CallerContext(
             configuration=configuration,
             models=ModelRoutes(models),
             services=services,
--- a/src/nutmegroad/callers/replies.py
+++ b/src/nutmegroad/callers/replies.py
@@ -1,4 +1,4 @@
-"""HTTP replies to callers: refusals and whole answers."""
+"""HTTP replies to callers: refusals, complete answers and stream chunks."""
 
 import math
 from typing import Final
@@ -16,23 +16,24 @@
 
 JSON_TYPE: Final = 'application/json'
 
-_MILLISECONDS: Final = 1000
+_MS_PER_SECOND: Final = 1000
 REQUEST_HEADER: Final = 'Nutmegroad-Request'
-CHUNK: Final = 'chat.completion.chunk'
+CHUNK_OBJECT: Final = 'chat.completion.chunk'
 
-#: Where a reply keeps the code of the refusal that it is.
+#: Key under which a reply stores the result code of its refusal.
 _CODE: Final = ResponseKey('code', ResultCode)
 
 
 class RefusalBody(Struct, frozen=True):
-    """A refusal, as callers see it.
+    """A refusal as sent to callers.
 
     Attributes:
         code: Result code.
-        name: Its name.
-        message: One sentence.
-        not_run: True only if no upstream ran any of it.
-        retry_after_ms: When another try makes sense; 0 for never.
+        name: Name of the result code.
+        message: Explanation for people.
+        not_run: True only if no upstream has executed any part of the request.
+        retry_after_ms: Milliseconds after which a retry makes sense; 0 if
+            none does.
     """
 
     code: int
@@ -43,7 +44,7 @@
 
 
 class ErrorBody(Struct, frozen=True):
-    """The envelope that the model API's clients expect.
+    """The envelope of errors that clients of the model API expect.
 
     Attributes:
         error: The refusal.
@@ -59,13 +60,18 @@
         name=refusal.code.name,
         message=refusal.reason,
         not_run=refusal.ran is Ran.NOT_RUN,
-        retry_after_ms=math.ceil(refusal.retry_after * _MILLISECONDS),
+        retry_after_ms=math.ceil(refusal.retry_after * _MS_PER_SECOND),
     )
     return msgspec.json.encode(ErrorBody(inner))
 
 
 def refuse(refusal: Refusal, request: RequestId) -> Response:
-    """Return the HTTP reply of a refusal."""
+    """Return the HTTP reply for a refusal.
+
+    Args:
+        refusal: The refusal.
+        request: Id of the refused request.
+    """
     headers = {'Nutmegroad-Request': str(request)}
     if refusal.retry_after > 0:
         headers['Retry-After'] = str(math.ceil(refusal.retry_after))
@@ -80,15 +86,15 @@
 
 
 def code_of(reply: StreamResponse) -> ResultCode | None:
-    """Return the code of a refusal's reply, or None if it is no refusal."""
+    """Return the result code of a reply made by `refuse`, otherwise None."""
     return reply.get(_CODE)
 
 
 class Delta(Struct, frozen=True, omit_defaults=True):
-    """What a chunk adds to the answer.
+    """The text that a chunk adds to the answer.
 
     Attributes:
-        content: Text.
+        content: The text.
     """
 
     content: str = ''
@@ -99,8 +105,8 @@
 
     Attributes:
         index: Always 0.
-        delta: What is added.
-        finish_reason: Why the answer ended; None before.
+        delta: The text that the chunk adds.
+        finish_reason: Why the answer ended; None before the last chunk.
     """
 
     index: int
@@ -109,13 +115,13 @@
 
 
 class Usage(Struct, frozen=True):
-    """Tokens of an answer.
+    """Tokens and cost of an answer.
 
     Attributes:
-        prompt_tokens: Tokens read.
-        completion_tokens: Tokens written.
-        total_tokens: Both.
-        cost: What the request cost, the whole cascade summed.
+        prompt_tokens: Tokens of the prompt.
+        completion_tokens: Tokens of the answer.
+        total_tokens: Sum of both.
+        cost: Cost of the request, summed over all steps of its cascade.
     """
 
     prompt_tokens: int
@@ -125,15 +131,15 @@
 
 
 class Chunk(Struct, frozen=True, omit_defaults=True):
-    """One server-sent event of an answer.
+    """The data of one server-sent event of an answer.
 
     Attributes:
-        id: The request's id.
+        id: Id of the request.
         object: Always ``chat.completion.chunk``.
-        model: The version that answered; empty until it is known.
-        choices: One choice.
-        usage: Tokens, in the last chunk.
-        session: The session's token, in the last chunk.
+        model: The version that answers; empty until it is known.
+        choices: Exactly one choice.
+        usage: Tokens and cost; only in the last chunk.
+        session: The session token; only in the last chunk.
     """
 
     id: str
@@ -145,11 +151,11 @@
 
 
 class AnswerMessage(Struct, frozen=True):
-    """The answer, whole.
+    """The message of a complete answer.
 
     Attributes:
         role: Always ``assistant``.
-        content: Its text.
+        content: Text of the answer.
     """
 
     role: str
@@ -157,12 +163,12 @@
 
 
 class AnswerChoice(Struct, frozen=True):
-    """The only choice of a whole answer.
+    """The only choice of a complete answer.
 
     Attributes:
         index: Always 0.
         message: The answer.
-        finish_reason: Why it ended.
+        finish_reason: Why the answer ended.
     """
 
     index: int
@@ -171,13 +177,13 @@
 
 
 class AnswerBody(Struct, frozen=True):
-    """A whole answer, in the model API's shape.
+    """A complete answer in the format of the model API.
 
     Attributes:
-        id: The request's id.
+        id: Id of the request.
         object: Always ``chat.completion``.
         model: The version that answered.
-        choices: One choice.
+        choices: Exactly one choice.
         usage: Tokens and cost.
     """
 
@@ -189,7 +195,7 @@
 
 
 def usage_of(answer: Answer) -> Usage:
-    """Return an answer's tokens and cost."""
+    """Return the tokens and cost of an answer."""
     return Usage(
         answer.prompt_tokens,
         answer.output_tokens,
@@ -199,7 +205,7 @@
 
 
 def answer_body(answer: Answer, request: RequestId) -> bytes:
-    """Return a whole answer as JSON."""
+    """Return a complete answer as JSON."""
     message = AnswerMessage('assistant', answer.text)
     choice = AnswerChoice(0, message, answer.finish)
     return msgspec.json.encode(
@@ -214,22 +220,27 @@
 
 
 def read_answer(body: bytes) -> Answer:
-    """Return the answer that such JSON holds."""
-    read = msgspec.json.decode(body, type=AnswerBody)
-    choice = read.choices[0]
+    """Return the answer from the JSON that `answer_body` made."""
+    decoded = msgspec.json.decode(body, type=AnswerBody)
+    choice = decoded.choices[0]
     return Answer(
-        version=VersionId(read.model),
+        version=VersionId(decoded.model),
         text=choice.message.content,
         finish=choice.finish_reason,
-        prompt_tokens=read.usage.prompt_tokens,
-        output_tokens=read.usage.completion_tokens,
-        cost=read.usage.cost,
+        prompt_tokens=decoded.usage.prompt_tokens,
+        output_tokens=decoded.usage.completion_tokens,
+        cost=decoded.usage.cost,
         attempts=0,
     )
 
 
 def replay(first: FirstAnswer, request: RequestId) -> Response:
-    """Give the first answer to a request again."""
+    """Return the reply that repeats the answer to an earlier request.
+
+    Args:
+        first: The earlier request's answer.
+        request: Id of the present request.
+    """
     return Response(
         status=first.reply.status,
         body=first.reply.body,
@@ -242,7 +253,7 @@
 
 
 def forwarded_reply(response: Response) -> ForwardedReply:
-    """Return a reply in the form in which it goes to another host."""
+    """Return a reply as the message that goes back to a forwarding host."""
     body = response.body
     headers = {
         name: given
--- a/src/nutmegroad/callers/service_routes.py
+++ b/src/nutmegroad/callers/service_routes.py
@@ -1,4 +1,4 @@
-"""Calls to plain services, from the caller's HTTP request to the run."""
+"""Handles calls to plain services, from the HTTP request to the result."""
 
 import hashlib
 from collections.abc import Mapping
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from nutmegroad.callers.intake import LONGEST_NAME, deadline_seconds
+from nutmegroad.callers.intake import MAX_NAME_LENGTH, deadline_seconds
 from nutmegroad.contracts.documents import ServiceEntry, WorkspaceEntry
 from nutmegroad.contracts.fences import Fence
 from nutmegroad.foundations.clocks import Clock
@@ -29,20 +29,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceCallIn:
-    """A caller's call as it came in.
+class IncomingServiceCall:
+    """A caller's call to a plain service.
 
     Attributes:
-        request: Its id.
-        workspace: Who asks.
-        service: The service's name.
+        request_id: Id of the request.
+        workspace: The caller's workspace.
+        service: Name of the service.
         path: Path below the service.
         method: HTTP method.
         headers: HTTP headers.
         content: Body.
     """
 
-    request: RequestId
+    request_id: RequestId
     workspace: WorkspaceEntry
     service: ServiceName
     path: str
@@ -56,8 +56,8 @@
 
     Args:
         services: Makes the calls.
-        runner: Has each run at most once.
-        explanations: Keeps what happened.
+        runner: Executes each call at most once.
+        explanations: Records how each call was handled.
         clock: The host's clock.
     """
 
@@ -73,15 +73,15 @@
         self._explanations = explanations
         self._clock = clock
 
-    def seconds(self, call: ServiceCallIn) -> float | Refusal:
-        """Return how long the caller will wait."""
+    def timeout(self, call: IncomingServiceCall) -> float | Refusal:
+        """Return the seconds until the deadline of a call."""
         entry = self._services.entry(call.service)
         if isinstance(entry, Refusal):
             return entry
         return deadline_seconds(call.headers, entry.timeout)
 
-    async def run(self, call: ServiceCallIn) -> Outcome:
-        """Make a call."""
+    async def run(self, call: IncomingServiceCall) -> Outcome:
+        """Make a call at most once."""
         entry = self._services.entry(call.service)
         if isinstance(entry, Refusal):
             return entry
@@ -90,21 +90,21 @@
             return seconds
         deadline = self._clock.now() + seconds
         record = BillingRecord(
-            request=call.request,
+            request=call.request_id,
             workspace=call.workspace.name,
             task=call.service,
             at=self._clock.wall(),
         )
 
-        async def work(fence: Fence) -> RequestResult:
-            """Make the call's attempts."""
-            request = _request(call, deadline, fence)
+        async def execute(fence: Fence) -> RequestResult:
+            """Make the attempts of the call."""
+            request = _service_request(call, deadline, fence)
             return await self._call(request, entry, record)
 
-        order = _order(call, entry, deadline)
+        claim = _claim_request(call, entry, deadline)
         return await self._runner.run(
-            order,
-            work,
+            claim,
+            execute,
             lambda: replace(record, outcome=ResultCode.ANSWER_CUT.name),
         )
 
@@ -114,7 +114,7 @@
         entry: ServiceEntry,
         record: BillingRecord,
     ) -> RequestResult:
-        """Make the attempts of a call that may run."""
+        """Make the attempts of a call, and return its result."""
         explanation = self._explanations.begin(request.request)
         reply = await self._services.call(request, entry, explanation)
         code = reply.code if isinstance(reply, Refusal) else ResultCode.OK
@@ -123,50 +123,54 @@
 
 
 def key_of(headers: Mapping[str, str]) -> IdempotencyKey:
-    """Return the caller's idempotency key; empty for none."""
+    """Return the caller's idempotency key; empty if there is none."""
     return IdempotencyKey(headers.get('Idempotency-Key', ''))
 
 
 def check_key(headers: Mapping[str, str]) -> Refusal | None:
-    """Refuse a key that is too long; cut short it would be another's."""
-    if len(key_of(headers)) <= LONGEST_NAME:
+    """Return the refusal of an idempotency key that is too long, or None.
+
+    Long keys are not truncated, as two different keys could then match.
+    """
+    if len(key_of(headers)) <= MAX_NAME_LENGTH:
         return None
     return Refusal(
         ResultCode.FIELD_INVALID,
-        f'An Idempotency-Key has at most {LONGEST_NAME} characters.',
+        f'An Idempotency-Key may have at most {MAX_NAME_LENGTH} characters.',
     )
 
 
-def _order(
-    call: ServiceCallIn,
+def _claim_request(
+    call: IncomingServiceCall,
     entry: ServiceEntry,
     deadline: float,
 ) -> ClaimRequest:
-    """Return what the call asks of the runner."""
+    """Return the claim with which the runner executes a call."""
     repeatable = is_repeatable(entry, call.method, call.path)
     digest = hashlib.sha256(call.content)
     digest.update(f'{call.method} {call.service}/{call.path}'.encode())
     return ClaimRequest(
-        request=call.request,
+        request=call.request_id,
         workspace=WorkspaceId(call.workspace.name),
         fingerprint=digest.hexdigest(),
         repeatable=repeatable,
         deadline=deadline,
-        # A look-up that may be repeated is not worth a write.
+        # A call that may be repeated is claimed without its key: avoiding a
+        # repeat is not worth a write to the table.
         key=IdempotencyKey('') if repeatable else key_of(call.headers),
         ticket=call.headers.get('Nutmegroad-Ticket', ''),
     )
 
 
-def _request(
-    call: ServiceCallIn,
+def _service_request(
+    call: IncomingServiceCall,
     deadline: float,
     fence: Fence,
 ) -> ServiceRequest:
-    """Return the call as the caller of services takes it."""
+    """Return a call in the form that `ServiceCaller` takes."""
     kind = call.headers.get('Content-Type', 'application/octet-stream')
     return ServiceRequest(
-        request=call.request,
+        request=call.request_id,
         workspace=WorkspaceId(call.workspace.name),
         service=call.service,
         method=call.method,
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,8 @@
-"""What callers get over HTTP, when engines and callers go wrong."""
+"""Tests of the callers' HTTP interface with failing engines and callers.
+
+Guards against truncated answers that look complete, against work that goes
+on after its caller has disconnected, and against requests lost at a stop.
+"""
 
 import asyncio
 import unittest
@@ -24,36 +28,36 @@
 DONE = b'[DONE]'
 
 
-def events_of(content: bytes) -> list[Any]:
-    """Return the JSON of a stream's events."""
+def parse_events(content: bytes) -> list[Any]:
+    """Return the decoded data of the events of a stream."""
     lines = [line for line in content.split(b'\n') if line.startswith(b'data')]
     texts = [line.removeprefix(b'data: ') for line in lines]
     return [msgspec.json.decode(text) for text in texts if text != DONE]
 
 
-def text_of(events: list[Any]) -> str:
-    """Return the text that a stream's chunks give."""
+def answer_text(events: list[Any]) -> str:
+    """Return the text of the chunks of a stream."""
     chunks = [event for event in events if 'choices' in event]
     deltas = [chunk['choices'][0]['delta'] for chunk in chunks]
     return ''.join(delta.get('content', '') for delta in deltas)
 
 
 class CallerCase(unittest.IsolatedAsyncioTestCase):
-    """Opens a host on engines that answer quickly."""
+    """Opens a host with engines that answer quickly."""
 
     async def asyncSetUp(self) -> None:
-        """Open it."""
+        """Open the host."""
         await self.open()
 
     async def open(self, **changes: Any) -> None:
-        """Open a host whose engines are as the test wants them."""
+        """Open a host with changed options of its engines."""
         self.stack = AsyncExitStack()
         self.addAsyncCleanup(self.stack.aclose)
         self.host = WholeHost(fast_engine(**changes))
         await self.host.open(self.stack)
 
-    async def ask(self, *, stream: bool = False, session: str = '') -> Any:
-        """Make a model request; return the response, read."""
+    async def send(self, *, stream: bool = False, session: str = '') -> Any:
+        """Send a model request; return the response after reading it."""
         response = await self.host.session.post(
             self.host.url(),
             json=self.host.body(stream=stream),
@@ -62,18 +66,18 @@
         await response.read()
         return response
 
-    def metric(self, line: str) -> bool:
-        """Tell whether the metrics show a line."""
+    def has_metric(self, line: str) -> bool:
+        """Return whether the rendered metrics contain a text."""
         metrics = self.host.kernel.need(Metrics)
         return line in metrics.render().decode()
 
 
-class RepeatTest(CallerCase):
-    """A request that comes again with its key."""
+class IdempotencyKeyTest(CallerCase):
+    """A request that is repeated with its idempotency key."""
 
-    async def test_a_stream_names_the_request_that_ran(self) -> None:
+    async def test_repeated_stream_names_the_first_request(self) -> None:
         headers = {**self.host.headers(), 'Idempotency-Key': 'k1'}
-        named = []
+        headers_seen = []
         for _ in range(2):
             response = await self.host.session.post(
                 self.host.url(),
@@ -82,44 +86,44 @@
             )
             content = await response.read()
             self.assertIn(DONE, content)
-            named.append(response.headers)
-        first, again = named
+            headers_seen.append(response.headers)
+        first, again = headers_seen
         self.assertEqual(
             first['Nutmegroad-Request'],
             again.get('Nutmegroad-First-Request'),
         )
 
 
-class AnswerTest(CallerCase):
-    """Answers that engines break."""
+class EngineFaultTest(CallerCase):
+    """Answers of engines with injected faults."""
 
-    async def assert_whole(self, *, stream: bool) -> None:
-        """Make a request and see that all of the answer comes."""
-        response = await self.ask(stream=stream)
+    async def assert_complete(self, *, stream: bool) -> None:
+        """Send a request and check that the answer is complete."""
+        response = await self.send(stream=stream)
         content = await response.read()
         self.assertEqual(response.status, 200, content)
         if stream:
             self.assertIn(DONE, content)
-            text = text_of(events_of(content))
+            text = answer_text(parse_events(content))
         else:
             answer = msgspec.json.decode(content)
             text = answer['choices'][0]['message']['content']
         self.assertEqual(len(text.split()), 8)
 
-    async def test_a_stream_is_whole_and_names_version_and_session(
+    async def test_stream_is_complete_with_version_and_session(
         self,
     ) -> None:
-        response = await self.ask(stream=True)
+        response = await self.send(stream=True)
         content = await response.read()
-        events = events_of(content)
+        events = parse_events(content)
         self.assertTrue(content.endswith(b'data: [DONE]\n\n'))
-        self.assertEqual(len(text_of(events).split()), 8)
+        self.assertEqual(len(answer_text(events).split()), 8)
         versions = {event['model'] for event in events}
         self.assertEqual(len(versions), 1)
         token = response.headers['Nutmegroad-Session']
         self.assertEqual(events[-1]['session'], token)
 
-    async def test_faults_of_one_engine_are_not_seen_by_callers(
+    async def test_faults_of_one_engine_are_hidden_from_callers(
         self,
     ) -> None:
         for kind in (
@@ -133,70 +137,72 @@
             engine.faults.add(FaultOrder(kind, scope='answers'))
             for number in range(6):
                 with self.subTest(kind=kind, number=number):
-                    await self.assert_whole(stream=bool(number % 2))
+                    await self.assert_complete(stream=bool(number % 2))
 
-    async def test_a_crossed_answer_is_taken_up_elsewhere(self) -> None:
+    async def test_answer_to_another_attempt_is_retried_elsewhere(self) -> None:
         order = FaultOrder(FaultKind.CROSS, scope='answers')
         self.host.engines[0].faults.add(order)
         for number in range(6):
             with self.subTest(number=number):
-                await self.assert_whole(stream=bool(number % 2))
+                await self.assert_complete(stream=bool(number % 2))
 
-    async def test_a_cut_stream_is_resumed_at_its_engine(self) -> None:
+    async def test_truncated_stream_is_resumed_at_its_engine(self) -> None:
         self.host.fault(FaultKind.CUT, count=1)
-        await self.assert_whole(stream=True)
-        ends = [
+        await self.assert_complete(stream=True)
+        run_ends = [
             [run.ended for run in engine.runs.records]
             for engine in self.host.engines
         ]
-        self.assertIn([End.CUT, End.WHOLE], ends)
+        self.assertIn([End.CUT, End.WHOLE], run_ends)
 
-    async def test_an_answer_that_stays_cut_never_looks_whole(self) -> None:
+    async def test_truncated_answer_ends_with_an_error(self) -> None:
         self.host.fault(FaultKind.CUT)
-        response = await self.ask(stream=True)
+        response = await self.send(stream=True)
         content = await response.read()
         self.assertNotIn(DONE, content)
         self.assertIn(b'event: error', content)
-        self.assertFalse(events_of(content)[-1]['error']['not_run'])
-        whole = await self.ask()
-        self.assertEqual(whole.status, 502)
+        self.assertFalse(parse_events(content)[-1]['error']['not_run'])
+        response = await self.send()
+        self.assertEqual(response.status, 502)
 
-    async def test_refusals_and_requests_are_counted(self) -> None:
-        await self.ask()
+    async def test_requests_and_refusals_are_counted(self) -> None:
+        await self.send()
         labels = 'outcome="OK",task="checklist-tag",workspace="head-office"'
-        self.assertTrue(self.metric(f'requests_total{{{labels}}} 1.0'))
-        self.assertTrue(self.metric('first_token_seconds_count'))
+        self.assertTrue(self.has_metric(f'requests_total{{{labels}}} 1.0'))
+        self.assertTrue(self.has_metric('first_token_seconds_count'))
         for engine in self.host.engines:
             engine.faults.clear()
         self.host.fault(FaultKind.ERROR)
-        await self.ask()
-        self.assertTrue(self.metric('refusals_total{code="UPSTREAM_ERROR"}'))
+        await self.send()
+        self.assertTrue(
+            self.has_metric('refusals_total{code="UPSTREAM_ERROR"}')
+        )
 
 
-class GoneTest(CallerCase):
-    """Callers that leave before the end."""
+class OpenRequestTest(CallerCase):
+    """Open requests that end because the caller leaves or the host stops."""
 
     async def asyncSetUp(self) -> None:
         await self.open(speed=ENDLESS)
 
-    async def test_its_work_is_cancelled_at_the_engine_and_billed(
+    async def test_execution_is_cancelled_at_the_engine_and_billed(
         self,
     ) -> None:
         bills: list[Any] = []
         biller: Any = self.host.kernel.need(Biller)
         biller.record = bills.append
-        task = asyncio.create_task(self.ask(stream=True))
-        await self.until(lambda: self.ends() == [End.RUNNING])
+        task = asyncio.create_task(self.send(stream=True))
+        await self.wait_until(lambda: self.run_ends() == [End.RUNNING])
         task.cancel()
-        await self.until(lambda: self.ends() == [End.CANCELLED])
-        await self.until(lambda: self.metric('outcome="ANSWER_CUT"'))
+        await self.wait_until(lambda: self.run_ends() == [End.CANCELLED])
+        await self.wait_until(lambda: self.has_metric('outcome="ANSWER_CUT"'))
         self.assertEqual([bill.outcome for bill in bills], ['ANSWER_CUT'])
 
-    async def test_what_is_open_at_the_drain_limit_is_told_so(self) -> None:
+    async def test_open_request_is_refused_at_the_drain_limit(self) -> None:
         stop = self.host.kernel.need(GracefulStop)
         stop._limit = 0.2
-        task = asyncio.create_task(self.ask())
-        await self.until(lambda: self.ends() == [End.RUNNING])
+        task = asyncio.create_task(self.send())
+        await self.wait_until(lambda: self.run_ends() == [End.RUNNING])
         self.assertEqual(await stop.run(), 1)
         response = await task
         body = await response.json()
@@ -204,13 +210,13 @@
         self.assertEqual(body['error']['name'], 'HOST_STOPPING')
         self.assertFalse(body['error']['not_run'])
 
-    def ends(self) -> list[End]:
+    def run_ends(self) -> list[End]:
         runs = [
             run for engine in self.host.engines for run in engine.runs.records
         ]
         return [run.ended for run in runs]
 
-    async def until(self, holds: Any) -> None:
+    async def wait_until(self, holds: Any) -> None:
         async with asyncio.timeout(10):
             while not holds():
                 await asyncio.sleep(0.01)
@@ -219,8 +225,8 @@
 class SessionTest(CallerCase):
     """Sessions over HTTP."""
 
-    async def test_a_named_session_keeps_its_version(self) -> None:
-        first = await self.ask(session='desk')
+    async def test_named_session_keeps_its_version(self) -> None:
+        first = await self.send(session='desk')
         version = (await first.json())['model']
         again = await self.host.session.post(
             self.host.url(),
@@ -232,37 +238,37 @@
         )
         self.assertEqual((await again.json())['model'], version)
 
-    async def test_without_the_table_only_a_new_name_is_refused(
+    async def test_only_new_names_are_refused_without_the_table(
         self,
     ) -> None:
-        known = await self.ask(session='desk')
+        known = await self.send(session='desk')
         token = known.headers['Nutmegroad-Session']
         self.host.platform.faults.add(FaultOrder(FaultKind.DOWN, scope='table'))
         for name in ('desk', token):
-            response = await self.ask(session=name)
+            response = await self.send(session=name)
             self.assertEqual(response.status, 200)
-        refused = await self.ask(session='new')
+        refused = await self.send(session='new')
         body = await refused.json()
         self.assertEqual(refused.status, 503)
         self.assertTrue(body['error']['not_run'])
         self.assertIn('Retry-After', refused.headers)
 
-    async def test_a_withdrawn_version_ends_it_not_run(self) -> None:
-        first = await self.ask(session='desk')
+    async def test_withdrawn_version_ends_the_session_not_run(self) -> None:
+        first = await self.send(session='desk')
         version = (await first.json())['model']
         withdrawal = Withdrawal(version=version, epoch=9)
         self.host.kernel.need(Configuration).withdraw((withdrawal,))
         for name in ('desk', first.headers['Nutmegroad-Session']):
-            response = await self.ask(session=name)
+            response = await self.send(session=name)
             body = await response.json()
             self.assertEqual(body['error']['name'], 'SESSION_ENDED')
             self.assertTrue(body['error']['not_run'])
 
 
-class StoppingTest(CallerCase):
-    """New work while the host stops."""
+class GracefulStopTest(CallerCase):
+    """Requests while the host stops."""
 
-    async def test_it_is_refused_as_not_run_and_the_connection_closed(
+    async def test_new_request_is_refused_and_connection_closed(
         self,
     ) -> None:
         stop = self.host.kernel.need(GracefulStop)
@@ -270,7 +276,7 @@
             stopping = asyncio.create_task(stop.run())
             while stop.phase is not Phase.REFUSING:
                 await asyncio.sleep(0.01)
-            response = await self.ask()
+            response = await self.send()
         await stopping
         body = await response.json()
         self.assertEqual(response.status, 503)
@@ -282,42 +288,42 @@
         async with self.host.session.get(url) as ready:
             self.assertEqual(ready.status, 503)
 
-    async def test_a_kept_connection_loses_no_request(self) -> None:
-        # One request after another on a connection that was open before
-        # the stop: each one is answered or refused as not run, and the
-        # host says so before it closes the connection.
+    async def test_idle_connection_loses_no_request(self) -> None:
+        # Every request on a connection that was opened before the stop is
+        # answered or refused as not executed, and the reply announces that
+        # the connection closes.
         address = self.host.kernel.listening['callers']
         opened = await asyncio.open_connection(address.ip, address.port)
         self.addCleanup(opened[1].close)
-        self.assertEqual(await self.ask_on(opened), (200, False))
+        self.assertEqual(await self.request_on(opened), (200, False))
         stop = self.host.kernel.need(GracefulStop)
         with stop.request():
             stopping = asyncio.create_task(stop.run())
             while stop.phase is not Phase.REFUSING:
                 await asyncio.sleep(0.01)
-            self.assertEqual(await self.ask_on(opened), (503, True))
+            self.assertEqual(await self.request_on(opened), (503, True))
             self.assertEqual(await opened[0].read(), b'')
         await stopping
         runs = [len(engine.runs.records) for engine in self.host.engines]
         self.assertEqual(sum(runs), 1)
 
-    async def test_a_request_in_the_lame_duck_is_answered_and_the_last(
+    async def test_last_request_is_answered_during_lame_duck(
         self,
     ) -> None:
         address = self.host.kernel.listening['callers']
         opened = await asyncio.open_connection(address.ip, address.port)
         self.addCleanup(opened[1].close)
-        self.assertEqual(await self.ask_on(opened), (200, False))
+        self.assertEqual(await self.request_on(opened), (200, False))
         stop = self.host.kernel.need(GracefulStop)
         stop._phase = Phase.LEAVING
-        self.assertEqual(await self.ask_on(opened), (200, True))
+        self.assertEqual(await self.request_on(opened), (200, True))
         self.assertEqual(await opened[0].read(), b'')
 
-    async def ask_on(
+    async def request_on(
         self,
         opened: tuple[asyncio.StreamReader, asyncio.StreamWriter],
     ) -> tuple[int, bool]:
-        """Return a reply's status and whether it ends the connection."""
+        """Return the status of a reply and whether it announces a close."""
         reader, writer = opened
         content = msgspec.json.encode(self.host.body())
         headers = {**self.host.headers(), 'Content-Length': len(content)}
@@ -333,9 +339,9 @@
 
 
 class SlowCallerTest(unittest.IsolatedAsyncioTestCase):
-    """A caller that opens a stream and does not read it."""
+    """A caller that requests a stream and does not read it."""
 
-    async def test_it_is_cut_and_counted(self) -> None:
+    async def test_connection_is_aborted_and_counted(self) -> None:
         metrics = Metrics(float)
         cut = asyncio.Event()
 
@@ -345,7 +351,7 @@
                 RequestId('r'),
                 lambda version: 'token',
                 metrics,
-                patience=0.2,
+                read_timeout=0.2,
             )
             try:
                 while True:
--- a/tests/test_http_edge.py
+++ b/tests/test_http_edge.py
@@ -1,4 +1,8 @@
-"""What is no proper request gets a code as JSON, and never a traceback."""
+"""Tests that invalid requests are refused with a result code as JSON.
+
+Guards against replies without a code or request id, and against tracebacks
+in replies.
+"""
 
 import asyncio
 import json
@@ -16,15 +20,21 @@
 from tests.hosts import KEY, TOKEN, WholeHost, fast_engine
 
 CHAT = '/v1/chat/completions'
-GOOD = {'model': 'checklist-tag', 'messages': [{'role': 'u', 'content': 'x'}]}
-DEEP = b'{"model": ' + b'[' * 100_000
-HUGE = (
-    json.dumps(GOOD)[:-1].encode() + b', "max_tokens": 1' + b'0' * 5000 + b'}'
+VALID_BODY = {
+    'model': 'checklist-tag',
+    'messages': [{'role': 'u', 'content': 'x'}],
+}
+DEEPLY_NESTED = b'{"model": ' + b'[' * 100_000
+OVERSIZED_NUMBER = (
+    json.dumps(VALID_BODY)[:-1].encode()
+    + b', "max_tokens": 1'
+    + b'0' * 5000
+    + b'}'
 )
 
 
-async def exchange(address: Address, sent: bytes) -> tuple[int, bytes, bytes]:
-    """Send bytes, and return the reply's status, head and body."""
+async def send_raw(address: Address, sent: bytes) -> tuple[int, bytes, bytes]:
+    """Send bytes; return the status, the head and the body of the reply."""
     reader, writer = await asyncio.open_connection(address.ip, address.port)
     try:
         writer.write(sent)
@@ -37,52 +47,64 @@
         writer.close()
 
 
-def post(path: str, body: bytes, secret: str = KEY, more: str = '') -> bytes:
-    """Return a POST request."""
+def post(
+    path: str, body: bytes, secret: str = KEY, extra_header: str = ''
+) -> bytes:
+    """Return the bytes of a POST request."""
     lines = (
         f'POST {path} HTTP/1.1',
         'Host: h',
         f'Authorization: Bearer {secret}',
         f'Content-Length: {len(body)}',
-        *filter(None, (more,)),
+        *filter(None, (extra_header,)),
     )
     return '\r\n'.join((*lines, '', '')).encode() + body
 
 
 class HttpEdgeTest(unittest.IsolatedAsyncioTestCase):
+    """Invalid requests to the listeners of callers and operators."""
+
     async def asyncSetUp(self) -> None:
         self.host = WholeHost(fast_engine())
         stack = await self.enterAsyncContext(AsyncExitStack())
         await self.host.open(stack, max_body=200_000, body_timeout=0.3)
         self.listening = self.host.kernel.listening
 
-    async def check(self, listener: str, sent: bytes, name: str) -> Any:
-        """Demand a refusal by name, with an id; return the reply's head."""
+    async def assert_refused(
+        self, listener: str, sent: bytes, name: str
+    ) -> Any:
+        """Send bytes and check the refusal; return the head of the reply.
+
+        Args:
+            listener: Name of the listener to send to.
+            sent: The bytes.
+            name: Name of the expected result code.
+        """
         address = self.listening[listener]
-        status, head, body = await exchange(address, sent)
+        status, head, body = await send_raw(address, sent)
         error = json.loads(body)['error']
         self.assertEqual(error['name'], name, (status, body))
         self.assertIn(b'Nutmegroad-Request:', head)
         self.assertNotIn(b'Traceback', body)
         return head
 
-    async def test_each_bad_request_of_a_caller_has_its_code(self) -> None:
-        unknown = json.dumps({**GOOD, 'voice': 'alto'}).encode()
+    async def test_invalid_caller_requests_get_result_codes(self) -> None:
+        unknown = json.dumps({**VALID_BODY, 'voice': 'alto'}).encode()
         chunked = b'POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\n'
         chunked += f'Authorization: Bearer {KEY}\r\n'.encode()
         chunked += b'Transfer-Encoding: chunked\r\n\r\nnot-a-size\r\n\r\n'
         slow = post(CHAT, b'x' * 10)[:-5]
-        zipped = post(CHAT, b'no gzip', KEY, 'Content-Encoding: gzip')
+        not_gzip = post(CHAT, b'no gzip', KEY, 'Content-Encoding: gzip')
         cases = (
             (post(CHAT, b'{"model"'), 'BODY_MALFORMED'),
             (post(CHAT, b'\xff\xfe{}'), 'BODY_MALFORMED'),
-            (post(CHAT, DEEP), 'FIELD_INVALID'),
-            (post(CHAT, HUGE), 'FIELD_INVALID'),
+            (post(CHAT, DEEPLY_NESTED), 'FIELD_INVALID'),
+            (post(CHAT, OVERSIZED_NUMBER), 'FIELD_INVALID'),
             (post(CHAT, unknown), 'FIELD_INVALID'),
             (post(CHAT, b'[]'), 'FIELD_INVALID'),
             (post(CHAT, b'x' * 200_001), 'BODY_TOO_LARGE'),
             (slow, 'BODY_TOO_SLOW'),
-            (zipped, 'BODY_MALFORMED'),
+            (not_gzip, 'BODY_MALFORMED'),
             (chunked, 'BODY_MALFORMED'),
             (post(CHAT, b'{}', 'wrong'), 'UNAUTHENTICATED'),
             (post('/v1/nothing', b''), 'ROUTE_UNKNOWN'),
@@ -94,19 +116,19 @@
         )
         for sent, name in cases:
             with self.subTest(name=name, sent=sent[-60:]):
-                await self.check('callers', sent, name)
+                await self.assert_refused('callers', sent, name)
         shown = self.host.kernel.need(Metrics).render().decode()
         for name in ('UNAUTHENTICATED', 'ROUTE_UNKNOWN', 'BODY_TOO_SLOW'):
             self.assertIn(f'refusals_total{{code="{name}"}}', shown)
 
-    async def test_each_bad_request_of_an_operator_has_its_code(self) -> None:
+    async def test_invalid_operator_requests_get_result_codes(self) -> None:
         token = operator_token('farah')
         reader = operator_token('night-desk')
         preset = '/operators/preset'
         cases = (
             (post(preset, b'{"preset"', token), 'OPERATOR_REQUEST_INVALID'),
             (post(preset, b'{"x": 1}', token), 'OPERATOR_REQUEST_INVALID'),
-            (post(preset, DEEP, token), 'OPERATOR_REQUEST_INVALID'),
+            (post(preset, DEEPLY_NESTED, token), 'OPERATOR_REQUEST_INVALID'),
             (post(preset, b'{}', 'wrong'), 'OPERATOR_UNAUTHENTICATED'),
             (post(preset, b'{}', TOKEN), 'OPERATOR_UNAUTHENTICATED'),
             (post(preset, b'{}', reader), 'OPERATOR_NOT_PERMITTED'),
@@ -117,12 +139,12 @@
         )
         for sent, name in cases:
             with self.subTest(name=name, sent=sent[-60:]):
-                await self.check('operators', sent, name)
+                await self.assert_refused('operators', sent, name)
         shown = self.host.kernel.need(Metrics).render().decode()
         name = 'nutmegroad_operator_refusals_total'
         self.assertIn(f'{name}{{code="OPERATOR_UNAUTHENTICATED"}} 2.0', shown)
 
-    async def test_a_fault_of_ours_is_a_code_and_a_line_with_the_id(
+    async def test_internal_error_is_logged_under_the_request_id(
         self,
     ) -> None:
         def fail(*args: object) -> None:
@@ -132,12 +154,14 @@
             patch.object(IntakeReader, 'read', fail),
             self.assertLogs('absl', 'ERROR') as logged,
         ):
-            head = await self.check('callers', post(CHAT, b'{}'), 'INTERNAL')
+            head = await self.assert_refused(
+                'callers', post(CHAT, b'{}'), 'INTERNAL'
+            )
         request = head.partition(b'Nutmegroad-Request: ')[2].split(b'\r')[0]
         self.assertIn(f'callers {request.decode()}: ', logged.output[0])
 
-    async def test_a_slow_head_is_cut(self) -> None:
-        with patch.object(_http_listener, 'HEADER_SECONDS', 0.05):
+    async def test_slow_headers_close_the_connection(self) -> None:
+        with patch.object(_http_listener, 'HEADER_TIMEOUT', 0.05):
             address = self.listening['callers']
             opened = await asyncio.open_connection(address.ip, address.port)
             opened[1].write(b'POST /v1/chat')
