--- a/tests/test_accounting.py
+++ b/tests/test_accounting.py
@@ -1,4 +1,7 @@
-"""Tests of how the cost of control is written down."""
+"""Tests of the accounting of control costs per part.
+
+Guards against charging a part for the processor time of other tasks.
+"""
 
 import asyncio
 import unittest
@@ -6,8 +9,8 @@
 from nutmegroad.foundations.accounting import Ledger, Metered, PartCost
 
 
-class Processor:
-    """Processor time that a test moves."""
+class ManualProcessorTime:
+    """Processor time that a test advances."""
 
     def __init__(self) -> None:
         self.seconds: float = 0
@@ -16,7 +19,7 @@
         return self.seconds
 
     async def work(self) -> str:
-        """Spend 3 seconds in two steps; another task spends 50 between."""
+        """Spend 3 seconds in two steps, while another task spends 50."""
         self.seconds += 1
         asyncio.get_running_loop().call_soon(self.spend, 50)
         await asyncio.sleep(0)
@@ -29,10 +32,10 @@
 
 
 class LedgerTest(unittest.IsolatedAsyncioTestCase):
-    """Totals by part."""
+    """Totals per part, and processor time per task."""
 
-    def test_totals_are_kept_by_part(self) -> None:
-        ledger = Ledger(Processor())
+    def test_totals_are_per_part(self) -> None:
+        ledger = Ledger(ManualProcessorTime())
         ledger.sent('one', 10)
         ledger.sent('one', 5)
         ledger.received('two', 7)
@@ -46,16 +49,16 @@
         )
         self.assertEqual(ledger.events(), {'refused': 1})
 
-    async def test_a_task_is_charged_for_its_own_steps(self) -> None:
-        processor = Processor()
+    async def test_task_is_charged_for_its_own_steps_only(self) -> None:
+        processor = ManualProcessorTime()
         ledger = Ledger(processor)
         metered = Metered(ledger, 'part', processor.work())
         self.assertEqual(await asyncio.create_task(metered), 'done')
         self.assertEqual(processor.seconds, 53)
         self.assertEqual(ledger.costs()['part'].processor_seconds, 3)
 
-    async def test_a_cancelled_task_ends(self) -> None:
-        ledger = Ledger(Processor())
+    async def test_cancelled_task_ends(self) -> None:
+        ledger = Ledger(ManualProcessorTime())
         metered = Metered(ledger, 'part', asyncio.sleep(1000))
         task = asyncio.create_task(metered)
         await asyncio.sleep(0)
