--- a/src/nutmegroad/callers/_http_edge.py
+++ b/src/nutmegroad/callers/_http_edge.py
@@ -65,7 +65,7 @@
         async def handle(request: Request, handler: Handler) -> StreamResponse:
             """Assign an id to a request, and return its reply."""
             if isinstance(request.protocol, Connection):
-                request.protocol.headers_received()
+                request.protocol.cancel_header_timer()
             request_id = self._new_id()
             with about_request(request_id):
                 reply = await self._answer(request, handler, request_id)
--- a/src/nutmegroad/callers/_http_listener.py
+++ b/src/nutmegroad/callers/_http_listener.py
@@ -77,11 +77,11 @@
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Cancel the timeout of the first request's headers."""
-        self.headers_received()
+        self.cancel_header_timer()
         super().connection_lost(exc)
 
-    def headers_received(self) -> None:
-        """Cancel the timeout, as a request's headers have been received."""
+    def cancel_header_timer(self) -> None:
+        """Cancel the timeout, if the first headers are still awaited."""
         if self._header_timer is not None:
             self._header_timer.cancel()
             self._header_timer = None
--- a/src/nutmegroad/callers/answer_streams.py
+++ b/src/nutmegroad/callers/answer_streams.py
@@ -99,13 +99,13 @@
                 the answer is repeated.
         """
         self._adopted_headers = {
-            name: given
-            for name, given in headers.items()
+            name: text
+            for name, text in headers.items()
             if name.startswith(_HEADER_PREFIX)
         }
-        named = self._adopted_headers.get(REQUEST_HEADER)
-        if named is not None:
-            self._request = RequestId(named)
+        request_id = self._adopted_headers.get(REQUEST_HEADER)
+        if request_id is not None:
+            self._request = RequestId(request_id)
             # The encoded start of an event contains the request's id.
             self.begin_version(self._version)
 
--- a/src/nutmegroad/callers/replies.py
+++ b/src/nutmegroad/callers/replies.py
@@ -256,8 +256,8 @@
     """Return a reply as the message that goes back to a forwarding host."""
     body = response.body
     headers = {
-        name: given
-        for name, given in response.headers.items()
+        name: text
+        for name, text in response.headers.items()
         if name.startswith('Nutmegroad-') or name == 'Retry-After'
     }
     return ForwardedReply(
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -211,14 +211,16 @@
         self.assertFalse(body['error']['not_run'])
 
     def run_ends(self) -> list[End]:
+        """Return how each execution at the engines has ended."""
         runs = [
             run for engine in self.host.engines for run in engine.runs.records
         ]
         return [run.ended for run in runs]
 
-    async def wait_until(self, holds: Any) -> None:
+    async def wait_until(self, condition: Any) -> None:
+        """Wait up to 10 seconds for a condition."""
         async with asyncio.timeout(10):
-            while not holds():
+            while not condition():
                 await asyncio.sleep(0.01)
 
 
--- a/tests/test_http_edge.py
+++ b/tests/test_http_edge.py
@@ -61,7 +61,7 @@
     return '\r\n'.join((*lines, '', '')).encode() + body
 
 
-class HttpEdgeTest(unittest.IsolatedAsyncioTestCase):
+class InvalidRequestTest(unittest.IsolatedAsyncioTestCase):
     """Invalid requests to the listeners of callers and operators."""
 
     async def asyncSetUp(self) -> None:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -108,6 +108,7 @@
         )
 
     async def run_until_done(self, work: Any) -> Any:
+        """Run a coroutine while the clock advances by a second."""
         task = asyncio.create_task(work)
         await self.clock.advance(1)
         return await task
@@ -122,12 +123,12 @@
     async def test_concurrent_starts_agree_on_one_version(
         self,
     ) -> None:
-        pending = asyncio.gather(
+        both_starts = asyncio.gather(
             self.sessions[0].begin(make_token('v@1')),
             self.sessions[1].begin(make_token('v@2')),
         )
         await self.clock.advance(1)
-        one, other = await pending
+        one, other = await both_starts
         assert isinstance(one, SessionToken)
         self.assertEqual(one, other)
         self.assertEqual(await self.find(2), one)
