--- a/src/nutmegroad/configuration/leases.py
+++ b/src/nutmegroad/configuration/leases.py
@@ -1,11 +1,11 @@
-"""Leases on rows of the platform's table, with fencing numbers.
-
-A lease is a row that names its holder and a fencing number, which grows
-each time that the lease changes hands. No wall clocks are compared: the
-holder counts its term on its own monotonic clock from before its write was
-sent, and whoever wants to take over waits for a whole term on its own
-clock, counted from when it first saw the row at its present version. A
-holder that can't reach the table lapses, and nobody acts.
+"""Leases with fencing numbers, stored in rows of the platform's table.
+
+The row of a lease names its holder and a fencing number, which increases each
+time the lease changes hands. Clocks of different hosts are never compared. The
+holder counts its term on its own monotonic clock, from before it sent the
+write. A host that wants to take over waits for a whole term on its own clock,
+counted from when it first read the row at its current version. If the table is
+unavailable, the holder's lease expires and no host can act.
 """
 
 from collections.abc import Callable
@@ -24,8 +24,8 @@
 
 _LOG: Final = part_logger('leases')
 
-#: Share of a term that a holder leaves unused: clocks run at unlike rates,
-#: and a pause may fall between the last look and the first byte.
+#: Fraction of a term that a holder does not use, since the rates of clocks
+#: differ and the process may pause between the last check and the first byte.
 SAFETY_MARGIN: Final = 0.25
 
 _PREFIX: Final = 'leases/'
@@ -35,10 +35,10 @@
     """The content of a lease's row.
 
     Attributes:
-        holder: Who holds it; empty if it was given up.
-        number: Its fencing number.
-        term: Seconds for which the holder counts it.
-        nonce: Recognises the write whose reply was lost.
+        holder: Incarnation of the holder; empty if the lease was released.
+        number: The fencing number.
+        term: Duration of the lease in seconds, from the holder's write.
+        nonce: Identifies a write whose reply was lost.
     """
 
     holder: str = ''
@@ -49,12 +49,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """Authority to act, until a moment on the holder's own clock.
+    """Permission to act until a time on the holder's own clock.
 
     Attributes:
-        name: What the lease is for.
-        number: Fencing number to put into every order.
-        expires: Clock seconds at which it ends, safety margin taken off.
+        name: Name of the lease.
+        number: Fencing number to include in every order.
+        expires: Clock seconds at which it ends, less the safety margin.
     """
 
     name: str
@@ -63,12 +63,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Seen:
-    """A row of another holder, and when it was first seen so.
+class _ObservedRow:
+    """The row of another holder, and when it was first read.
 
     Attributes:
         row: The row.
-        since: Clock seconds after the read that first gave it.
+        since: Clock seconds after the read that first returned it.
     """
 
     row: Row
@@ -76,14 +76,14 @@
 
 
 class LeaseKeeper:
-    """Takes, renews and gives up the leases of one host.
+    """Acquires, renews and releases the leases of one host.
 
     Args:
         holder: The host's incarnation.
-        table: Where leases are kept.
+        table: The table that stores the leases.
         clock: The host's clock.
-        nonces: Makes words that never repeat.
-        term: Seconds that a lease lasts.
+        nonces: Generates unique nonces.
+        term: Duration of a lease in seconds.
     """
 
     def __init__(
@@ -100,15 +100,15 @@
         self._nonces = nonces
         self._term = term
         self._held: dict[str, Lease] = {}
-        self._seen: dict[str, _Seen] = {}
+        self._observed: dict[str, _ObservedRow] = {}
 
     @property
     def margin(self) -> float:
-        """Return the seconds of a term that a holder leaves unused."""
+        """Seconds of a term that a holder does not use."""
         return self._term * SAFETY_MARGIN
 
     async def __aenter__(self) -> Self:
-        """Start with no lease held."""
+        """Return this object, without any lease yet."""
         return self
 
     async def __aexit__(
@@ -117,33 +117,33 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Give up all leases."""
+        """Release all leases."""
         for name in tuple(self._held):
             await self.release(name)
 
     def held(self, name: str) -> Lease | None:
-        """Return a lease that this host may act under now, or None."""
+        """Return a lease if this host holds it and it is valid now."""
         lease = self._held.get(name)
         if lease is None or self._clock.now() >= lease.expires:
             return None
         return lease
 
     def check(self, lease: Lease, margin: float = 0) -> Refusal | None:
-        """Return why nothing may go out under a lease, or None.
+        """Return why nothing may be sent under a lease, or None.
 
         Args:
-            lease: The lease that an order was made under.
-            margin: Seconds that must be left besides the safety margin.
+            lease: The lease under which an order was made.
+            margin: Seconds that must remain besides the safety margin.
         """
-        present = self._held.get(lease.name)
-        if present is None or present.number != lease.number:
-            return _lost(lease.name)
-        if self._clock.now() + margin >= present.expires:
-            return _lost(lease.name)
+        current = self._held.get(lease.name)
+        if current is None or current.number != lease.number:
+            return _lease_lost(lease.name)
+        if self._clock.now() + margin >= current.expires:
+            return _lease_lost(lease.name)
         return None
 
     async def keep(self, name: str) -> Lease | Refusal:
-        """Renew a lease, or take it if it is free or has lapsed."""
+        """Renew a lease, or acquire it if it is free or has expired."""
         row = await self._table.read(_key(name))
         if isinstance(row, Refusal):
             return row
@@ -151,7 +151,7 @@
         if content.holder == self._holder:
             return await self._write(name, row, content.number)
         self._held.pop(name, None)
-        if content.holder and not self._has_lapsed(name, row, content):
+        if content.holder and not self._has_expired(name, row, content):
             return Refusal(
                 ResultCode.LEASE_HELD,
                 f'The lease {name!r} is held by {content.holder}.',
@@ -160,7 +160,7 @@
         return await self._write(name, row, content.number + 1)
 
     async def release(self, name: str) -> None:
-        """Give a lease up; nothing goes out under it from now on."""
+        """Release a lease; from now on nothing is sent under it."""
         lease = self._held.pop(name, None)
         if lease is None:
             return
@@ -171,20 +171,20 @@
         await self._table.commit(
             (RowWrite(row.key, _encode(free), row.version),)
         )
-        _LOG.info('%s given up', name)
+        _LOG.info('lease %s released', name)
 
-    def _has_lapsed(self, name: str, row: Row, content: LeaseRow) -> bool:
-        """Tell whether a row has stood unchanged for its holder's term.
+    def _has_expired(self, name: str, row: Row, content: LeaseRow) -> bool:
+        """Return whether a row has been unchanged for its holder's term.
 
-        The holder's term began before the write that we have seen, so it
-        is over when a whole term has passed since we saw it.
+        The holder's term began before the write that this host has read, so it
+        is over once a whole term has passed since that read.
         """
         now = self._clock.now()
-        seen = self._seen.get(name)
-        if seen is None or seen.row.version != row.version:
-            self._seen[name] = _Seen(row, now)
+        observed = self._observed.get(name)
+        if observed is None or observed.row.version != row.version:
+            self._observed[name] = _ObservedRow(row, now)
             return False
-        return now - seen.since >= content.term
+        return now - observed.since >= content.term
 
     async def _write(
         self,
@@ -192,22 +192,22 @@
         row: Row,
         number: int,
     ) -> Lease | Refusal:
-        """Write ourselves into the row."""
+        """Write this host into the row as the holder."""
         nonce = self._nonces()
         wanted = LeaseRow(self._holder, number, self._term, nonce)
         write = RowWrite(row.key, _encode(wanted), row.version)
-        # The clock is read before the write is sent: the term of one who
-        # waits for ours to lapse may begin as early as that.
-        asked = self._clock.now()
+        # The clock is read before the write is sent, since a host that waits
+        # for this lease to expire may begin to count that early.
+        started = self._clock.now()
         outcome = await self._table.commit((write,))
         if isinstance(outcome, Refusal) and outcome.ran is not Ran.NOT_RUN:
             outcome = await self._read_back(outcome, row.key, wanted)
         if isinstance(outcome, Conflict):
             self._held.pop(name, None)
-            return _lost(name)
+            return _lease_lost(name)
         if isinstance(outcome, Refusal):
             return outcome
-        return self._begin(name, number, asked)
+        return self._store_lease(name, number, started)
 
     async def _read_back(
         self,
@@ -215,47 +215,47 @@
         key: RowKey,
         wanted: LeaseRow,
     ) -> tuple[Row, ...] | Refusal:
-        """Look whether a write whose reply was lost took effect."""
+        """Check by nonce whether a write whose reply was lost took effect."""
         row = await self._table.read(key)
         if isinstance(row, Refusal):
             return refusal
         return (row,) if _decode(row).nonce == wanted.nonce else refusal
 
-    def _begin(self, name: str, number: int, asked: float) -> Lease:
-        """Note that a lease is held."""
+    def _store_lease(self, name: str, number: int, started: float) -> Lease:
+        """Record a lease that was acquired or renewed."""
         lease = Lease(
             name,
             FencingNumber(number),
-            asked + self._term - self.margin,
+            started + self._term - self.margin,
         )
-        before = self._held.get(name)
-        if before is None or before.number != number:
-            _LOG.info('%s taken with number %d', name, number)
+        previous = self._held.get(name)
+        if previous is None or previous.number != number:
+            _LOG.info('lease %s acquired, fencing number %d', name, number)
         self._held[name] = lease
-        self._seen.pop(name, None)
+        self._observed.pop(name, None)
         return lease
 
 
 def _key(name: str) -> RowKey:
-    """Return the row of a lease."""
+    """Return the key of a lease's row."""
     return RowKey(f'{_PREFIX}{name}')
 
 
 def _decode(row: Row) -> LeaseRow:
-    """Read a row; one never written is a lease that nobody holds."""
+    """Decode a row; one that was never written is a free lease."""
     if not row.text:
         return LeaseRow()
     return msgspec.json.decode(row.text, type=LeaseRow)
 
 
 def _encode(content: LeaseRow) -> str:
-    """Return a row's text."""
+    """Encode the content of a row."""
     return msgspec.json.encode(content).decode()
 
 
-def _lost(name: str) -> Refusal:
-    """Say that a lease is not held any more."""
+def _lease_lost(name: str) -> Refusal:
+    """Return the refusal for a lease that this host no longer holds."""
     return Refusal(
         ResultCode.LEASE_LOST,
-        f'This host does not hold the lease {name!r} any more.',
+        f'This host no longer holds the lease {name!r}.',
     )
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,7 @@
-"""Leases: one holder at a time, whatever is lost, paused or down."""
+"""Tests that a lease has at most one holder at a time.
+
+Replies may be lost, hosts paused and the table unavailable.
+"""
 
 import asyncio
 import itertools
@@ -16,17 +19,17 @@
 
 
 class LeaseCase(unittest.IsolatedAsyncioTestCase):
-    """Two keepers on one table; their clocks may be apart."""
+    """Two hosts with leases on one table; their clocks differ."""
 
     async def asyncSetUp(self) -> None:
-        """Make them."""
+        """Create the table, the clocks and both hosts' leases."""
         self.table = MemoryTable()
         self.clocks = (ManualClock(), ManualClock(start=5000))
-        self.one = self.keeper('a', self.clocks[0])
-        self.two = self.keeper('b', self.clocks[1])
+        self.first = self.lease_manager('a', self.clocks[0])
+        self.second = self.lease_manager('b', self.clocks[1])
 
-    def keeper(self, name: str, clock: ManualClock) -> LeaseKeeper:
-        """Return a keeper."""
+    def lease_manager(self, name: str, clock: ManualClock) -> LeaseKeeper:
+        """Return the leases of one host."""
         numbers = itertools.count()
         return LeaseKeeper(
             Incarnation(name),
@@ -37,55 +40,59 @@
         )
 
     async def advance(self, seconds: float) -> None:
-        """Let time go on for both."""
+        """Advance both clocks."""
         for clock in self.clocks:
             await clock.advance(seconds)
 
-    async def taken(self, keeper: LeaseKeeper) -> Lease:
-        """Return a lease that must be had."""
-        lease = await keeper.keep(NAME)
+    async def acquire(self, manager: LeaseKeeper) -> Lease:
+        """Acquire or renew the lease; fail the test if it is refused."""
+        lease = await manager.keep(NAME)
         if isinstance(lease, Refusal):
             self.fail(lease.reason)
         return lease
 
-    async def refused(self, keeper: LeaseKeeper, code: ResultCode) -> None:
-        """Demand that there is no lease."""
-        lease = await keeper.keep(NAME)
+    async def assert_refused(
+        self,
+        manager: LeaseKeeper,
+        code: ResultCode,
+    ) -> None:
+        """Check that the lease is refused with a code."""
+        lease = await manager.keep(NAME)
         self.assertIsInstance(lease, Refusal)
         self.assertEqual(getattr(lease, 'code', None), code)
 
 
 class RandomisedTest(unittest.IsolatedAsyncioTestCase):
-    """Slow, lost and late calls, and hosts that sleep, by seeds."""
+    """Slow calls, lost replies and paused hosts, by seed."""
 
-    async def test_numbers_in_use_never_go_back(self) -> None:
+    async def test_fencing_numbers_in_use_never_decrease(self) -> None:
         for seed in range(3):
             with self.subTest(seed=seed):
                 used = await self.run_hosts(random.Random(seed))
                 self.assertEqual(used, sorted(used))
                 self.assertGreater(len(set(used)), 1)
 
-    async def run_hosts(self, chance: random.Random) -> list[int]:
-        """Let three hosts strive for a lease; return the numbers used."""
+    async def run_hosts(self, randomness: random.Random) -> list[int]:
+        """Let three hosts compete for a lease; return the numbers used."""
         clock = ManualClock()
         table = MemoryTable()
         used: list[int] = []
 
-        async def dawdle() -> None:
-            table.lost_replies = int(chance.randrange(5) == 0)
-            await clock.sleep(chance.choice((0, 0.1, 1, TERM)))
+        async def delay_reply() -> None:
+            table.lost_replies = int(randomness.randrange(5) == 0)
+            await clock.sleep(randomness.choice((0, 0.1, 1, TERM)))
 
-        table.before_reply = dawdle
+        table.before_reply = delay_reply
         views = [PausableClock(clock) for _ in range(3)]
         tasks = [
-            asyncio.ensure_future(strive(table, view, str(number), used))
+            asyncio.ensure_future(compete(table, view, str(number), used))
             for number, view in enumerate(views)
         ]
         for _ in range(60):
-            view = chance.choice(views)
+            view = randomness.choice(views)
             view.pause()
-            await clock.advance(chance.choice((0.5, 2, 2 * TERM)))
-            table.down = chance.randrange(10) == 0
+            await clock.advance(randomness.choice((0.5, 2, 2 * TERM)))
+            table.down = randomness.randrange(10) == 0
             view.resume()
             await clock.advance(2)
         for task in tasks:
@@ -93,15 +100,15 @@
         return used
 
 
-async def strive(
+async def compete(
     table: MemoryTable,
     clock: PausableClock,
     name: str,
     used: list[int],
 ) -> None:
-    """Keep a lease, and note its number right after each last look."""
+    """Acquire and renew a lease, and record its number after each check."""
     numbers = itertools.count()
-    keeper = LeaseKeeper(
+    manager = LeaseKeeper(
         Incarnation(name),
         table,
         clock,
@@ -109,85 +116,91 @@
         TERM,
     )
     while True:
-        lease = await keeper.keep(NAME)
+        lease = await manager.keep(NAME)
         for _ in range(4):
             await clock.sleep(0.5)
-            if isinstance(lease, Lease) and keeper.check(lease) is None:
+            if isinstance(lease, Lease) and manager.check(lease) is None:
                 used.append(lease.number)
 
 
 class LeaseTest(LeaseCase):
-    async def test_a_renewed_lease_is_never_taken_over(self) -> None:
-        lease = await self.taken(self.one)
+    """Renewal, takeover, expiry and release of a lease."""
+
+    async def test_renewed_lease_is_never_taken_over(self) -> None:
+        lease = await self.acquire(self.first)
         for _ in range(10):
-            await self.refused(self.two, ResultCode.LEASE_HELD)
+            await self.assert_refused(self.second, ResultCode.LEASE_HELD)
             await self.advance(TERM / 2)
-            self.assertEqual((await self.taken(self.one)).number, lease.number)
-        self.assertIsNone(self.one.check(lease))
+            self.assertEqual(
+                (await self.acquire(self.first)).number, lease.number
+            )
+        self.assertIsNone(self.first.check(lease))
 
-    async def test_a_taker_waits_a_whole_term_of_its_own(self) -> None:
-        old = await self.taken(self.one)
+    async def test_takeover_waits_a_full_term_on_its_own_clock(self) -> None:
+        old = await self.acquire(self.first)
         await self.advance(TERM * 0.9)
-        # The taker sees the row late, so it has to wait from then on.
-        await self.refused(self.two, ResultCode.LEASE_HELD)
+        # The other host first reads the row now, so it waits a term from here.
+        await self.assert_refused(self.second, ResultCode.LEASE_HELD)
         await self.advance(TERM * 0.9)
-        await self.refused(self.two, ResultCode.LEASE_HELD)
+        await self.assert_refused(self.second, ResultCode.LEASE_HELD)
         await self.advance(TERM * 0.1)
-        new = await self.taken(self.two)
+        new = await self.acquire(self.second)
         self.assertGreater(new.number, old.number)
-        self.assertIsNotNone(self.one.check(old))
-
-    async def test_the_holder_stops_a_margin_before_the_term(self) -> None:
-        lease = await self.taken(self.one)
-        await self.advance(TERM - self.one.margin - 0.01)
-        self.assertIsNone(self.one.check(lease))
+        self.assertIsNotNone(self.first.check(old))
+
+    async def test_holder_stops_the_safety_margin_before_the_term_ends(
+        self,
+    ) -> None:
+        lease = await self.acquire(self.first)
+        await self.advance(TERM - self.first.margin - 0.01)
+        self.assertIsNone(self.first.check(lease))
         await self.advance(0.02)
-        self.assertIsNotNone(self.one.check(lease))
-        self.assertIsNone(self.one.held(NAME))
+        self.assertIsNotNone(self.first.check(lease))
+        self.assertIsNone(self.first.held(NAME))
 
-    async def test_a_margin_asked_for_comes_on_top(self) -> None:
-        lease = await self.taken(self.one)
-        await self.advance(TERM - 2 * self.one.margin)
-        self.assertIsNone(self.one.check(lease))
-        self.assertIsNotNone(self.one.check(lease, self.one.margin))
+    async def test_requested_margin_adds_to_the_safety_margin(self) -> None:
+        lease = await self.acquire(self.first)
+        await self.advance(TERM - 2 * self.first.margin)
+        self.assertIsNone(self.first.check(lease))
+        self.assertIsNotNone(self.first.check(lease, self.first.margin))
 
-    async def test_a_lost_reply_is_read_back_by_nonce(self) -> None:
+    async def test_lost_reply_is_resolved_by_nonce(self) -> None:
         self.table.lost_replies = 1
-        lease = await self.taken(self.one)
-        self.assertIsNone(self.one.check(lease))
+        lease = await self.acquire(self.first)
+        self.assertIsNone(self.first.check(lease))
         self.table.lost_replies = 1
-        renewed = await self.taken(self.one)
+        renewed = await self.acquire(self.first)
         self.assertEqual(renewed.number, lease.number)
 
-    async def test_the_term_counts_from_before_a_slow_write(self) -> None:
-        async def dawdle() -> None:
+    async def test_term_counts_from_before_a_slow_write(self) -> None:
+        async def delay_reply() -> None:
             await self.advance(TERM / 2)
 
-        self.table.before_reply = dawdle
-        lease = await self.taken(self.one)
-        self.assertEqual(lease.expires, TERM - self.one.margin)
+        self.table.before_reply = delay_reply
+        lease = await self.acquire(self.first)
+        self.assertEqual(lease.expires, TERM - self.first.margin)
 
-    async def test_with_the_table_down_nobody_acts(self) -> None:
-        lease = await self.taken(self.one)
-        await self.refused(self.two, ResultCode.LEASE_HELD)
+    async def test_no_host_acts_while_the_table_is_down(self) -> None:
+        lease = await self.acquire(self.first)
+        await self.assert_refused(self.second, ResultCode.LEASE_HELD)
         self.table.down = True
         await self.advance(3 * TERM)
-        await self.refused(self.one, ResultCode.TABLE_UNAVAILABLE)
-        await self.refused(self.two, ResultCode.TABLE_UNAVAILABLE)
-        self.assertIsNotNone(self.one.check(lease))
+        await self.assert_refused(self.first, ResultCode.TABLE_UNAVAILABLE)
+        await self.assert_refused(self.second, ResultCode.TABLE_UNAVAILABLE)
+        self.assertIsNotNone(self.first.check(lease))
 
-    async def test_a_paused_holder_finds_its_lease_gone(self) -> None:
-        old = await self.taken(self.one)
-        await self.refused(self.two, ResultCode.LEASE_HELD)
+    async def test_paused_holder_loses_its_lease(self) -> None:
+        old = await self.acquire(self.first)
+        await self.assert_refused(self.second, ResultCode.LEASE_HELD)
         await self.advance(TERM)
-        new = await self.taken(self.two)
-        self.assertIsNotNone(self.one.check(old))
-        await self.refused(self.one, ResultCode.LEASE_HELD)
-        self.assertIsNone(self.two.check(new))
-
-    async def test_a_given_up_lease_is_free_at_once(self) -> None:
-        async with self.one:
-            old = await self.taken(self.one)
-        self.assertIsNotNone(self.one.check(old))
-        new = await self.taken(self.two)
+        new = await self.acquire(self.second)
+        self.assertIsNotNone(self.first.check(old))
+        await self.assert_refused(self.first, ResultCode.LEASE_HELD)
+        self.assertIsNone(self.second.check(new))
+
+    async def test_released_lease_is_free_immediately(self) -> None:
+        async with self.first:
+            old = await self.acquire(self.first)
+        self.assertIsNotNone(self.first.check(old))
+        new = await self.acquire(self.second)
         self.assertEqual(new.number, old.number + 1)
