--- a/src/nutmegroad/configuration/_decoding.py
+++ b/src/nutmegroad/configuration/_decoding.py
@@ -1,4 +1,4 @@
-"""Turns msgspec's errors into problems that name the bad value."""
+"""Converts msgspec's decoding errors into problems that name the value."""
 
 import re
 import tomllib
@@ -15,73 +15,78 @@
     r'(?P<fault>.*?)(?: - at (?:`|key in `)(?P<path>[^`]*)`)?',
     re.DOTALL,
 )
-_EXPECTED: Final = re.compile('Expected (?P<right>.*?)(?:, got (?P<got>.*))?')
+_EXPECTED: Final = re.compile(
+    'Expected (?P<expected>.*?)(?:, got (?P<got>.*))?',
+)
 _STEP: Final = re.compile(r'\.(?P<name>\w+)|\[(?P<index>\d+)\]')
-#: Longer values are cut in a message.
-_LONGEST_SHOWN: Final = 80
+#: Characters after which a value is truncated in a message.
+_MAX_VALUE_LENGTH: Final = 80
 
 
 def problem_of(error: msgspec.DecodeError, text: str) -> Problem:
-    """Return the problem that an error speaks of.
+    """Return the problem that a decoding error describes.
 
     Args:
-        error: What msgspec raised.
-        text: The TOML that it was given.
+        error: The error that msgspec raised.
+        text: The TOML that was decoded.
     """
     matched = _MESSAGE.fullmatch(str(error))
     if not isinstance(error, msgspec.ValidationError) or matched is None:
-        return Problem('$', f'this is no TOML: {error}', 'a document in TOML')
+        return Problem('$', f'not valid TOML: {error}', 'a document in TOML')
     path = matched['path'] or '$'
     fault = matched['fault']
-    shown = _shown_at(path, text)
+    shown_value = _format_value_at(path, text)
     expected = _EXPECTED.fullmatch(fault)
     if expected is None:
         return Problem(path, fault, _choices_at(path))
     got = expected['got'] or 'a value out of bounds'
-    return Problem(path, f'got {got}{shown}', expected['right'])
+    return Problem(path, f'got {got}{shown_value}', expected['expected'])
 
 
 def _steps(path: str) -> list[str | int]:
-    """Return the names and indexes of a path, as far as it is known."""
+    """Return the field names and indexes of a path, up to any ``[...]``."""
     return [
         step['name'] or int(step['index'])
         for step in _STEP.finditer(path.partition('[...]')[0])
     ]
 
 
-def _shown_at(path: str, text: str) -> str:
-    """Return the value at a path for a message; empty if it has parts.
+def _format_value_at(path: str, text: str) -> str:
+    """Return the value at a path, formatted for a message.
+
+    The result is empty for tables, lists and paths with ``[...]``.
 
-    A hash is never shown: somebody may have written the secret itself.
+    A field for a hash is never shown, since the operator may have entered the
+    secret itself by mistake.
     """
     if path.endswith('_hash'):
         return ''
-    here: Any = tomllib.loads(text)
+    found: Any = tomllib.loads(text)
     for step in _steps(path):
-        here = here[step]
-    if '[...]' in path or isinstance(here, Mapping | list):
+        found = found[step]
+    if '[...]' in path or isinstance(found, Mapping | list):
         return ''
-    return f' {here!r}'[:_LONGEST_SHOWN]
+    return f' {found!r}'[:_MAX_VALUE_LENGTH]
 
 
 def _choices_at(path: str) -> str:
-    """Return which fields or words a path takes."""
+    """Return the field names or enum values that are valid at a path."""
     kind: Any = Document
     for step in _steps(path):
         if isinstance(step, str):
-            kind = _kind_of(kind, step)
+            kind = _field_type(kind, step)
     return choices_of(_names_of(kind))
 
 
-def _kind_of(kind: Any, name: str) -> Any:
-    """Return the type of a field, or of the items of a tuple of it."""
+def _field_type(kind: Any, name: str) -> Any:
+    """Return the type of a field, or of its items if it is a tuple."""
     fields = msgspec.structs.fields(kind)
     found = next(entry.type for entry in fields if entry.name == name)
     return next(iter(get_args(found)), found)
 
 
 def _names_of(kind: Any) -> Collection[str]:
-    """Return the fields of a struct or the words of an enumeration."""
+    """Return the field names of a struct or the values of an enum."""
     if issubclass(kind, Enum):
         return [str(member.value) for member in kind]
     if issubclass(kind, msgspec.Struct):
--- a/src/nutmegroad/configuration/_plan_checks.py
+++ b/src/nutmegroad/configuration/_plan_checks.py
@@ -1,6 +1,6 @@
-"""Checks that each task class can be answered under each preset.
+"""Checks that each task class can reach its quality target in each preset.
 
-A cascade is never counted as better than the best of its steps.
+The quality of a cascade is taken to be at most that of its best step.
 """
 
 from collections.abc import Collection, Iterator
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Task:
-    """A task class under a preset.
+    """A task class in one preset.
 
     Attributes:
-        path: Its path in the document.
-        preset: The preset's name.
-        name: The task class's name.
+        path: Path of the preset's entry for it in the document.
+        preset: Name of the preset.
+        name: Name of the task class.
         target: Quality that answers must reach.
-        qualities: Declared quality of its versions; 0 if none is declared.
+        qualities: Declared quality by version; 0 if none is declared.
     """
 
     path: str
@@ -31,17 +31,17 @@
 
     @property
     def label(self) -> str:
-        """Return how messages call it."""
+        """The name of the task class and preset for messages."""
         return f'task "{self.name}" under preset "{self.preset}"'
 
-    def best(self, versions: Collection[str]) -> float:
-        """Return the best quality among some versions."""
+    def best_quality(self, versions: Collection[str]) -> float:
+        """Return the highest quality among the given versions."""
         return max(self.qualities[version] for version in versions)
 
 
 def check_plans(document: Document) -> Iterator[Problem]:
-    """Find targets that nothing reaches, for presets and workspaces."""
-    for task in _tasks_of(document):
+    """Find targets that no version reaches, by preset and workspace."""
+    for task in _preset_tasks(document):
         if not task.qualities:
             yield Problem(
                 f'{task.path}.versions',
@@ -50,26 +50,26 @@
             )
             continue
         yield from _check_preset(task)
-        for place, workspace in enumerate(document.workspaces):
-            # Without versions it calls plain services alone.
+        for index, workspace in enumerate(document.workspaces):
+            # A workspace without versions calls only plain services.
             if workspace.versions:
-                path = f'$.workspaces[{place}]'
+                path = f'$.workspaces[{index}]'
                 yield from _check_workspace(task, workspace, path)
 
 
-def _tasks_of(document: Document) -> Iterator[_Task]:
-    """Return the known task classes of all presets."""
-    for place, preset in enumerate(document.presets):
-        for number, entry in enumerate(preset.tasks):
-            defined = document.task(TaskName(entry.task))
-            if defined is None:
+def _preset_tasks(document: Document) -> Iterator[_Task]:
+    """Return the task classes of all presets that the document defines."""
+    for preset_index, preset in enumerate(document.presets):
+        for task_index, entry in enumerate(preset.tasks):
+            definition = document.task(TaskName(entry.task))
+            if definition is None:
                 continue
             yield _Task(
-                path=f'$.presets[{place}].tasks[{number}]',
+                path=f'$.presets[{preset_index}].tasks[{task_index}]',
                 preset=preset.name,
                 name=entry.task,
                 target=(
-                    defined.target if entry.target is None else entry.target
+                    definition.target if entry.target is None else entry.target
                 ),
                 qualities={
                     version: _quality(document, version, entry.task)
@@ -79,14 +79,14 @@
 
 
 def _quality(document: Document, version: str, task: str) -> float:
-    """Return the declared quality; 0 if none is."""
+    """Return the declared quality of a version; 0 if there is none."""
     entry = document.version(VersionId(version))
     return 0 if entry is None else entry.quality.get(task, 0)
 
 
 def _check_preset(task: _Task) -> Iterator[Problem]:
-    """Check that some version reaches the preset's target."""
-    best = task.best(task.qualities)
+    """Check that a version reaches the target in the preset."""
+    best = task.best_quality(task.qualities)
     if best < task.target:
         yield Problem(
             f'{task.path}.target',
@@ -100,7 +100,7 @@
     workspace: WorkspaceEntry,
     path: str,
 ) -> Iterator[Problem]:
-    """Check that a workspace may use versions that reach its target."""
+    """Check that a workspace may use a version that reaches its target."""
     usable = task.qualities.keys() & set(workspace.versions)
     if not usable:
         yield Problem(
@@ -110,9 +110,10 @@
         )
         return
     target = workspace.targets.get(task.name, task.target)
-    best = task.best(usable)
-    # What no workspace can reach is told once, of the preset.
-    if best < target and task.best(task.qualities) >= task.target:
+    best = task.best_quality(usable)
+    # A target that the preset can't reach is reported once, by the check of
+    # the preset.
+    if best < target and task.best_quality(task.qualities) >= task.target:
         yield Problem(
             f'{path}.versions',
             f'no version that "{workspace.name}" may use reaches {target:g} '
--- a/src/nutmegroad/configuration/checks.py
+++ b/src/nutmegroad/configuration/checks.py
@@ -1,8 +1,10 @@
-"""Cross-checks of a configuration document, beyond its schema.
+"""Checks of a configuration document beyond its schema.
 
-document = read_document(text)
-if isinstance(document, tuple):
-    show(document)  # problems, each with the path of its field
+Example::
+
+    document = read_document(text)
+    if isinstance(document, tuple):
+        show(document)  # problems, each with the path of its field
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -29,14 +31,14 @@
 
 
 def read_document(text: str) -> Document | tuple[Problem, ...]:
-    """Read and check what an operator wrote.
+    """Parse and check a document written by an operator.
 
     Args:
         text: The document as TOML.
 
     Returns:
-        The document, or all that is wrong with it. A document that does not
-        fit the schema gives its first problem alone.
+        The document, or all its problems. For a document that does not conform
+        to the schema, only the first problem.
     """
     try:
         document = parse_document(text)
@@ -46,7 +48,7 @@
 
 
 def check_document(document: Document) -> tuple[Problem, ...]:
-    """Return all that is wrong with a document that fits the schema."""
+    """Return all problems of a document that conforms to the schema."""
     return tuple(
         chain(
             _check_names(document),
@@ -61,7 +63,7 @@
 
 
 def _check_names(document: Document) -> Iterator[Problem]:
-    """Find names and secrets that stand twice."""
+    """Find duplicate names and tokens, and a document without presets."""
     workspaces = document.workspaces
     operators = document.operators
     named: Mapping[str, Iterable[str]] = {
@@ -81,28 +83,28 @@
 
 
 def _check_keys(document: Document) -> Iterator[Problem]:
-    """Find keys that stand for two workspaces, or twice for one."""
+    """Find keys that are used more than once, in one workspace or several."""
     seen: set[str] = set()
-    for place, entry in enumerate(document.workspaces):
+    for index, entry in enumerate(document.workspaces):
         for field in ('key_hash', 'old_key_hash'):
             key_hash = getattr(entry, field)
             if key_hash in seen:
-                path = f'$.workspaces[{place}].{field}'
+                path = f'$.workspaces[{index}].{field}'
                 yield Problem(
                     path,
-                    f'{key_hash!r} stands there twice',
-                    'each only once',
+                    f'{key_hash!r} is used more than once',
+                    'a different key for each use',
                 )
             if key_hash is not None:
                 seen.add(key_hash)
 
 
 def _check_versions(document: Document) -> Iterator[Problem]:
-    """Check versions against tasks and against each other."""
+    """Check what versions refer to: tasks, and versions they replace."""
     tasks = {task.name for task in document.tasks}
     ids = {entry.id for entry in document.versions}
-    for place, entry in enumerate(document.versions):
-        path = f'$.versions[{place}]'
+    for index, entry in enumerate(document.versions):
+        path = f'$.versions[{index}]'
         yield from unknown(f'{path}.quality', 'task', entry.quality, tasks)
         if entry.replaces is None:
             continue
@@ -112,10 +114,10 @@
 
 
 def _check_tasks(document: Document) -> Iterator[Problem]:
-    """Check each task class by itself and against models' names."""
+    """Check the token limits of task classes, and their names."""
     models = {entry.id.partition('@')[0] for entry in document.versions}
-    for place, task in enumerate(document.tasks):
-        path = f'$.tasks[{place}]'
+    for index, task in enumerate(document.tasks):
+        path = f'$.tasks[{index}]'
         if task.output_tokens > task.max_tokens:
             yield Problem(
                 f'{path}.output_tokens',
@@ -125,33 +127,33 @@
         if task.name in models:
             yield Problem(
                 f'{path}.name',
-                f'"{task.name}" is the name of a model too',
-                'a name that tells callers which of the two they ask',
+                f'"{task.name}" is also the name of a model',
+                'a name that no model has, so that requests are unambiguous',
             )
 
 
 def _check_services(document: Document) -> Iterator[Problem]:
-    """Find call rules that can never hold."""
-    for place, service in enumerate(document.services):
-        path = f'$.services[{place}].calls'
+    """Find call rules that are duplicate or can never match."""
+    for index, service in enumerate(document.services):
+        path = f'$.services[{index}].calls'
         rules = service.calls
         yield from repeated(f'{path}[{{0}}]', map(_rule_text, rules))
-        for number, rule in enumerate(rules):
+        for rule_index, rule in enumerate(rules):
             if not rule.path or rule.path.startswith('/'):
                 yield Problem(
-                    f'{path}[{number}].path',
-                    f'"{rule.path}" fits no call',
-                    'a pattern below the service, without a leading slash',
+                    f'{path}[{rule_index}].path',
+                    f'"{rule.path}" matches no call',
+                    'a pattern relative to the service, no leading slash',
                 )
 
 
 def _check_workspaces(document: Document) -> Iterator[Problem]:
-    """Check what workspaces refer to."""
+    """Check the versions, services and tasks that workspaces refer to."""
     ids = {entry.id for entry in document.versions}
     tasks = {task.name for task in document.tasks}
     services = {service.name for service in document.services}
-    for place, entry in enumerate(document.workspaces):
-        path = f'$.workspaces[{place}]'
+    for index, entry in enumerate(document.workspaces):
+        path = f'$.workspaces[{index}]'
         yield from references(f'{path}.versions', _VERSION, entry.versions, ids)
         yield from references(
             f'{path}.services',
@@ -163,17 +165,17 @@
 
 
 def _check_presets(document: Document) -> Iterator[Problem]:
-    """Check what presets refer to."""
+    """Check the tasks and versions that presets refer to."""
     ids = {entry.id for entry in document.versions}
     tasks = {task.name for task in document.tasks}
-    for place, preset in enumerate(document.presets):
-        path = f'$.presets[{place}]'
+    for index, preset in enumerate(document.presets):
+        path = f'$.presets[{index}]'
         named = [entry.task for entry in preset.tasks]
         yield from references(f'{path}.tasks', 'task', named, tasks)
         yield from unknown(f'{path}.preload', _VERSION, preset.preload, ids)
-        for number, entry in enumerate(preset.tasks):
+        for task_index, entry in enumerate(preset.tasks):
             yield from references(
-                f'{path}.tasks[{number}].versions',
+                f'{path}.tasks[{task_index}].versions',
                 _VERSION,
                 entry.versions,
                 ids,
@@ -186,20 +188,20 @@
     preset: PresetEntry,
     path: str,
 ) -> Iterator[Problem]:
-    """Check the versions that a preset bounds."""
+    """Check that a preset's rollouts are of versions in that stage."""
     ids = {entry.id for entry in document.versions}
     rollouts = [entry.version for entry in preset.rollouts]
     yield from references(path, _VERSION, rollouts, ids)
-    for number, version in enumerate(rollouts):
+    for index, version in enumerate(rollouts):
         entry = document.version(VersionId(version))
         if entry is not None and entry.stage is not Stage.ROLLOUT:
             yield Problem(
-                f'{path}[{number}].version',
-                f'"{version}" is {entry.stage.value}',
+                f'{path}[{index}].version',
+                f'"{version}" has the stage "{entry.stage.value}"',
                 'a version whose stage is "rollout"',
             )
 
 
 def _rule_text(rule: CallRule) -> str:
-    """Return what a call rule fits."""
+    """Return the method and path of a call rule."""
     return f'{rule.method} {rule.path}'
--- a/src/nutmegroad/configuration/differences.py
+++ b/src/nutmegroad/configuration/differences.py
@@ -1,4 +1,4 @@
-"""What a change of the configuration would do, in sentences."""
+"""Readable differences between two configuration documents."""
 
 from collections.abc import Callable, Collection, Iterable, Iterator, Mapping
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
     RolloutShare,
 )
 
-#: Fields whose values are not shown, as they stem from secrets.
+#: Fields whose values are not shown, since they are derived from secrets.
 _HIDDEN: Final = frozenset(('key_hash', 'old_key_hash', 'token_hash'))
 _SECTIONS: Final = (
     'version',
@@ -30,23 +30,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One thing that a change would do.
+    """One difference between two documents.
 
     Attributes:
-        subject: What it concerns, such as ``workspace outlets``.
-        sentence: What would change, for a person.
+        subject: The entry that differs, such as ``workspace outlets``.
+        sentence: Description of the change for operators.
     """
 
     subject: str
     sentence: str
 
     def __str__(self) -> str:
-        """Return the sentence with its subject."""
+        """Return the subject and the sentence."""
         return f'{self.subject}: {self.sentence}'
 
 
 def compare(old: Document, new: Document) -> tuple[Difference, ...]:
-    """Return what would change if ``new`` took the place of ``old``."""
+    """Return the changes that replacing ``old`` by ``new`` makes."""
     parts = (
         _compare_entries(
             section,
@@ -64,22 +64,22 @@
     old: Iterable[DocumentPart],
     new: Iterable[DocumentPart],
 ) -> Iterator[Difference]:
-    """Compare the entries of a section, found again by their names."""
+    """Compare the entries of a section, matched by their keys."""
     before = {_key_of(entry): entry for entry in old}
     after = {_key_of(entry): entry for entry in new}
     for key in sorted(before.keys() - after.keys()):
         yield Difference(f'{label} {key}', 'It is removed.')
     for key, entry in after.items():
         subject = f'{label} {key}'
-        former = before.get(key)
-        if former is None:
+        old_entry = before.get(key)
+        if old_entry is None:
             yield Difference(subject, 'It is added.')
         else:
-            yield from _compare_fields(subject, former, entry)
+            yield from _compare_fields(subject, old_entry, entry)
 
 
 def _key_of(entry: Any) -> str:
-    """Return by what an entry is found again."""
+    """Return the key that identifies an entry within its section."""
     match entry:
         case PresetTask():
             return entry.task
@@ -108,9 +108,9 @@
     old: Any,
     new: Any,
 ) -> Callable[[str, str, Any, Any], Iterator[Difference]]:
-    """Return how two values of a field are compared."""
+    """Return the comparison function for two values of a field."""
     if isinstance(old, dict):
-        return _compare_tables
+        return _compare_mappings
     if not isinstance(old, tuple):
         return _compare_value
     if any(isinstance(entry, DocumentPart) for entry in (*old, *new)):
@@ -124,22 +124,22 @@
     old: Any,
     new: Any,
 ) -> Iterator[Difference]:
-    """Compare two plain values."""
+    """Compare two scalar values."""
     if old == new:
         return
-    change = f'changes from {_shown(old)} to {_shown(new)}'
+    change = f'changes from {_format_value(old)} to {_format_value(new)}'
     if name in _HIDDEN:
         change = 'changes'
     yield Difference(subject, f'Its {_words(name)} {change}.')
 
 
-def _compare_tables(
+def _compare_mappings(
     subject: str,
     name: str,
     old: Mapping[str, Any],
     new: Mapping[str, Any],
 ) -> Iterator[Difference]:
-    """Compare two tables key by key."""
+    """Compare two mappings key by key."""
     for key in sorted({*old, *new}):
         label = f'{name} for {key}'
         yield from _compare_value(subject, label, old.get(key), new.get(key))
@@ -151,7 +151,7 @@
     old: Collection[DocumentPart],
     new: Collection[DocumentPart],
 ) -> Iterator[Difference]:
-    """Compare two lists of entries, such as a preset's tasks."""
+    """Compare two lists of entries, such as the tasks of a preset."""
     label = f'{subject}, {_words(name).removesuffix("s")}'
     yield from _compare_entries(label, old, new)
     yield from _compare_order(
@@ -168,7 +168,7 @@
     old: Collection[str],
     new: Collection[str],
 ) -> Iterator[Difference]:
-    """Compare two lists of names, such as a workspace's versions."""
+    """Compare two lists of names, such as the versions of a workspace."""
     kind = name.removesuffix('s')
     before, after = frozenset(old), frozenset(new)
     for added in sorted(after - before):
@@ -185,20 +185,22 @@
     old: Iterable[str],
     new: Iterable[str],
 ) -> Iterator[Difference]:
-    """Tell of the same names in another order."""
+    """Yield a difference if the same names are in a different order."""
     before, after = list(old), list(new)
     if before != after and sorted(before) == sorted(after):
         sentence = f'The order of its {_words(name)} changes.'
         yield Difference(subject, sentence)
 
 
-def _shown(held: Any) -> str:
-    """Return a value for a sentence."""
-    if held is None:
+def _format_value(field_value: Any) -> str:
+    """Return a value as shown in a sentence."""
+    if field_value is None:
         return 'none'
-    return str(held.value if isinstance(held, Enum) else held)
+    if isinstance(field_value, Enum):
+        return str(field_value.value)
+    return str(field_value)
 
 
 def _words(name: str) -> str:
-    """Return a field's name as words."""
+    """Return a field name with spaces instead of underscores."""
     return name.replace('_', ' ')
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Tests of the checks and of what a change would do."""
+"""Tests of the document checks and of the comparison of documents."""
 
 import unittest
 
@@ -51,7 +51,8 @@
 token_hash = 'TOKEN'
 """.replace('KEY', 'a' * 64).replace('TOKEN', 'b' * 64)
 
-#: What is written in place of what, the path of the problem, a bad value.
+#: Text to replace, its replacement, path of the problem, value that the problem
+#: names.
 _CASES = (
     ("id = 'small@1'", "id = 'large@1'", '$.versions[1].id', 'large@1'),
     ("replaces = 'large@1'", "replaces = 'x@1'", '[2].replaces', 'x@1'),
@@ -90,7 +91,7 @@
     ("'large@2', share", "'x@1', share", '$.presets[0].rollouts[0]', 'x@1'),
     ("{ 'large@1' = 2 }", "{ 'x@1' = 2 }", '$.presets[0].preload', 'x@1'),
     ("'status/*'", "'/status'", '$.services[0].calls[0].path', '/status'),
-    # The schema's own errors.
+    # Errors that the schema itself detects.
     ('format = 1', 'format = 2', '$.format', '2'),
     ("stage = 'rollout'", "stage = 'new'", '$.versions[2].stage', 'rollout'),
     ('price_in = 1.0', "price_in = 'x'", '$.versions[0].price_in', 'x'),
@@ -100,38 +101,42 @@
 )
 
 
-def _changed(old: str, new: str) -> str:
+def _replace(old: str, new: str) -> str:
+    """Return the document text with one replacement, which must apply."""
     if old not in _TEXT:
         raise AssertionError(old)
     return _TEXT.replace(old, new, 1)
 
 
 def _differences(old: str, new: str) -> list[str]:
+    """Return the differences that a replacement in the text makes."""
     before = parse_document(_TEXT)
-    after = parse_document(_changed(old, new))
+    after = parse_document(_replace(old, new))
     return [str(difference) for difference in compare(before, after)]
 
 
 class ReadTest(unittest.TestCase):
-    def test_good_document(self) -> None:
+    def test_valid_document(self) -> None:
         document = read_document(_TEXT)
         self.assertIsInstance(document, Document)
 
     def test_each_problem_names_path_and_value(self) -> None:
         for old, new, path, bad in _CASES:
             with self.subTest(new=new):
-                problems = read_document(_changed(old, new))
+                problems = read_document(_replace(old, new))
                 if isinstance(problems, Document):
-                    self.fail('The document was taken.')
-                told = [str(one) for one in problems if path in one.path]
-                self.assertIn(bad, ' '.join(told))
-
-    def test_secret_in_place_of_its_hash_is_unshown(self) -> None:
-        problems = read_document(_changed('a' * 64, 'hunter2'))
+                    self.fail('The document was accepted.')
+                found = [
+                    str(problem) for problem in problems if path in problem.path
+                ]
+                self.assertIn(bad, ' '.join(found))
+
+    def test_secret_in_place_of_its_hash_is_hidden(self) -> None:
+        problems = read_document(_replace('a' * 64, 'hunter2'))
         self.assertNotIn('hunter2', str(problems))
 
     def test_workspace_without_a_version_for_a_task(self) -> None:
-        text = _changed(
+        text = _replace(
             "tasks = [{ task = 'tag', versions = ['small@1', ",
             "tasks = [{ task = 'tag', versions = [",
         ).replace("['small@1', 'large@1', 'large@2']", "['small@1']")
@@ -143,11 +148,11 @@
 
 
 class CompareTest(unittest.TestCase):
-    def test_same_document(self) -> None:
+    def test_equal_documents_have_no_differences(self) -> None:
         document = parse_document(_TEXT)
         self.assertEqual(compare(document, document), ())
 
-    def test_sentences(self) -> None:
+    def test_sentences_of_differences(self) -> None:
         cases = (
             (
                 "'large@2']\nservices",
