--- a/src/nutmegroad/configuration/__init__.py
+++ b/src/nutmegroad/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration in force: checked, spread, confirmed, leased."""
+"""Configuration: checks, distribution, confirmation and leases."""
--- a/src/nutmegroad/configuration/_configuration_messages.py
+++ b/src/nutmegroad/configuration/_configuration_messages.py
@@ -1,34 +1,35 @@
-"""What hosts say to each other about the configuration."""
+"""Messages that hosts exchange about the configuration."""
 
 from typing import ClassVar, Final
 
 from nutmegroad.contracts.documents import Withdrawal
 from nutmegroad.contracts.peers import Message
 
-#: The part that these messages are charged to.
+#: The part that the cost of these messages is attributed to.
 CONFIGURATION_PART: Final = 'configuration'
-#: Withdrawals that one message carries; more are asked for page by page.
-PAGE: Final = 32
+#: Most withdrawals in one message; more are requested page by page.
+PAGE_SIZE: Final = 32
 
 
 class ConfigurationMessage(Message, frozen=True, omit_defaults=True):
-    """Base of the messages about the configuration."""
+    """Base class of the messages about the configuration."""
 
     part: ClassVar[str] = CONFIGURATION_PART
 
 
 class HeadNotice(ConfigurationMessage, frozen=True, tag='head-notice'):
-    """What a host has in force; told to others when it changes.
+    """The configuration in force on a host, sent to peers when it changes.
 
-    It confirms nothing: nobody knows how long it was under way.
+    It does not confirm the configuration, since the time that the message
+    took to arrive is unknown.
 
     Attributes:
         revision: The newest revision that the host has.
-        digest: Name of its document.
+        digest: Digest of its document.
         preset: The preset in force.
-        author: Who made the revision.
-        withdrawals: Withdrawals, if they are few.
-        facts_digest: Name of the whole set of withdrawals.
+        author: The operator who made the revision.
+        withdrawals: All withdrawals; empty if they exceed one page.
+        facts_digest: Digest of the full set of withdrawals.
     """
 
     replaceable: ClassVar[bool] = True
@@ -42,16 +43,16 @@
 
 
 class HeadQuestion(ConfigurationMessage, frozen=True, tag='head-question'):
-    """Asks a host what it has in force, and how sure it is."""
+    """Asks a host for its configuration in force and its confirmation."""
 
 
 class HeadReply(ConfigurationMessage, frozen=True, tag='head-reply'):
-    """What a host has in force, and how sure it is.
+    """The configuration in force on a host, and the age of its confirmation.
 
     Attributes:
-        notice: What it has.
+        notice: The configuration in force.
         age: Seconds since its confirming read began; None if the host has
-            no confirmation, or has heard of a higher revision.
+            no valid confirmation, or knows of a higher revision.
     """
 
     notice: HeadNotice
@@ -63,20 +64,20 @@
     frozen=True,
     tag='document-question',
 ):
-    """Asks for a document.
+    """Asks for a configuration document.
 
     Attributes:
-        digest: Its name.
+        digest: Digest of the document.
     """
 
     digest: str
 
 
 class DocumentReply(ConfigurationMessage, frozen=True, tag='document-reply'):
-    """A document in its canonical form.
+    """A configuration document in its canonical encoding.
 
     Attributes:
-        content: Its bytes; empty if the host does not have it.
+        content: The encoded document; empty if the host does not have it.
     """
 
     content: bytes = b''
@@ -85,10 +86,10 @@
 class WithdrawalsQuestion(
     ConfigurationMessage, frozen=True, tag='withdrawals-question'
 ):
-    """Asks for the withdrawals that a host knows.
+    """Asks for one page of the withdrawals that a host knows.
 
     Attributes:
-        after: Only versions after this one, in order.
+        after: Return only versions that sort after this one.
     """
 
     after: str = ''
@@ -100,8 +101,8 @@
     """One page of withdrawals.
 
     Attributes:
-        withdrawals: The withdrawals, in order.
-        more: Whether there are others after them.
+        withdrawals: The withdrawals, ordered by version.
+        more: Whether further withdrawals follow.
     """
 
     withdrawals: tuple[Withdrawal, ...] = ()
--- a/src/nutmegroad/configuration/announcements.py
+++ b/src/nutmegroad/configuration/announcements.py
@@ -1,8 +1,9 @@
-"""Changes of the configuration, told from host to host.
+"""Propagation of configuration changes between hosts by gossip.
 
-A host that learns of a change tells a few others at once, and they tell
-others. As a message may be lost, each host also compares itself with one
-other host again and again; whichever lacks something gets it.
+A host that learns of a change immediately sends it to a few other hosts, which
+do the same. Since messages may be lost, each host also periodically sends its
+configuration to one other host, and whichever of the two is missing something
+receives it.
 """
 
 import random
@@ -16,21 +17,21 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import HostId
 
-#: Hosts that are told of a change at once. With 6, three or four rounds
-#: reach 400 hosts; what these miss, the comparisons find.
+#: Hosts to which a change is sent immediately. With 6, three or four rounds
+#: reach 400 hosts; the periodic comparisons reach those that were missed.
 FANOUT: Final = 6
 
 
 class Announcer:
-    """Tells others what changes here, and takes what they tell.
+    """Sends changes on this host to others, and applies changes they send.
 
     Args:
         mesh: Links to other hosts.
-        configuration: What this host holds.
-        confirmations: Says what this host holds.
-        poller: Takes a revision that another host has.
+        configuration: The configuration on this host.
+        confirmations: Builds this host's notices and queries peers.
+        poller: Applies revisions that other hosts have.
         clock: The host's clock.
-        randomness: Chooses whom to tell.
+        randomness: Selects the recipients.
         period: Seconds between comparisons with another host.
     """
 
@@ -51,39 +52,40 @@
         self._clock = clock
         self._randomness = randomness
         self._period = period
-        mesh.handle(HeadNotice, self._hear)
+        mesh.handle(HeadNotice, self._handle_notice)
         configuration.listen(self.announce)
 
     async def run(self) -> None:
-        """Compare with one other host after another, until cancelled."""
+        """Periodically compare with one other host, until cancelled."""
         while True:
-            spread = self._randomness.uniform(-JITTER, JITTER)
-            await self._clock.sleep(self._period * (1 + spread))
+            jitter = self._randomness.uniform(-JITTER, JITTER)
+            await self._clock.sleep(self._period * (1 + jitter))
             self._tell(1)
 
     def announce(self) -> None:
-        """Tell a few others at once."""
+        """Send the configuration in force to a few hosts immediately."""
         self._tell(FANOUT)
 
     def _tell(self, count: int) -> None:
-        """Tell so many others to whom there is a link."""
+        """Send a notice to ``count`` random hosts to which there is a link."""
         hosts = [member.host for member in self._mesh.members()]
         self._randomness.shuffle(hosts)
         notice = self._confirmations.notice
-        told = 0
+        sent = 0
         for host in hosts:
-            told += self._mesh.tell(host, notice)
-            if told >= count:
+            sent += self._mesh.tell(host, notice)
+            if sent >= count:
                 break
 
-    async def _hear(self, host: HostId, notice: HeadNotice) -> None:
-        """Take what another host has, or tell it what it lacks."""
+    async def _handle_notice(self, host: HostId, notice: HeadNotice) -> None:
+        """Apply what another host has, or reply with what it is missing."""
         configuration = self._configuration
         configuration.withdraw(notice.withdrawals)
         if notice.facts_digest != configuration.withdrawals_digest:
-            await self._confirmations.pull_facts(host)
-        await self._poller.adopt(notice, host)
-        # What it lacks is told once; it will then have it, or ask.
+            await self._confirmations.fetch_withdrawals(host)
+        await self._poller.apply_notice(notice, host)
+        # One reply is enough: with it the peer either has what it was missing
+        # or asks for it.
         if notice.revision < configuration.revision or (
             notice.facts_digest != configuration.withdrawals_digest
         ):
--- a/src/nutmegroad/configuration/changes.py
+++ b/src/nutmegroad/configuration/changes.py
@@ -1,11 +1,11 @@
-"""What operators may change: documents, presets, withdrawals."""
+"""Changes by operators: documents, presets, workspaces and withdrawals."""
 
 from dataclasses import dataclass
 
 from msgspec.structs import replace
 
 from nutmegroad.configuration.checks import check_document
-from nutmegroad.configuration.heads import Change, Head, HeadStore
+from nutmegroad.configuration.heads import Head, HeadChange, HeadStore
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.configuration.spread import ConfigurationPoller
 from nutmegroad.contracts.documents import Document, Withdrawal, WorkspaceEntry
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """What became of a withdrawal.
+    """Result of a withdrawal.
 
     Attributes:
-        version: The version.
-        epoch: Its epochs up to this one are withdrawn.
-        revision: The revision that has it in the table; None if the table
-            is not known to have it yet.
-        reason: Why the table is not known to have it; empty if it has.
+        version: The withdrawn version.
+        epoch: The epochs of the version up to this one are withdrawn.
+        revision: The revision with the withdrawal in the table; None if it is
+            not known to be in the table yet.
+        reason: Why it is not known to be in the table; empty if it is.
     """
 
     version: VersionId
@@ -39,12 +39,12 @@
 
 
 class Changes:
-    """Makes operators' changes, each by one move of the head.
+    """Makes operators' changes, each with one move of the head.
 
     Args:
         store: Moves the head.
-        poller: Puts an accepted change into force on this host at once.
-        configuration: What is in force.
+        poller: Puts an accepted change into force on this host immediately.
+        configuration: The configuration on this host.
     """
 
     def __init__(
@@ -68,17 +68,17 @@
 
         Args:
             document: The document.
-            preset: The preset to be in force; None keeps the present one,
-                or takes the document's first.
-            author: Who asks for it.
-            expected: The revision that the operator saw; None for any.
+            preset: The preset to put into force; None for the current one, or
+                the document's first if it does not have the current one.
+            author: The operator who makes the change.
+            expected: Current revision that the change requires; None for any.
         """
-        digest = await self._store.store(document)
+        digest = await self._store.store_document(document)
         if isinstance(digest, Refusal):
             return digest
 
         def change(head: Head) -> Head | Refusal:
-            """Name the new document."""
+            """Return the head with the new document."""
             chosen = _preset_for(document, preset, head)
             if isinstance(chosen, Refusal):
                 return chosen
@@ -102,17 +102,17 @@
         await self._poller.poll()
         accepted = self._configuration.accepted
         if accepted is None:
-            return _missing()
+            return _no_configuration()
         if accepted.document.preset(preset) is None:
             return _unknown_preset(accepted.document, preset)
 
         def change(head: Head) -> Head | Refusal:
-            """Name the preset."""
+            """Return the head with the new preset."""
             if head.digest != accepted.digest:
                 return Refusal(
                     ResultCode.CONFIGURATION_CONFLICT,
                     f'The document changed to revision {head.revision} by '
-                    f'{head.author} meanwhile; look at it and try again.',
+                    f'{head.author} in the meantime; check it and try again.',
                 )
             return replace(
                 head,
@@ -129,16 +129,16 @@
         epoch: Epoch | None,
         author: OperatorId,
     ) -> Withdrawn | Refusal:
-        """Withdraw a version, with the table or without.
+        """Withdraw a version, even if the table is unavailable.
 
-        This host stops using the version before it answers, and tells
-        others. If the table can't be written now, some host will do so
-        once it can.
+        This host stops using the version before it answers, and notifies
+        others. If the table can't be written now, one of the hosts writes the
+        withdrawal to it later.
 
         Args:
             version: The version.
-            epoch: Its epochs up to this one; None for the present one.
-            author: Who asks for it.
+            epoch: Withdraw its epochs up to this one; None for its current one.
+            author: The operator who makes the change.
         """
         entry = self._configuration.entry(version)
         if entry is None:
@@ -147,15 +147,15 @@
                 f'There is no version {version!r} in the configuration '
                 f'{self._configuration.revision} of this host.',
             )
-        until = Epoch(entry.epoch) if epoch is None else epoch
-        withdrawal = Withdrawal(version=version, epoch=until)
+        last_epoch = Epoch(entry.epoch) if epoch is None else epoch
+        withdrawal = Withdrawal(version=version, epoch=last_epoch)
         self._configuration.withdraw((withdrawal,))
-        head = await self._store.merge((withdrawal,), author)
+        head = await self._store.merge_withdrawals((withdrawal,), author)
         if isinstance(head, Refusal):
-            return Withdrawn(version, until, None, head.reason)
+            return Withdrawn(version, last_epoch, None, head.reason)
         self._configuration.record(head.withdrawals)
         await self._poller.poll()
-        return Withdrawn(version, until, Revision(head.revision), '')
+        return Withdrawn(version, last_epoch, Revision(head.revision), '')
 
     async def set_workspace(
         self,
@@ -163,16 +163,22 @@
         author: OperatorId,
         expected: Revision | None,
     ) -> Head | Refusal | tuple[Problem, ...]:
-        """Put one workspace's entry in the place of the one before.
+        """Add or replace the entry of one workspace.
+
+        Args:
+            entry: The new entry.
+            author: The operator who makes the change.
+            expected: Current revision that the change requires; None for the
+                one that is in force on this host.
 
         Returns:
-            The new head, or why there is none; what is wrong with the
-            document that it would make, if anything is.
+            The new head, or why there is none. If the changed document would
+            not be valid, its problems.
         """
         await self._poller.poll()
         accepted = self._configuration.accepted
         if accepted is None:
-            return _missing()
+            return _no_configuration()
         document = replace_workspace(accepted.document, entry)
         problems = check_document(document)
         if problems:
@@ -186,10 +192,10 @@
 
     async def _move(
         self,
-        change: Change,
+        change: HeadChange,
         expected: Revision | None,
     ) -> Head | Refusal:
-        """Move the head, and put it into force here."""
+        """Move the head, and put it into force on this host."""
         head = await self._store.move(change, expected)
         if not isinstance(head, Refusal):
             await self._poller.poll()
@@ -197,15 +203,15 @@
 
 
 def replace_workspace(document: Document, entry: WorkspaceEntry) -> Document:
-    """Return a document with one workspace's entry changed or added."""
-    present = [known.name for known in document.workspaces]
-    if entry.name not in present:
+    """Return a document with the entry of one workspace replaced or added."""
+    names = [known.name for known in document.workspaces]
+    if entry.name not in names:
         return replace(document, workspaces=(*document.workspaces, entry))
-    changed = tuple(
+    workspaces = tuple(
         entry if known.name == entry.name else known
         for known in document.workspaces
     )
-    return replace(document, workspaces=changed)
+    return replace(document, workspaces=workspaces)
 
 
 def _preset_for(
@@ -213,7 +219,7 @@
     preset: PresetName | None,
     head: Head,
 ) -> PresetName | Refusal:
-    """Return the preset that is to be in force with a document."""
+    """Return the preset to put into force with a document."""
     if preset is not None:
         if document.preset(preset) is None:
             return _unknown_preset(document, preset)
@@ -224,7 +230,7 @@
 
 
 def _unknown_preset(document: Document, preset: PresetName) -> Refusal:
-    """Say that there is no such preset."""
+    """Return the refusal for a preset that the document does not have."""
     choices = ', '.join(entry.name for entry in document.presets)
     return Refusal(
         ResultCode.PRESET_UNKNOWN,
@@ -232,8 +238,8 @@
     )
 
 
-def _missing() -> Refusal:
-    """Say that no configuration is in force."""
+def _no_configuration() -> Refusal:
+    """Return the refusal if no configuration is in force."""
     return Refusal(
         ResultCode.CONFIGURATION_MISSING,
         'No configuration is in force yet; apply one first.',
--- a/src/nutmegroad/configuration/confirmations.py
+++ b/src/nutmegroad/configuration/confirmations.py
@@ -1,9 +1,9 @@
-"""What hosts learn from each other about the configuration.
+"""Queries between hosts about the configuration in force.
 
-A host that can't read the table asks others. The reply tells the age of
-the peer's own confirming read. The asker counts from the moment before it
-asked, less that age: the peer reckoned the age after the question was
-sent, so that the read can't have begun earlier than that.
+A host that can't read the table asks its peers. A reply contains the age of the
+peer's own confirming read. The asking host subtracts that age from the time
+before it sent the query. Since the peer computed the age after the query was
+sent, the read can't have begun earlier than the result.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 from typing import Final
 
 from nutmegroad.configuration._configuration_messages import (
-    PAGE,
+    PAGE_SIZE,
     DocumentQuestion,
     DocumentReply,
     HeadNotice,
@@ -31,23 +31,25 @@
 
 #: Seconds that a peer may take to reply.
 REPLY_TIMEOUT: Final = 0.7
-#: Peers that are asked at a time, in the own domain and in others.
-_ASKED: Final = 2
+#: Peers that are asked in the local domain at a time, and as many in all other
+#: domains together.
+_PEERS_PER_GROUP: Final = 2
 #: Peers that are asked for a document, one after another.
-_DOCUMENT_TRIES: Final = 4
-#: Pages of withdrawals that are asked for at a time.
-_MOST_PAGES: Final = 64
+_MAX_DOCUMENT_ATTEMPTS: Final = 4
+#: Pages of withdrawals that are fetched from a peer at most.
+_MAX_PAGES: Final = 64
 
 
 @dataclass(frozen=True, slots=True)
 class PeerHead:
-    """What a peer said it has in force.
+    """The configuration that a peer reports to have in force.
 
     Attributes:
         host: The peer.
-        notice: What it has.
-        confirmed: Own clock's seconds at which its confirming read had not
-            begun later; None if the peer has no confirmation.
+        notice: Its configuration in force.
+        confirmed: Earliest time, in seconds of this host's clock, at which its
+            confirming read can have begun; None if the peer has no valid
+            confirmation.
     """
 
     host: HostId
@@ -56,14 +58,14 @@
 
 
 class Confirmations:
-    """Asks peers about the configuration, and answers them.
+    """Asks peers about the configuration, and answers their queries.
 
     Args:
         mesh: Links to other hosts.
-        configuration: What this host holds.
+        configuration: The configuration on this host.
         clock: The host's clock.
-        randomness: Chooses which peers are asked.
-        domain: The domain of this host.
+        randomness: Selects the peers to ask.
+        domain: The failure domain of this host.
     """
 
     def __init__(
@@ -81,11 +83,11 @@
         self._domain = domain
         mesh.handle(HeadQuestion, self._answer_head)
         mesh.handle(DocumentQuestion, self._answer_document)
-        mesh.handle(WithdrawalsQuestion, self._answer_facts)
+        mesh.handle(WithdrawalsQuestion, self._answer_withdrawals)
 
     @property
     def notice(self) -> HeadNotice:
-        """Return what this host has in force, to tell others."""
+        """The configuration in force on this host, as a notice to peers."""
         accepted = self._configuration.accepted
         withdrawals = self._configuration.withdrawals
         return HeadNotice(
@@ -93,18 +95,19 @@
             digest='' if accepted is None else accepted.digest,
             preset='' if accepted is None else accepted.preset,
             author='' if accepted is None else accepted.author,
-            withdrawals=withdrawals if len(withdrawals) <= PAGE else (),
+            withdrawals=withdrawals if len(withdrawals) <= PAGE_SIZE else (),
             facts_digest=self._configuration.withdrawals_digest,
         )
 
-    async def ask(self) -> tuple[PeerHead, ...]:
-        """Ask a few peers, here and elsewhere, what is in force."""
+    async def query_heads(self) -> tuple[PeerHead, ...]:
+        """Ask a few peers, in this domain and others, what is in force."""
         groups = [iter(group) for group in self._groups()]
-        asked = (self._ask_one(group) for group in groups * _ASKED)
-        heads = await asyncio.gather(*asked)
+        # Queries in a group share its iterator, so each asks another peer.
+        queries = (self._ask_one(group) for group in groups * _PEERS_PER_GROUP)
+        heads = await asyncio.gather(*queries)
         return tuple(head for head in heads if head is not None)
 
-    async def document(
+    async def fetch_document(
         self,
         digest: Digest,
         first: HostId | None,
@@ -112,13 +115,13 @@
         """Fetch a document from peers.
 
         Args:
-            digest: Its name; content that does not fit it is not taken.
-            first: The peer to ask first.
+            digest: Digest of the document; other content is rejected.
+            first: The peer to ask first, if any.
         """
         hosts = [host for group in self._groups() for host in group]
         if first is not None:
             hosts.insert(0, first)
-        tries = 0
+        attempts = 0
         for host in hosts:
             reply = await self._mesh.ask(
                 host,
@@ -128,18 +131,18 @@
             content = _content_of(reply)
             if content is not None and digest_of(content) == digest:
                 return content
-            tries += not _is_unlinked(reply)
-            if tries == _DOCUMENT_TRIES:
+            attempts += not _was_not_sent(reply)
+            if attempts == _MAX_DOCUMENT_ATTEMPTS:
                 break
         return Refusal(
             ResultCode.OBJECT_UNAVAILABLE,
-            f'None of {tries} peers gave the document {digest}.',
+            f'None of {attempts} peers returned the document {digest}.',
         )
 
-    async def pull_facts(self, host: HostId) -> None:
-        """Take over the withdrawals that a peer knows."""
+    async def fetch_withdrawals(self, host: HostId) -> None:
+        """Fetch and add the withdrawals that a peer knows."""
         after = ''
-        for _ in range(_MOST_PAGES):
+        for _ in range(_MAX_PAGES):
             reply = await self._mesh.ask(
                 host,
                 WithdrawalsQuestion(after),
@@ -153,31 +156,34 @@
             after = reply.withdrawals[-1].version
 
     async def _ask_one(self, hosts: Iterator[HostId]) -> PeerHead | None:
-        """Ask the first of the hosts that has a link; None if it is mute."""
+        """Ask the first host with a link; return None if it does not reply."""
         for host in hosts:
-            asked = self._clock.now()
+            sent_at = self._clock.now()
             reply = await self._mesh.ask(host, HeadQuestion(), REPLY_TIMEOUT)
             if isinstance(reply, HeadReply):
-                confirmed = None if reply.age is None else asked - reply.age
+                confirmed = None if reply.age is None else sent_at - reply.age
                 return PeerHead(host, reply.notice, confirmed)
-            if not _is_unlinked(reply):
+            if not _was_not_sent(reply):
                 break
         return None
 
     def _groups(self) -> tuple[list[HostId], list[HostId]]:
-        """Return the hosts of other domains and of this one, shuffled."""
+        """Return the remote and the local domain's hosts, each shuffled."""
         members = list(self._mesh.members())
         self._randomness.shuffle(members)
-        near = [mem.host for mem in members if mem.domain == self._domain]
-        far = [mem.host for mem in members if mem.domain != self._domain]
-        return far, near
+        local: list[HostId] = []
+        remote: list[HostId] = []
+        for member in members:
+            group = local if member.domain == self._domain else remote
+            group.append(member.host)
+        return remote, local
 
     async def _answer_head(
         self,
         host: HostId,
         question: HeadQuestion,
     ) -> Message | None:
-        """Tell what is in force here, and since when that is sure."""
+        """Reply with the configuration in force and its confirmation's age."""
         configuration = self._configuration
         if configuration.behind or configuration.isolated:
             return HeadReply(self.notice)
@@ -188,33 +194,34 @@
         host: HostId,
         question: DocumentQuestion,
     ) -> Message | None:
-        """Give the document in force here, if it is the one."""
+        """Reply with the document in force if it is the requested one."""
         accepted = self._configuration.accepted
         if accepted is None or accepted.digest != question.digest:
             return DocumentReply()
         return DocumentReply(encode_document(accepted.document))
 
-    async def _answer_facts(
+    async def _answer_withdrawals(
         self,
         host: HostId,
         question: WithdrawalsQuestion,
     ) -> Message | None:
-        """Give a page of withdrawals."""
+        """Reply with one page of withdrawals."""
         withdrawals = [
             withdrawal
             for withdrawal in self._configuration.withdrawals
             if withdrawal.version > question.after
         ]
         return WithdrawalsReply(
-            tuple(withdrawals[:PAGE]), more=len(withdrawals) > PAGE
+            tuple(withdrawals[:PAGE_SIZE]),
+            more=len(withdrawals) > PAGE_SIZE,
         )
 
 
 def _content_of(reply: Message | Refusal) -> bytes | None:
-    """Return the content of a document that a peer gave, or None."""
+    """Return the document content in a reply, or None."""
     return reply.content if isinstance(reply, DocumentReply) else None
 
 
-def _is_unlinked(reply: Message | Refusal) -> bool:
-    """Tell whether a question was not even sent."""
+def _was_not_sent(reply: Message | Refusal) -> bool:
+    """Return whether a query was not sent for lack of a link."""
     return isinstance(reply, Refusal) and reply.ran is Ran.NOT_RUN
--- a/src/nutmegroad/configuration/heads.py
+++ b/src/nutmegroad/configuration/heads.py
@@ -1,12 +1,14 @@
-"""The head row: which configuration is in force, moved by compare-and-set.
+"""The head row, which names the configuration in force.
 
-The document is an immutable object named by its digest. The preset in
-force and the withdrawals stand in the same row, so that one read tells all
-and two operators who race get one winner and one conflict.
+The head is moved from one revision to the next by compare-and-set. The document
+is an immutable object named by its digest. The preset in force and the
+withdrawals are part of the same row, so that one read returns everything, and
+of two operators with concurrent changes one succeeds and one gets a conflict.
 
-Each move also writes a history row, in the same transaction: the head is
-read by every host all the time and stays small, the history only by who
-has to settle a lost reply, perhaps after others have moved the head on.
+Each move also writes a history row in the same transaction. Every host polls
+the head, which therefore stays small. The history is only read to find out
+whether a move whose reply was lost took effect, even if others have moved the
+head since.
 """
 
 from collections.abc import Callable
@@ -39,11 +41,12 @@
 
 HEAD_KEY: Final = RowKey('configuration/head')
 HISTORY_KEY: Final = RowKey('configuration/history')
-#: Moves that the history row keeps.
-KEPT_MOVES: Final = 64
+#: Moves that the history row retains.
+MAX_MOVES: Final = 64
 
-#: Times that a write is sent if it is not known whether it took effect.
-_TRIES: Final = 3
+#: Times that a write is sent if it is not known whether it took effect, and
+#: that a merge is repeated after conflicts.
+_MAX_ATTEMPTS: Final = 3
 _OBJECT_PREFIX: Final = 'configuration/'
 
 
@@ -51,12 +54,12 @@
     """The content of the head row.
 
     Attributes:
-        revision: Grows by one with each accepted change.
-        digest: Name of the document's object.
+        revision: Increases by one with each accepted change.
+        digest: Digest of the document, which names its object.
         preset: The preset in force.
         author: The operator who made the change.
-        nonce: Recognises the write whose reply was lost.
-        summary: What the change was, in one sentence.
+        nonce: Identifies a write whose reply was lost.
+        summary: Description of the change, in one phrase.
         withdrawals: All withdrawals so far.
     """
 
@@ -70,13 +73,13 @@
 
 
 class Move(Struct, frozen=True):
-    """One move of the head.
+    """One move of the head to a new revision.
 
     Attributes:
-        revision: The revision that it made.
+        revision: The new revision.
         nonce: The nonce of its write.
         author: The operator who made it.
-        summary: What it was, in one sentence.
+        summary: Description of the change, in one phrase.
     """
 
     revision: int
@@ -89,51 +92,52 @@
     """The content of the history row.
 
     Attributes:
-        moves: The newest moves, the newest last.
+        moves: The most recent moves, oldest first.
     """
 
     moves: tuple[Move, ...] = ()
 
     @property
     def revision(self) -> int:
-        """Return the revision of the newest move."""
+        """The revision of the most recent move; 0 without moves."""
         return self.moves[-1].revision if self.moves else 0
 
     def find(self, revision: int) -> Move | None:
-        """Return the move that made a revision, if it is still kept."""
+        """Return the move that made a revision, if it is still retained."""
         return next(
             (move for move in self.moves if move.revision == revision),
             None,
         )
 
     def extended(self, head: Head) -> 'History':
-        """Return the history with one more move."""
+        """Return the history with the move to a head appended."""
         move = Move(head.revision, head.nonce, head.author, head.summary)
-        return History((*self.moves, move)[-KEPT_MOVES:])
+        return History((*self.moves, move)[-MAX_MOVES:])
 
 
 @dataclass(frozen=True, slots=True)
-class _Ground:
-    """What a move starts from."""
+class _HeadRows:
+    """The head and history rows that a move is based on."""
 
     head_row: Row
     history_row: Row
 
     @property
     def head(self) -> Head:
+        """The decoded head."""
         return _decode(self.head_row)
 
-    def writes(self, wanted: Head) -> tuple[RowWrite, ...]:
-        """Return the writes of a move."""
-        history = _decode_history(self.history_row).extended(wanted)
+    def writes(self, new_head: Head) -> tuple[RowWrite, ...]:
+        """Return the row writes that move the head."""
+        history = _decode_history(self.history_row).extended(new_head)
         return (
-            _write_of(self.head_row, wanted),
+            _write_of(self.head_row, new_head),
             _write_of(self.history_row, history),
         )
 
 
-#: Makes the next head out of the present one, or says why not.
-Change = Callable[[Head], Head | Refusal]
+#: Returns the next head for the current one, or why there is none.
+HeadChange = Callable[[Head], Head | Refusal]
 
 
 class HeadStore:
@@ -142,7 +146,7 @@
     Args:
         table: The table service.
         objects: The object store.
-        nonces: Makes nonces that never repeat.
+        nonces: Generates unique nonces.
     """
 
     def __init__(
@@ -156,27 +160,28 @@
         self._nonces = nonces
 
     async def read(self) -> Head | Refusal:
-        """Return the head as the table has it now."""
+        """Read the current head from the table."""
         row = await self._table.read(HEAD_KEY)
         if isinstance(row, Refusal):
             return row
         return _decode(row)
 
     async def history(self) -> History | Refusal:
-        """Return the newest moves of the head."""
+        """Read the most recent moves of the head from the table."""
         row = await self._table.read(HISTORY_KEY)
         if isinstance(row, Refusal):
             return row
         return _decode_history(row)
 
-    async def fetch(self, digest: Digest) -> bytes | Refusal:
-        """Return a document's content from the object store."""
+    async def fetch_document(self, digest: Digest) -> bytes | Refusal:
+        """Fetch a document's content from the object store."""
         return await self._objects.fetch(_OBJECT_PREFIX + digest)
 
-    async def store(self, document: Document) -> Digest | Refusal:
-        """Store a document and return its name."""
-        # Once read and written again, a whole number that stands for a real
-        # one has its final form, and a peer's copy has the same digest.
+    async def store_document(self, document: Document) -> Digest | Refusal:
+        """Store a document and return its digest."""
+        # Decoding and encoding it again normalizes integers in fields for real
+        # numbers, so that the document has the same digest when a peer encodes
+        # its own copy.
         content = encode_document(decode_document(encode_document(document)))
         digest = digest_of(content)
         refusal = await self._objects.put(_OBJECT_PREFIX + digest, content)
@@ -184,89 +189,91 @@
 
     async def move(
         self,
-        change: Change,
+        change: HeadChange,
         expected: Revision | None = None,
     ) -> Head | Refusal:
         """Move the head by one change.
 
         Args:
-            change: Makes the next head; revision and nonce are filled in.
-                One that returns the present head moves nothing.
-            expected: Revision that the operator saw; None for any.
+            change: Returns the next head; revision and nonce are filled in. If
+                it returns the current head, nothing is written.
+            expected: Current revision that the change requires; None for any.
 
         Returns:
             The head that took effect, or why none did.
         """
-        ground = await self._ground()
-        if isinstance(ground, Refusal):
-            return ground
-        present = ground.head
-        if expected is not None and present.revision != expected:
-            return _conflict(present)
-        changed = change(present)
-        if isinstance(changed, Refusal) or changed == present:
+        rows = await self._read_rows()
+        if isinstance(rows, Refusal):
+            return rows
+        current = rows.head
+        if expected is not None and current.revision != expected:
+            return _conflict(current)
+        changed = change(current)
+        if isinstance(changed, Refusal) or changed == current:
             return changed
-        wanted = replace(
+        new_head = replace(
             changed,
-            revision=present.revision + 1,
+            revision=current.revision + 1,
             nonce=self._nonces(),
         )
-        return await self._write(ground.writes(wanted), wanted)
+        return await self._write(rows.writes(new_head), new_head)
 
-    async def merge(
-        self, withdrawals: Withdrawals, author: str
+    async def merge_withdrawals(
+        self,
+        withdrawals: Withdrawals,
+        author: str,
     ) -> Head | Refusal:
-        """Write withdrawals to the table; those that it has change nothing."""
+        """Add withdrawals to the head; those it has already change nothing."""
 
         def change(head: Head) -> Head | Refusal:
-            """Join the sets."""
-            joined = union(head.withdrawals, withdrawals)
-            if joined == union(head.withdrawals):
+            """Merge the withdrawals into the head."""
+            merged = union(head.withdrawals, withdrawals)
+            if merged == union(head.withdrawals):
                 return head
-            fresh = [
+            added = [
                 withdrawal
-                for withdrawal in joined
+                for withdrawal in merged
                 if withdrawal not in head.withdrawals
             ]
-            names = ', '.join(withdrawal.version for withdrawal in fresh)
+            names = ', '.join(withdrawal.version for withdrawal in added)
             return replace(
                 head,
-                withdrawals=joined,
+                withdrawals=merged,
                 author=author,
                 summary=f'the version {names} was withdrawn',
             )
 
         outcome = await self.move(change)
-        for _ in range(_TRIES):
-            # Whoever came first has moved something else: join anew.
+        for _ in range(_MAX_ATTEMPTS):
+            # Another change came first, so merge into the new head.
             if not _is_conflict(outcome):
                 break
             outcome = await self.move(change)
         return outcome
 
-    async def _ground(self) -> _Ground | Refusal:
-        """Read both rows; if they do not fit, the write will conflict."""
+    async def _read_rows(self) -> _HeadRows | Refusal:
+        """Read both rows; if they do not match, the write will conflict."""
         head_row = await self._table.read(HEAD_KEY)
         if isinstance(head_row, Refusal):
             return head_row
         history_row = await self._table.read(HISTORY_KEY)
         if isinstance(history_row, Refusal):
             return history_row
-        return _Ground(head_row, history_row)
+        return _HeadRows(head_row, history_row)
 
     async def _write(
         self,
         writes: tuple[RowWrite, ...],
         wanted: Head,
     ) -> Head | Refusal:
-        """Write until it is known whether the write took effect.
+        """Commit the writes until it is known whether they took effect.
 
-        A write whose reply was lost may still be under way, so that reading
-        back and finding nothing proves nothing. The same write once more
-        either takes effect or meets a conflict, and then no copy can.
+        If the reply was lost, the commit may still be in flight, so not finding
+        it in the table proves nothing. The same commit sent again either takes
+        effect or conflicts, and after that no earlier copy can take effect.
         """
         unknown = False
-        for _ in range(_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             outcome = await self._table.commit(writes)
             if isinstance(outcome, Conflict):
                 return await self._settle(wanted, unknown)
@@ -281,23 +288,29 @@
         return _unknown()
 
     async def _settle(self, wanted: Head, unknown: bool) -> Head | Refusal:
-        """Find out who made the revision that we wanted to make."""
+        """Determine whether the wanted revision was made by this write.
+
+        Args:
+            wanted: The head that was written.
+            unknown: Whether an earlier copy of the write may have taken effect.
+        """
         history = await self.history()
         if isinstance(history, Refusal):
             return _unknown() if unknown else history
         move = history.find(wanted.revision)
         if move is None:
-            # The history is a stale one, or has long moved on.
-            return _unknown() if unknown else _lost_race(history)
+            # The history that was read is stale, or no longer has the move.
+            return _unknown() if unknown else _newest_conflict(history)
         return wanted if _made(history, wanted) else _conflict(move)
 
 
 def accept(head: Head, content: bytes) -> Accepted | Refusal:
-    """Check a document's content against the head that names it."""
+    """Decode a document after verifying it against the digest in the head."""
     if digest_of(content) != head.digest:
         return Refusal(
             ResultCode.CONFIGURATION_INVALID,
-            f'The document for revision {head.revision} has another digest.',
+            f'The document for revision {head.revision} does not have the '
+            f'digest {head.digest}.',
         )
     return Accepted(
         Revision(head.revision),
@@ -309,58 +322,58 @@
 
 
 def _decode(row: Row) -> Head:
-    """Read a row's text; a row never written is revision 0."""
+    """Decode a head row; one that was never written is revision 0."""
     if not row.text:
         return Head()
     return msgspec.json.decode(row.text, type=Head)
 
 
 def _decode_history(row: Row) -> History:
-    """Read a row's text; a row never written has no moves."""
+    """Decode a history row; one that was never written has no moves."""
     if not row.text:
         return History()
     return msgspec.json.decode(row.text, type=History)
 
 
 def _write_of(row: Row, content: Struct) -> RowWrite:
-    """Return the write that replaces a row as it was read."""
+    """Return the write that replaces a row if it has not changed."""
     text = msgspec.json.encode(content).decode()
     return RowWrite(row.key, text, row.version)
 
 
 def _made(history: History, wanted: Head) -> bool:
-    """Tell whether a write is among the moves."""
+    """Return whether the history contains the write of a head."""
     move = history.find(wanted.revision)
     return move is not None and move.nonce == wanted.nonce
 
 
 def _is_conflict(outcome: Head | Refusal) -> bool:
-    """Tell whether another change came first."""
+    """Return whether another change came first."""
     if not isinstance(outcome, Refusal):
         return False
     return outcome.code is ResultCode.CONFIGURATION_CONFLICT
 
 
-def _lost_race(history: History) -> Refusal:
-    """Name the newest change that is known."""
+def _newest_conflict(history: History) -> Refusal:
+    """Return the refusal that names the newest known change."""
     return _conflict(history.moves[-1] if history.moves else Head())
 
 
-def _conflict(present: Head | Move) -> Refusal:
-    """Name the change that came first."""
+def _conflict(first: Head | Move) -> Refusal:
+    """Return the refusal that names the change that came first."""
     return Refusal(
         ResultCode.CONFIGURATION_CONFLICT,
-        f'Revision {present.revision} by {present.author or "nobody"} came '
-        f'first: {present.summary or "no change yet"}.',
+        f'Revision {first.revision} by {first.author or "nobody"} came '
+        f'first: {first.summary or "no change yet"}.',
     )
 
 
 def _unknown() -> Refusal:
-    """Say that nobody knows whether a change took effect."""
+    """Return the refusal for a change that may have taken effect."""
     return Refusal(
         ResultCode.OUTCOME_UNKNOWN,
-        'The table took the change and did not say whether it took '
-        'effect; look at the configuration before trying again.',
+        'The table did not confirm whether the change took effect; check '
+        'the configuration before trying again.',
         Ran.UNKNOWN,
         retry_after=2,
     )
--- a/src/nutmegroad/configuration/in_force.py
+++ b/src/nutmegroad/configuration/in_force.py
@@ -1,9 +1,9 @@
-"""The configuration in force on this host, and how sure the host is of it.
+"""The configuration in force on this host, and its confirmation.
 
-A host takes only revisions above its own. A confirmation says that a
-transactional read of the head, begun at a certain moment, still gave this
-revision; it holds for the lease, counted from that moment. A host whose
-last confirmation has lapsed is isolated.
+A host applies only revisions above its own. A confirmation states that a
+transactional read of the head, begun at a certain time, still returned this
+revision. It is valid for the duration of the lease, counted from that time. A
+host whose last confirmation has expired is isolated.
 """
 
 from collections.abc import Callable
@@ -31,11 +31,12 @@
     VersionId,
 )
 
-#: Seconds beyond the lease after which a revision is in force everywhere:
-#: clocks of several hosts add up to one lease at rates that differ a little.
+#: Seconds beyond the lease after which a revision is in force everywhere. The
+#: lease is measured with the clocks of several hosts, whose rates differ
+#: slightly.
 CLOCK_MARGIN: Final = 0.5
-#: Revisions of which a host remembers when it learned them.
-_REMEMBERED: Final = 64
+#: Revisions for which a host retains the time when it applied them.
+_MAX_APPLY_TIMES: Final = 64
 _NEVER: Final = float('-inf')
 
 
@@ -44,8 +45,8 @@
     """A configuration that the head row named.
 
     Attributes:
-        revision: Its number.
-        digest: Name of the document's object.
+        revision: The revision number.
+        digest: Digest of the document, which names its object.
         document: The document.
         preset: The preset in force.
         author: The operator who made this revision.
@@ -59,10 +60,11 @@
 
     @property
     def preset_entry(self) -> PresetEntry:
-        """Return the preset in force.
+        """The document's entry for the preset in force.
 
         Raises:
-            LookupError: If the document lacks it, which checks exclude.
+            LookupError: If the document has no such preset, which the checks
+                rule out.
         """
         entry = self.document.preset(self.preset)
         if entry is None:
@@ -71,80 +73,81 @@
 
 
 class Configuration:
-    """What this host holds to be in force.
+    """The configuration in force on this host, with known withdrawals.
 
     Args:
         clock: The host's clock.
-        lease: Seconds for which a confirmation holds.
+        lease: Seconds for which a confirmation is valid.
     """
 
     def __init__(self, clock: Clock, lease: float) -> None:
         self._clock = clock
         self._lease = lease
         self._accepted: Accepted | None = None
-        self._heard = NO_REVISION
+        self._highest_known = NO_REVISION
         self._confirmed = _NEVER
         self._failed = _NEVER
-        self._taken: dict[Revision, float] = {}
+        self._apply_times: dict[Revision, float] = {}
         self._withdrawn = WithdrawalSet()
         self._recorded = WithdrawalSet()
         self._listeners: list[Callable[[], None]] = []
 
     @property
     def accepted(self) -> Accepted | None:
-        """Return the newest configuration taken, or None at the start."""
+        """The newest configuration applied, or None before the first."""
         return self._accepted
 
     @property
     def revision(self) -> Revision:
-        """Return the number of the newest configuration taken."""
+        """The revision of the newest configuration applied."""
         if self._accepted is None:
             return NO_REVISION
         return self._accepted.revision
 
     @property
     def heard(self) -> Revision:
-        """Return the highest revision of which this host has heard."""
-        return max(self._heard, self.revision)
+        """The highest revision that this host knows to exist."""
+        return max(self._highest_known, self.revision)
 
     @property
     def behind(self) -> bool:
-        """Tell whether there is a revision that this host does not have."""
-        return self._heard > self.revision
+        """Whether a higher revision exists that this host does not have."""
+        return self._highest_known > self.revision
 
     @property
     def confirmation_age(self) -> float:
-        """Return seconds since the last confirming read began."""
+        """Seconds since the last confirming read began."""
         return self._clock.now() - self._confirmed
 
     @property
     def isolated(self) -> bool:
-        """Tell whether the last confirmation has lapsed."""
+        """Whether the last confirmation has expired."""
         return self.confirmation_age >= self._lease
 
     @property
     def must_confirm(self) -> bool:
-        """Tell whether isolation may be but the trace of a pause.
+        """Whether the host is isolated without a recent attempt to confirm.
 
-        A host that is cut off has tried to confirm within the last lease,
-        in vain. One that was paused has not: it may learn of a change as
-        soon as it asks, so that it serves nothing before it has asked.
+        A host that is cut off has failed to confirm within the last lease
+        period. A host that was paused has not attempted to: there may be a
+        change that it would learn of by asking, so it serves nothing until it
+        has asked.
         """
         return self.isolated and self._clock.now() - self._failed >= self._lease
 
     @property
     def withdrawals(self) -> Withdrawals:
-        """Return all withdrawals known, in order."""
+        """All known withdrawals, ordered by version."""
         return self._withdrawn.withdrawals
 
     @property
     def withdrawals_digest(self) -> str:
-        """Return the name of the set of withdrawals known."""
+        """Digest of the set of known withdrawals."""
         return digest_withdrawals(self._withdrawn.withdrawals)
 
     @property
     def unrecorded(self) -> Withdrawals:
-        """Return the withdrawals of which the table is not known to know."""
+        """The withdrawals that are not known to be in the table."""
         return tuple(
             withdrawal
             for withdrawal in self._withdrawn.withdrawals
@@ -152,73 +155,85 @@
         )
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Call a function after each change."""
+        """Register a function to be called after each change."""
         self._listeners.append(listener)
 
     def hear(self, revision: Revision) -> None:
-        """Note that a revision exists, before its document is here."""
-        self._heard = max(self._heard, revision)
+        """Record that a revision exists, which this host may not have yet."""
+        self._highest_known = max(self._highest_known, revision)
 
     def take(self, accepted: Accepted) -> bool:
-        """Put a configuration into force if it is newer; tell whether."""
+        """Put a configuration into force if it is newer.
+
+        Returns:
+            Whether it was newer.
+        """
         if accepted.revision <= self.revision:
             return False
         self._accepted = accepted
         self.hear(accepted.revision)
-        self._taken[accepted.revision] = self._clock.now()
-        if len(self._taken) > _REMEMBERED:
-            self._taken.pop(min(self._taken))
-        self._changed()
+        self._apply_times[accepted.revision] = self._clock.now()
+        if len(self._apply_times) > _MAX_APPLY_TIMES:
+            self._apply_times.pop(min(self._apply_times))
+        self._notify()
         return True
 
-    def confirm(self, revision: Revision, asked: float) -> bool:
-        """Note a confirmation of a revision; tell whether it counts.
+    def confirm(self, revision: Revision, started: float) -> bool:
+        """Record a confirmation of a revision if it is valid.
 
-        One of an older revision is stale. One of this host's own does not
-        count either once the host has heard of a higher one.
+        A confirmation of an older revision is stale. A confirmation of this
+        host's own revision is not valid either once a higher one is known.
 
         Args:
-            revision: What the confirming read gave.
-            asked: Clock seconds before that read was sent.
+            revision: The revision that the confirming read returned.
+            started: Clock seconds before that read was sent.
+
+        Returns:
+            Whether the confirmation is valid.
         """
         if revision != self.revision or self.behind:
             return False
-        self._confirmed = max(self._confirmed, asked)
+        self._confirmed = max(self._confirmed, started)
         return True
 
-    def fail(self, asked: float) -> None:
-        """Note that a try to confirm, begun at ``asked``, was in vain."""
-        self._failed = max(self._failed, asked)
+    def fail(self, started: float) -> None:
+        """Record that an attempt to confirm, begun at ``started``, failed."""
+        self._failed = max(self._failed, started)
 
     def in_force_in(self, revision: Revision) -> float | None:
         """Return seconds until a revision is in force everywhere.
 
-        It is in force on all hosts but the isolated ones one lease and the
-        margin after it was made, and this host learned of it after that.
+        One lease and the clock margin after the revision was made, it is in
+        force on all hosts that are not isolated. The time is counted from when
+        this host applied it, which is later than when it was made.
 
         Returns:
-            0 if it is in force already; None if this host lacks it.
+            0 if it is in force already; None if this host does not have it.
         """
-        later = [at for made, at in self._taken.items() if made >= revision]
-        if not later:
+        times = [
+            applied_at
+            for applied, applied_at in self._apply_times.items()
+            if applied >= revision
+        ]
+        if not times:
             return None
-        until = min(later) + self._lease + CLOCK_MARGIN
+        until = min(times) + self._lease + CLOCK_MARGIN
         return max(0, until - self._clock.now())
 
     def withdraw(self, withdrawals: Withdrawals) -> bool:
-        """Add withdrawals; tell whether any was new."""
-        fresh = self._withdrawn.add(withdrawals)
-        if fresh:
-            self._changed()
-        return fresh
+        """Add withdrawals; return whether any was new."""
+        changed = self._withdrawn.add(withdrawals)
+        if changed:
+            self._notify()
+        return changed
 
     def record(self, withdrawals: Withdrawals) -> None:
-        """Note that the table knows of withdrawals, and add them."""
+        """Add withdrawals that are known to be in the table."""
         self._recorded.add(withdrawals)
         self.withdraw(withdrawals)
 
     def is_withdrawn(self, version: VersionId, epoch: Epoch) -> bool:
-        """Tell whether a version's epoch has been withdrawn."""
+        """Return whether an epoch of a version has been withdrawn."""
         return self._withdrawn.covers(Withdrawal(version, epoch))
 
     def entry(self, version: VersionId) -> VersionEntry | None:
@@ -227,7 +242,7 @@
             return None
         return self._accepted.document.version(version)
 
-    def _changed(self) -> None:
-        """Tell all listeners."""
+    def _notify(self) -> None:
+        """Call all listeners."""
         for listener in self._listeners:
             listener()
--- a/src/nutmegroad/configuration/part.py
+++ b/src/nutmegroad/configuration/part.py
@@ -1,4 +1,4 @@
-"""The part that keeps the configuration in force on this host."""
+"""The kernel part that keeps this host's configuration up to date."""
 
 from typing import Final
 
@@ -16,25 +16,25 @@
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
 
-#: Seconds between looks for the metrics.
-_SHOWN_EVERY: Final = 1.0
+#: Seconds between updates of the metrics.
+_METRICS_INTERVAL: Final = 1.0
 
 
 @register('part', 'configuration')
 class ConfigurationPart:
-    """Provides the configuration and the way to change it."""
+    """Provides the configuration and the operations that change it."""
 
     needs = (Table, Objects, Mesh, Metrics)
 
     async def open(self, kernel: Kernel) -> None:
-        """Read the head once, then keep polling it."""
+        """Poll the head once, then start the periodic tasks."""
         configuration = Configuration(kernel.clock, kernel.settings.lease)
         store = HeadStore(
             kernel.need(Table),
             kernel.need(Objects),
             kernel.nonce,
         )
-        poller = _spread(kernel, configuration, store)
+        poller = _start_distribution(kernel, configuration, store)
         progress = ChangeProgress(
             kernel.need(Mesh),
             configuration,
@@ -44,7 +44,7 @@
         await poller.poll()
         kernel.spawn(poller.run(), 'configuration')
         kernel.spawn(
-            show_state(configuration, kernel.need(Metrics), kernel.clock),
+            update_metrics(configuration, kernel.need(Metrics), kernel.clock),
             'configuration metrics',
         )
         kernel.provide(Configuration, configuration)
@@ -54,12 +54,12 @@
         kernel.provide(Changes, Changes(store, poller, configuration))
 
 
-def _spread(
+def _start_distribution(
     kernel: Kernel,
     configuration: Configuration,
     store: HeadStore,
 ) -> ConfigurationPoller:
-    """Begin to tell of changes; return what learns of them."""
+    """Start to announce changes to peers, and return the poller."""
     confirmations = Confirmations(
         kernel.need(Mesh),
         configuration,
@@ -82,15 +82,15 @@
     return poller
 
 
-async def show_state(
+async def update_metrics(
     configuration: Configuration,
     metrics: Metrics,
     clock: Clock,
 ) -> None:
-    """Keep the metrics of the configuration fresh, until cancelled."""
+    """Update the metrics of the configuration, until cancelled."""
     while True:
         metrics.state.revision(configuration.revision)
         metrics.state.heard(configuration.heard)
         metrics.state.isolated(configuration.isolated)
         metrics.state.lease_age(configuration.confirmation_age)
-        await clock.sleep(_SHOWN_EVERY)
+        await clock.sleep(_METRICS_INTERVAL)
--- a/src/nutmegroad/configuration/progress.py
+++ b/src/nutmegroad/configuration/progress.py
@@ -1,7 +1,7 @@
-"""How far a change has come: which hosts have it, by failure domain.
+"""Progress of a configuration change: which hosts have it in force.
 
-The host that an operator asks asks the hosts of its domain, and one host
-of each other domain to ask those of its own.
+The host that receives the operator's request asks the hosts of its own failure
+domain, and one host of each other domain to ask the hosts there.
 """
 
 import asyncio
@@ -25,19 +25,20 @@
     VersionId,
 )
 
-#: Seconds that a host, and a host that asks others, may take to reply.
+#: Seconds that a host may take to reply for itself.
 _HOST_TIMEOUT: Final = 0.7
+#: Seconds that a host may take to reply for all hosts of its domain.
 _DOMAIN_TIMEOUT: Final = 1.5
-#: Hosts of another domain that are tried, one after another.
-_TRIES: Final = 2
+#: Hosts of another domain that are asked at most, one after another.
+_MAX_ATTEMPTS: Final = 2
 
 
 class Change(Struct, frozen=True):
-    """What the progress is asked of.
+    """A change whose progress is queried: a revision, a withdrawal or both.
 
     Attributes:
-        revision: A revision; 0 for none.
-        version: A withdrawn version; empty for none.
+        revision: The revision; 0 for none.
+        version: The withdrawn version; empty for none.
         epoch: The withdrawn epoch.
     """
 
@@ -47,14 +48,14 @@
 
 
 class HostProgress(Struct, frozen=True):
-    """How one host stands to a change.
+    """Progress of a change on one host.
 
     Attributes:
-        host: Its id.
+        host: The host.
         domain: Its failure domain.
-        revision: What it has in force; 0 if it was not reached.
+        revision: The revision that it has in force; 0 if it did not reply.
         acknowledged: Whether it has the change in force.
-        isolated: Whether nothing confirms its configuration.
+        isolated: Whether the confirmation of its configuration has expired.
         reached: Whether it replied.
     """
 
@@ -67,11 +68,11 @@
 
 
 class ProgressQuestion(Message, frozen=True, tag='progress-question'):
-    """Asks how far a change has come.
+    """Asks a host for the progress of a change.
 
     Attributes:
         change: The change.
-        whole_domain: Whether the host is to ask those of its domain too.
+        whole_domain: Whether the host also asks the hosts of its domain.
     """
 
     part: ClassVar[str] = CONFIGURATION_PART
@@ -81,10 +82,10 @@
 
 
 class ProgressReply(Message, frozen=True, tag='progress-reply'):
-    """How hosts stand to a change.
+    """Progress of a change on one or more hosts.
 
     Attributes:
-        hosts: The hosts.
+        hosts: The progress on each host.
     """
 
     part: ClassVar[str] = CONFIGURATION_PART
@@ -93,11 +94,11 @@
 
 
 class ChangeProgress:
-    """Finds out how far a change has come.
+    """Collects the progress of changes from all hosts.
 
     Args:
         mesh: Links to other hosts.
-        configuration: What this host holds.
+        configuration: The configuration on this host.
         host: This host.
         domain: Its failure domain.
     """
@@ -115,50 +116,60 @@
         self._domain = domain
         mesh.handle(ProgressQuestion, self._answer)
 
-    def own(self, change: Change) -> HostProgress:
-        """Tell how this host stands to a change."""
-        held = self._configuration
-        acknowledged = held.revision >= change.revision
+    def local_progress(self, change: Change) -> HostProgress:
+        """Return the progress of a change on this host."""
+        configuration = self._configuration
+        acknowledged = configuration.revision >= change.revision
         if change.version:
-            acknowledged = acknowledged and held.is_withdrawn(
+            acknowledged = acknowledged and configuration.is_withdrawn(
                 change.version,
                 change.epoch,
             )
         return HostProgress(
             self._host,
             self._domain,
-            held.revision,
+            configuration.revision,
             acknowledged,
-            held.isolated,
+            configuration.isolated,
             reached=True,
         )
 
     async def ask(self, change: Change) -> tuple[HostProgress, ...]:
-        """Ask all hosts that are known, in order of domain and name."""
+        """Ask all known hosts.
+
+        Returns:
+            The progress on each host, ordered by domain and host.
+        """
         domains: dict[DomainId, list[Member]] = {}
         for member in self._mesh.members():
             if member.presence is not Presence.GONE:
                 domains.setdefault(member.domain, []).append(member)
         domains.pop(self._domain, None)
         found = await asyncio.gather(
-            self._ask_own(change),
+            self._ask_local_domain(change),
             *(self._ask_domain(hosts, change) for hosts in domains.values()),
         )
-        every = {entry.host: entry for part in found for entry in part}
+        by_host = {entry.host: entry for group in found for entry in group}
         return tuple(
-            sorted(every.values(), key=lambda entry: (entry.domain, entry.host))
+            sorted(
+                by_host.values(),
+                key=lambda entry: (entry.domain, entry.host),
+            )
         )
 
-    async def _ask_own(self, change: Change) -> tuple[HostProgress, ...]:
-        """Ask the hosts of this domain."""
+    async def _ask_local_domain(
+        self,
+        change: Change,
+    ) -> tuple[HostProgress, ...]:
+        """Ask the other hosts of this domain, and include this host."""
         others = [
             member
             for member in self._mesh.members()
             if member.domain == self._domain
             and member.presence is not Presence.GONE
         ]
-        asked = (self._ask_host(member, change) for member in others)
-        return (self.own(change), *await asyncio.gather(*asked))
+        queries = (self._ask_host(member, change) for member in others)
+        return (self.local_progress(change), *await asyncio.gather(*queries))
 
     async def _ask_host(self, member: Member, change: Change) -> HostProgress:
         """Ask one host."""
@@ -173,11 +184,11 @@
         members: list[Member],
         change: Change,
     ) -> tuple[HostProgress, ...]:
-        """Ask one host of another domain for all of them."""
+        """Ask one host of another domain on behalf of all its hosts."""
         question = ProgressQuestion(change, whole_domain=True)
-        asked = 0
+        attempts = 0
         for member in members:
-            if asked == _TRIES:
+            if attempts == _MAX_ATTEMPTS:
                 break
             reply = await self._mesh.ask(
                 member.host,
@@ -186,8 +197,8 @@
             )
             if isinstance(reply, ProgressReply):
                 return (*_unreached(members), *reply.hosts)
-            # One to which there is no link was not asked at all.
-            asked += not _is_unlinked(reply)
+            # A host without a link was not asked, so it does not count.
+            attempts += not _was_not_sent(reply)
         return tuple(_unreached(members))
 
     async def _answer(
@@ -195,17 +206,17 @@
         host: HostId,
         question: ProgressQuestion,
     ) -> Message | None:
-        """Answer for this host or for its domain."""
+        """Reply for this host, or for its whole domain."""
         if question.whole_domain:
-            return ProgressReply(await self._ask_own(question.change))
-        return ProgressReply((self.own(question.change),))
+            return ProgressReply(await self._ask_local_domain(question.change))
+        return ProgressReply((self.local_progress(question.change),))
 
 
 def _unreached(members: Iterable[Member]) -> list[HostProgress]:
-    """Return hosts of which nothing is known yet."""
+    """Return the progress of hosts that have not replied."""
     return [HostProgress(member.host, member.domain) for member in members]
 
 
-def _is_unlinked(reply: Message | Refusal) -> bool:
-    """Tell whether a question was not even sent."""
+def _was_not_sent(reply: Message | Refusal) -> bool:
+    """Return whether a query was not sent for lack of a link."""
     return isinstance(reply, Refusal) and reply.ran is Ran.NOT_RUN
--- a/src/nutmegroad/configuration/spread.py
+++ b/src/nutmegroad/configuration/spread.py
@@ -1,4 +1,4 @@
-"""Keeps this host's configuration in step with the platform."""
+"""Polls the platform for the configuration, and peers if it is unavailable."""
 
 import asyncio
 import random
@@ -16,39 +16,39 @@
 
 _LOG: Final = part_logger('spread')
 
-#: Polls are spread over this share of their period, so that hosts which
-#: started together do not read together.
+#: Fraction of the period by which polls vary either way, so that hosts which
+#: started together do not read at the same time.
 JITTER: Final = 0.2
-#: Share of the period after which a poll that failed is made again.
-_HURRIED: Final = 0.25
-#: Who writes withdrawals to the table that were given to a host.
-_MERGER: Final = 'a host'
+#: Fraction of the period after which a failed poll is repeated.
+_RETRY_FRACTION: Final = 0.25
+#: Author of withdrawals that a host writes to the table on behalf of others.
+_MERGE_AUTHOR: Final = 'a host'
 
 
 class PeerSource(Protocol):
-    """What the poller needs of the other hosts."""
+    """Interface through which the poller queries other hosts."""
 
-    async def ask(self) -> tuple[PeerHead, ...]:
-        """Ask a few peers what is in force."""
+    async def query_heads(self) -> tuple[PeerHead, ...]:
+        """Query a few peers for their configuration in force."""
 
-    async def document(
+    async def fetch_document(
         self,
         digest: Digest,
         first: HostId | None,
     ) -> bytes | Refusal:
-        """Fetch a document from peers, and check it."""
+        """Fetch a document from peers, and verify its digest."""
 
-    async def pull_facts(self, host: HostId) -> None:
-        """Take over the withdrawals that a peer knows."""
+    async def fetch_withdrawals(self, host: HostId) -> None:
+        """Fetch and add the withdrawals that a peer knows."""
 
 
 @dataclass(frozen=True, slots=True)
 class PollTiming:
-    """When the head is read.
+    """Schedule of the reads of the head.
 
     Attributes:
         clock: The host's clock.
-        randomness: Spreads the polls.
+        randomness: Source of the jitter.
         period: Seconds between polls.
     """
 
@@ -56,21 +56,21 @@
     randomness: random.Random
     period: float
 
-    def pause(self, *, hurried: bool) -> float:
+    def delay(self, *, after_failure: bool) -> float:
         """Return the seconds until the next poll."""
-        spread = self.randomness.uniform(-JITTER, JITTER)
-        share = _HURRIED if hurried else 1
-        return self.period * share * (1 + spread)
+        jitter = self.randomness.uniform(-JITTER, JITTER)
+        fraction = _RETRY_FRACTION if after_failure else 1
+        return self.period * fraction * (1 + jitter)
 
 
 class ConfigurationPoller:
-    """Reads the head again and again; asks peers where it can't.
+    """Reads the head periodically, or asks peers if it can't be read.
 
     Args:
         store: Reads the head and documents.
-        configuration: What this host holds.
-        peers: The other hosts.
-        timing: When the head is read.
+        configuration: The configuration on this host; updated by polls.
+        peers: Queries to other hosts.
+        timing: Schedule of the reads.
     """
 
     def __init__(
@@ -84,40 +84,45 @@
         self._configuration = configuration
         self._peers = peers
         self._timing = timing
-        self._taking = asyncio.Lock()
+        self._apply_lock = asyncio.Lock()
 
     async def run(self) -> None:
         """Poll until cancelled."""
         while True:
             refusal = await self.poll()
-            pause = self._timing.pause(hurried=refusal is not None)
-            await self._timing.clock.sleep(pause)
+            delay = self._timing.delay(after_failure=refusal is not None)
+            await self._timing.clock.sleep(delay)
 
     async def poll(self) -> Refusal | None:
-        """Confirm what is in force, by the table or else by peers.
+        """Update and confirm the configuration, from the table or from peers.
 
         Returns:
-            None if the configuration is confirmed, or why it is not.
+            None if the configuration is confirmed, otherwise the reason why it
+            is not.
         """
-        asked = self._timing.clock.now()
+        started = self._timing.clock.now()
         head = await self._store.read()
         if isinstance(head, Refusal):
             refusal = await self._ask_peers(head)
         else:
-            refusal = await self._learn(head, asked)
+            refusal = await self._learn(head, started)
             await self._record()
         if refusal is not None:
-            _LOG.warning('not confirmed: %s', refusal.reason)
-            self._configuration.fail(asked)
+            _LOG.warning('configuration not confirmed: %s', refusal.reason)
+            self._configuration.fail(started)
         return refusal
 
-    async def renew(self) -> None:
-        """Confirm anew if the lease has lapsed unnoticed, as by a pause."""
+    async def confirm_if_expired(self) -> None:
+        """Poll if the confirmation expired unnoticed, as during a pause."""
         if self._configuration.must_confirm:
             await self.poll()
 
-    async def adopt(self, notice: HeadNotice, host: HostId) -> Refusal | None:
-        """Take a revision that another host has; it confirms nothing."""
+    async def apply_notice(
+        self,
+        notice: HeadNotice,
+        host: HostId,
+    ) -> Refusal | None:
+        """Apply a revision that another host has, without confirming it."""
         head = Head(
             revision=notice.revision,
             digest=notice.digest,
@@ -126,27 +131,27 @@
         )
         return await self._take(head, host)
 
-    async def _learn(self, head: Head, asked: float) -> Refusal | None:
-        """Take a head that a read of the table begun at ``asked`` gave."""
+    async def _learn(self, head: Head, started: float) -> Refusal | None:
+        """Apply and confirm the head from a table read begun at ``started``."""
         self._configuration.record(head.withdrawals)
         refusal = await self._take(head, None)
         if refusal is not None:
             return refusal
-        if self._configuration.confirm(Revision(head.revision), asked):
+        if self._configuration.confirm(Revision(head.revision), started):
             return None
         return Refusal(
             ResultCode.TABLE_UNAVAILABLE,
-            f'The table gave the old revision {head.revision}.',
+            f'The table returned the outdated revision {head.revision}.',
         )
 
     async def _ask_peers(self, refusal: Refusal) -> Refusal | None:
-        """Take and confirm what peers have."""
-        for peer in await self._peers.ask():
+        """Apply what peers have in force, and their confirmations."""
+        for peer in await self._peers.query_heads():
             notice = peer.notice
             self._configuration.withdraw(notice.withdrawals)
             if notice.facts_digest != self._configuration.withdrawals_digest:
-                await self._peers.pull_facts(peer.host)
-            await self.adopt(notice, peer.host)
+                await self._peers.fetch_withdrawals(peer.host)
+            await self.apply_notice(notice, peer.host)
             if peer.confirmed is not None:
                 self._configuration.confirm(
                     Revision(notice.revision),
@@ -155,34 +160,37 @@
         return refusal if self._configuration.isolated else None
 
     async def _take(self, head: Head, host: HostId | None) -> Refusal | None:
-        """Put a head into force if it is newer than what this host has."""
+        """Put a head into force if it is newer than the one on this host."""
         self._configuration.hear(Revision(head.revision))
-        async with self._taking:
+        async with self._apply_lock:
             if head.revision <= self._configuration.revision:
-                self._compare(head)
+                self._check_consistency(head)
                 return None
             accepted = await self._accepted(head, host)
             if isinstance(accepted, Refusal):
                 return accepted
             if self._configuration.take(accepted):
                 _LOG.info(
-                    'revision %d, preset %s, by %s',
+                    'applied revision %d with preset %s, by %s',
                     accepted.revision,
                     accepted.preset,
                     accepted.author,
                 )
         return None
 
-    def _compare(self, head: Head) -> None:
-        """Say so if a revision is two things, which the table excludes."""
-        present = self._configuration.accepted
-        if present is None or head.revision != present.revision:
+    def _check_consistency(self, head: Head) -> None:
+        """Log an error if one revision has two contents.
+
+        The compare-and-set on the table rules this out.
+        """
+        current = self._configuration.accepted
+        if current is None or head.revision != current.revision:
             return
-        if (head.digest, head.preset) != (present.digest, present.preset):
+        if (head.digest, head.preset) != (current.digest, current.preset):
             _LOG.error(
-                'revision %d is preset %s here and preset %s elsewhere',
+                'revision %d has preset %s here but preset %s elsewhere',
                 head.revision,
-                present.preset,
+                current.preset,
                 head.preset,
             )
 
@@ -191,28 +199,28 @@
         head: Head,
         host: HostId | None,
     ) -> Accepted | Refusal:
-        """Find the document of a head: here, in the store, at a peer."""
-        present = self._configuration.accepted
-        if present is not None and present.digest == head.digest:
+        """Find the document of a head: locally, in the store or at a peer."""
+        current = self._configuration.accepted
+        if current is not None and current.digest == head.digest:
             return replace(
-                present,
+                current,
                 revision=Revision(head.revision),
                 preset=PresetName(head.preset),
                 author=head.author,
             )
         digest = Digest(head.digest)
-        content = await self._store.fetch(digest)
+        content = await self._store.fetch_document(digest)
         if isinstance(content, Refusal):
-            content = await self._peers.document(digest, host)
+            content = await self._peers.fetch_document(digest, host)
         if isinstance(content, Refusal):
             return content
         return accept(head, content)
 
     async def _record(self) -> None:
-        """Write to the table what it lacks of the withdrawals."""
+        """Write the withdrawals to the table that it does not have yet."""
         missing = self._configuration.unrecorded
         if not missing:
             return
-        head = await self._store.merge(missing, _MERGER)
+        head = await self._store.merge_withdrawals(missing, _MERGE_AUTHOR)
         if not isinstance(head, Refusal):
             self._configuration.record(head.withdrawals)
--- a/src/nutmegroad/configuration/withdrawals.py
+++ b/src/nutmegroad/configuration/withdrawals.py
@@ -1,7 +1,7 @@
-"""Sets of withdrawals: they only grow, and are joined by union.
+"""Grow-only sets of withdrawals, merged by union.
 
-Of a version only the greatest withdrawn epoch counts, so that a set has at
-most one withdrawal for each version that was ever withdrawn.
+For each version only the highest withdrawn epoch counts, so a set has at most
+one withdrawal per version that was ever withdrawn.
 """
 
 import hashlib
@@ -15,57 +15,58 @@
 
 Withdrawals = tuple[Withdrawal, ...]
 
-#: Hexadecimal digits of a set's name: 64 bits tell a few sets apart.
-_DIGITS: Final = 16
-#: Covers no epoch.
+#: Hexadecimal digits of a set's digest: 64 bits are enough for a few sets.
+_DIGEST_LENGTH: Final = 16
+#: Lower than any epoch: nothing is withdrawn.
 NO_EPOCH: Final = Epoch(-1)
 
 
 class WithdrawalSet:
-    """The withdrawals that somebody knows."""
+    """A set of withdrawals that only grows."""
 
     def __init__(self) -> None:
         self._epochs: dict[VersionId, Epoch] = {}
 
     @property
     def withdrawals(self) -> Withdrawals:
-        """Return all of them, in order."""
+        """All withdrawals, ordered by version."""
         return tuple(
             Withdrawal(version=version, epoch=epoch)
             for version, epoch in sorted(self._epochs.items())
         )
 
     def add(self, withdrawals: Iterable[Withdrawal]) -> bool:
-        """Add withdrawals; tell whether any was new."""
-        fresh = [
+        """Add withdrawals; return whether any was new."""
+        added = [
             withdrawal
             for withdrawal in withdrawals
             if not self.covers(withdrawal)
         ]
-        for withdrawal in fresh:
+        for withdrawal in added:
             version = VersionId(withdrawal.version)
             self._epochs[version] = max(
                 self._epoch(version), Epoch(withdrawal.epoch)
             )
-        return bool(fresh)
+        return bool(added)
 
     def covers(self, withdrawal: Withdrawal) -> bool:
-        """Tell whether a withdrawal follows from those that are known."""
+        """Return whether the set implies a withdrawal."""
         return withdrawal.epoch <= self._epoch(VersionId(withdrawal.version))
 
     def _epoch(self, version: VersionId) -> Epoch:
+        """Return the highest withdrawn epoch of a version."""
         return self._epochs.get(version, NO_EPOCH)
 
 
 def union(*sets: Iterable[Withdrawal]) -> Withdrawals:
-    """Return what follows from all the sets together."""
-    joined = WithdrawalSet()
+    """Return the union of sets, with one withdrawal per version."""
+    merged = WithdrawalSet()
     for withdrawals in sets:
-        joined.add(withdrawals)
-    return joined.withdrawals
+        merged.add(withdrawals)
+    return merged.withdrawals
 
 
 def digest_withdrawals(withdrawals: Withdrawals) -> str:
-    """Return a short name of a set, so that two can be compared."""
+    """Return a short digest of a set, for comparison between hosts."""
     content = msgspec.msgpack.encode(union(withdrawals))
-    return hashlib.sha256(content).hexdigest()[:_DIGITS]
+    return hashlib.sha256(content).hexdigest()[:_DIGEST_LENGTH]
--- a/tests/configurations.py
+++ b/tests/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations for tests of versions."""
+"""Sample configurations for tests of rollouts and orders."""
 
 from collections.abc import Mapping
 
@@ -33,7 +33,7 @@
     stage: Stage = Stage.STEADY,
     epoch: int = 0,
 ) -> VersionEntry:
-    """Return a version's entry; one in roll-out replaces the old one."""
+    """Return an entry for a version; one in rollout replaces ``OLD``."""
     return VersionEntry(
         id=version,
         price_in=1,
@@ -50,7 +50,7 @@
     bound: float = 0.5,
     preload: Mapping[str, int] | None = None,
 ) -> Document:
-    """Return a document in which all versions may do both tasks."""
+    """Return a document in which all versions may perform both tasks."""
     names = tuple(entry.id for entry in versions)
     tasks = tuple(
         PresetTask(task=task, versions=names) for task in (TAG, DRAFT)
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -1,4 +1,4 @@
-"""The configuration on separate processes, on loopback."""
+"""Tests of the configuration with separate processes on loopback."""
 
 import asyncio
 import signal
@@ -29,19 +29,19 @@
     hosts=1,
     host_args=(f'--lease={LEASE}', '--poll=0.4', '--heartbeat=0.4'),
 )
-#: Seconds after which a wait has failed.
-LIMIT: Final = 30
+#: Seconds after which waiting for a condition fails.
+TIME_LIMIT: Final = 30
 
 
-async def until(look: Callable[[], Awaitable[object]]) -> None:
-    """Wait until something holds."""
-    async with asyncio.timeout(LIMIT):
-        while not await look():
+async def wait_until(condition: Callable[[], Awaitable[object]]) -> None:
+    """Poll a condition until it holds; fail after ``TIME_LIMIT``."""
+    async with asyncio.timeout(TIME_LIMIT):
+        while not await condition():
             await asyncio.sleep(0.05)
 
 
 class ProcessesTest(unittest.IsolatedAsyncioTestCase):
-    """Three hosts, one in each domain, before one platform."""
+    """Three hosts, one in each domain, with one platform."""
 
     async def asyncSetUp(self) -> None:
         self.processes = await self.enterAsyncContext(Processes())
@@ -58,28 +58,29 @@
         return await operate(address, path, body, self.token)
 
     async def fault(self, kind: str, **more: Any) -> None:
-        """Switch a fault of the platform on."""
+        """Inject a fault into the platform."""
         url = f'http://{self.running.platform.listening["main"]}/admin/faults'
         async with ClientSession() as session:
             await session.post(url, json={'kind': kind, **more})
 
-    async def mend(self) -> None:
+    async def clear_faults(self) -> None:
+        """Remove all faults from the platform."""
         url = f'http://{self.running.platform.listening["main"]}/admin/faults'
         async with ClientSession() as session:
             await session.delete(url)
 
-    async def all_show(self, name: str, shown: object) -> None:
-        """Wait until every host shows something in its status."""
+    async def wait_for_status(self, name: str, expected: object) -> None:
+        """Wait until a field of every host's status has a value."""
         for host in range(len(self.running.hosts)):
 
-            async def look(number: int = host) -> bool:
+            async def has_value(number: int = host) -> bool:
                 status = await self.call(number, 'status')
-                return bool(status.get(name) == shown)
+                return bool(status.get(name) == expected)
 
-            await until(look)
+            await wait_until(has_value)
 
-    async def ask(self, address: Address) -> Any:
-        """Ask for an answer by the version."""
+    async def send_request(self, address: Address) -> Any:
+        """Send a model request for the version; return status and body."""
         headers = {'Authorization': f'Bearer {workspace_key("training")}'}
         body = {
             'model': VERSION,
@@ -93,16 +94,16 @@
         ):
             return response.status, await response.json()
 
-    async def test_two_operators_and_a_lost_reply(self) -> None:
-        told = await asyncio.gather(
+    async def test_concurrent_changes_lost_reply_and_stale_table(self) -> None:
+        replies = await asyncio.gather(
             self.call(0, 'preset', {'preset': 'peak', 'expected': 1}),
             self.call(1, 'preset', {'preset': 'maintenance', 'expected': 1}),
         )
-        won = [body for body in told if 'revision' in body]
-        lost = [body['error'] for body in told if 'error' in body]
-        self.assertEqual(len(won), 1, told)
-        self.assertEqual(lost[0]['name'], 'CONFIGURATION_CONFLICT')
-        await self.all_show('preset', won[0]['preset'])
+        succeeded = [body for body in replies if 'revision' in body]
+        refused = [body['error'] for body in replies if 'error' in body]
+        self.assertEqual(len(succeeded), 1, replies)
+        self.assertEqual(refused[0]['name'], 'CONFIGURATION_CONFLICT')
+        await self.wait_for_status('preset', succeeded[0]['preset'])
         await self.fault('lose_reply', scope='table', count=1)
         head = await self.call(2, 'preset', {'preset': 'ordinary'})
         self.assertIn('revision', head)
@@ -110,77 +111,77 @@
         self.assertEqual(moves[-1]['revision'], head['revision'])
         self.assertEqual(len(moves), 3)
         newest = head['revision']
-        await self.all_show('revision', newest)
-        # A table that shows rows as they were reverts no host.
+        await self.wait_for_status('revision', newest)
+        # A table that returns old rows does not revert any host.
         await self.fault('stale', scope='table')
         for _ in range(20):
             status = await self.call(1, 'status')
             self.assertEqual(status['revision'], newest)
             await asyncio.sleep(0.05)
-        refused = await self.call(0, 'configuration', {'text': 'format = 1'})
-        self.assertTrue(refused['problems'][0]['path'].startswith('$'))
+        rejected = await self.call(0, 'configuration', {'text': 'format = 1'})
+        self.assertTrue(rejected['problems'][0]['path'].startswith('$'))
         self.assertEqual((await self.call(0, 'status'))['revision'], newest)
 
-    async def test_a_workspace_and_a_document_are_changed_whole_or_not(
+    async def test_invalid_change_is_rejected_as_a_whole(
         self,
     ) -> None:
         path = 'workspaces/training'
         bad = {'fields': {'versions': ['none@1'], 'share': 2.0}}
-        refused = await self.call(1, path, bad)
-        self.assertIn('versions[0]', refused['problems'][0]['path'])
+        rejected = await self.call(1, path, bad)
+        self.assertIn('versions[0]', rejected['problems'][0]['path'])
         self.assertEqual((await self.call(1, path))['share'], 0.5)
         head = await self.call(1, path, {'fields': {'share': 2.0}})
-        await self.all_show('revision', head['revision'])
+        await self.wait_for_status('revision', head['revision'])
         self.assertEqual((await self.call(2, path))['share'], 2)
         body = {'text': self.running.text}
         found = await self.call(0, 'configuration/diff', body)
-        subjects = [one['subject'] for one in found]
+        subjects = [difference['subject'] for difference in found]
         self.assertEqual(subjects, ['workspace training'])
         checked = await self.call(0, 'configuration/check', body)
         self.assertEqual(checked, {'valid': True, 'problems': []})
         presets = await self.call(2, 'presets')
-        in_force = [one['name'] for one in presets if one['in_force']]
+        in_force = [preset['name'] for preset in presets if preset['in_force']]
         self.assertEqual(in_force, ['ordinary'])
         unknown = await self.call(2, 'presets/none')
         self.assertEqual(unknown['error']['name'], 'PRESET_UNKNOWN')
 
-    async def test_withdrawn_and_restarted_while_the_platform_is_down(
+    async def test_withdrawal_and_restart_while_the_platform_is_down(
         self,
     ) -> None:
         await self.fault('down')
-        told = await self.call(0, 'withdrawals', {'version': VERSION})
-        self.assertIs(told['in_table'], False)
-        self.assertIn('spreading', told['state'])
-        await self.all_show('withdrawals', [VERSION])
-        gone = self.running.hosts.pop(0)
-        gone.signal(signal.SIGKILL)
-        await gone.process.wait()
-        host = await start_host(self.processes, RIG, self.running, gone.name)
+        withdrawal = await self.call(0, 'withdrawals', {'version': VERSION})
+        self.assertIs(withdrawal['in_table'], False)
+        self.assertIn('spreading', withdrawal['state'])
+        await self.wait_for_status('withdrawals', [VERSION])
+        killed = self.running.hosts.pop(0)
+        killed.signal(signal.SIGKILL)
+        await killed.process.wait()
+        host = await start_host(self.processes, RIG, self.running, killed.name)
         self.running.hosts.append(host)
-        await self.all_show('withdrawals', [VERSION])
-        await self.all_show('revision', 1)
-        status, body = await self.ask(host.listening['callers'])
+        await self.wait_for_status('withdrawals', [VERSION])
+        await self.wait_for_status('revision', 1)
+        status, body = await self.send_request(host.listening['callers'])
         self.assertNotEqual(status, HTTPStatus.OK, body)
         self.assertIs(body['error']['not_run'], True)
-        await self.mend()
-        await self.all_show('unrecorded', [])
-        await self.all_show('revision', 2)
+        await self.clear_faults()
+        await self.wait_for_status('unrecorded', [])
+        await self.wait_for_status('revision', 2)
         progress = await self.call(0, 'configuration/progress?revision=2')
         self.assertIs(progress['everywhere'], True, progress)
         self.assertEqual(len(progress['domains']), 3)
 
-    async def test_a_stopped_host_serves_nothing_that_was_withdrawn(
+    async def test_paused_host_does_not_serve_withdrawn_version(
         self,
     ) -> None:
         paused = self.running.hosts[2]
         callers = paused.listening['callers']
 
         async def is_served() -> bool:
-            return (await self.ask(callers))[0] == HTTPStatus.OK
+            return (await self.send_request(callers))[0] == HTTPStatus.OK
 
-        await until(is_served)
+        await wait_until(is_served)
         paused.signal(signal.SIGSTOP)
-        queued = asyncio.ensure_future(self.ask(callers))
+        queued = asyncio.ensure_future(self.send_request(callers))
         await self.call(0, 'withdrawals', {'version': VERSION})
         await asyncio.sleep(2 * LEASE)
         paused.signal(signal.SIGCONT)
--- a/tests/test_confirmations.py
+++ b/tests/test_confirmations.py
@@ -1,4 +1,7 @@
-"""Failures of the spread, one by one, on a clock that is moved by hand."""
+"""Tests of the distribution of the configuration, one failure at a time.
+
+The hosts run in one process, on a clock that the tests advance.
+"""
 
 import asyncio
 import random
@@ -16,7 +19,7 @@
 )
 
 from nutmegroad.configuration.changes import Withdrawn
-from nutmegroad.configuration.heads import KEPT_MOVES, Head
+from nutmegroad.configuration.heads import MAX_MOVES, Head
 from nutmegroad.configuration.in_force import CLOCK_MARGIN
 from nutmegroad.configuration.progress import Change
 from nutmegroad.contracts.documents import Withdrawal
@@ -42,14 +45,14 @@
 
 
 class NoQuarantine:
-    """Blocks nothing."""
+    """A quarantine that blocks no version."""
 
     def blocked(self, version: VersionId, task: TaskName) -> None:
-        """Find nothing against any version."""
+        """Return that the version is not blocked."""
 
 
 class FleetTest(unittest.IsolatedAsyncioTestCase):
-    """Three hosts, each in a domain of its own, with revision 1 in force."""
+    """Three hosts, each in its own domain, with revision 1 in force."""
 
     async def asyncSetUp(self) -> None:
         level = logging.get_verbosity()
@@ -66,7 +69,7 @@
         await self.pass_time(3)
 
     async def wait_for(self, work: Any) -> Any:
-        """Do something, and let time pass until it is done."""
+        """Run an awaitable, advancing the clock until it is done."""
         task = asyncio.ensure_future(work)
         for _ in range(100):
             await self.pass_time(0.1)
@@ -80,8 +83,8 @@
     async def switch(self, host: TrialHost, preset: PresetName) -> Any:
         return await self.wait_for(host.changes.switch(preset, ANN, None))
 
-    def cut_off(self, host: TrialHost) -> None:
-        """Cut a host off from the platform and from all others."""
+    def isolate(self, host: TrialHost) -> None:
+        """Disconnect a host from the platform and from all other hosts."""
         self.fleet.network.cut_domain(host.names.domain)
         self.fleet.platform.faults.cut.add(host.names.domain)
 
@@ -90,17 +93,18 @@
         self.fleet.platform.faults.cut.clear()
 
     def revisions(self) -> list[int]:
-        return [one.configuration.revision for one in self.fleet.hosts.values()]
+        hosts = self.fleet.hosts.values()
+        return [host.configuration.revision for host in hosts]
 
 
-class SpreadTest(FleetTest):
-    """How a change reaches hosts."""
+class DistributionTest(FleetTest):
+    """Distribution of a change to all hosts."""
 
-    async def test_a_change_is_told_at_once(self) -> None:
+    async def test_change_is_sent_immediately(self) -> None:
         await self.switch(self.east, PEAK)
         self.assertEqual(self.revisions(), [2, 2, 2])
 
-    async def test_a_host_cut_from_the_platform_lives_by_its_peers(
+    async def test_host_without_platform_is_confirmed_by_peers(
         self,
     ) -> None:
         self.fleet.platform.faults.cut.add(self.west.names.domain)
@@ -109,10 +113,10 @@
         self.assertEqual(self.west.configuration.revision, 2)
         self.assertFalse(self.west.configuration.isolated)
 
-    async def test_a_cut_host_is_isolated_when_the_change_is_in_force(
+    async def test_disconnected_host_is_isolated_once_change_is_in_force(
         self,
     ) -> None:
-        self.cut_off(self.west)
+        self.isolate(self.west)
         await self.switch(self.east, PEAK)
         held = self.east.configuration
         self.assertIsNone(held.in_force_in(Revision(3)))
@@ -124,7 +128,7 @@
         await self.pass_time(LEASE)
         self.assertEqual(self.west.configuration.revision, 2)
 
-    async def test_a_restarted_host_needs_only_peers(self) -> None:
+    async def test_restarted_host_needs_only_peers(self) -> None:
         await self.wait_for(self.east.changes.withdraw(SMALL, None, ANN))
         self.fleet.platform.faults.down = True
         west = await self.fleet.restart(WEST)
@@ -132,18 +136,22 @@
         self.assertEqual(west.configuration.revision, 2)
         self.assertTrue(west.configuration.is_withdrawn(SMALL, NO_EPOCH))
         self.assertLess(west.configuration.confirmation_age, LEASE)
-        # Nobody has read the table since; nobody can confirm for ever.
+        # No host has read the table since, so the confirmations expire.
         await self.pass_time(LEASE)
         self.assertTrue(west.configuration.isolated)
 
-    async def test_a_host_with_neither_has_nothing(self) -> None:
-        self.cut_off(self.west)
+    async def test_host_without_platform_and_peers_has_no_configuration(
+        self,
+    ) -> None:
+        self.isolate(self.west)
         west = await self.fleet.restart(WEST)
         await self.pass_time(LEASE)
         self.assertIsNone(west.configuration.accepted)
         self.assertTrue(west.configuration.isolated)
 
-    async def test_a_host_that_only_heard_of_it_confirms_nothing(self) -> None:
+    async def test_host_that_lacks_a_known_revision_confirms_nothing(
+        self,
+    ) -> None:
         self.west.configuration.hear(Revision(9))
         await self.pass_time(LEASE)
         held = self.west.configuration
@@ -151,17 +159,19 @@
         reply = await self.west.confirmations._answer_head(EAST, None)  # type: ignore[arg-type]
         self.assertIsNone(getattr(reply, 'age', 0))
 
-    async def test_a_replayed_document_changes_nothing(self) -> None:
+    async def test_replayed_notice_changes_nothing(self) -> None:
         old = self.east.confirmations.notice
         await self.switch(self.east, PEAK)
-        for broken in (False, True):
-            patched = mutant('not forward only') if broken else nullcontext()
-            with self.subTest(broken=broken), patched:
-                await self.wait_for(self.west.announcer._hear(EAST, old))
+        for mutated in (False, True):
+            patched = mutant('not forward only') if mutated else nullcontext()
+            with self.subTest(mutated=mutated), patched:
+                await self.wait_for(
+                    self.west.announcer._handle_notice(EAST, old)
+                )
                 reverted = self.west.configuration.revision == 1
-                self.assertEqual(reverted, broken)
+                self.assertEqual(reverted, mutated)
 
-    async def test_progress_names_the_missing_by_domain(self) -> None:
+    async def test_progress_lists_hosts_without_the_change(self) -> None:
         self.fleet.network.cut_domain(self.north.names.domain)
         self.fleet.platform.faults.cut.add(self.north.names.domain)
         await self.switch(self.east, PEAK)
@@ -170,10 +180,12 @@
         self.assertEqual((len(hosts), missing), (3, [NORTH]))
 
 
-class NearMissTest(FleetTest):
-    """From what moment a confirmation counts."""
+class ConfirmationTest(FleetTest):
+    """The time from which a confirmation is counted."""
 
-    async def test_counts_from_before_the_read_was_sent(self) -> None:
+    async def test_confirmation_counts_from_before_the_read_was_sent(
+        self,
+    ) -> None:
         for name in ('', 'count from reply'):
             with self.subTest(name), mutant(name) if name else nullcontext():
                 await self.pass_time(LEASE)
@@ -185,14 +197,14 @@
                 self.assertEqual(late, bool(name))
                 self.fleet.platform.faults.delay = (0, 0)
 
-    async def test_counts_from_the_peers_own_read(self) -> None:
+    async def test_confirmation_by_peer_counts_from_its_own_read(self) -> None:
         names = ('', 'forget the age', 'subtract from reply')
         for name in names:
             with self.subTest(name), mutant(name) if name else nullcontext():
-                self.assertEqual(await self.is_sure_too_long(), bool(name))
+                self.assertEqual(await self.is_confirmed_too_long(), bool(name))
 
-    async def is_sure_too_long(self) -> bool:
-        """Tell whether a host goes on beyond its peer's read and a lease."""
+    async def is_confirmed_too_long(self) -> bool:
+        """Return whether a host is not isolated one lease after all reads."""
         fleet = self.fleet
         fleet.platform.faults.down = False
         fleet.network.faults = NetworkFaults()
@@ -208,12 +220,12 @@
             not host.configuration.isolated for host in fleet.hosts.values()
         )
 
-    async def test_a_paused_host_confirms_before_it_serves(self) -> None:
+    async def test_paused_host_confirms_before_it_serves(self) -> None:
         self.west.pause()
         await self.pass_time(2 * LEASE)
         await self.wait_for(self.east.changes.withdraw(SMALL, None, ANN))
         self.west.resume()
-        # It does not know of the withdrawal yet, and must not serve.
+        # The host does not know of the withdrawal yet, and must not serve.
         held = self.west.configuration
         self.assertFalse(held.is_withdrawn(SMALL, NO_EPOCH))
         self.assertIs(self.ask_gate(), ResultCode.HOST_PAUSED)
@@ -227,33 +239,36 @@
         refusal = gate.check_version(WORKSPACE, TaskName(''), SMALL, None)
         return None if refusal is None else refusal.code
 
-    async def test_a_stale_read_neither_reverts_nor_confirms(self) -> None:
+    async def test_stale_read_neither_reverts_nor_confirms(self) -> None:
         await self.switch(self.east, PEAK)
-        rows = self.fleet.platform.read_row
+        read_row = self.fleet.platform.read_row
         old = self.fleet.platform.log[0].row
         self.fleet.platform.read_row = lambda key: old  # type: ignore[method-assign]
         self.fleet.network.cut_domain(self.east.names.domain)
         await self.pass_time(LEASE + CLOCK_MARGIN)
         self.assertEqual(self.east.configuration.revision, 2)
         self.assertTrue(self.east.configuration.isolated)
-        self.fleet.platform.read_row = rows  # type: ignore[method-assign]
+        self.fleet.platform.read_row = read_row  # type: ignore[method-assign]
 
 
 class WithdrawalTest(FleetTest):
-    """Withdrawals with the table and without."""
+    """Withdrawals with and without access to the table."""
 
-    async def test_without_the_table_it_spreads_and_is_written_later(
+    async def test_withdrawal_without_table_spreads_and_is_written_later(
         self,
     ) -> None:
         self.fleet.platform.faults.down = True
-        told = await self.wait_for(self.west.changes.withdraw(SMALL, None, ANN))
-        self.assertIsInstance(told, Withdrawn)
-        self.assertIsNone(told.revision)
+        outcome = await self.wait_for(
+            self.west.changes.withdraw(SMALL, None, ANN)
+        )
+        self.assertIsInstance(outcome, Withdrawn)
+        self.assertIsNone(outcome.revision)
         for host in self.fleet.hosts.values():
             held = host.configuration
             self.assertTrue(held.is_withdrawn(SMALL, NO_EPOCH))
             self.assertEqual(len(held.unrecorded), 1)
-        # The host that was told it is gone before the table is back.
+        # The host on which it was made restarts before the table is available
+        # again, so another host has to write the withdrawal.
         await self.fleet.restart(WEST)
         self.fleet.platform.faults.down = False
         await self.pass_time(LEASE)
@@ -262,22 +277,24 @@
         self.assertEqual(self.revisions(), [2, 2, 2])
         self.assertEqual(self.north.configuration.unrecorded, ())
 
-    async def test_a_cut_domain_learns_of_it_when_it_heals(self) -> None:
-        self.cut_off(self.north)
+    async def test_disconnected_domain_receives_withdrawal_when_reconnected(
+        self,
+    ) -> None:
+        self.isolate(self.north)
         await self.wait_for(self.east.changes.withdraw(SMALL, None, ANN))
         held = self.north.configuration
         await self.pass_time(LEASE + CLOCK_MARGIN)
         self.assertTrue(held.isolated)
         self.assertFalse(held.is_withdrawn(SMALL, NO_EPOCH))
-        # Only the hosts are linked again; the platform stays cut off.
+        # Only the links between hosts are restored, not those to the platform.
         self.fleet.network.heal_all()
         await self.pass_time(3)
         self.assertTrue(held.is_withdrawn(SMALL, NO_EPOCH))
 
-    async def test_an_old_message_undoes_nothing(self) -> None:
+    async def test_old_notice_does_not_revert_withdrawal(self) -> None:
         old = self.west.confirmations.notice
         await self.wait_for(self.east.changes.withdraw(SMALL, None, ANN))
-        await self.wait_for(self.west.announcer._hear(EAST, old))
+        await self.wait_for(self.west.announcer._handle_notice(EAST, old))
         held = self.west.configuration
         self.assertTrue(held.is_withdrawn(SMALL, NO_EPOCH))
         document = make_document(7, Epoch(1))
@@ -287,7 +304,7 @@
         assert entry is not None
         self.assertFalse(held.is_withdrawn(SMALL, Epoch(entry.epoch)))
 
-    async def test_many_withdrawals_are_told_page_by_page(self) -> None:
+    async def test_many_withdrawals_are_sent_in_pages(self) -> None:
         self.fleet.platform.faults.down = True
         names = [f'model-{number:03}@1' for number in range(100)]
         withdrawals = tuple(Withdrawal(name, 0) for name in names)
@@ -297,29 +314,29 @@
 
 
 class HeadTest(FleetTest):
-    """The move of the head, and what operators are told."""
+    """Moves of the head, and their outcomes for operators."""
 
-    async def test_two_operators_get_one_winner(self) -> None:
+    async def test_one_of_two_concurrent_changes_succeeds(self) -> None:
         work = asyncio.gather(
             self.east.changes.switch(PEAK, ANN, None),
             self.west.changes.switch(MAINTENANCE, OperatorId('bob'), None),
         )
         outcomes = await self.wait_for(work)
-        won = [out for out in outcomes if isinstance(out, Head)]
-        lost = [out for out in outcomes if isinstance(out, Refusal)]
-        self.assertEqual((len(won), len(lost)), (1, 1))
-        self.assertIs(lost[0].code, ResultCode.CONFIGURATION_CONFLICT)
-        self.assertIn(won[0].author, lost[0].reason)
+        succeeded = [out for out in outcomes if isinstance(out, Head)]
+        refused = [out for out in outcomes if isinstance(out, Refusal)]
+        self.assertEqual((len(succeeded), len(refused)), (1, 1))
+        self.assertIs(refused[0].code, ResultCode.CONFIGURATION_CONFLICT)
+        self.assertIn(succeeded[0].author, refused[0].reason)
 
-    async def test_a_lost_reply_is_settled_though_others_moved_on(self) -> None:
+    async def test_lost_reply_is_resolved_after_later_moves(self) -> None:
         for name in ('', 'no nonce'):
             with self.subTest(name), mutant(name) if name else nullcontext():
                 faults = self.fleet.platform.faults
                 faults.lose_reply = 0
-                ground = await self.wait_for(self.east.store._ground())
-                wanted = Head(ground.head.revision + 1, nonce='n', author='ann')
+                rows = await self.wait_for(self.east.store._read_rows())
+                wanted = Head(rows.head.revision + 1, nonce='n', author='ann')
                 faults.lose_reply = 1
-                work = self.east.store._write(ground.writes(wanted), wanted)
+                work = self.east.store._write(rows.writes(wanted), wanted)
                 task = asyncio.ensure_future(work)
                 await self.pass_time(0.1)
                 faults.lose_reply = 0
@@ -327,10 +344,10 @@
                 await self.pass_time(3)
                 self.assertEqual(isinstance(await task, Head), not name)
 
-    async def test_a_move_that_is_no_longer_kept_is_unknown(self) -> None:
-        ground = await self.wait_for(self.east.store._ground())
-        wanted = Head(ground.head.revision + 1, nonce='n', author='ann')
-        for _ in range(KEPT_MOVES + 1):
+    async def test_move_no_longer_in_history_has_unknown_outcome(self) -> None:
+        rows = await self.wait_for(self.east.store._read_rows())
+        wanted = Head(rows.head.revision + 1, nonce='n', author='ann')
+        for _ in range(MAX_MOVES + 1):
             await self.wait_for(self.west.store.move(_touch))
         outcome = await self.wait_for(self.east.store._settle(wanted, True))
         self.assertIs(outcome.code, ResultCode.OUTCOME_UNKNOWN)
