--- a/src/nutmegroad/configuration/_configuration_messages.py
+++ b/src/nutmegroad/configuration/_configuration_messages.py
@@ -27,7 +27,8 @@
         revision: The newest revision that the host has.
         digest: Digest of its document.
         preset: The preset in force.
-        author: The operator who made the revision.
+        author: Who made the revision: an operator, or a host that wrote
+            withdrawals to the table.
         withdrawals: All withdrawals; empty if they exceed one page.
         facts_digest: Digest of the full set of withdrawals.
     """
--- a/src/nutmegroad/configuration/changes.py
+++ b/src/nutmegroad/configuration/changes.py
@@ -137,7 +137,7 @@
 
         Args:
             version: The version.
-            epoch: Withdraw its epochs up to this one; None for its current one.
+            epoch: Withdraw its epochs up to this one; None for the current.
             author: The operator who makes the change.
         """
         entry = self._configuration.entry(version)
--- a/src/nutmegroad/configuration/confirmations.py
+++ b/src/nutmegroad/configuration/confirmations.py
@@ -1,9 +1,9 @@
 """Queries between hosts about the configuration in force.
 
-A host that can't read the table asks its peers. A reply contains the age of the
-peer's own confirming read. The asking host subtracts that age from the time
-before it sent the query. Since the peer computed the age after the query was
-sent, the read can't have begun earlier than the result.
+A host that can't read the table asks its peers. A reply contains the age of
+the peer's own confirming read. The asking host subtracts that age from the
+time before it sent the query. Since the peer computed the age after the query
+was sent, the read can't have begun earlier than the result.
 """
 
 import asyncio
@@ -171,11 +171,12 @@
         """Return the remote and the local domain's hosts, each shuffled."""
         members = list(self._mesh.members())
         self._randomness.shuffle(members)
-        local: list[HostId] = []
-        remote: list[HostId] = []
-        for member in members:
-            group = local if member.domain == self._domain else remote
-            group.append(member.host)
+        local = [
+            member.host for member in members if member.domain == self._domain
+        ]
+        remote = [
+            member.host for member in members if member.domain != self._domain
+        ]
         return remote, local
 
     async def _answer_head(
--- a/src/nutmegroad/configuration/differences.py
+++ b/src/nutmegroad/configuration/differences.py
@@ -196,9 +196,9 @@
     """Return a value as shown in a sentence."""
     if field_value is None:
         return 'none'
-    if isinstance(field_value, Enum):
-        return str(field_value.value)
-    return str(field_value)
+    return str(
+        field_value.value if isinstance(field_value, Enum) else field_value
+    )
 
 
 def _words(name: str) -> str:
--- a/src/nutmegroad/configuration/heads.py
+++ b/src/nutmegroad/configuration/heads.py
@@ -1,9 +1,10 @@
 """The head row, which names the configuration in force.
 
-The head is moved from one revision to the next by compare-and-set. The document
-is an immutable object named by its digest. The preset in force and the
-withdrawals are part of the same row, so that one read returns everything, and
-of two operators with concurrent changes one succeeds and one gets a conflict.
+The head is moved from one revision to the next by compare-and-set. The
+document is an immutable object named by its digest. The preset in force and
+the withdrawals are part of the same row, so that one read returns everything,
+and of two operators with concurrent changes one succeeds and one gets a
+conflict.
 
 Each move also writes a history row in the same transaction. Every host polls
 the head, which therefore stays small. The history is only read to find out
@@ -268,9 +269,10 @@
     ) -> Head | Refusal:
         """Commit the writes until it is known whether they took effect.
 
-        If the reply was lost, the commit may still be in flight, so not finding
-        it in the table proves nothing. The same commit sent again either takes
-        effect or conflicts, and after that no earlier copy can take effect.
+        If the reply was lost, the commit may still be in flight, so its
+        absence from the table proves nothing. The same commit sent again either
+        takes effect or conflicts, and after that no earlier copy can take
+        effect.
         """
         unknown = False
         for _ in range(_MAX_ATTEMPTS):
@@ -292,7 +294,7 @@
 
         Args:
             wanted: The head that was written.
-            unknown: Whether an earlier copy of the write may have taken effect.
+            unknown: Whether an earlier copy of it may have taken effect.
         """
         history = await self.history()
         if isinstance(history, Refusal):
@@ -309,8 +311,7 @@
     if digest_of(content) != head.digest:
         return Refusal(
             ResultCode.CONFIGURATION_INVALID,
-            f'The document for revision {head.revision} does not have the '
-            f'digest {head.digest}.',
+            f'The document for revision {head.revision} has the wrong digest.',
         )
     return Accepted(
         Revision(head.revision),
--- a/src/nutmegroad/configuration/spread.py
+++ b/src/nutmegroad/configuration/spread.py
@@ -132,7 +132,7 @@
         return await self._take(head, host)
 
     async def _learn(self, head: Head, started: float) -> Refusal | None:
-        """Apply and confirm the head from a table read begun at ``started``."""
+        """Apply and confirm the head that a read begun at ``started`` gave."""
         self._configuration.record(head.withdrawals)
         refusal = await self._take(head, None)
         if refusal is not None:
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -51,8 +51,7 @@
 token_hash = 'TOKEN'
 """.replace('KEY', 'a' * 64).replace('TOKEN', 'b' * 64)
 
-#: Text to replace, its replacement, path of the problem, value that the problem
-#: names.
+#: Text to replace, its replacement, path of the problem, text in the problem.
 _CASES = (
     ("id = 'small@1'", "id = 'large@1'", '$.versions[1].id', 'large@1'),
     ("replaces = 'large@1'", "replaces = 'x@1'", '[2].replaces', 'x@1'),
@@ -126,9 +125,7 @@
                 problems = read_document(_replace(old, new))
                 if isinstance(problems, Document):
                     self.fail('The document was accepted.')
-                found = [
-                    str(problem) for problem in problems if path in problem.path
-                ]
+                found = [str(each) for each in problems if path in each.path]
                 self.assertIn(bad, ' '.join(found))
 
     def test_secret_in_place_of_its_hash_is_hidden(self) -> None:
--- a/tests/test_confirmations.py
+++ b/tests/test_confirmations.py
@@ -1,6 +1,8 @@
 """Tests of the distribution of the configuration, one failure at a time.
 
-The hosts run in one process, on a clock that the tests advance.
+The hosts run in one process, on a clock that the tests advance. Some tests are
+repeated with a mechanism disabled by ``tests.mutants``, and must then fail to
+find the property that it provides.
 """
 
 import asyncio
@@ -41,7 +43,7 @@
 EAST, WEST, NORTH = (HostId(f'{name}-0') for name in ('east', 'west', 'north'))
 PEAK, MAINTENANCE = PresetName('peak'), PresetName('maintenance')
 SMALL = VersionId('small@1')
-NO_EPOCH = Epoch(0)
+FIRST_EPOCH = Epoch(0)
 
 
 class NoQuarantine:
@@ -93,8 +95,9 @@
         self.fleet.platform.faults.cut.clear()
 
     def revisions(self) -> list[int]:
-        hosts = self.fleet.hosts.values()
-        return [host.configuration.revision for host in hosts]
+        return [
+            host.configuration.revision for host in self.fleet.hosts.values()
+        ]
 
 
 class DistributionTest(FleetTest):
@@ -118,9 +121,9 @@
     ) -> None:
         self.isolate(self.west)
         await self.switch(self.east, PEAK)
-        held = self.east.configuration
-        self.assertIsNone(held.in_force_in(Revision(3)))
-        await self.pass_time(held.in_force_in(Revision(2)) or 0)
+        configuration = self.east.configuration
+        self.assertIsNone(configuration.in_force_in(Revision(3)))
+        await self.pass_time(configuration.in_force_in(Revision(2)) or 0)
         self.assertEqual(self.west.configuration.revision, 1)
         self.assertTrue(self.west.configuration.isolated)
         self.assertFalse(self.west.configuration.must_confirm)
@@ -134,7 +137,7 @@
         west = await self.fleet.restart(WEST)
         await self.pass_time(3)
         self.assertEqual(west.configuration.revision, 2)
-        self.assertTrue(west.configuration.is_withdrawn(SMALL, NO_EPOCH))
+        self.assertTrue(west.configuration.is_withdrawn(SMALL, FIRST_EPOCH))
         self.assertLess(west.configuration.confirmation_age, LEASE)
         # No host has read the table since, so the confirmations expire.
         await self.pass_time(LEASE)
@@ -154,8 +157,8 @@
     ) -> None:
         self.west.configuration.hear(Revision(9))
         await self.pass_time(LEASE)
-        held = self.west.configuration
-        self.assertTrue(held.behind and held.isolated)
+        configuration = self.west.configuration
+        self.assertTrue(configuration.behind and configuration.isolated)
         reply = await self.west.confirmations._answer_head(EAST, None)  # type: ignore[arg-type]
         self.assertIsNone(getattr(reply, 'age', 0))
 
@@ -226,16 +229,16 @@
         await self.wait_for(self.east.changes.withdraw(SMALL, None, ANN))
         self.west.resume()
         # The host does not know of the withdrawal yet, and must not serve.
-        held = self.west.configuration
-        self.assertFalse(held.is_withdrawn(SMALL, NO_EPOCH))
-        self.assertIs(self.ask_gate(), ResultCode.HOST_PAUSED)
+        configuration = self.west.configuration
+        self.assertFalse(configuration.is_withdrawn(SMALL, FIRST_EPOCH))
+        self.assertIs(self.gate_refusal_code(), ResultCode.HOST_PAUSED)
         await self.pass_time(1)
-        self.assertIs(self.ask_gate(), ResultCode.VERSION_WITHDRAWN)
+        self.assertIs(self.gate_refusal_code(), ResultCode.VERSION_WITHDRAWN)
 
-    def ask_gate(self) -> ResultCode | None:
+    def gate_refusal_code(self) -> ResultCode | None:
         """Return why the paused host may not serve the version."""
-        held = self.west.configuration
-        gate = Gatekeeper(held, self.west.clock, NoQuarantine())
+        configuration = self.west.configuration
+        gate = Gatekeeper(configuration, self.west.clock, NoQuarantine())
         refusal = gate.check_version(WORKSPACE, TaskName(''), SMALL, None)
         return None if refusal is None else refusal.code
 
@@ -264,9 +267,9 @@
         self.assertIsInstance(outcome, Withdrawn)
         self.assertIsNone(outcome.revision)
         for host in self.fleet.hosts.values():
-            held = host.configuration
-            self.assertTrue(held.is_withdrawn(SMALL, NO_EPOCH))
-            self.assertEqual(len(held.unrecorded), 1)
+            configuration = host.configuration
+            self.assertTrue(configuration.is_withdrawn(SMALL, FIRST_EPOCH))
+            self.assertEqual(len(configuration.unrecorded), 1)
         # The host on which it was made restarts before the table is available
         # again, so another host has to write the withdrawal.
         await self.fleet.restart(WEST)
@@ -282,27 +285,27 @@
     ) -> None:
         self.isolate(self.north)
         await self.wait_for(self.east.changes.withdraw(SMALL, None, ANN))
-        held = self.north.configuration
+        configuration = self.north.configuration
         await self.pass_time(LEASE + CLOCK_MARGIN)
-        self.assertTrue(held.isolated)
-        self.assertFalse(held.is_withdrawn(SMALL, NO_EPOCH))
+        self.assertTrue(configuration.isolated)
+        self.assertFalse(configuration.is_withdrawn(SMALL, FIRST_EPOCH))
         # Only the links between hosts are restored, not those to the platform.
         self.fleet.network.heal_all()
         await self.pass_time(3)
-        self.assertTrue(held.is_withdrawn(SMALL, NO_EPOCH))
+        self.assertTrue(configuration.is_withdrawn(SMALL, FIRST_EPOCH))
 
     async def test_old_notice_does_not_revert_withdrawal(self) -> None:
         old = self.west.confirmations.notice
         await self.wait_for(self.east.changes.withdraw(SMALL, None, ANN))
         await self.wait_for(self.west.announcer._handle_notice(EAST, old))
-        held = self.west.configuration
-        self.assertTrue(held.is_withdrawn(SMALL, NO_EPOCH))
+        configuration = self.west.configuration
+        self.assertTrue(configuration.is_withdrawn(SMALL, FIRST_EPOCH))
         document = make_document(7, Epoch(1))
         await self.wait_for(self.east.changes.apply(document, None, ANN, None))
         await self.pass_time(1)
-        entry = held.entry(SMALL)
+        entry = configuration.entry(SMALL)
         assert entry is not None
-        self.assertFalse(held.is_withdrawn(SMALL, Epoch(entry.epoch)))
+        self.assertFalse(configuration.is_withdrawn(SMALL, Epoch(entry.epoch)))
 
     async def test_many_withdrawals_are_sent_in_pages(self) -> None:
         self.fleet.platform.faults.down = True
