--- a/src/nutmegroad/membership/__init__.py
+++ b/src/nutmegroad/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts that know each other: links, heartbeats, members, duties."""
+"""Membership of the cluster: links, heartbeats, member table and duties."""
--- a/src/nutmegroad/membership/_connection.py
+++ b/src/nutmegroad/membership/_connection.py
@@ -1,4 +1,4 @@
-"""One authenticated connection to a host, and the queue of what it sends."""
+"""One authenticated connection to a host, and its send queue."""
 
 import asyncio
 from asyncio import StreamReader, StreamWriter
@@ -16,19 +16,19 @@
 from nutmegroad.membership._wire import StreamError, Unpacker, as_struct, pack
 
 _CHUNK: Final = 65_536
-#: The cost of what comes in before it is known whose it is.
+#: Part that bytes are attributed to if their message type is unknown.
 LINKS_PART: Final = 'links'
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedFrame:
-    """A packed message that waits to go out.
+    """A serialised message in a send queue.
 
     Attributes:
         packed: Its bytes.
-        part: Whose cost it is.
-        replaceable: Whether it may be dropped for a later one.
-        lazy: Whether it waits for one that is not.
+        part: Part that its cost is attributed to.
+        replaceable: Whether it may be dropped if the queue is full.
+        lazy: Whether it is only sent together with one that is not lazy.
     """
 
     packed: bytes
@@ -38,57 +38,57 @@
 
 
 class SendQueue:
-    """A queue with a bound on messages and on bytes.
+    """A queue bounded in messages and bytes.
 
-    When it is full, the oldest replaceable message makes room; where there
-    is none, the new message is refused.
+    If it is full, the oldest replaceable messages are dropped; if there is
+    none, the new message is rejected.
 
     Args:
-        most_messages: How many may wait.
-        most_bytes: How many bytes may wait.
+        max_messages: Maximum number of queued messages.
+        max_bytes: Maximum number of queued bytes.
     """
 
-    def __init__(self, most_messages: int, most_bytes: int) -> None:
-        self._most_messages = most_messages
-        self._most_bytes = most_bytes
-        self._waiting: deque[QueuedFrame] = deque()
+    def __init__(self, max_messages: int, max_bytes: int) -> None:
+        self._max_messages = max_messages
+        self._max_bytes = max_bytes
+        self._frames: deque[QueuedFrame] = deque()
         self._bytes = 0
-        self._filled = asyncio.Event()
+        self._has_frames = asyncio.Event()
 
     def __len__(self) -> int:
-        """Return how many messages wait."""
-        return len(self._waiting)
+        """Return the number of queued messages."""
+        return len(self._frames)
 
     def put(self, frame: QueuedFrame) -> bool:
-        """Queue a message; false if there is no room."""
-        while not self._has_room(frame):
+        """Queue a message; false if there is no capacity."""
+        while not self._has_capacity(frame):
             if not self._drop_replaceable():
                 return False
-        self._waiting.append(frame)
+        self._frames.append(frame)
         self._bytes += len(frame.packed)
         if not frame.lazy:
-            self._filled.set()
+            self._has_frames.set()
         return True
 
     async def take_all(self) -> tuple[QueuedFrame, ...]:
-        """Wait until there is something, and take all of it."""
-        await self._filled.wait()
-        taken = tuple(self._waiting)
-        self._waiting.clear()
+        """Wait until there is something to send, and return all of it."""
+        await self._has_frames.wait()
+        frames = tuple(self._frames)
+        self._frames.clear()
         self._bytes = 0
-        self._filled.clear()
-        return taken
+        self._has_frames.clear()
+        return frames
 
-    def _has_room(self, frame: QueuedFrame) -> bool:
+    def _has_capacity(self, frame: QueuedFrame) -> bool:
         size = self._bytes + len(frame.packed)
-        return len(self._waiting) < self._most_messages and (
-            size <= self._most_bytes
+        return len(self._frames) < self._max_messages and (
+            size <= self._max_bytes
         )
 
     def _drop_replaceable(self) -> bool:
-        for frame in self._waiting:
+        for frame in self._frames:
             if frame.replaceable:
-                self._waiting.remove(frame)
+                self._frames.remove(frame)
                 self._bytes -= len(frame.packed)
                 return True
         return False
@@ -96,7 +96,7 @@
 
 @unique
 class FrameKind(IntEnum):
-    """What a frame is."""
+    """Type of a frame."""
 
     TELL = 0
     ASK = 1
@@ -105,12 +105,12 @@
 
 
 class Frame(Struct, frozen=True, array_like=True):
-    """What travels on an authenticated connection.
+    """Unit of transfer on an authenticated connection.
 
     Attributes:
-        kind: What it is.
-        number: Number of the question that it asks or answers, or 0.
-        body: A message as plain data, or a sentence if refused.
+        kind: Type of the frame.
+        number: Number of the request that it makes or answers, or 0.
+        body: A message as plain data, or the reason of a refusal.
     """
 
     kind: FrameKind
@@ -119,7 +119,7 @@
 
 
 def pack_frame(kind: FrameKind, number: int, body: object) -> bytes:
-    """Return a frame as it travels."""
+    """Serialise a frame."""
     return pack((kind.value, number, body))
 
 
@@ -127,18 +127,19 @@
     """An authenticated connection to one incarnation of a host.
 
     Attributes:
-        identity: The other side.
-        initiator: Whether this side connected.
-        opened: Clock seconds of the end of the handshake.
-        heard: Clock seconds at which bytes last came.
-        stalled_since: Clock seconds since which a write waits, or None.
-        writing: The task that writes.
+        identity: Identity of the peer.
+        is_initiator: Whether this side connected.
+        opened_at: Clock seconds at the end of the handshake.
+        last_received: Clock seconds at which bytes were last received.
+        write_pending_since: Clock seconds at which the pending write began, or
+            None.
+        write_task: The task that writes.
 
     Args:
-        identity: The other side.
-        streams: The two directions.
-        clock: Time.
-        initiator: Whether this side connected.
+        identity: Identity of the peer.
+        streams: Reader and writer.
+        clock: Source of time.
+        is_initiator: Whether this side connected.
     """
 
     def __init__(
@@ -147,14 +148,14 @@
         streams: tuple[StreamReader, StreamWriter],
         clock: Clock,
         *,
-        initiator: bool,
+        is_initiator: bool,
     ) -> None:
         self.identity = identity
-        self.initiator = initiator
-        self.opened = clock.now()
-        self.heard = self.opened
-        self.stalled_since: float | None = None
-        self.writing: asyncio.Task[None] | None = None
+        self.is_initiator = is_initiator
+        self.opened_at = clock.now()
+        self.last_received = self.opened_at
+        self.write_pending_since: float | None = None
+        self.write_task: asyncio.Task[None] | None = None
         self._reader = streams[0]
         self._writer = streams[1]
         self._clock = clock
@@ -162,25 +163,25 @@
     async def read(
         self,
         unpacker: Unpacker,
-        early: bytes,
-        take: Callable[[Frame, int], None],
+        early_bytes: bytes,
+        receive: Callable[[Frame, int], None],
     ) -> str:
-        """Hand each frame on until the connection ends.
+        """Pass each received frame on until the connection ends.
 
         Args:
-            unpacker: Cuts the stream.
-            early: Bytes that came with the end of the handshake.
-            take: Called with each frame and its size in bytes.
+            unpacker: Splits the stream into objects.
+            early_bytes: Bytes received after the end of the handshake.
+            receive: Called with each frame and its size in bytes.
 
         Returns:
-            The name of the event that ended it.
+            The name of the event to count for the end.
         """
-        chunk = early
+        chunk = early_bytes
         try:
             while chunk or not self._reader.at_eof():
-                self.heard = self._clock.now()
+                self.last_received = self._clock.now()
                 for plain, size in unpacker.feed(chunk):
-                    take(_checked(plain), size)
+                    receive(_to_frame(plain), size)
                 chunk = await self._reader.read(_CHUNK)
         except StreamError:
             return 'links_garbage'
@@ -189,7 +190,7 @@
         return 'links_closed'
 
     async def write(self, queue: SendQueue, account: Account) -> None:
-        """Send what the queue holds until the connection ends."""
+        """Send what is queued until the connection ends."""
         while True:
             frames = await queue.take_all()
             for frame in frames:
@@ -198,35 +199,35 @@
             if not await self._send(frames):
                 return
 
-    def rest(self) -> None:
-        """Write no more, but read on."""
-        if self.writing is not None:
-            self.writing.cancel()
+    def stop_writing(self) -> None:
+        """Stop writing, but continue to read."""
+        if self.write_task is not None:
+            self.write_task.cancel()
 
-    def finish(self) -> None:
-        """Write no more, but read on until the other side ends it."""
-        self.rest()
+    def close_writing(self) -> None:
+        """Send end of file; read until the peer closes as well."""
+        self.stop_writing()
         if not self._writer.is_closing():
             self._writer.write_eof()
 
     def abort(self) -> None:
-        """End it at once; nothing more is taken from the queue."""
-        self.rest()
+        """Close the connection immediately; stop taking from the queue."""
+        self.stop_writing()
         self._writer.transport.abort()
 
     async def _send(self, frames: tuple[QueuedFrame, ...]) -> bool:
         self._writer.writelines([frame.packed for frame in frames])
-        self.stalled_since = self._clock.now()
+        self.write_pending_since = self._clock.now()
         try:
             await self._writer.drain()
         except OSError:
             return False
-        self.stalled_since = None
+        self.write_pending_since = None
         return True
 
 
-def _checked(plain: object) -> Frame:
+def _to_frame(plain: object) -> Frame:
     frame = as_struct(plain, Frame)
     if frame is None:
-        raise StreamError('This is no frame.')
+        raise StreamError('The received object is not a frame.')
     return frame
--- a/src/nutmegroad/membership/_coordinator.py
+++ b/src/nutmegroad/membership/_coordinator.py
@@ -1,4 +1,4 @@
-"""Decides, at each tick and message, what the membership does next."""
+"""Coordinates the membership: reacts to ticks, messages and link events."""
 
 import random
 from collections import Counter
@@ -25,32 +25,34 @@
     Reachability,
 )
 
-#: A digest that differs for so many heartbeats in a row is no passing lag.
-_PATIENCE: Final = 3
-#: Seconds between two fetches, at least and at most.
-_REST: Final = (3.0, 8.0)
+#: Number of consecutive heartbeats with a different digest after which the
+#: difference is not attributed to propagation delay.
+_LASTING_HEARTBEATS: Final = 3
+#: Minimum and maximum seconds between two fetches.
+_FETCH_INTERVAL: Final = (3.0, 8.0)
 _TIMEOUT: Final = 5.0
 
 _LOG: Final = part_logger('members')
-#: A host that started so many seconds ago may still find that its wall
-#: clock lies behind that of an earlier incarnation, and becomes later.
-_GRACE: Final = 30.0
-#: Who has heard nobody for so many intervals is itself cut off.
-_CONTACT: Final = 5.0
-#: Ticks between looks for hosts that are not known.
-_PROBE_EVERY: Final = 15
-#: Ticks between looks at which links nobody needs, and at old records.
-_DROP_EVERY: Final = 5
+#: Seconds after its start during which a host may find that its wall clock is
+#: behind that of an earlier incarnation, and choose a later generation.
+_STARTUP_PERIOD: Final = 30.0
+#: Number of heartbeat intervals without any message after which this host
+#: considers itself disconnected.
+_CONTACT_INTERVALS: Final = 5.0
+#: Ticks between probes for unknown hosts.
+_PROBE_TICKS: Final = 15
+#: Ticks between removals of unneeded links and old records.
+_CLEANUP_TICKS: Final = 5
 
 
 class Synchronizer:
-    """Fetches records, one host at a time and not too often.
+    """Fetches member tables from one host at a time, at a limited rate.
 
     Args:
-        table: Where the records go.
-        mesh: Whom to ask by.
-        clock: Time.
-        randomness: Spreads the fetches of many hosts.
+        table: Destination of the records.
+        mesh: Links on which the requests are sent.
+        clock: Source of time.
+        randomness: Spreads the fetches of many hosts over time.
     """
 
     def __init__(
@@ -65,38 +67,44 @@
         self._clock = clock
         self._randomness = randomness
         self._differing: Counter[HostId] = Counter()
-        self._next = clock.now()
+        self._next_fetch = clock.now()
         self._is_first = True
 
     def is_due(self, host: HostId, digest: int) -> bool:
-        """Take in a digest; true if the records must be fetched now."""
+        """Compare a digest; return whether to fetch the records now."""
         if digest == self._table.entries.digest:
             self._differing.pop(host, None)
             return False
         self._differing[host] += 1
-        patience = 1 if self._is_first else _PATIENCE
-        is_lasting = self._differing[host] >= patience
-        return is_lasting and self._clock.now() >= self._next
+        required = 1 if self._is_first else _LASTING_HEARTBEATS
+        is_lasting = self._differing[host] >= required
+        return is_lasting and self._clock.now() >= self._next_fetch
 
     def forget(self, host: HostId) -> None:
-        """Forget a host whose link was lost."""
+        """Remove the state of a host whose link was lost."""
         self._differing.pop(host, None)
 
     async def fetch(self, host: HostId, domain: DomainId) -> None:
-        """Ask a host for all its records and take them in."""
-        self._next = self._clock.now() + self._randomness.uniform(*_REST)
+        """Request all records of a host and merge them."""
+        self._next_fetch = self._clock.now() + self._randomness.uniform(
+            *_FETCH_INTERVAL
+        )
         self._differing.clear()
         reply = await self._mesh.ask(host, TableRequest(), _TIMEOUT)
         if not isinstance(reply, TableReply):
             return
-        is_near = domain == self._table.identity.domain
-        # Hosts of our domain have what one of them has; and who knew
-        # nothing before has no news for anybody.
-        quiet = is_near or self._is_first
+        is_local = domain == self._table.identity.domain
+        # All hosts of this domain have what one of them has, and a host that
+        # knew nothing before has no updates for others.
+        needs_no_forwarding = is_local or self._is_first
         self._is_first = False
-        self._take(host, reply.records, Origin.SYNC if quiet else Origin.FAR)
+        self._merge_all(
+            host,
+            reply.records,
+            Origin.SYNC if needs_no_forwarding else Origin.FAR,
+        )
 
-    def _take(
+    def _merge_all(
         self,
         host: HostId,
         records: tuple[Record, ...],
@@ -107,17 +115,17 @@
 
 
 class Coordinator:
-    """Ties links, records, heartbeats and the detector together.
+    """Connects links, member records, heartbeats and the failure detector.
 
     Attributes:
-        targets: To which hosts there should be links.
-        verdicts: The outcome of the latest tick.
+        targets: Hosts to which there should be links.
+        verdicts: Result of the latest evaluation.
 
     Args:
-        context: Time, randomness, account and where to start from.
+        context: Clock, randomness, cost account and initial peers.
         links: The links.
-        table: Records and who we are.
-        reachability: When hosts and domains were last heard.
+        table: Member records.
+        reachability: When hosts and domains were last seen.
     """
 
     def __init__(
@@ -149,28 +157,28 @@
         self._ticks = 0
 
     def open(self) -> None:
-        """Begin to listen to links, and look for the first hosts."""
+        """Subscribe to the links and start connecting to first hosts."""
         self._links.listen(self)
-        self._links.handle(Heartbeat, self._take_heartbeat)
-        self._links.handle(TableRequest, self._answer_request)
-        self.targets.choose_probe(has_links=False)
+        self._links.handle(Heartbeat, self._handle_heartbeat)
+        self._links.handle(TableRequest, self._handle_table_request)
+        self.targets.choose_probes(has_links=False)
         self._links.keep_links(self.targets.addresses())
 
     def tick(self) -> None:
-        """Judge who has failed, look after links, send heartbeats."""
+        """Detect failures, update links and send heartbeats."""
         self._ticks += 1
         linked = self._links.linked()
-        self._note_heard(linked)
+        self._update_reachability(linked)
         now = self._context.clock.now()
-        self.verdicts = self._detector.judge(
+        self.verdicts = self._detector.evaluate(
             now,
             in_contact=self._is_in_contact(linked, now),
         )
         for host in self.verdicts.gone:
-            self._give_up(host)
-        if self._ticks % _PROBE_EVERY == 0 or not linked:
-            self.targets.choose_probe(has_links=bool(linked))
-        if self._ticks % _DROP_EVERY == 0:
+            self._remove_host(host)
+        if self._ticks % _PROBE_TICKS == 0 or not linked:
+            self.targets.choose_probes(has_links=bool(linked))
+        if self._ticks % _CLEANUP_TICKS == 0:
             self._drop_unwanted()
             self._table.purge()
         self._links.keep_links(self.targets.addresses())
@@ -182,46 +190,51 @@
         self._heartbeats.send_all(self.verdicts.suspects, wanted)
 
     def link_opened(self, identity: Identity) -> None:
-        """Greet a host to which there is a link now."""
+        """Record a linked host and send it a first heartbeat."""
         now = self._context.clock.now()
-        self._reachability.heard_host(identity.host, now)
-        self._reachability.heard_domain(identity.domain, now)
+        self._reachability.record_host_seen(identity.host, now)
+        self._reachability.record_domain_seen(identity.domain, now)
         record = Record(identity, 0, Presence.LIVE)
         self._table.merge(record, self._origin(identity.domain), identity.host)
-        self._heartbeats.opened(identity)
+        self._heartbeats.link_opened(identity)
 
     def link_closed(self, identity: Identity) -> None:
-        """Take in that a link is lost."""
-        self._heartbeats.closed(identity.host)
+        """Handle the loss of a link; a leaving host is then gone."""
+        self._heartbeats.link_closed(identity.host)
         self._synchronizer.forget(identity.host)
         record = self._table.get(identity.host)
         if record is not None and record.presence is Presence.LEAVING:
-            self._give_up(identity.host)
+            self._remove_host(identity.host)
 
-    def outdated(self, known: int) -> None:
-        """Become later than an earlier incarnation, if we just started."""
-        if self._context.clock.now() - self._started > _GRACE:
-            # Another process runs under our name, and it is the later one.
+    def generation_outdated(self, known: int) -> None:
+        """Choose a later generation if this host has just started."""
+        if self._context.clock.now() - self._started > _STARTUP_PERIOD:
+            # Another process runs under the same host id, and it is the later
+            # one.
             self._context.account.count('members_superseded')
-            _LOG.error('a later incarnation of this host is about')
+            _LOG.error('a later incarnation of this host is running')
             return
         if known >= self._table.identity.generation:
             self._table.raise_generation(known)
 
     def _is_in_contact(self, linked: dict[HostId, float], now: float) -> bool:
-        """Tell whether anybody was heard of late."""
-        bound = _CONTACT * self._context.heartbeat
-        return any(now - heard < bound for heard in linked.values())
+        """Return whether any host was received recently."""
+        timeout = _CONTACT_INTERVALS * self._context.heartbeat
+        return any(
+            now - last_received < timeout for last_received in linked.values()
+        )
 
-    def _note_heard(self, linked: dict[HostId, float]) -> None:
-        for host, heard in linked.items():
+    def _update_reachability(self, linked: dict[HostId, float]) -> None:
+        for host, last_received in linked.items():
             record = self._table.get(host)
             if record is not None:
-                self._reachability.heard_host(host, heard)
-                self._reachability.heard_domain(record.identity.domain, heard)
+                self._reachability.record_host_seen(host, last_received)
+                self._reachability.record_domain_seen(
+                    record.identity.domain, last_received
+                )
 
-    def _give_up(self, host: HostId) -> None:
-        _LOG.info('host %s is gone', host)
+    def _remove_host(self, host: HostId) -> None:
+        _LOG.info('host %s declared gone', host)
         self._context.account.count('members_gone')
         self._table.declare_gone(host)
         self._detector.forget(host)
@@ -231,23 +244,29 @@
         for host in self._heartbeats.unwanted(self.targets.hosts().keys()):
             self._links.drop(host)
 
-    async def _take_heartbeat(self, host: HostId, beat: Heartbeat) -> None:
+    async def _handle_heartbeat(
+        self, host: HostId, heartbeat: Heartbeat
+    ) -> None:
         sender = self._table.get(host)
         if sender is None:
             return
         domain = sender.identity.domain
-        for record in beat.news:
+        for record in heartbeat.news:
             self._table.merge(record, self._origin(domain), host)
         now = self._context.clock.now()
-        for name, tenths in beat.ages.items():
-            self._reachability.heard_domain(name, now - age_seconds(tenths))
-        self._heartbeats.taken(host, they_want=beat.wanted)
+        for reported_domain, tenths in heartbeat.ages.items():
+            self._reachability.record_domain_seen(
+                reported_domain, now - age_seconds(tenths)
+            )
+        self._heartbeats.set_wanted_by_peer(
+            host, wanted_by_peer=heartbeat.wanted
+        )
         if domain == self._table.identity.domain:
-            self._detector.take(host, beat, now)
-        if self._synchronizer.is_due(host, beat.digest):
+            self._detector.receive_heartbeat(host, heartbeat, now)
+        if self._synchronizer.is_due(host, heartbeat.digest):
             await self._synchronizer.fetch(host, domain)
 
-    async def _answer_request(
+    async def _handle_table_request(
         self,
         host: HostId,
         request: TableRequest,
--- a/src/nutmegroad/membership/_detector.py
+++ b/src/nutmegroad/membership/_detector.py
@@ -1,4 +1,4 @@
-"""Which hosts of the own domain have failed, and who agrees."""
+"""Failure detector for the hosts of the local failure domain."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -7,29 +7,29 @@
 from nutmegroad.membership._member_messages import Heartbeat
 from nutmegroad.membership._member_table import MemberTable, Reachability
 
-#: A bound is never less or more than so many heartbeat intervals.
-_LEAST: Final = 3.0
-_MOST: Final = 8.0
-#: Weights of the smoothed mean and deviation, as in the retransmission
-#: timer of TCP (RFC 6298), which has the same task.
+#: Minimum and maximum of a timeout, in heartbeat intervals.
+_MIN_INTERVALS: Final = 3.0
+_MAX_INTERVALS: Final = 8.0
+#: Weights of the smoothed mean and deviation, as in the retransmission timer
+#: of TCP (RFC 6298), which solves the same problem.
 _MEAN_WEIGHT: Final = 0.125
 _DEVIATION_WEIGHT: Final = 0.25
-_DEVIATIONS: Final = 4
-
-#: How many others must also suspect a host, where there are as many.
-_AGREEING: Final = 2
-#: A host that others suspect too is gone after so many bounds.
-_AGREED_BOUNDS: Final = 2
-#: Without others a host is gone after so many bounds.
-_ALONE_BOUNDS: Final = 5
+_DEVIATION_FACTOR: Final = 4
+
+#: Number of other hosts that must also suspect a host, if there are as many.
+_REQUIRED_CONFIRMATIONS: Final = 2
+#: Number of timeouts after which a host that others also suspect is gone.
+_CONFIRMED_TIMEOUTS: Final = 2
+#: Number of timeouts after which a host is gone without confirmation.
+_UNCONFIRMED_TIMEOUTS: Final = 5
 _NEVER: Final = float('-inf')
 
 
 class HeartbeatIntervals:
-    """Learns the gaps between a host's heartbeats.
+    """Estimates a timeout from the intervals between a host's heartbeats.
 
     Args:
-        interval: Seconds between heartbeats as they are meant.
+        interval: Configured seconds between heartbeats.
     """
 
     def __init__(self, interval: float) -> None:
@@ -38,31 +38,31 @@
         self._mean = interval
         self._deviation = interval / 2
 
-    def note(self, now: float) -> None:
-        """Take in a heartbeat."""
+    def record(self, now: float) -> None:
+        """Record the arrival of a heartbeat."""
         if self._last is not None:
-            self._learn(now - self._last)
+            self._update(now - self._last)
         self._last = now
 
-    def bound(self) -> float:
-        """Return the seconds of silence that are still ordinary."""
-        expected = self._mean + _DEVIATIONS * self._deviation
-        least = _LEAST * self._interval
-        return min(max(expected, least), _MOST * self._interval)
+    def timeout(self) -> float:
+        """Return the seconds without heartbeat that are tolerated."""
+        expected = self._mean + _DEVIATION_FACTOR * self._deviation
+        minimum = _MIN_INTERVALS * self._interval
+        return min(max(expected, minimum), _MAX_INTERVALS * self._interval)
 
-    def _learn(self, gap: float) -> None:
-        error = gap - self._mean
+    def _update(self, interval: float) -> None:
+        error = interval - self._mean
         self._mean += _MEAN_WEIGHT * error
         self._deviation += _DEVIATION_WEIGHT * (abs(error) - self._deviation)
 
 
 @dataclass(frozen=True, slots=True)
 class Verdicts:
-    """The outcome of one round.
+    """Result of one evaluation.
 
     Attributes:
-        suspects: Hosts that are silent for longer than their bound.
-        gone: Those among them that have failed.
+        suspects: Hosts that are unresponsive for longer than their timeout.
+        gone: Those of them that have failed.
     """
 
     suspects: tuple[HostId, ...] = ()
@@ -70,12 +70,12 @@
 
 
 class Detector:
-    """Suspects hosts of the domain, and gives them up by agreement.
+    """Suspects unresponsive local hosts and declares them gone by agreement.
 
     Args:
-        table: All records.
-        reachability: When hosts were last heard.
-        interval: Seconds between heartbeats.
+        table: Member records.
+        reachability: When hosts were last seen.
+        interval: Configured seconds between heartbeats.
     """
 
     def __init__(
@@ -89,38 +89,42 @@
         self._interval = interval
         self._intervals: dict[HostId, HeartbeatIntervals] = {}
         self._suspected_by: dict[HostId, frozenset[HostId]] = {}
-        self._vouched: dict[HostId, float] = {}
-        self._vouching: set[HostId] = set()
-        self._near_hosts: list[HostId] = []
-        self._near_at = 0
+        self._vouched_at: dict[HostId, float] = {}
+        self._pending_vouches: set[HostId] = set()
+        self._local_hosts: list[HostId] = []
+        self._local_hosts_change = 0
 
-    def take(self, sender: HostId, heartbeat: Heartbeat, now: float) -> None:
-        """Take in a heartbeat of a host of the domain."""
+    def receive_heartbeat(
+        self, sender: HostId, heartbeat: Heartbeat, now: float
+    ) -> None:
+        """Process a heartbeat of a host of the local domain."""
         if sender not in self._intervals:
             self._intervals[sender] = HeartbeatIntervals(self._interval)
-        self._intervals[sender].note(now)
+        self._intervals[sender].record(now)
         self._suspected_by[sender] = frozenset(heartbeat.suspects)
         for host in heartbeat.vouched:
-            self._vouched[host] = now
-        self._vouching.update(filter(self._hears, heartbeat.suspects))
+            self._vouched_at[host] = now
+        self._pending_vouches.update(
+            filter(self._is_responsive, heartbeat.suspects)
+        )
 
-    def take_vouching(self) -> tuple[HostId, ...]:
-        """Return, once, the hosts that others suspect and we hear."""
-        vouching = tuple(sorted(self._vouching))
-        self._vouching.clear()
-        return vouching
+    def pop_vouched(self) -> tuple[HostId, ...]:
+        """Return and clear the suspects of others that this host receives."""
+        vouched = tuple(sorted(self._pending_vouches))
+        self._pending_vouches.clear()
+        return vouched
 
-    def judge(self, now: float, *, in_contact: bool) -> Verdicts:
-        """Return who is suspected now and who is gone.
+    def evaluate(self, now: float, *, in_contact: bool) -> Verdicts:
+        """Return the hosts that are suspected now and those that are gone.
 
         Args:
             now: Clock seconds.
-            in_contact: Whether this host hears anybody. One that hears
-                nobody has no evidence against any other.
+            in_contact: Whether this host receives anything. A host that
+                receives nothing has no evidence against any other.
         """
-        near = self._near()
-        suspects = [host for host in near if self._is_silent(host)]
-        voters = frozenset(near).difference(suspects)
+        local_hosts = self._find_local_hosts()
+        suspects = [host for host in local_hosts if self._is_unresponsive(host)]
+        voters = frozenset(local_hosts).difference(suspects)
         gone = [
             host
             for host in suspects
@@ -129,10 +133,10 @@
         return Verdicts(tuple(suspects), tuple(gone))
 
     def forget(self, host: HostId) -> None:
-        """Forget a host that is gone."""
+        """Remove a host that is gone."""
         self._intervals.pop(host, None)
         self._suspected_by.pop(host, None)
-        self._vouched.pop(host, None)
+        self._vouched_at.pop(host, None)
 
     def _is_gone(
         self,
@@ -140,40 +144,40 @@
         voters: frozenset[HostId],
         now: float,
     ) -> bool:
-        silence = self._reachability.silence(host)
-        bound = self._bound(host)
-        if now - self._vouched.get(host, _NEVER) <= bound:
+        seconds_since_seen = self._reachability.seconds_since_seen(host)
+        timeout = self._timeout(host)
+        if now - self._vouched_at.get(host, _NEVER) <= timeout:
             return False
-        agreeing = sum(
+        confirmations = sum(
             1
             for voter in voters
             if host in self._suspected_by.get(voter, frozenset())
         )
-        needed = min(_AGREEING, len(voters))
-        if needed and agreeing >= needed:
-            return silence > _AGREED_BOUNDS * bound
-        return silence > _ALONE_BOUNDS * bound
+        required = min(_REQUIRED_CONFIRMATIONS, len(voters))
+        if required and confirmations >= required:
+            return seconds_since_seen > _CONFIRMED_TIMEOUTS * timeout
+        return seconds_since_seen > _UNCONFIRMED_TIMEOUTS * timeout
 
-    def _hears(self, host: HostId) -> bool:
-        return host in self._intervals and not self._is_silent(host)
+    def _is_responsive(self, host: HostId) -> bool:
+        return host in self._intervals and not self._is_unresponsive(host)
 
-    def _is_silent(self, host: HostId) -> bool:
-        return self._reachability.silence(host) > self._bound(host)
+    def _is_unresponsive(self, host: HostId) -> bool:
+        return self._reachability.seconds_since_seen(host) > self._timeout(host)
 
-    def _bound(self, host: HostId) -> float:
+    def _timeout(self, host: HostId) -> float:
         intervals = self._intervals.get(host)
         if intervals is None:
             intervals = HeartbeatIntervals(self._interval)
-        return intervals.bound()
+        return intervals.timeout()
 
-    def _near(self) -> list[HostId]:
-        """Return the other hosts of the domain that are not gone."""
-        if self._near_at != self._table.entries.change:
+    def _find_local_hosts(self) -> list[HostId]:
+        """Return the other local hosts that are not gone."""
+        if self._local_hosts_change != self._table.entries.change_number:
             domain = self._table.identity.domain
-            self._near_at = self._table.entries.change
-            self._near_hosts = [
+            self._local_hosts_change = self._table.entries.change_number
+            self._local_hosts = [
                 record.host
                 for record in self._table.others()
                 if record.identity.domain == domain
             ]
-        return self._near_hosts
+        return self._local_hosts
--- a/src/nutmegroad/membership/_dialer.py
+++ b/src/nutmegroad/membership/_dialer.py
@@ -1,7 +1,7 @@
-"""Connects to other hosts, and again after a wait when a link is lost.
+"""Connects to other hosts, and reconnects after a delay if a link is lost.
 
-One task for each wanted address keeps a link to whoever listens there. Waits
-double and have jitter, and a host begins only so many connections a second.
+One task per wanted address maintains the link to the host that listens there.
+Delays double and have jitter, and the rate of new connections is limited.
 """
 
 import asyncio
@@ -16,70 +16,70 @@
 
 Outcome = TypeVar('Outcome')
 
-#: More doublings of a wait would only overflow.
-_MOST_DOUBLINGS: Final = 16
+#: Maximum number of doublings of a delay; more would only overflow.
+_MAX_DOUBLINGS: Final = 16
 
-#: A link that lasted for so many seconds ends the row of failures.
-_STEADY: Final = 10.0
+#: Seconds after which a link counts as stable and the failure count is reset.
+_STABLE_SECONDS: Final = 10.0
 
 Connect = Callable[[Address], Awaitable[bool]]
 
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """Waits that double up to a bound, with jitter.
+    """Exponential backoff with jitter.
 
-    The wait strategies of tenacity draw from the global random generator,
-    so this is their like with one that is given.
+    The wait strategies of tenacity use the global random generator; this is an
+    equivalent that accepts a generator.
 
     Attributes:
-        first: Seconds that the first wait may last at most.
-        most: Seconds that any wait may last at most.
-        randomness: Source of the jitter.
+        initial: Maximum seconds of the first delay.
+        maximum: Maximum seconds of any delay.
+        randomness: Source of jitter.
     """
 
-    first: float
-    most: float
+    initial: float
+    maximum: float
     randomness: random.Random
 
     def delay(self, failures: int) -> float:
-        """Return the seconds to wait after so many failures in a row."""
-        doublings = min(failures, _MOST_DOUBLINGS)
-        bound = min(self.most, self.first * 2**doublings)
+        """Return the seconds to wait after consecutive failures."""
+        doublings = min(failures, _MAX_DOUBLINGS)
+        bound = min(self.maximum, self.initial * 2**doublings)
         return self.randomness.uniform(bound / 2, bound)
 
 
-class Pacer:
-    """Lets so many things a second begin, each in its turn.
+class RateLimiter:
+    """Limits the rate at which callers proceed, in order of their calls.
 
     Args:
-        clock: Time.
-        rate: How many a second.
+        clock: Source of time.
+        rate: Maximum calls per second.
     """
 
     def __init__(self, clock: Clock, rate: float) -> None:
         self._clock = clock
-        self._gap = 1 / rate
-        self._next = clock.now()
+        self._interval = 1 / rate
+        self._next_start = clock.now()
 
-    async def turn(self) -> None:
-        """Wait until it is this caller's turn."""
+    async def acquire(self) -> None:
+        """Wait until the caller may proceed."""
         now = self._clock.now()
-        wait = self._next - now
-        self._next = max(now, self._next) + self._gap
+        wait = self._next_start - now
+        self._next_start = max(now, self._next_start) + self._interval
         if wait > 0:
             await self._clock.sleep(wait)
 
 
-async def within(
+async def run_with_timeout(
     clock: Clock,
     seconds: float,
     work: Coroutine[Any, Any, Outcome],
 ) -> Outcome:
-    """Return what the work returns, if it ends in time.
+    """Return the result of a coroutine if it ends in time.
 
     Raises:
-        TimeoutError: If it did not; it is cancelled then.
+        TimeoutError: If it did not; it has been cancelled.
     """
     worker = asyncio.ensure_future(work)
     timer = asyncio.ensure_future(clock.sleep(seconds))
@@ -87,26 +87,26 @@
     try:
         await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
     finally:
-        await _end(both)
+        await _cancel_all(both)
     if worker.cancelled():
         raise TimeoutError
     return worker.result()
 
 
-async def _end(tasks: tuple[asyncio.Future[Any], ...]) -> None:
-    """Cancel what is not done, and wait until all have ended."""
+async def _cancel_all(tasks: tuple[asyncio.Future[Any], ...]) -> None:
+    """Cancel all tasks and wait until they have ended."""
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
 class Dialer:
-    """Connects, and connects again after a wait with jitter.
+    """Connects to addresses, and reconnects with exponential backoff.
 
     Args:
-        context: Time, randomness and limits.
-        connect: Connects to an address; true if there is a link then.
-        is_linked: Tells whether there is a link to an address.
+        context: Clock, randomness and limits.
+        connect: Connects to an address; returns whether there is a link.
+        is_linked: Returns whether there is a link to an address.
     """
 
     def __init__(
@@ -119,62 +119,64 @@
         self._clock = context.clock
         self._connect = connect
         self._is_linked = is_linked
-        self._pacer = Pacer(context.clock, limits.dials)
+        self._rate_limiter = RateLimiter(
+            context.clock, limits.connections_per_second
+        )
         self._backoff = Backoff(
-            limits.first_wait,
-            limits.most_wait,
+            limits.initial_backoff,
+            limits.max_backoff,
             context.randomness,
         )
         self._tasks: dict[Address, asyncio.Task[None]] = {}
-        self._lost: dict[Address, asyncio.Event] = {}
+        self._lost_events: dict[Address, asyncio.Event] = {}
 
     def keep_links(self, addresses: Iterable[Address]) -> frozenset[Address]:
-        """Keep links to these addresses, and no longer to others.
+        """Maintain links to these addresses only.
 
-        Links that exist are left; only no new ones are made.
+        Existing links to other addresses stay open, but are not restored.
         """
         wanted = frozenset(addresses)
         for old in self._tasks.keys() - wanted:
             self._tasks.pop(old).cancel()
-            self._lost.pop(old)
+            self._lost_events.pop(old)
         for new in sorted(wanted - self._tasks.keys(), key=str):
-            self._lost[new] = asyncio.Event()
-            self._tasks[new] = asyncio.ensure_future(self._keep(new))
+            self._lost_events[new] = asyncio.Event()
+            self._tasks[new] = asyncio.ensure_future(self._maintain_link(new))
         return wanted
 
     def link_lost(self) -> None:
-        """Let all tasks look again whether their link is there."""
-        for lost in self._lost.values():
-            lost.set()
+        """Make all tasks check whether their link still exists."""
+        for lost_event in self._lost_events.values():
+            lost_event.set()
 
     async def aclose(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks and wait for their end."""
         tasks = tuple(self._tasks.values())
         self.keep_links(())
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _keep(self, address: Address) -> None:
+    async def _maintain_link(self, address: Address) -> None:
         failures = 0
         while True:
             await self._clock.sleep(self._backoff.delay(failures))
-            if not await self._reach(address):
+            if not await self._ensure_linked(address):
                 failures += 1
                 continue
-            began = self._clock.now()
-            await self._wait_until_lost(address)
-            lasted = self._clock.now() - began
-            failures = 0 if lasted > _STEADY else failures + 1
+            linked_at = self._clock.now()
+            await self._wait_until_link_lost(address)
+            duration = self._clock.now() - linked_at
+            failures = 0 if duration > _STABLE_SECONDS else failures + 1
 
-    async def _reach(self, address: Address) -> bool:
+    async def _ensure_linked(self, address: Address) -> bool:
         if self._is_linked(address):
             return True
-        await self._pacer.turn()
+        await self._rate_limiter.acquire()
         if self._is_linked(address):
             return True
         return await self._connect(address)
 
-    async def _wait_until_lost(self, address: Address) -> None:
-        lost = self._lost[address]
+    async def _wait_until_link_lost(self, address: Address) -> None:
+        lost_event = self._lost_events[address]
         while self._is_linked(address):
-            lost.clear()
-            await lost.wait()
+            lost_event.clear()
+            await lost_event.wait()
--- a/src/nutmegroad/membership/_handshake.py
+++ b/src/nutmegroad/membership/_handshake.py
@@ -1,9 +1,9 @@
-"""How two hosts prove to each other that they share the cluster key.
+"""Handshake: two hosts prove to each other that they know the cluster key.
 
-The host that connects sends a ``Hello``, the other answers with its own;
-then the first sends a ``Proof`` and the other answers with one. A proof is
-an HMAC over both hellos and the role of its maker, so it holds for this
-one connection and can't be sent back to its maker.
+The connecting host sends a ``Hello`` and the other replies with its own; then
+the connecting host sends a ``Proof`` and the other replies with one. A proof
+is an HMAC over both hellos and the role of its sender, so that it is valid for
+this connection only and can not be reflected to its sender.
 """
 
 import hashlib
@@ -25,25 +25,26 @@
     pack,
 )
 
-#: Changes with each change of the streams that old hosts can't read.
+#: Incremented with each change of the streams that older hosts can not read.
 PROTOCOL_VERSION: Final = 1
-#: A hello has some 200 bytes; nobody unknown may send more than this.
-_MOST_BYTES: Final = 2048
-_MOST_ITEMS: Final = 16
+#: Maximum bytes of a handshake struct from an unauthenticated host; a hello
+#: has about 200 bytes.
+_MAX_BYTES: Final = 2048
+_MAX_ITEMS: Final = 16
 _NONCE_BYTES: Final = 16
 
 
 class Identity(Struct, frozen=True, array_like=True):
-    """Who a host is, as it says itself.
+    """Identity of an incarnation of a host, as it reports itself.
 
     Attributes:
-        host: Its id.
-        incarnation: This run of it.
+        host: Id of the host.
+        incarnation: Id of the incarnation.
         generation: Orders the incarnations of a host: milliseconds since
-            1970 at its start, or more where a greater one was known.
-        domain: Its failure domain.
-        ip: Where it listens to peers.
-        port: Where it listens to peers.
+            1970 at its start, or more if a greater one was known.
+        domain: Failure domain of the host.
+        ip: IP address for connections of peers.
+        port: Port for connections of peers.
     """
 
     host: HostId
@@ -55,22 +56,22 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens to peers."""
+        """Address for connections of peers."""
         return Address(self.ip, self.port)
 
     @property
     def order(self) -> tuple[int, str]:
-        """Greater for a later incarnation of the same host."""
+        """Sort key; greater for a later incarnation of the same host."""
         return self.generation, self.incarnation
 
 
 class Hello(Struct, frozen=True, array_like=True):
-    """The first thing that each side says.
+    """First struct that each side sends.
 
     Attributes:
-        version: Version of the protocol.
-        nonce: Random bytes, never used before.
-        identity: Who speaks.
+        version: Protocol version.
+        nonce: Random bytes that are never reused.
+        identity: Identity of the sender.
     """
 
     version: int
@@ -79,12 +80,12 @@
 
 
 class Proof(Struct, frozen=True, array_like=True):
-    """Shows that the sender has the cluster key.
+    """Proof that the sender knows the cluster key.
 
     Attributes:
         mac: HMAC-SHA256 over role, both hellos and ``known``.
-        known: The generation of the other host that makes the one in its
-            hello an old one; 0 if there is none.
+        known: Later generation of the other host that makes the one in its
+            hello outdated; 0 if there is none.
     """
 
     mac: bytes
@@ -92,11 +93,11 @@
 
 
 class HandshakeError(Exception):
-    """The other side is not one of our hosts, or may not have a link.
+    """The peer failed the handshake, or may not have a link.
 
     Args:
-        event: The name under which it is counted.
-        known: Generation of us that the other side knows; 0 for none.
+        event: Name of the event to count.
+        known: Later generation of this host that the peer knows; 0 for none.
     """
 
     def __init__(self, event: str, known: int = 0) -> None:
@@ -106,22 +107,22 @@
 
 
 class Admission(Protocol):
-    """Says which incarnations of a host are too old."""
+    """Decides which incarnations of a host are outdated."""
 
     def newer_generation(self, identity: Identity) -> int:
-        """Return the generation of a later incarnation, 0 if none."""
+        """Return the generation of a known later incarnation, or 0."""
 
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
-    """What a host needs for handshakes.
+    """Keys and identity that a host uses in handshakes.
 
     Attributes:
-        key: The cluster key, by which we prove ourselves.
-        identity: Who we are.
+        key: The cluster key, which this host proves.
+        identity: Identity of this host.
         nonces: Source of nonces; must be unpredictable outside tests.
-        admission: Says which incarnations are too old.
-        old_key: Another key that holds while the cluster key is changed.
+        admission: Decides which incarnations are outdated.
+        old_key: Second valid key while the cluster key is being changed.
     """
 
     key: bytes
@@ -135,76 +136,78 @@
         nonce = self.nonces.randbytes(_NONCE_BYTES)
         return Hello(PROTOCOL_VERSION, nonce, self.identity)
 
-    def prove(
+    def create_proof(
         self,
         role: str,
-        first: Hello,
-        second: Hello,
+        client_hello: Hello,
+        server_hello: Hello,
         known: int,
         key: bytes = b'',
     ) -> Proof:
-        """Return the proof of a role, by our own key or a given one."""
-        said = [role, as_plain(first), as_plain(second), known]
-        mac = hmac.digest(key or self.key, pack(said), hashlib.sha256)
+        """Return the proof for a role, with the given or the own key."""
+        signed = [role, as_plain(client_hello), as_plain(server_hello), known]
+        mac = hmac.digest(key or self.key, pack(signed), hashlib.sha256)
         return Proof(mac, known)
 
-    def key_of(
+    def find_key(
         self,
         proof: Proof,
         role: str,
-        first: Hello,
-        second: Hello,
+        client_hello: Hello,
+        server_hello: Hello,
     ) -> bytes:
-        """Return which of our keys a proof was made with; empty for none."""
+        """Return the key that a proof was made with, or empty bytes."""
         for key in filter(None, (self.key, self.old_key)):
-            expected = self.prove(role, first, second, proof.known, key)
+            expected = self.create_proof(
+                role, client_hello, server_hello, proof.known, key
+            )
             if hmac.compare_digest(expected.mac, proof.mac):
                 return key
         return b''
 
 
 class HandshakeStream:
-    """A connection whose other side is not known yet.
+    """Stream of handshake structs on an unauthenticated connection.
 
     Attributes:
-        streams: Its two directions.
+        streams: Reader and writer.
 
     Args:
-        reader: What comes in.
-        writer: What goes out.
+        reader: Incoming stream.
+        writer: Outgoing stream.
     """
 
     def __init__(self, reader: StreamReader, writer: StreamWriter) -> None:
         self.streams = (reader, writer)
-        self._unpacker = Unpacker(_MOST_BYTES, _MOST_ITEMS)
+        self._unpacker = Unpacker(_MAX_BYTES, _MAX_ITEMS)
 
-    async def send(self, thing: Struct) -> None:
-        """Write a struct."""
+    async def send(self, struct: Struct) -> None:
+        """Send a struct."""
         writer = self.streams[1]
-        writer.write(pack(as_plain(thing)))
+        writer.write(pack(as_plain(struct)))
         await writer.drain()
 
     async def receive(self, kind: type[Kind]) -> Kind:
-        """Read a struct of a kind.
+        """Receive a struct of a given type.
 
         Raises:
-            HandshakeError: If something else came, or the end.
+            HandshakeError: If something else was received, or the stream ended.
         """
         try:
             plain = await self._read()
         except StreamError as error:
             raise HandshakeError('links_handshake_garbage') from error
-        thing = as_struct(plain, kind)
-        if thing is None:
+        struct = as_struct(plain, kind)
+        if struct is None:
             raise HandshakeError('links_handshake_garbage')
-        return thing
+        return struct
 
     def rest(self) -> bytes:
-        """Return what came after the handshake already."""
-        return self._unpacker.rest(_MOST_BYTES)
+        """Return the bytes received after the handshake."""
+        return self._unpacker.take_remaining(_MAX_BYTES)
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately."""
         self.streams[1].transport.abort()
 
     async def _read(self) -> object:
@@ -213,61 +216,67 @@
             unpacked = next(self._unpacker.feed(chunk), None)
             if unpacked is not None:
                 return unpacked[0]
-            chunk = await self.streams[0].read(_MOST_BYTES)
+            chunk = await self.streams[0].read(_MAX_BYTES)
             if not chunk:
                 raise HandshakeError('links_handshake_cut')
 
 
-async def greet(stream: HandshakeStream, ours: Credentials) -> Identity:
-    """Do the handshake as the side that connected.
+async def greet(stream: HandshakeStream, credentials: Credentials) -> Identity:
+    """Perform the handshake as the side that connected.
 
     Returns:
-        Who the other side is.
+        Identity of the peer.
 
     Raises:
         HandshakeError: If there can be no link.
     """
-    first = ours.hello()
-    await stream.send(first)
-    second = await stream.receive(Hello)
-    _check_hello(ours, second)
-    known = ours.admission.newer_generation(second.identity)
-    await stream.send(ours.prove('client', first, second, known))
+    client_hello = credentials.hello()
+    await stream.send(client_hello)
+    server_hello = await stream.receive(Hello)
+    _check_hello(credentials, server_hello)
+    known = credentials.admission.newer_generation(server_hello.identity)
+    await stream.send(
+        credentials.create_proof('client', client_hello, server_hello, known)
+    )
     proof = await stream.receive(Proof)
-    if not ours.key_of(proof, 'server', first, second):
+    if not credentials.find_key(proof, 'server', client_hello, server_hello):
         raise HandshakeError('links_wrong_key')
     _check_generations(known, proof)
-    return second.identity
+    return server_hello.identity
 
 
-async def answer(stream: HandshakeStream, ours: Credentials) -> Identity:
-    """Do the handshake as the side that was connected to.
+async def answer(stream: HandshakeStream, credentials: Credentials) -> Identity:
+    """Perform the handshake as the side that accepted the connection.
 
     Returns:
-        Who the other side is.
+        Identity of the peer.
 
     Raises:
         HandshakeError: If there can be no link.
     """
-    first = await stream.receive(Hello)
-    _check_hello(ours, first)
-    second = ours.hello()
-    await stream.send(second)
+    client_hello = await stream.receive(Hello)
+    _check_hello(credentials, client_hello)
+    server_hello = credentials.hello()
+    await stream.send(server_hello)
     proof = await stream.receive(Proof)
-    key = ours.key_of(proof, 'client', first, second)
+    key = credentials.find_key(proof, 'client', client_hello, server_hello)
     if not key:
         raise HandshakeError('links_wrong_key')
-    known = ours.admission.newer_generation(first.identity)
-    # The other side may know no other key than the one that it proved.
-    await stream.send(ours.prove('server', first, second, known, key))
+    known = credentials.admission.newer_generation(client_hello.identity)
+    # The peer may know no other key than the one that it proved.
+    await stream.send(
+        credentials.create_proof(
+            'server', client_hello, server_hello, known, key
+        )
+    )
     _check_generations(known, proof)
-    return first.identity
+    return client_hello.identity
 
 
-def _check_hello(ours: Credentials, hello: Hello) -> None:
+def _check_hello(credentials: Credentials, hello: Hello) -> None:
     if hello.version != PROTOCOL_VERSION:
         raise HandshakeError('links_wrong_version')
-    if hello.identity.incarnation == ours.identity.incarnation:
+    if hello.identity.incarnation == credentials.identity.incarnation:
         raise HandshakeError('links_to_self')
     if len(hello.nonce) != _NONCE_BYTES:
         raise HandshakeError('links_handshake_garbage')
--- a/src/nutmegroad/membership/_heartbeats.py
+++ b/src/nutmegroad/membership/_heartbeats.py
@@ -1,4 +1,4 @@
-"""Builds heartbeats and sends them on the links, with the news in them."""
+"""Builds heartbeats with the changed records and sends them on the links."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -16,45 +16,45 @@
     Reachability,
 )
 
-#: Records that one heartbeat carries at most; the rest waits for the next.
-_MOST_NEWS: Final = 64
-#: A link to another domain carries a heartbeat at every so manieth tick.
-_FAR_EVERY: Final = 3
-#: A near link carries the ages of domains at every so manieth tick.
-_AGES_EVERY: Final = 4
-#: Ages are told in tenths of a second.
-_TENTHS: Final = 10
+#: Maximum number of records in one heartbeat; the rest is sent with the next.
+_MAX_UPDATES: Final = 64
+#: Ticks between heartbeats on a link to another domain.
+_REMOTE_TICKS: Final = 3
+#: Ticks between heartbeats with domain ages on a link within the domain.
+_AGES_TICKS: Final = 4
+#: Domain ages are sent in tenths of a second.
+_TENTHS_PER_SECOND: Final = 10
 
 
 class Sender(Protocol):
-    """How heartbeats go out."""
+    """Output for heartbeats."""
 
     def tell_each(self, hosts: Iterable[HostId], message: Message) -> int:
-        """Queue a message to several hosts."""
+        """Queue a message for several hosts."""
 
 
 @dataclass(slots=True)
 class LinkState:
-    """What is remembered about a link.
+    """State of a link that heartbeats depend on.
 
     Attributes:
-        domain: The other host's domain.
-        told: Number of the last change that the other host was told.
-        they_want: Whether the other host needs the link itself.
+        domain: Failure domain of the peer.
+        last_change_sent: Number of the last change sent to the peer.
+        wanted_by_peer: Whether the peer itself needs the link.
     """
 
     domain: DomainId
-    told: int
-    they_want: bool = True
+    last_change_sent: int
+    wanted_by_peer: bool = True
 
 
 class HeartbeatSender:
     """Sends heartbeats.
 
     Args:
-        table: All records.
-        reachability: When domains were last heard.
-        detector: Whom others suspect and we hear.
+        table: Member records.
+        reachability: When domains were last seen.
+        detector: Source of the hosts to vouch for.
         sender: The links.
     """
 
@@ -72,36 +72,37 @@
         self._links: dict[HostId, LinkState] = {}
         self._ticks = 0
 
-    def opened(self, identity: Identity) -> None:
-        """Greet a host that has a link now with our view of both ends."""
-        # A link may move to another connection; what was told stays told.
-        state = LinkState(identity.domain, self._table.entries.change)
+    def link_opened(self, identity: Identity) -> None:
+        """Send a newly linked host our records of both ends."""
+        # A link may move to another connection; changes already sent are not
+        # sent again.
+        state = LinkState(identity.domain, self._table.entries.change_number)
         self._links.setdefault(identity.host, state)
         news = [self._table.own]
-        theirs = self._table.get(identity.host)
-        if theirs is not None:
-            news.append(theirs)
+        peer_record = self._table.get(identity.host)
+        if peer_record is not None:
+            news.append(peer_record)
         heartbeat = Heartbeat(
             self._table.entries.digest, wanted=True, news=tuple(news)
         )
         self._sender.tell_each((identity.host,), heartbeat)
 
-    def closed(self, host: HostId) -> None:
-        """Forget a link."""
+    def link_closed(self, host: HostId) -> None:
+        """Remove the state of a link."""
         self._links.pop(host, None)
 
-    def taken(self, host: HostId, *, they_want: bool) -> None:
-        """Note whether the other host of a link needs it."""
+    def set_wanted_by_peer(self, host: HostId, *, wanted_by_peer: bool) -> None:
+        """Record whether the peer needs the link."""
         if host in self._links:
-            self._links[host].they_want = they_want
+            self._links[host].wanted_by_peer = wanted_by_peer
 
     def unwanted(self, wanted: Iterable[HostId]) -> tuple[HostId, ...]:
         """Return the hosts whose links neither side needs."""
-        ours = frozenset(wanted)
+        needed = frozenset(wanted)
         return tuple(
             host
             for host, state in self._links.items()
-            if host not in ours and not state.they_want
+            if host not in needed and not state.wanted_by_peer
         )
 
     def send_all(
@@ -112,97 +113,103 @@
         """Send the heartbeats of one tick.
 
         Args:
-            suspects: Hosts of the domain that are silent.
-            wanted: Hosts to which we need the links.
+            suspects: Local hosts that are unresponsive.
+            wanted: Hosts to which this one needs links.
         """
         self._ticks += 1
-        ours = frozenset(wanted)
-        near = _Near(suspects, self._detector.take_vouching())
-        alike: list[HostId] = []
+        needed = frozenset(wanted)
+        local_only = _Near(suspects, self._detector.pop_vouched())
+        local_hosts: list[HostId] = []
         for host, state in self._links.items():
-            news = self._news(host, state)
-            if news or host not in ours:
-                self._send(host, state, near, news, wanted=host in ours)
+            news = self._pop_updates(host, state)
+            if news or host not in needed:
+                self._send(host, state, local_only, news, wanted=host in needed)
             elif state.domain == self._table.identity.domain:
-                alike.append(host)
-            elif self._ticks % _FAR_EVERY == 0:
-                self._send(host, state, near, (), wanted=True)
-        self._sender.tell_each(alike, self._alike(near))
-
-    def _alike(self, near: '_Near') -> Heartbeat:
-        """Return the heartbeat that most near hosts get alike."""
-        has_ages = self._ticks % _AGES_EVERY == 0
+                local_hosts.append(host)
+            elif self._ticks % _REMOTE_TICKS == 0:
+                self._send(host, state, local_only, (), wanted=True)
+        self._sender.tell_each(local_hosts, self._local_heartbeat(local_only))
+
+    def _local_heartbeat(self, local_only: '_Near') -> Heartbeat:
+        """Return the heartbeat for all local hosts without pending changes."""
+        has_ages = self._ticks % _AGES_TICKS == 0
         return Heartbeat(
             digest=self._table.entries.digest,
             wanted=True,
-            ages=self._ages() if has_ages else {},
-            suspects=near.suspects,
-            vouched=near.vouched,
+            ages=self._encoded_ages() if has_ages else {},
+            suspects=local_only.suspects,
+            vouched=local_only.vouched,
         )
 
     def _send(
         self,
         host: HostId,
         state: LinkState,
-        near: '_Near',
+        local_only: '_Near',
         news: tuple[Record, ...],
         *,
         wanted: bool,
     ) -> None:
-        is_near = state.domain == self._table.identity.domain
+        is_local = state.domain == self._table.identity.domain
         heartbeat = Heartbeat(
             digest=self._table.entries.digest,
             wanted=wanted,
             news=news,
-            ages=self._ages(),
-            suspects=near.suspects if is_near else (),
-            vouched=near.vouched if is_near else (),
+            ages=self._encoded_ages(),
+            suspects=local_only.suspects if is_local else (),
+            vouched=local_only.vouched if is_local else (),
         )
         self._sender.tell_each((host,), heartbeat)
 
-    def _news(self, host: HostId, state: LinkState) -> tuple[Record, ...]:
-        """Return what a host has to be told, and note it as told."""
-        if state.told == self._table.entries.change:
+    def _pop_updates(
+        self, host: HostId, state: LinkState
+    ) -> tuple[Record, ...]:
+        """Return the changes to send, and mark them as sent."""
+        if state.last_change_sent == self._table.entries.change_number:
             return ()
-        entries = self._table.entries.since(state.told)[:_MOST_NEWS]
-        state.told = (
-            entries[-1].change if entries else self._table.entries.change
+        entries = self._table.entries.changed_since(state.last_change_sent)[
+            :_MAX_UPDATES
+        ]
+        state.last_change_sent = (
+            entries[-1].change_number
+            if entries
+            else self._table.entries.change_number
         )
         return tuple(
             entry.record
             for entry in entries
-            if host not in entry.known_by and _concerns(entry)
+            if host not in entry.known_by and _must_forward(entry)
         )
 
-    def _ages(self) -> dict[DomainId, int]:
-        ages = self._reachability.ages().items()
-        tenths = {domain: int(_TENTHS * age) for domain, age in ages}
+    def _encoded_ages(self) -> dict[DomainId, int]:
+        ages = self._reachability.domain_ages().items()
+        tenths = {domain: int(_TENTHS_PER_SECOND * age) for domain, age in ages}
         return {**tenths, self._table.identity.domain: 0}
 
 
 def age_seconds(tenths: int) -> float:
-    """Return an age of a heartbeat in seconds."""
-    return max(0, tenths) / _TENTHS
+    """Convert an age in a heartbeat to seconds."""
+    return max(0, tenths) / _TENTHS_PER_SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class _Near:
-    """What only hosts of the own domain are told."""
+    """Fields that are sent to hosts of the local domain only."""
 
     suspects: tuple[HostId, ...]
     vouched: tuple[HostId, ...]
 
 
-def _concerns(entry: Entry) -> bool:
-    """Tell whether a change has to be told to others.
+def _must_forward(entry: Entry) -> bool:
+    """Return whether a change must be forwarded to other hosts.
 
-    What a host of the domain told us or did is learned by most of the
-    domain at the same time, so only some pass it on. A change from another
-    domain may have come to us only.
+    Most of the domain learns at the same time what a local host reports or
+    does, so only some hosts forward it. A change from another domain may have
+    reached this host only.
     """
     match entry.origin:
         case Origin.OWN | Origin.FAR:
             return True
         case Origin.NEAR | Origin.VERDICT:
-            return entry.is_relay
+            return entry.is_forwarder
     return False
--- a/src/nutmegroad/membership/_link_context.py
+++ b/src/nutmegroad/membership/_link_context.py
@@ -1,4 +1,4 @@
-"""What the links are given: limits, time, randomness and the roster."""
+"""Dependencies of the links: limits, clock, randomness and the roster."""
 
 import random
 from dataclasses import dataclass
@@ -13,49 +13,49 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkLimits:
-    """Bounds on what links may use.
+    """Limits of the links.
 
     Attributes:
-        message: Bytes that a message may have.
-        queue_messages: Messages that may wait for one peer.
-        queue_bytes: Bytes that may wait for one peer.
-        handlers: Handlers that may run for one peer at a time.
-        unauthenticated: Incoming connections without a proof yet.
-        handshake: Seconds for connecting and the handshake.
-        stall: Seconds that a write may wait for a slow peer.
-        silence: Seconds after which a link without a byte is closed.
-        dials: Connections a second that a host begins at most.
-        first_wait: Seconds before the first try to connect, at most.
-        most_wait: Seconds between tries to connect, at most.
-        flush: Seconds that closing may take to send what is queued.
+        max_message_bytes: Maximum bytes of a message.
+        max_queued_messages: Maximum messages queued for one peer.
+        max_queued_bytes: Maximum bytes queued for one peer.
+        max_handlers: Maximum concurrent handlers for one peer.
+        max_unauthenticated: Maximum incoming connections without a proof.
+        handshake_timeout: Seconds for connecting, and for the handshake.
+        write_timeout: Seconds that a write may be blocked by a slow peer.
+        idle_timeout: Seconds after which a link without traffic is closed.
+        connections_per_second: Maximum rate of outgoing connections.
+        initial_backoff: Maximum seconds before the first attempt to connect.
+        max_backoff: Maximum seconds between attempts to connect.
+        flush_timeout: Seconds that sending the queues may take on closing.
     """
 
-    message: int = 1_048_576
-    queue_messages: int = 512
-    queue_bytes: int = 2_097_152
-    handlers: int = 64
-    unauthenticated: int = 64
-    handshake: float = 3
-    stall: float = 10
-    silence: float = 20
-    dials: float = 10
-    first_wait: float = 0.3
-    most_wait: float = 15
-    flush: float = 0.5
+    max_message_bytes: int = 1_048_576
+    max_queued_messages: int = 512
+    max_queued_bytes: int = 2_097_152
+    max_handlers: int = 64
+    max_unauthenticated: int = 64
+    handshake_timeout: float = 3
+    write_timeout: float = 10
+    idle_timeout: float = 20
+    connections_per_second: float = 10
+    initial_backoff: float = 0.3
+    max_backoff: float = 15
+    flush_timeout: float = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class LinkContext:
-    """What the links need of the program around them.
+    """Dependencies of the links.
 
     Attributes:
         key: The cluster key.
-        clock: Time.
+        clock: Source of time.
         randomness: Source of jitter.
         nonces: Source of nonces; must be unpredictable outside tests.
-        account: Where cost and events are written.
-        limits: Bounds.
-        old_key: Another key that holds while the cluster key is changed.
+        account: Records costs and events.
+        limits: Limits of the links.
+        old_key: Second valid key while the cluster key is being changed.
     """
 
     key: bytes
@@ -68,30 +68,30 @@
 
 
 class Roster(Protocol):
-    """What is known about hosts, as far as links must ask."""
+    """Member information that the links need."""
 
     @property
     def identity(self) -> Identity:
-        """Who we are."""
+        """Identity of this host."""
 
     def bind(self, address: Address) -> None:
-        """Take in where we listen, once that is known."""
+        """Set the listening address of this host once it is known."""
 
     def newer_generation(self, identity: Identity) -> int:
-        """Return the generation of a later incarnation, 0 if none."""
+        """Return the generation of a known later incarnation, or 0."""
 
     def members(self) -> tuple[Member, ...]:
-        """Return the hosts that are live or leaving."""
+        """Return the other reachable hosts that are live or leaving."""
 
 
 class LinkListener(Protocol):
-    """Is told what becomes of links."""
+    """Receives link events."""
 
     def link_opened(self, identity: Identity) -> None:
-        """Learn that there is a link to a host now."""
+        """Handle that there is a link to a host now."""
 
     def link_closed(self, identity: Identity) -> None:
-        """Learn that there is none any more."""
+        """Handle that there is no link to a host any more."""
 
-    def outdated(self, known: int) -> None:
-        """Learn that others know a later generation of this host."""
+    def generation_outdated(self, known: int) -> None:
+        """Handle that others know a later generation of this host."""
--- a/src/nutmegroad/membership/_link_lifecycle.py
+++ b/src/nutmegroad/membership/_link_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a connection: its handshake, its use as a link, its end."""
+"""Lifecycle of a connection: handshake, use as a link, and end."""
 
 import asyncio
 from asyncio import StreamReader, StreamWriter
@@ -12,7 +12,7 @@
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.types import Address
 from nutmegroad.membership._connection import LINKS_PART, Connection, Frame
-from nutmegroad.membership._dialer import within
+from nutmegroad.membership._dialer import run_with_timeout
 from nutmegroad.membership._handshake import (
     Credentials,
     HandshakeError,
@@ -31,85 +31,87 @@
 from nutmegroad.membership._wire import Unpacker
 
 _LOG: Final = part_logger('links')
-#: Seconds between looks for links that are stuck.
-_WATCH: Final = 2.0
-#: Seconds between looks whether everything was sent at the end.
-_FLUSH_STEP: Final = 0.01
+#: Seconds between checks for unresponsive links.
+_WATCH_INTERVAL: Final = 2.0
+#: Seconds between checks whether the queues are sent on closing.
+_FLUSH_POLL_INTERVAL: Final = 0.01
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
-    """A connection whose other side has proved who it is.
+class AuthenticatedConnection:
+    """A connection whose other side has proved that it knows the cluster key.
 
     Attributes:
         connection: The connection.
-        early: Bytes that came after the handshake already.
+        early_bytes: Bytes received after the end of the handshake.
     """
 
     connection: Connection
-    early: bytes
+    early_bytes: bytes
 
 
 class Handshaker:
-    """Does the handshakes, within their limits.
+    """Performs handshakes within their limits.
 
     Args:
-        context: Key, time, account and limits.
-        roster: Who we are and which incarnations are too old.
-        outdated: Called with the generation of us that others know, if
-            they know a later one.
+        context: Keys, clock, cost account and limits.
+        roster: Own identity and the incarnations that are outdated.
+        generation_outdated: Called with the later generation of this host that
+            others know, if there is one.
     """
 
     def __init__(
         self,
         context: LinkContext,
         roster: Roster,
-        outdated: Callable[[int], None],
+        generation_outdated: Callable[[int], None],
     ) -> None:
         self._context = context
         self._roster = roster
-        self._outdated = outdated
+        self._generation_outdated = generation_outdated
         self._unauthenticated = 0
 
-    async def connect(self, address: Address) -> Opened | None:
-        """Connect to an address; None if there is no host of ours."""
+    async def connect(self, address: Address) -> AuthenticatedConnection | None:
+        """Connect to an address; None if the link can not be made."""
         opening = asyncio.open_connection(address.ip, address.port)
-        seconds = self._context.limits.handshake
+        seconds = self._context.limits.handshake_timeout
         try:
-            reader, writer = await within(self._context.clock, seconds, opening)
+            reader, writer = await run_with_timeout(
+                self._context.clock, seconds, opening
+            )
         except (OSError, TimeoutError):
             self._context.account.count('links_unreachable')
             return None
         stream = HandshakeStream(reader, writer)
-        shaking = greet(stream, self._credentials())
-        return await self._open(shaking, stream, initiator=True)
+        handshake = greet(stream, self._credentials())
+        return await self._open(handshake, stream, initiator=True)
 
     async def accept(
         self,
         reader: StreamReader,
         writer: StreamWriter,
-    ) -> Opened | None:
-        """Take an incoming connection in; None if it is none of ours."""
-        if self._unauthenticated >= self._context.limits.unauthenticated:
+    ) -> AuthenticatedConnection | None:
+        """Authenticate an incoming connection; None if it is rejected."""
+        if self._unauthenticated >= self._context.limits.max_unauthenticated:
             self._context.account.count('links_too_many_unknown')
             writer.transport.abort()
             return None
         self._unauthenticated += 1
         stream = HandshakeStream(reader, writer)
-        shaking = answer(stream, self._credentials())
+        handshake = answer(stream, self._credentials())
         try:
-            return await self._open(shaking, stream, initiator=False)
+            return await self._open(handshake, stream, initiator=False)
         finally:
             self._unauthenticated -= 1
 
     async def _open(
         self,
-        shaking: Coroutine[Any, Any, Identity],
+        handshake: Coroutine[Any, Any, Identity],
         stream: HandshakeStream,
         *,
         initiator: bool,
-    ) -> Opened | None:
-        identity = await self._shake(shaking)
+    ) -> AuthenticatedConnection | None:
+        identity = await self._run_handshake(handshake)
         if identity is None:
             stream.abort()
             return None
@@ -117,30 +119,32 @@
             identity,
             stream.streams,
             self._context.clock,
-            initiator=initiator,
+            is_initiator=initiator,
         )
-        return Opened(connection, stream.rest())
+        return AuthenticatedConnection(connection, stream.rest())
 
-    async def _shake(
+    async def _run_handshake(
         self,
-        shaking: Coroutine[Any, Any, Identity],
+        handshake: Coroutine[Any, Any, Identity],
     ) -> Identity | None:
-        seconds = self._context.limits.handshake
+        seconds = self._context.limits.handshake_timeout
         try:
-            return await within(self._context.clock, seconds, shaking)
-        except HandshakeError as fault:
-            self._refuse(fault)
+            return await run_with_timeout(
+                self._context.clock, seconds, handshake
+            )
+        except HandshakeError as error:
+            self._refuse(error)
         except TimeoutError:
             self._context.account.count('links_handshake_slow')
         except OSError:
             self._context.account.count('links_handshake_cut')
         return None
 
-    def _refuse(self, fault: HandshakeError) -> None:
-        self._context.account.count(fault.event)
-        _LOG.info('a handshake ended: %s.', fault.event)
-        if fault.known:
-            self._outdated(fault.known)
+    def _refuse(self, error: HandshakeError) -> None:
+        self._context.account.count(error.event)
+        _LOG.info('handshake failed: %s', error.event)
+        if error.known:
+            self._generation_outdated(error.known)
 
     def _credentials(self) -> Credentials:
         return Credentials(
@@ -153,13 +157,13 @@
 
 
 class LinkRunner:
-    """Reads and writes on connections, and closes those that are stuck.
+    """Reads and writes on connections, and aborts those that are unresponsive.
 
     Args:
-        context: Time, account and limits.
+        context: Clock, cost account and limits.
         table: The established links.
-        receiver: Takes what comes in.
-        listener: Is told of links that open and close.
+        receiver: Processes incoming frames.
+        listener: Notified when links open and close.
     """
 
     def __init__(
@@ -174,85 +178,96 @@
         self._receiver = receiver
         self._listener = listener
 
-    async def run(self, opened: Opened, tasks: OwnedTasks) -> None:
+    async def run(
+        self, authenticated: AuthenticatedConnection, tasks: OwnedTasks
+    ) -> None:
         """Use a connection as the link to its host until it ends."""
-        connection = opened.connection
-        peer = self._table.enter(connection)
+        connection = authenticated.connection
+        peer = self._table.add(connection)
         if peer is None:
             self._context.account.count('links_old_incarnation')
             connection.abort()
             return
         if peer.connection is connection:
-            self._begin(peer, tasks)
+            self._start_link(peer, tasks)
         else:
             self._context.account.count('links_doubled')
         try:
-            await self._read(opened, peer)
+            await self._read(authenticated, peer)
         finally:
             connection.abort()
-            self._leave(connection)
+            self._remove(connection)
 
     async def watch(self) -> None:
-        """Close links that are stuck, until cancelled."""
+        """Abort unresponsive links until cancelled."""
         clock = self._context.clock
         while True:
-            began = clock.now()
-            await clock.sleep(_WATCH)
-            # After a pause of our own, what others sent in the meantime
+            started = clock.now()
+            await clock.sleep(_WATCH_INTERVAL)
+            # After a pause of this process, what others sent in the meantime
             # has not been read yet.
-            if clock.now() - began < 2 * _WATCH:
-                self._close_stuck(clock.now())
+            if clock.now() - started < 2 * _WATCH_INTERVAL:
+                self._abort_unresponsive(clock.now())
 
     async def flush(self) -> None:
-        """Wait until what is queued has been sent, but not for long."""
+        """Wait until the queues are sent or the time limit is reached."""
         clock = self._context.clock
-        end = clock.now() + self._context.limits.flush
-        while clock.now() < end and self._is_busy():
-            await clock.sleep(_FLUSH_STEP)
+        end = clock.now() + self._context.limits.flush_timeout
+        while clock.now() < end and self._has_unsent():
+            await clock.sleep(_FLUSH_POLL_INTERVAL)
 
-    def _is_busy(self) -> bool:
-        return any(peer.is_busy for peer in self._table)
+    def _has_unsent(self) -> bool:
+        return any(peer.has_unsent for peer in self._table)
 
-    def _begin(self, peer: Peer, tasks: OwnedTasks) -> None:
-        """Write on the connection that a peer has now."""
+    def _start_link(self, peer: Peer, tasks: OwnedTasks) -> None:
+        """Start writing on the current connection of a peer."""
         account = self._context.account
         work = peer.connection.write(peer.queue, account)
         writing = Metered(account, LINKS_PART, work)
-        peer.connection.writing = tasks.start(writing)
-        _LOG.info('host %s is linked', peer.host)
+        peer.connection.write_task = tasks.start(writing)
+        _LOG.info('link to host %s opened', peer.host)
         self._listener.link_opened(peer.identity)
 
-    async def _read(self, opened: Opened, peer: Peer) -> None:
-        unpacker = Unpacker(self._context.limits.message)
-        take = partial(self._take, opened.connection, peer)
-        ended = await opened.connection.read(unpacker, opened.early, take)
-        self._context.account.count(ended)
+    async def _read(
+        self, authenticated: AuthenticatedConnection, peer: Peer
+    ) -> None:
+        unpacker = Unpacker(self._context.limits.max_message_bytes)
+        receive = partial(self._receive, authenticated.connection, peer)
+        event = await authenticated.connection.read(
+            unpacker, authenticated.early_bytes, receive
+        )
+        self._context.account.count(event)
 
-    def _take(
+    def _receive(
         self,
         connection: Connection,
         peer: Peer,
         frame: Frame,
         size: int,
     ) -> None:
-        self._table.used(peer, connection)
-        self._receiver.take(peer, frame, size)
+        self._table.note_received(peer, connection)
+        self._receiver.receive(peer, frame, size)
 
-    def _leave(self, connection: Connection) -> None:
-        if self._table.leave(connection):
-            _LOG.info('host %s is lost', connection.identity.host)
+    def _remove(self, connection: Connection) -> None:
+        if self._table.remove(connection):
+            _LOG.info('link to host %s closed', connection.identity.host)
             self._listener.link_closed(connection.identity)
 
-    def _close_stuck(self, now: float) -> None:
+    def _abort_unresponsive(self, now: float) -> None:
         limits = self._context.limits
-        for spare in self._table.spares(now - limits.stall):
-            spare.abort()
+        for redundant in self._table.redundant_connections(
+            now - limits.write_timeout
+        ):
+            redundant.abort()
         for peer in self._table:
             connection = peer.connection
-            stalled = connection.stalled_since
-            if stalled is not None and now - stalled > limits.stall:
+            pending_since = connection.write_pending_since
+            if (
+                pending_since is not None
+                and now - pending_since > limits.write_timeout
+            ):
                 self._context.account.count('links_stalled')
                 connection.abort()
-            elif now - connection.heard > limits.silence:
+            elif now - connection.last_received > limits.idle_timeout:
                 self._context.account.count('links_silent')
                 connection.abort()
--- a/src/nutmegroad/membership/_link_targets.py
+++ b/src/nutmegroad/membership/_link_targets.py
@@ -1,4 +1,4 @@
-"""To which hosts this one should have links."""
+"""Selects the hosts to which this one should have links."""
 
 import random
 from collections import defaultdict
@@ -8,25 +8,25 @@
 from nutmegroad.foundations.types import Address, DomainId, HostId
 from nutmegroad.membership._member_messages import Record
 from nutmegroad.membership._member_table import MemberTable, Reachability
-from nutmegroad.membership._rendezvous import ranked
+from nutmegroad.membership._rendezvous import rank_hosts
 
-#: Links that a host makes to each other domain.
-CROSS_LINKS: Final = 2
-#: Seeds that are tried at a time while there is no link at all.
-_FIRST_SEEDS: Final = 8
+#: Number of links from a host to each other domain.
+LINKS_PER_REMOTE_DOMAIN: Final = 2
+#: Maximum number of addresses probed at a time while there is no link.
+_MAX_INITIAL_SEEDS: Final = 8
 
 
 class LinkTargets:
-    """Chooses whom to connect to.
+    """Selects the hosts to connect to.
 
-    All hosts of the own domain; of each other domain those that stand
-    first for this host; and, by turns, an address at which there may be
-    hosts that are not known or not in reach.
+    These are all hosts of the local domain, the highest-ranked hosts of each
+    other domain, and a changing selection of addresses at which there may be
+    unknown or unreachable hosts.
 
     Args:
-        table: All records.
-        reachability: When hosts and domains were last heard.
-        randomness: Chooses what to probe.
+        table: Member records.
+        reachability: When hosts and domains were last seen.
+        randomness: Selects the addresses to probe.
         seeds: Addresses from the settings.
     """
 
@@ -42,68 +42,72 @@
         self._randomness = randomness
         self._seeds = frozenset(seeds)
         self._listed: frozenset[Address] = frozenset()
-        self._probe: frozenset[Address] = frozenset()
+        self._probes: frozenset[Address] = frozenset()
         self._chosen: dict[HostId, Address] = {}
-        self._chosen_at = 0
+        self._chosen_change = 0
 
-    def take_listing(self, addresses: Iterable[Address]) -> None:
-        """Take in where the host list says that hosts of ours listen."""
+    def set_listed_addresses(self, addresses: Iterable[Address]) -> None:
+        """Set the addresses that the host list contains."""
         self._listed = frozenset(addresses)
 
     def hosts(self) -> dict[HostId, Address]:
         """Return the known hosts to which there should be links."""
-        if self._chosen_at != self._table.entries.change:
-            self._chosen_at = self._table.entries.change
+        if self._chosen_change != self._table.entries.change_number:
+            self._chosen_change = self._table.entries.change_number
             self._chosen = self._choose()
         return self._chosen
 
     def addresses(self) -> frozenset[Address]:
         """Return all addresses to which there should be links."""
         chosen = self.hosts().values()
-        if not self._probe:
+        if not self._probes:
             return frozenset(chosen)
-        # Who was found at a probed address is a host like any other.
-        return (self._probe - self._known()).union(chosen)
+        # A host found at a probed address is treated like any other.
+        return (self._probes - self._known()).union(chosen)
 
-    def choose_probe(self, *, has_links: bool) -> None:
-        """Choose anew at which other addresses to look for hosts.
+    def choose_probes(self, *, has_links: bool) -> None:
+        """Select new addresses at which to look for hosts.
 
         Args:
-            has_links: Whether there is any link; without one all seeds
-                are tried, up to a bound.
+            has_links: Whether there is any link; without one, several addresses
+                are probed at a time.
         """
-        places = self._seeds | self._listed | self._lost()
-        choices = sorted(places - self._known(), key=str)
-        self._randomness.shuffle(choices)
-        size = 1 if has_links else _FIRST_SEEDS
-        self._probe = frozenset(choices[:size])
+        candidates = (
+            self._seeds | self._listed | self._addresses_of_empty_domains()
+        )
+        shuffled = sorted(candidates - self._known(), key=str)
+        self._randomness.shuffle(shuffled)
+        size = 1 if has_links else _MAX_INITIAL_SEEDS
+        self._probes = frozenset(shuffled[:size])
 
     def _choose(self) -> dict[HostId, Address]:
         by_domain = self._by_domain()
         chosen = by_domain.pop(self._table.identity.domain, [])
         for records in by_domain.values():
-            names = {record.host: record for record in records}
-            first = ranked(self._table.own.host, names)[:CROSS_LINKS]
-            chosen.extend(names[host] for host in first)
+            by_host = {record.host: record for record in records}
+            selected = rank_hosts(self._table.own.host, by_host)[
+                :LINKS_PER_REMOTE_DOMAIN
+            ]
+            chosen.extend(by_host[host] for host in selected)
         return {record.host: record.identity.address for record in chosen}
 
     def _known(self) -> frozenset[Address]:
-        """Return where known hosts listen, this one among them."""
+        """Return the addresses of known hosts, including this one."""
         own = self._table.identity.address
         others = [record.identity.address for record in self._table.others()]
         return frozenset((own, *others))
 
-    def _lost(self) -> frozenset[Address]:
-        """Return where gone hosts were of domains without a live one."""
-        inhabited = self._by_domain()
+    def _addresses_of_empty_domains(self) -> frozenset[Address]:
+        """Return addresses of gone hosts in domains without other members."""
+        populated = self._by_domain()
         return frozenset(
             record.identity.address
             for record in self._table.entries.records()
-            if record.is_gone and record.identity.domain not in inhabited
+            if record.is_gone and record.identity.domain not in populated
         )
 
     def _by_domain(self) -> dict[DomainId, list[Record]]:
-        """Return the other hosts that are not gone."""
+        """Return the other hosts that are not gone, by domain."""
         records: defaultdict[DomainId, list[Record]] = defaultdict(list)
         for record in self._table.others():
             records[record.identity.domain].append(record)
--- a/src/nutmegroad/membership/_member_context.py
+++ b/src/nutmegroad/membership/_member_context.py
@@ -1,4 +1,4 @@
-"""What the membership is given, and what it shares with the links."""
+"""Dependencies of the membership, and the state that it shares with links."""
 
 import random
 from collections.abc import Iterable
@@ -14,40 +14,41 @@
 from nutmegroad.membership._link_context import LinkListener
 from nutmegroad.membership._member_table import MemberTable, Reachability
 
-#: A domain unheard for so many intervals counts as cut off.
-_DOMAIN_BOUND: Final = 15.0
+#: Number of heartbeat intervals without any update after which a domain is
+#: considered unreachable.
+_DOMAIN_TIMEOUT: Final = 15.0
 
 
 class LinkLayer(Mesh, Protocol):
-    """What the membership needs of the links, beyond a ``Mesh``."""
+    """Operations on links that the membership needs beyond ``Mesh``."""
 
     def listen(self, listener: LinkListener) -> None:
-        """Tell a listener what becomes of links."""
+        """Set the listener that is notified when links open or close."""
 
     def keep_links(self, addresses: Iterable[Address]) -> None:
-        """Keep links to whoever listens at these addresses."""
+        """Maintain links to the hosts at these addresses from now on."""
 
     def linked(self) -> dict[HostId, float]:
-        """Return the hosts with a link, and when each was last heard."""
+        """Return the linked hosts and when each was last received."""
 
     def drop(self, host: HostId) -> None:
         """Close the link to a host."""
 
     def tell_each(self, hosts: Iterable[HostId], message: Message) -> int:
-        """Queue a message to several hosts; return to how many."""
+        """Queue a message for several hosts; return for how many."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberContext:
-    """What the membership needs of the program around it.
+    """Dependencies of the membership.
 
     Attributes:
-        clock: Time.
+        clock: Source of time.
         randomness: Source of jitter.
-        account: Where cost and events are written.
+        account: Records costs and events.
         heartbeat: Seconds between heartbeats.
         seeds: Peer addresses from the settings.
-        host_list: The platform's list, if there is one.
+        host_list: Host list of the platform, if there is one.
     """
 
     clock: Clock
@@ -63,6 +64,6 @@
     clock: Clock,
     heartbeat: float,
 ) -> tuple[MemberTable, Reachability]:
-    """Return what links and membership share."""
-    reachability = Reachability(clock, _DOMAIN_BOUND * heartbeat)
+    """Return the state that links and membership share."""
+    reachability = Reachability(clock, _DOMAIN_TIMEOUT * heartbeat)
     return MemberTable(identity, clock, reachability), reachability
--- a/src/nutmegroad/membership/_member_messages.py
+++ b/src/nutmegroad/membership/_member_messages.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other about hosts."""
+"""Messages that hosts exchange about the membership."""
 
 from typing import ClassVar, Final
 
@@ -11,16 +11,17 @@
 
 MEMBERS_PART: Final = 'members'
 
-#: A later presence of the same version of a record wins.
+#: Presences in order of precedence: within one version of a record, the later
+#: one wins.
 _RANKS: Final = (Presence.LIVE, Presence.LEAVING, Presence.GONE)
 
 
 class Record(Struct, frozen=True, array_like=True):
-    """What is known about one incarnation of a host.
+    """State of one incarnation of a host.
 
     Attributes:
-        identity: The incarnation.
-        version: Counts changes that the host itself made.
+        identity: Identity of the incarnation.
+        version: Number of changes that the host itself has made.
         presence: Live, leaving or gone.
     """
 
@@ -30,7 +31,7 @@
 
     @property
     def host(self) -> HostId:
-        """The host's id."""
+        """Id of the host."""
         return self.identity.host
 
     @property
@@ -40,12 +41,12 @@
 
     @property
     def order(self) -> tuple[int, str, int, int]:
-        """Greater for later news of the same host."""
+        """Sort key; greater for a later record of the same host."""
         rank = _RANKS.index(self.presence)
         return (*self.identity.order, self.version, rank)
 
     def digest(self) -> int:
-        """Return a hash in which all hosts agree."""
+        """Return a hash that is the same on all hosts."""
         incarnation = self.identity.incarnation
         generation = self.identity.generation
         text = f'{incarnation} {generation} {self.version} {self.presence}'
@@ -58,19 +59,20 @@
     tag='heartbeat',
     array_like=True,
 ):
-    """Says that the sender lives, and what has changed.
+    """Sign of life of the sender, with changed records.
 
     Attributes:
-        digest: Hash over all the records that are not gone.
-        wanted: Whether the sender needs this link itself.
+        digest: Hash over all records of the sender that are not gone.
+        wanted: Whether the sender itself needs this link.
         news: Records that changed.
-        ages: Tenths of a second since a domain was last heard.
-        suspects: Hosts of its domain that the sender does not hear.
-        vouched: Hosts that others suspect and the sender hears.
+        ages: Tenths of a second since each domain was last seen.
+        suspects: Hosts of the sender's domain that are unresponsive to it.
+        vouched: Hosts that others suspect and the sender receives.
     """
 
     part: ClassVar[str] = MEMBERS_PART
-    # News that is lost with one is found by the digest of the next.
+    # If a heartbeat is dropped, the digest of the next one reveals the missing
+    # records.
     replaceable: ClassVar[bool] = True
 
     digest: int
@@ -82,16 +84,16 @@
 
 
 class TableRequest(Message, frozen=True, tag='table-request'):
-    """Asks for all records."""
+    """Request for all records."""
 
     part: ClassVar[str] = MEMBERS_PART
 
 
 class TableReply(Message, frozen=True, tag='table-reply'):
-    """All records.
+    """Reply with all records.
 
     Attributes:
-        records: The records, gone ones among them.
+        records: All records, including those of gone hosts.
     """
 
     part: ClassVar[str] = MEMBERS_PART
--- a/src/nutmegroad/membership/_member_table.py
+++ b/src/nutmegroad/membership/_member_table.py
@@ -1,4 +1,4 @@
-"""What is known of all hosts: their records, and when they were heard."""
+"""Records of all hosts, and when hosts and domains were last seen."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
@@ -13,79 +13,83 @@
 from nutmegroad.foundations.types import Address, DomainId, HostId, Presence
 from nutmegroad.membership._handshake import Identity
 from nutmegroad.membership._member_messages import Record
-from nutmegroad.membership._rendezvous import ranked
+from nutmegroad.membership._rendezvous import rank_hosts
 
-#: Gone incarnations that are remembered at most.
-_MOST_GONE: Final = 1000
+#: Maximum number of gone incarnations that are kept.
+_MAX_GONE: Final = 1000
 
-#: Seconds for which a gone incarnation is remembered, so that old news
-#: can't bring it back.
-GONE_MEMORY: Final = 3600.0
-#: How many hosts of a domain pass a change within it on to other domains.
-_RELAYS: Final = 3
+#: Seconds for which a gone incarnation is kept, so that an outdated record can
+#: not make it live again.
+GONE_RETENTION: Final = 3600.0
+#: Number of hosts of a domain that forward a change within it to other
+#: domains.
+_FORWARDERS: Final = 3
 
 
 class Reachability:
-    """Keeps for how long hosts and domains have been silent.
+    """Tracks when hosts and domains were last seen.
 
     Args:
-        clock: Time.
-        domain_bound: Seconds of silence after which a domain counts as
-            cut off.
+        clock: Source of time.
+        domain_timeout: Seconds without any update after which a domain is
+            considered unreachable.
     """
 
-    def __init__(self, clock: Clock, domain_bound: float) -> None:
+    def __init__(self, clock: Clock, domain_timeout: float) -> None:
         self._clock = clock
-        self._domain_bound = domain_bound
+        self._domain_timeout = domain_timeout
         self._hosts: dict[HostId, float] = {}
         self._domains: dict[DomainId, float] = {}
-        self._told: dict[DomainId, float] = {}
-        self._forgiven = clock.now()
+        self._domain_reported_at: dict[DomainId, float] = {}
+        self._timers_reset_at = clock.now()
 
-    def heard_host(self, host: HostId, when: float) -> None:
-        """Note that a host was heard, or heard of for the first time."""
+    def record_host_seen(self, host: HostId, when: float) -> None:
+        """Record when a host was received or first reported."""
         self._hosts[host] = max(when, self._hosts.get(host, when))
 
-    def heard_domain(self, domain: DomainId, when: float) -> None:
-        """Note when a domain was heard, by us or by others."""
+    def record_domain_seen(self, domain: DomainId, when: float) -> None:
+        """Record when this or another host received a domain."""
         self._domains[domain] = max(when, self._domains.get(domain, when))
-        self._told[domain] = self._clock.now()
+        self._domain_reported_at[domain] = self._clock.now()
 
-    def forgive(self) -> None:
-        """Count all silence from now on, after a pause of our own."""
-        self._forgiven = self._clock.now()
+    def reset_timers(self) -> None:
+        """Restart all timeouts now, after this process was paused."""
+        self._timers_reset_at = self._clock.now()
 
     def forget_host(self, host: HostId) -> None:
-        """Forget a host."""
+        """Remove a host."""
         self._hosts.pop(host, None)
 
-    def last_heard(self, host: HostId) -> float:
-        """Return the clock seconds at which a host was last heard."""
-        return self._hosts.get(host, self._forgiven)
-
-    def silence(self, host: HostId) -> float:
-        """Return for how many seconds a host has been silent."""
-        heard = self._hosts.get(host, self._forgiven)
-        return self._clock.now() - max(heard, self._forgiven)
-
-    def is_cut_off(self, domain: DomainId) -> bool:
-        """Tell whether nobody of a domain is heard, even by others."""
-        heard = self._forgiven
-        # What others tell after a pause of our own is worth more than
-        # that we heard nothing during the pause.
-        if self._told.get(domain, self._forgiven) > self._forgiven:
-            heard = self._domains[domain]
-        return self._clock.now() - heard > self._domain_bound
-
-    def ages(self) -> Mapping[DomainId, float]:
-        """Return for each domain the seconds since it was heard."""
+    def last_seen(self, host: HostId) -> float:
+        """Return the clock seconds at which a host was last seen."""
+        return self._hosts.get(host, self._timers_reset_at)
+
+    def seconds_since_seen(self, host: HostId) -> float:
+        """Return the seconds since a host was last seen."""
+        seen = self._hosts.get(host, self._timers_reset_at)
+        return self._clock.now() - max(seen, self._timers_reset_at)
+
+    def is_domain_unreachable(self, domain: DomainId) -> bool:
+        """Return whether no host of a domain is seen, not even by others."""
+        seen = self._timers_reset_at
+        # After a pause of this process, reports of other hosts are better
+        # evidence than the lack of updates during the pause.
+        if (
+            self._domain_reported_at.get(domain, self._timers_reset_at)
+            > self._timers_reset_at
+        ):
+            seen = self._domains[domain]
+        return self._clock.now() - seen > self._domain_timeout
+
+    def domain_ages(self) -> Mapping[DomainId, float]:
+        """Return the seconds since each domain was last seen."""
         now = self._clock.now()
         return {domain: now - when for domain, when in self._domains.items()}
 
 
 @unique
 class Origin(Enum):
-    """How a change was learned, which says who else must be told."""
+    """How a change was learned; decides to whom it is forwarded."""
 
     OWN = 'own'
     NEAR = 'near'
@@ -96,31 +100,31 @@
 
 @dataclass(slots=True)
 class Entry:
-    """A record and how it came here.
+    """A record and how it was learned.
 
     Attributes:
         record: The record.
-        change: Number of the change that brought it.
+        change_number: Sequence number of the change that stored it.
         origin: How it was learned.
-        since: Clock seconds at which it was learned.
-        is_relay: Whether this host passes it on for its domain.
-        known_by: Hosts that told us the same.
+        recorded_at: Clock seconds at which it was stored.
+        is_forwarder: Whether this host forwards it for its domain.
+        known_by: Hosts that sent the same record.
     """
 
     record: Record
-    change: int
+    change_number: int
     origin: Origin
-    since: float
-    is_relay: bool = False
+    recorded_at: float
+    is_forwarder: bool = False
     known_by: set[HostId] = field(default_factory=set)
 
 
 class Entries:
-    """All records, the latest change last."""
+    """All records, ordered by their latest change."""
 
     def __init__(self) -> None:
         self._entries: dict[HostId, Entry] = {}
-        self._change = 0
+        self._change_number = 0
         self._digest = 0
 
     def __iter__(self) -> Iterator[Entry]:
@@ -128,9 +132,9 @@
         return iter(tuple(self._entries.values()))
 
     @property
-    def change(self) -> int:
+    def change_number(self) -> int:
         """How many changes there were."""
-        return self._change
+        return self._change_number
 
     @property
     def digest(self) -> int:
@@ -143,60 +147,66 @@
 
     def put(self, record: Record, origin: Origin, now: float) -> Entry:
         """Replace the record of a host."""
-        old = self._entries.pop(record.host, None)
-        if old is not None:
-            self._mix(old.record)
-        self._mix(record)
-        self._change += 1
-        entry = Entry(record, self._change, origin, since=now)
+        previous = self._entries.pop(record.host, None)
+        if previous is not None:
+            self._toggle_digest(previous.record)
+        self._toggle_digest(record)
+        self._change_number += 1
+        entry = Entry(record, self._change_number, origin, recorded_at=now)
         self._entries[record.host] = entry
         return entry
 
     def records(self) -> tuple[Record, ...]:
-        """Return all records, gone ones among them."""
+        """Return all records, including those of gone hosts."""
         return tuple(entry.record for entry in self)
 
-    def since(self, change: int) -> list[Entry]:
-        """Return the entries that changed later, the earliest first."""
-        latest = reversed(self._entries.values())
-        news = list(takewhile(lambda entry: entry.change > change, latest))
-        news.reverse()
-        return news
+    def changed_since(self, change_number: int) -> list[Entry]:
+        """Return the entries with later changes, the earliest first."""
+        newest_first = reversed(self._entries.values())
+        changed = list(
+            takewhile(
+                lambda entry: entry.change_number > change_number, newest_first
+            )
+        )
+        changed.reverse()
+        return changed
+
+    def purge(self, before: float) -> list[HostId]:
+        """Remove entries of hosts that are gone since before a moment.
 
-    def purge(self, limit: float) -> list[HostId]:
-        """Forget what has been gone since before a moment.
+        The earliest entries above the maximum number are removed too.
 
         Returns:
-            The hosts that were forgotten.
+            The removed hosts.
         """
         gone = [entry for entry in self if entry.record.is_gone]
-        surplus = len(gone) - _MOST_GONE
+        surplus = len(gone) - _MAX_GONE
         forgotten = [
             entry.record.host
             for place, entry in enumerate(gone)
-            if entry.since < limit or place < surplus
+            if entry.recorded_at < before or place < surplus
         ]
         for host in forgotten:
             self._entries.pop(host)
         return forgotten
 
-    def _mix(self, record: Record) -> None:
-        """Put a record into the hash, or take it out again."""
+    def _toggle_digest(self, record: Record) -> None:
+        """Add a record to the hash, or remove it again."""
         if not record.is_gone:
             self._digest ^= record.digest()
 
 
 class MemberTable:
-    """The records of all hosts, this one's among them.
+    """The records of all hosts, including this one.
 
     Attributes:
-        own: Our own record.
-        entries: All records, our own among them.
+        own: Record of this host.
+        entries: All records, including the own one.
 
     Args:
-        identity: Who we are.
-        clock: Time.
-        reachability: When hosts and domains were last heard.
+        identity: Identity of this host.
+        clock: Source of time.
+        reachability: When hosts and domains were last seen.
     """
 
     def __init__(
@@ -210,11 +220,11 @@
 
     @property
     def identity(self) -> Identity:
-        """Who we are."""
+        """Identity of this host."""
         return self.own.identity
 
     def bind(self, address: Address) -> None:
-        """Take in where we listen, once that is known."""
+        """Set the listening address of this host once it is known."""
         moved = msgspec.structs.replace(
             self.identity,
             ip=address.ip,
@@ -223,7 +233,7 @@
         self._set_own(msgspec.structs.replace(self.own, identity=moved))
 
     def raise_generation(self, known: int) -> None:
-        """Become later than a generation of us that others know."""
+        """Choose a generation later than the one that other hosts know."""
         generation = max(known, self.identity.generation) + 1
         later = msgspec.structs.replace(
             self.identity,
@@ -232,19 +242,19 @@
         self._set_own(msgspec.structs.replace(self.own, identity=later))
 
     def set_presence(self, presence: Presence) -> None:
-        """Change our own presence."""
+        """Change the presence of this host."""
         version = self.own.version + 1
         self._set_own(Record(self.identity, version, presence))
 
     def newer_generation(self, identity: Identity) -> int:
-        """Return the generation of a later incarnation, 0 if none."""
+        """Return the generation of a known later incarnation, or 0."""
         entry = self.entries.get(identity.host)
         if entry is None or entry.record.identity.order <= identity.order:
             return 0
         return entry.record.identity.generation
 
     def get(self, host: HostId) -> Record | None:
-        """Return the record of a host."""
+        """Return the record of a host, if there is one."""
         entry = self.entries.get(host)
         return None if entry is None else entry.record
 
@@ -256,7 +266,7 @@
                 yield record
 
     def members(self) -> tuple[Member, ...]:
-        """Return the other hosts that are live or leaving and in reach."""
+        """Return the other reachable hosts that are live or leaving."""
         return tuple(
             Member(
                 host=record.host,
@@ -264,41 +274,43 @@
                 domain=record.identity.domain,
                 address=record.identity.address,
                 presence=record.presence,
-                heard=self._reachability.last_heard(record.host),
+                heard=self._reachability.last_seen(record.host),
             )
             for record in self.others()
-            if not self._reachability.is_cut_off(record.identity.domain)
+            if not self._reachability.is_domain_unreachable(
+                record.identity.domain
+            )
         )
 
-    def merge(self, record: Record, origin: Origin, informer: HostId) -> bool:
-        """Take in a record that a host told us; true if it was news."""
+    def merge(self, record: Record, origin: Origin, source: HostId) -> bool:
+        """Store a record from another host; return whether it is newer."""
         if record.host == self.own.host:
             self._refute(record)
             return False
         entry = self.entries.get(record.host)
         if entry is not None and record.order <= entry.record.order:
             if record.order == entry.record.order:
-                entry.known_by.add(informer)
+                entry.known_by.add(source)
             return False
-        self._put(record, origin).known_by.add(informer)
+        self._put(record, origin).known_by.add(source)
         return True
 
     def declare_gone(self, host: HostId) -> None:
-        """Take in our own verdict that a host is gone."""
+        """Store the verdict of this host that a host is gone."""
         record = self.get(host)
         if record is not None:
             gone = Record(record.identity, record.version, Presence.GONE)
             self._put(gone, Origin.VERDICT)
 
     def purge(self) -> None:
-        """Forget incarnations that have been gone for long."""
-        limit = self._clock.now() - GONE_MEMORY
-        for host in self.entries.purge(limit):
+        """Remove incarnations that have been gone for long."""
+        before = self._clock.now() - GONE_RETENTION
+        for host in self.entries.purge(before):
             self._reachability.forget_host(host)
 
     def _refute(self, record: Record) -> None:
-        is_ours = record.identity.incarnation == self.identity.incarnation
-        if is_ours and record.order > self.own.order:
+        is_own = record.identity.incarnation == self.identity.incarnation
+        if is_own and record.order > self.own.order:
             version = record.version + 1
             self._set_own(Record(self.identity, version, self.own.presence))
 
@@ -307,20 +319,22 @@
         self._put(record, Origin.OWN)
 
     def _put(self, record: Record, origin: Origin) -> Entry:
-        old = self.get(record.host)
+        previous = self.get(record.host)
         now = self._clock.now()
         entry = self.entries.put(record, origin, now)
-        entry.is_relay = self._is_relay(record.host)
-        if old is None or old.identity != record.identity:
-            self._reachability.heard_host(record.host, now)
+        entry.is_forwarder = self._is_forwarder(record.host)
+        if previous is None or previous.identity != record.identity:
+            self._reachability.record_host_seen(record.host, now)
         return entry
 
-    def _is_relay(self, key: HostId) -> bool:
-        near = [
+    def _is_forwarder(self, key: HostId) -> bool:
+        local_hosts = [
             record.host
             for record in self.others()
             if record.identity.domain == self.identity.domain
             and record.host != key
         ]
-        first = ranked(key, [*near, self.own.host])[:_RELAYS]
-        return self.own.host in first
+        forwarders = rank_hosts(key, [*local_hosts, self.own.host])[
+            :_FORWARDERS
+        ]
+        return self.own.host in forwarders
--- a/src/nutmegroad/membership/_message_receiver.py
+++ b/src/nutmegroad/membership/_message_receiver.py
@@ -1,4 +1,4 @@
-"""Takes frames in: gives messages to handlers and replies to askers."""
+"""Dispatches frames: messages to handlers, replies to waiting requests."""
 
 import asyncio
 import itertools
@@ -22,32 +22,32 @@
 from nutmegroad.membership._peer_table import Peer
 from nutmegroad.membership._wire import Kinds, as_plain
 
-_Answer = asyncio.Future[Message | Refusal]
+_ReplyFuture = asyncio.Future[Message | Refusal]
 
 _LOG: Final = part_logger('links')
 
 
 class PendingReplies:
-    """The questions of one host that have no reply yet.
+    """Requests of this host that wait for a reply.
 
     Args:
-        clock: For the timeouts.
+        clock: Source of time for the timeouts.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._numbers = itertools.count(1)
-        self._waiting: dict[int, tuple[HostId, _Answer]] = {}
+        self._pending: dict[int, tuple[HostId, _ReplyFuture]] = {}
 
     def __len__(self) -> int:
-        """Return how many questions wait."""
-        return len(self._waiting)
+        """Return the number of pending requests."""
+        return len(self._pending)
 
     def open(self, host: HostId) -> int:
-        """Begin a question to a host and return its number."""
+        """Register a request to a host and return its number."""
         number = next(self._numbers)
-        answer: _Answer = asyncio.get_running_loop().create_future()
-        self._waiting[number] = (host, answer)
+        reply_future: _ReplyFuture = asyncio.get_running_loop().create_future()
+        self._pending[number] = (host, reply_future)
         return number
 
     def answer(
@@ -56,59 +56,61 @@
         number: int,
         reply: Message | Refusal,
     ) -> bool:
-        """Settle a question; false if this host was not asked it.
+        """Complete a request; false if none is pending with this host.
 
-        A reply that comes late, twice or from another host is no reply.
+        Late and duplicate replies, and replies from another host, are ignored.
         """
-        asked, answer = self._waiting.get(number, (None, None))
-        if answer is None or asked != host or answer.done():
+        expected_host, reply_future = self._pending.get(number, (None, None))
+        if reply_future is None or expected_host != host or reply_future.done():
             return False
-        answer.set_result(reply)
+        reply_future.set_result(reply)
         return True
 
     def fail(self, host: HostId, reason: str) -> None:
-        """Settle all questions to a host whose link was lost."""
+        """Complete all requests to a host whose link was lost."""
         refusal = Refusal(ResultCode.PEER_UNREACHABLE, reason, Ran.UNKNOWN)
-        for asked, answer in self._waiting.values():
-            if asked == host and not answer.done():
-                answer.set_result(refusal)
+        for expected_host, reply_future in self._pending.values():
+            if expected_host == host and not reply_future.done():
+                reply_future.set_result(refusal)
 
     def close(self, number: int) -> None:
-        """Give a question up that was never sent."""
-        self._waiting.pop(number)
+        """Remove a request that was never sent."""
+        self._pending.pop(number)
 
     async def wait(self, number: int, seconds: float) -> Message | Refusal:
-        """Return the reply, or a refusal when the time is up."""
-        host, answer = self._waiting[number]
-        timeout = asyncio.ensure_future(self._expire(host, answer, seconds))
+        """Return the reply, or a refusal after the timeout."""
+        host, reply_future = self._pending[number]
+        timeout = asyncio.ensure_future(
+            self._expire(host, reply_future, seconds)
+        )
         try:
-            return await answer
+            return await reply_future
         finally:
             timeout.cancel()
-            self._waiting.pop(number)
+            self._pending.pop(number)
 
     async def _expire(
         self,
         host: HostId,
-        answer: _Answer,
+        reply_future: _ReplyFuture,
         seconds: float,
     ) -> None:
         await self._clock.sleep(seconds)
-        if answer.done():
+        if reply_future.done():
             return
         reason = f'Host {host} did not reply within {seconds:g} s.'
         refusal = Refusal(ResultCode.PEER_UNREACHABLE, reason, Ran.UNKNOWN)
-        answer.set_result(refusal)
+        reply_future.set_result(refusal)
 
 
 class MessageReceiver:
-    """Gives each message to its handler, and each reply to its asker.
+    """Passes each message to its handler, and each reply to its request.
 
     Args:
-        context: Time, limits and account.
-        roster: Says which incarnations are too old.
-        pending: What waits for replies.
-        tasks: Where handlers run.
+        context: Clock, limits and cost account.
+        roster: Decides which incarnations are outdated.
+        pending: Requests that wait for a reply.
+        tasks: Task group in which handlers run.
     """
 
     def __init__(
@@ -126,12 +128,12 @@
         self._handlers: dict[type[Message], Handler[Any]] = {}
 
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
-        """Register what is done with messages of a kind."""
+        """Register the handler for a type of message."""
         self._kinds.add(kind)
         self._handlers[kind] = handler
 
-    def take(self, peer: Peer, frame: Frame, size: int) -> None:
-        """Take in one frame of a peer."""
+    def receive(self, peer: Peer, frame: Frame, size: int) -> None:
+        """Process one frame of a peer."""
         if self._roster.newer_generation(peer.identity):
             self._context.account.count('links_old_message')
             peer.connection.abort()
@@ -140,11 +142,11 @@
         part = LINKS_PART if message is None else message.part
         self._context.account.received(part, size)
         if frame.kind in {FrameKind.REPLY, FrameKind.REFUSED}:
-            self._settle(peer, frame, message)
+            self._resolve_reply(peer, frame, message)
             return
-        self._start(peer, frame, message)
+        self._start_handler(peer, frame, message)
 
-    def _settle(
+    def _resolve_reply(
         self,
         peer: Peer,
         frame: Frame,
@@ -157,20 +159,22 @@
         if not self._pending.answer(peer.host, frame.number, reply):
             self._context.account.count('links_late_reply')
 
-    def _start(self, peer: Peer, frame: Frame, message: Message | None) -> None:
+    def _start_handler(
+        self, peer: Peer, frame: Frame, message: Message | None
+    ) -> None:
         handler = None if message is None else self._handlers.get(type(message))
         if message is None or handler is None:
             self._refuse(peer, frame, 'links_unknown_message')
             return
-        if peer.handling >= self._context.limits.handlers:
+        if peer.running_handlers >= self._context.limits.max_handlers:
             self._refuse(peer, frame, 'links_handlers_busy')
             return
-        peer.handling += 1
-        work = self._work(peer, frame, message, handler)
+        peer.running_handlers += 1
+        work = self._run_handler(peer, frame, message, handler)
         account = self._context.account
         self._tasks.start(Metered(account, message.part, work))
 
-    async def _work(
+    async def _run_handler(
         self,
         peer: Peer,
         frame: Frame,
@@ -180,25 +184,25 @@
         try:
             reply = await handler(peer.host, message)
         except Exception:
-            _LOG.exception('a handler failed.')
+            _LOG.exception('message handler failed')
             self._refuse(peer, frame, 'links_handler_failed')
             return
         finally:
-            peer.handling -= 1
+            peer.running_handlers -= 1
         if frame.kind is FrameKind.TELL:
             return
         if reply is None:
             self._refuse(peer, frame, 'links_no_reply')
             return
         packed = pack_frame(FrameKind.REPLY, frame.number, as_plain(reply))
-        self._put(peer, QueuedFrame(packed, reply.part))
+        self._enqueue(peer, QueuedFrame(packed, reply.part))
 
     def _refuse(self, peer: Peer, frame: Frame, event: str) -> None:
         self._context.account.count(event)
         if frame.kind is FrameKind.ASK:
             packed = pack_frame(FrameKind.REFUSED, frame.number, event)
-            self._put(peer, QueuedFrame(packed, LINKS_PART))
+            self._enqueue(peer, QueuedFrame(packed, LINKS_PART))
 
-    def _put(self, peer: Peer, queued: QueuedFrame) -> None:
+    def _enqueue(self, peer: Peer, queued: QueuedFrame) -> None:
         if not peer.queue.put(queued):
             self._context.account.count('links_queue_full')
--- a/src/nutmegroad/membership/_peer_table.py
+++ b/src/nutmegroad/membership/_peer_table.py
@@ -1,4 +1,4 @@
-"""The established links, one for each other host, and sending on them."""
+"""Established links, one per other host, and sending on them."""
 
 from collections.abc import Iterable, Iterator
 from typing import Final
@@ -17,61 +17,65 @@
 from nutmegroad.membership._link_context import LinkContext, LinkLimits
 from nutmegroad.membership._wire import as_plain
 
-#: Two hosts that connect to each other do so within this many seconds. A
-#: connection that is older was lost by the other side if it makes another.
-_SIMULTANEOUS: Final = 5.0
+#: Maximum seconds between two connections that hosts open to each other
+#: simultaneously. If the existing one is older, the peer has lost it.
+_SIMULTANEOUS_WINDOW: Final = 5.0
 
 
 class Peer:
     """One incarnation of a host to which there is a link.
 
     Attributes:
-        connection: The connection that is used.
-        queue: What waits to be sent.
-        handling: How many handlers run for it.
-        spares: Connections beside it that are to end.
-        heard_on: The connection on which its last frame came, if any.
+        connection: The connection in use.
+        queue: Messages to send.
+        running_handlers: Number of handlers that run for it.
+        redundant_connections: Other connections to it, which are to be closed.
+        last_received_on: The connection of its last frame, if any.
 
     Args:
         connection: Its first connection.
-        limits: Bounds on the queue.
+        limits: Limits of the queue.
     """
 
     def __init__(self, connection: Connection, limits: LinkLimits) -> None:
         self.connection = connection
-        self.queue = SendQueue(limits.queue_messages, limits.queue_bytes)
-        self.handling = 0
-        self.spares: list[Connection] = []
-        self.heard_on: Connection | None = None
+        self.queue = SendQueue(
+            limits.max_queued_messages, limits.max_queued_bytes
+        )
+        self.running_handlers = 0
+        self.redundant_connections: list[Connection] = []
+        self.last_received_on: Connection | None = None
 
     @property
     def identity(self) -> Identity:
-        """Who it is."""
+        """Identity of the peer."""
         return self.connection.identity
 
     @property
     def host(self) -> HostId:
-        """Its host id."""
+        """Host id of the peer."""
         return self.connection.identity.host
 
     @property
-    def is_busy(self) -> bool:
-        """Whether something has not yet gone to the system."""
-        return bool(self.queue) or self.connection.stalled_since is not None
+    def has_unsent(self) -> bool:
+        """Whether data is queued or being written."""
+        return (
+            bool(self.queue) or self.connection.write_pending_since is not None
+        )
 
     def abort(self) -> None:
-        """End all its connections at once."""
-        for connection in (self.connection, *self.spares):
+        """Close all its connections immediately."""
+        for connection in (self.connection, *self.redundant_connections):
             connection.abort()
 
 
 class PeerTable:
-    """Keeps one link for each host.
+    """Holds one link for each host.
 
     Args:
         host: Id of this host.
-        clock: Time.
-        limits: Bounds on queues.
+        clock: Source of time.
+        limits: Limits of the queues.
     """
 
     def __init__(self, host: HostId, clock: Clock, limits: LinkLimits) -> None:
@@ -80,46 +84,46 @@
         self._limits = limits
         self._peers: dict[HostId, Peer] = {}
         self._aliases: dict[Address, HostId] = {}
-        self._spares: dict[Connection, float] = {}
+        self._redundant_since: dict[Connection, float] = {}
 
     def __iter__(self) -> Iterator[Peer]:
-        """Iterate over the hosts to which there is a link."""
+        """Iterate over the linked peers."""
         return iter(tuple(self._peers.values()))
 
     def __len__(self) -> int:
-        """Return how many links there are."""
+        """Return the number of links."""
         return len(self._peers)
 
     def get(self, host: HostId) -> Peer | None:
-        """Return a host, if there is a link to it."""
+        """Return the peer for a host, if there is a link to it."""
         return self._peers.get(host)
 
     def is_linked(self, address: Address) -> bool:
-        """Tell whether there is a link to whoever listens there."""
+        """Return whether there is a link to the host at an address."""
         if self._aliases.get(address) in self._peers:
             return True
         return any(peer.identity.address == address for peer in self)
 
-    def note_alias(self, address: Address, host: HostId) -> None:
-        """Remember which host answered at an address."""
+    def add_alias(self, address: Address, host: HostId) -> None:
+        """Record which host answered at an address."""
         self._aliases[address] = host
 
-    def forget_aliases(self, kept: frozenset[Address]) -> None:
-        """Forget who answered at other addresses than these."""
+    def retain_aliases(self, kept: frozenset[Address]) -> None:
+        """Remove the aliases for all other addresses."""
         for address in self._aliases.keys() - kept:
             self._aliases.pop(address)
 
-    def enter(self, connection: Connection) -> Peer | None:
-        """Take a connection in, as the link to its host or beside it.
+    def add(self, connection: Connection) -> Peer | None:
+        """Add a connection, as the link to its host or as a redundant one.
 
-        Two hosts may connect to each other at once. Nothing more is
-        written on the connection that is not used, but it is kept until
-        the other side has sent something on the used one: before that the
-        other side may know of no other, and would take its end for the
-        loss of the link.
+        Two hosts may connect to each other simultaneously. Nothing more is
+        written on the redundant connection, but it stays open until the peer
+        has sent something on the one in use: before that the peer may know
+        only the redundant one, and would take its end for the loss of the
+        link.
 
         Returns:
-            The host; None for an old incarnation.
+            The peer; None for an outdated incarnation.
         """
         identity = connection.identity
         peer = self._peers.get(identity.host)
@@ -131,63 +135,63 @@
             return peer
         if identity.incarnation != peer.identity.incarnation:
             return None
-        spare = connection
-        if self._is_better(connection, peer.connection):
-            spare = peer.connection
+        redundant = connection
+        if self._is_preferred(connection, peer.connection):
+            redundant = peer.connection
             peer.connection = connection
-        spare.rest()
-        peer.spares.append(spare)
-        self._spares[spare] = self._clock.now()
-        self._finish_spares(peer)
+        redundant.stop_writing()
+        peer.redundant_connections.append(redundant)
+        self._redundant_since[redundant] = self._clock.now()
+        self._close_redundant(peer)
         return peer
 
-    def used(self, peer: Peer, connection: Connection) -> None:
-        """Learn that a host has sent something on a connection to it."""
-        peer.heard_on = connection
-        self._finish_spares(peer)
+    def note_received(self, peer: Peer, connection: Connection) -> None:
+        """Record the connection on which a peer last sent."""
+        peer.last_received_on = connection
+        self._close_redundant(peer)
 
-    def leave(self, connection: Connection) -> bool:
-        """Drop a connection; true if its host has no link now."""
-        self._spares.pop(connection, None)
+    def remove(self, connection: Connection) -> bool:
+        """Remove a connection; return whether its host lost its link."""
+        self._redundant_since.pop(connection, None)
         peer = self._peers.get(connection.identity.host)
         if peer is None or peer.connection is not connection:
             return False
         self._peers.pop(peer.host)
-        # The other side may still use one of them as the link.
+        # The peer may still use one of them as the link.
         peer.abort()
         return True
 
-    def spares(self, before: float) -> tuple[Connection, ...]:
-        """Return connections that are not used since before a moment."""
+    def redundant_connections(self, before: float) -> tuple[Connection, ...]:
+        """Return connections that are redundant since before a moment."""
         return tuple(
             connection
-            for connection, when in self._spares.items()
-            if when < before
+            for connection, added_at in self._redundant_since.items()
+            if added_at < before
         )
 
-    def _finish_spares(self, peer: Peer) -> None:
-        """End what is not used, once the other side uses the same."""
-        if peer.heard_on is not peer.connection:
+    def _close_redundant(self, peer: Peer) -> None:
+        """Close redundant connections once the peer uses the same one."""
+        if peer.last_received_on is not peer.connection:
             return
-        for spare in peer.spares:
-            spare.finish()
-        peer.spares.clear()
+        for redundant in peer.redundant_connections:
+            redundant.close_writing()
+        peer.redundant_connections.clear()
 
-    def _is_better(self, new: Connection, old: Connection) -> bool:
-        if new.initiator == old.initiator:
+    def _is_preferred(self, new: Connection, old: Connection) -> bool:
+        if new.is_initiator == old.is_initiator:
             return True
-        if self._clock.now() - old.opened > _SIMULTANEOUS:
+        if self._clock.now() - old.opened_at > _SIMULTANEOUS_WINDOW:
             return True
-        # Both connected at once. Both keep the connection that the host
-        # with the lesser id began.
-        return new.initiator == (self._host < new.identity.host)
+        # Both connected simultaneously. Both keep the connection that the host
+        # with the smaller id opened.
+        return new.is_initiator == (self._host < new.identity.host)
 
 
 class MessageSender:
-    """Queues messages for peers, within the limits.
+    """Queues messages for peers within the limits.
 
     Args:
-        context: Account and limits.
+        context: Cost account and limits.
         table: The established links.
     """
 
@@ -195,15 +199,15 @@
         self._context = context
         self._table = table
 
-    def tell(self, hosts: Iterable[HostId], message: Message) -> int:
-        """Queue a message to hosts; return to how many it was."""
-        return self._send(hosts, FrameKind.TELL, 0, message)
+    def send(self, hosts: Iterable[HostId], message: Message) -> int:
+        """Queue a message for several hosts; return for how many."""
+        return self._enqueue_all(hosts, FrameKind.TELL, 0, message)
 
-    def ask(self, host: HostId, number: int, message: Message) -> bool:
-        """Queue a question; false if there is no link or no room."""
-        return self._send((host,), FrameKind.ASK, number, message) == 1
+    def send_request(self, host: HostId, number: int, message: Message) -> bool:
+        """Queue a request; false if there is no link or no capacity."""
+        return self._enqueue_all((host,), FrameKind.ASK, number, message) == 1
 
-    def _send(
+    def _enqueue_all(
         self,
         hosts: Iterable[HostId],
         kind: FrameKind,
@@ -211,14 +215,14 @@
         message: Message,
     ) -> int:
         packed = pack_frame(kind, number, as_plain(message))
-        if len(packed) > self._context.limits.message:
+        if len(packed) > self._context.limits.max_message_bytes:
             self._context.account.count('links_message_too_large')
             return 0
         lazy = message.lazy and kind is FrameKind.TELL
         frame = QueuedFrame(packed, message.part, message.replaceable, lazy)
-        return sum(self._put(host, frame) for host in hosts)
+        return sum(self._enqueue(host, frame) for host in hosts)
 
-    def _put(self, host: HostId, frame: QueuedFrame) -> bool:
+    def _enqueue(self, host: HostId, frame: QueuedFrame) -> bool:
         peer = self._table.get(host)
         if peer is None:
             return False
--- a/src/nutmegroad/membership/_rendezvous.py
+++ b/src/nutmegroad/membership/_rendezvous.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing: everybody ranks the same hosts in the same order.
+"""Rendezvous hashing: all hosts rank the same hosts in the same order.
 
-When a host comes or goes, only what it ranked first for moves.
+If a host is added or removed, only keys for which it ranks first move.
 """
 
 from collections.abc import Iterable
@@ -10,9 +10,9 @@
 from nutmegroad.foundations.types import HostId
 
 
-def ranked(key: str, hosts: Iterable[HostId]) -> list[HostId]:
-    """Return hosts in the order in which they stand for a key."""
-    # A length before the key keeps ('ab', 'c') and ('a', 'bc') apart.
+def rank_hosts(key: str, hosts: Iterable[HostId]) -> list[HostId]:
+    """Return the hosts in the order of their rank for a key."""
+    # The length prefix keeps ('ab', 'c') and ('a', 'bc') distinct.
     prefix = f'{len(key)}:{key}'
     return sorted(hosts, key=lambda host: (_weight(prefix, host), host))
 
--- a/src/nutmegroad/membership/_wire.py
+++ b/src/nutmegroad/membership/_wire.py
@@ -1,4 +1,4 @@
-"""Typed messages to msgpack streams and back, with limits."""
+"""Encodes typed messages as msgpack streams and decodes them, with limits."""
 
 from collections.abc import Iterator
 from typing import Any, Final, TypeVar
@@ -8,7 +8,7 @@
 
 from nutmegroad.contracts.peers import Message
 
-#: What an unreadable stream raises from ``msgpack``.
+#: Exceptions that ``msgpack`` raises for an invalid stream.
 _UNREADABLE: Final = (
     msgpack.exceptions.UnpackException,
     ValueError,
@@ -16,44 +16,45 @@
     OverflowError,
     RecursionError,
 )
-#: Items that an array or map may announce. The unpacker reserves room for
-#: as many at once, so that a few bytes could otherwise claim a gigabyte.
-_MOST_ITEMS: Final = 20_000
-#: Bytes are carried as they are, not as text.
-_AS_THEY_ARE: Final = (bytes,)
+#: Maximum items that an array or map may announce. The unpacker reserves
+#: memory for all of them in advance, so that a few bytes could otherwise claim
+#: a gigabyte.
+_MAX_ITEMS: Final = 20_000
+#: Types that msgpack carries natively; bytes are not encoded as text.
+_NATIVE_TYPES: Final = (bytes,)
 
 
 Kind = TypeVar('Kind', bound=msgspec.Struct)
 
 
 class StreamError(Exception):
-    """A stream holds what no peer of ours would send."""
+    """A stream contains data that no valid peer sends."""
 
 
 class Unpacker:
-    """Cuts a stream of bytes into unpacked objects.
+    """Splits a stream of bytes into unpacked objects.
 
     Args:
-        most_bytes: Size that one object may have.
-        most_items: Items that an array or map may have.
+        max_bytes: Maximum size of one object.
+        max_items: Maximum items of an array or map.
     """
 
-    def __init__(self, most_bytes: int, most_items: int = _MOST_ITEMS) -> None:
+    def __init__(self, max_bytes: int, max_items: int = _MAX_ITEMS) -> None:
         self._unpacker = msgpack.Unpacker(
-            max_buffer_size=most_bytes,
-            max_array_len=most_items,
-            max_map_len=most_items,
+            max_buffer_size=max_bytes,
+            max_array_len=max_items,
+            max_map_len=max_items,
             strict_map_key=False,
         )
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
         self._fed = 0
         self._done = 0
 
     def feed(self, chunk: bytes) -> Iterator[tuple[object, int]]:
-        """Yield each object that is complete now, and its size in bytes.
+        """Yield each object that is complete, and its size in bytes.
 
         Raises:
-            StreamError: If the stream is too large or unreadable.
+            StreamError: If the stream is invalid or an object is too large.
         """
         self._fed += len(chunk)
         try:
@@ -62,9 +63,9 @@
             raise StreamError('The message is too large.') from error
         return self._unpack()
 
-    def rest(self, most: int) -> bytes:
-        """Return up to ``most`` bytes that were fed but not unpacked."""
-        return bytes(self._unpacker.read_bytes(most))
+    def take_remaining(self, limit: int) -> bytes:
+        """Return up to ``limit`` bytes that were fed but not unpacked."""
+        return bytes(self._unpacker.read_bytes(limit))
 
     def _unpack(self) -> Iterator[tuple[object, int]]:
         while True:
@@ -73,67 +74,67 @@
             except msgpack.OutOfData:
                 break
             except _UNREADABLE as error:
-                raise StreamError('The stream is unreadable.') from error
+                raise StreamError('The stream is not valid msgpack.') from error
             size = self._unpacker.tell() - self._done
             self._done += size
             yield unpacked, size
-        # The unpacker bounds its buffer only: an array that arrives item
-        # by item would grow without end.
-        if self._fed - self._done > self._most_bytes:
+        # The unpacker limits its buffer only; an array that arrives item by
+        # item would grow without limit.
+        if self._fed - self._done > self._max_bytes:
             raise StreamError('The message is too large.')
 
 
 def pack(plain: object) -> bytes:
-    """Return plain data as msgpack."""
+    """Serialise plain data as msgpack."""
     packed: bytes = msgpack.packb(plain)
     return packed
 
 
-def as_plain(thing: msgspec.Struct) -> Any:
-    """Return a struct as plain data, its tag among it if it has one."""
-    return msgspec.to_builtins(thing, builtin_types=_AS_THEY_ARE)
+def as_plain(struct: msgspec.Struct) -> Any:
+    """Convert a struct to plain data, including its tag if any."""
+    return msgspec.to_builtins(struct, builtin_types=_NATIVE_TYPES)
 
 
 def as_struct(
     plain: object,
     kind: type[Kind],
 ) -> Kind | None:
-    """Return a typed struct, or None where the data is not one."""
+    """Convert plain data to a struct; None if it does not match."""
     try:
-        return msgspec.convert(plain, kind, builtin_types=_AS_THEY_ARE)
+        return msgspec.convert(plain, kind, builtin_types=_NATIVE_TYPES)
     except (msgspec.ValidationError, RecursionError):
         return None
 
 
 def tag_of(kind: type[Message]) -> str:
-    """Return the name under which messages of a kind travel."""
+    """Return the tag that identifies a message type in the stream."""
     return str(kind.__struct_config__.tag)
 
 
 class Kinds:
-    """Finds the kind of message that a name stands for.
+    """Message types by their tags.
 
-    Kinds with a handler come first; a reply needs no handler, so all
-    other subclasses of ``Message`` are known by their names too.
+    Types with a handler take precedence; replies need no handler, so all other
+    subclasses of ``Message`` are found by their tags too.
     """
 
     def __init__(self) -> None:
-        self._known: dict[str, type[Message]] = {}
+        self._types_by_tag: dict[str, type[Message]] = {}
 
     def add(self, kind: type[Message]) -> None:
-        """Let the name of a kind stand for it from now on."""
-        self._known[tag_of(kind)] = kind
+        """Register a message type."""
+        self._types_by_tag[tag_of(kind)] = kind
 
     def decode(self, plain: object) -> Message | None:
-        """Return a typed message, or None where the data is not one."""
-        kind = self._find(_plain_tag(plain))
+        """Decode a message; None if its type or content is invalid."""
+        kind = self._find_type(_plain_tag(plain))
         return None if kind is None else as_struct(plain, kind)
 
-    def _find(self, tag: str) -> type[Message] | None:
-        if tag not in self._known:
-            found = {tag_of(kind): kind for kind in _subclasses(Message)}
-            self._known = {**found, **self._known}
-        return self._known.get(tag)
+    def _find_type(self, tag: str) -> type[Message] | None:
+        if tag not in self._types_by_tag:
+            discovered = {tag_of(kind): kind for kind in _subclasses(Message)}
+            self._types_by_tag = {**discovered, **self._types_by_tag}
+        return self._types_by_tag.get(tag)
 
 
 def _plain_tag(plain: object) -> str:
--- a/src/nutmegroad/membership/duties.py
+++ b/src/nutmegroad/membership/duties.py
@@ -1,36 +1,37 @@
-"""Duties: which hosts of a failure domain do what must be done once.
+"""Duties: which hosts of a failure domain run tasks that must run once.
 
-Each host works out the holders by itself, by rendezvous hashing over the
-live hosts of its domain. Hosts that see the membership alike agree; while
-they do not, a duty may be held by one host too many or too few, so what a
-duty does must be harmless if done twice, or guarded by a lease.
+Each host computes the holders on its own, by rendezvous hashing over the
+live hosts of its domain. Hosts with the same view of the membership agree.
+While views differ, a duty may have one holder too many or too few, so its
+task must be harmless if performed twice, or be guarded by a lease.
 """
 
 from collections.abc import Iterable
 from typing import Final, NewType, Protocol
 
 from nutmegroad.foundations.types import HostId, UpstreamId
-from nutmegroad.membership._rendezvous import ranked
+from nutmegroad.membership._rendezvous import rank_hosts
 
 DutyName = NewType('DutyName', str)
 
-#: Hosts that watch each upstream, so that one may fail unnoticed.
-WATCH_HOLDERS: Final = 2
+#: Number of hosts that watch each upstream, so that one of them may fail
+#: without effect.
+WATCHERS_PER_UPSTREAM: Final = 2
 
 
 class LiveHosts(Protocol):
-    """What duties need of the membership."""
+    """View of the membership that duties need."""
 
     @property
     def host(self) -> HostId:
-        """This host."""
+        """Id of this host."""
 
     def live_hosts(self) -> tuple[HostId, ...]:
-        """Return the live hosts of this domain, this one among them."""
+        """Return the live hosts of this domain, including this one."""
 
 
 class Duties:
-    """Shares duties out over the live hosts of the domain.
+    """Distributes duties over the live hosts of the domain.
 
     Args:
         members: The membership.
@@ -42,25 +43,25 @@
         self._ranks: dict[DutyName, list[HostId]] = {}
 
     def holders(self, duty: DutyName, count: int = 1) -> tuple[HostId, ...]:
-        """Return the hosts that hold a duty, the first one first.
+        """Return the hosts that hold a duty, the highest-ranked first.
 
         Args:
             duty: The duty.
-            count: How many hold it; there are fewer in a small domain.
+            count: Number of holders; fewer if the domain has fewer live hosts.
         """
         self._refresh()
-        return tuple(self._ranked(duty)[:count])
+        return tuple(self._ranking(duty)[:count])
 
     def is_mine(self, duty: DutyName, count: int = 1) -> bool:
-        """Tell whether this host holds a duty."""
+        """Return whether this host holds a duty."""
         return self._members.host in self.holders(duty, count)
 
     def watches(self, upstream: UpstreamId) -> bool:
-        """Tell whether this host watches an upstream."""
-        return self.is_mine(watch_of(upstream), WATCH_HOLDERS)
+        """Return whether this host watches an upstream."""
+        return self.is_mine(watch_of(upstream), WATCHERS_PER_UPSTREAM)
 
     def hosts(self) -> tuple[HostId, ...]:
-        """Return the live hosts over which duties are shared out."""
+        """Return the live hosts over which duties are distributed."""
         return self._members.live_hosts()
 
     def watch_places(
@@ -69,30 +70,30 @@
     ) -> dict[UpstreamId, int]:
         """Return the upstreams that this host watches.
 
-        It looks at the membership once, so that it may be called often.
+        The membership is read only once, so that frequent calls are cheap.
 
         Returns:
-            For each this host's place among the holders; 0 is the first.
+            For each upstream the index of this host among the holders.
         """
         self._refresh()
         own = self._members.host
-        places: dict[UpstreamId, int] = {}
+        positions: dict[UpstreamId, int] = {}
         for upstream in upstreams:
-            holders = self._ranked(watch_of(upstream))[:WATCH_HOLDERS]
+            holders = self._ranking(watch_of(upstream))[:WATCHERS_PER_UPSTREAM]
             if own in holders:
-                places[upstream] = holders.index(own)
-        return places
+                positions[upstream] = holders.index(own)
+        return positions
 
     def _refresh(self) -> None:
-        """Forget who held what if the live hosts have changed."""
+        """Clear the cached rankings if the live hosts have changed."""
         hosts = self._members.live_hosts()
         if hosts != self._hosts:
             self._hosts = hosts
             self._ranks.clear()
 
-    def _ranked(self, duty: DutyName) -> list[HostId]:
+    def _ranking(self, duty: DutyName) -> list[HostId]:
         if duty not in self._ranks:
-            self._ranks[duty] = ranked(duty, self._hosts)
+            self._ranks[duty] = rank_hosts(duty, self._hosts)
         return self._ranks[duty]
 
 
--- a/src/nutmegroad/membership/links.py
+++ b/src/nutmegroad/membership/links.py
@@ -1,7 +1,7 @@
 """Links to other hosts: authenticated TCP streams of msgpack messages.
 
-There is one link for each pair of hosts. Which hosts to connect to is said
-by the membership (``keep_links``); what a message means is up to its handler.
+There is one link for each pair of hosts. The membership decides which hosts
+to connect to (``keep_links``); handlers decide what messages mean.
 """
 
 import asyncio
@@ -34,14 +34,14 @@
 
 
 class LinkEvents:
-    """A ``LinkListener`` that hands on to pending replies, dialer and another.
+    """Forwards link events to pending replies, the dialer and a listener.
 
     Attributes:
-        listener: Who else is told, if anybody.
+        listener: Additional listener, if any.
 
     Args:
-        pending: Those to a lost host are settled.
-        dialer: Connects to a lost host again.
+        pending: Pending replies; those of a lost host are failed.
+        dialer: Reconnects to a lost host.
     """
 
     def __init__(self, pending: PendingReplies, dialer: Dialer) -> None:
@@ -50,26 +50,26 @@
         self._dialer = dialer
 
     def link_opened(self, identity: Identity) -> None:
-        """Hand on that there is a link to a host now."""
+        """Notify the listener that a link to a host is open."""
         if self.listener is not None:
             self.listener.link_opened(identity)
 
     def link_closed(self, identity: Identity) -> None:
-        """Take in that a link is lost, and hand it on."""
+        """Fail the pending replies, reconnect and notify the listener."""
         reason = f'The link to host {identity.host} was lost.'
         self._pending.fail(identity.host, reason)
         self._dialer.link_lost()
         if self.listener is not None:
             self.listener.link_closed(identity)
 
-    def outdated(self, known: int) -> None:
-        """Hand on that others know a later generation of this host."""
+    def generation_outdated(self, known: int) -> None:
+        """Notify the listener of a later generation of this host."""
         if self.listener is not None:
-            self.listener.outdated(known)
+            self.listener.generation_outdated(known)
 
 
 class Links:
-    """The real ``Mesh``: one TCP link for each other host that is wanted.
+    """``Mesh`` over TCP: one link for each other host that is wanted.
 
     Example::
 
@@ -78,8 +78,8 @@
             links.keep_links([Address('127.0.0.1', 7003)])
 
     Args:
-        context: Key, time, randomness, account and limits.
-        roster: Who we are and which incarnations are too old.
+        context: Keys, clock, randomness, cost account and limits.
+        roster: Own identity and the incarnations that are outdated.
     """
 
     def __init__(self, context: LinkContext, roster: Roster) -> None:
@@ -92,17 +92,21 @@
         )
         host = roster.identity.host
         self._table = PeerTable(host, context.clock, context.limits)
-        self._dialer = Dialer(context, self._dial, self._table.is_linked)
+        self._dialer = Dialer(
+            context, self._connect_link, self._table.is_linked
+        )
         self._events = LinkEvents(self._pending, self._dialer)
         self._sender = MessageSender(context, self._table)
         self._runner = LinkRunner(
             context, self._table, self._receiver, self._events
         )
-        self._handshaker = Handshaker(context, roster, self._events.outdated)
+        self._handshaker = Handshaker(
+            context, roster, self._events.generation_outdated
+        )
         self._server: asyncio.Server | None = None
 
     async def __aenter__(self) -> Self:
-        """Listen to other hosts."""
+        """Accept connections of other hosts."""
         own = self._roster.identity.address
         self._server = await asyncio.start_server(
             self._accept,
@@ -121,7 +125,7 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Send what is queued if it goes fast, and close all links."""
+        """Flush the queues within a time limit, and close all links."""
         await self._dialer.aclose()
         if self._server is not None:
             self._server.close()
@@ -131,17 +135,19 @@
         await self._tasks.aclose()
 
     def listen(self, listener: LinkListener) -> None:
-        """Tell a listener what becomes of links from now on."""
+        """Set the listener that is notified when links open or close."""
         self._events.listener = listener
 
     def keep_links(self, addresses: Iterable[Address]) -> None:
-        """Keep links to whoever listens at these addresses."""
+        """Maintain links to the hosts at these addresses from now on."""
         wanted = self._dialer.keep_links(addresses)
-        self._table.forget_aliases(wanted)
+        self._table.retain_aliases(wanted)
 
     def linked(self) -> dict[HostId, float]:
-        """Return the hosts with a link, and when each was last heard."""
-        return {peer.host: peer.connection.heard for peer in self._table}
+        """Return the linked hosts and when each was last received."""
+        return {
+            peer.host: peer.connection.last_received for peer in self._table
+        }
 
     def drop(self, host: HostId) -> None:
         """Close the link to a host, if there is one."""
@@ -150,27 +156,27 @@
             peer.connection.abort()
 
     def members(self) -> tuple[Member, ...]:
-        """Return the hosts that are live or leaving, as known now."""
+        """Return the other reachable hosts that are live or leaving."""
         return self._roster.members()
 
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
-        """Register what is done with messages of a kind."""
+        """Register the handler for a type of message."""
         self._receiver.handle(kind, handler)
 
     def tell(self, host: HostId, message: Message) -> bool:
-        """Queue a message to a host; false if there is no link or room."""
+        """Queue a message; false if there is no link or no capacity."""
         return self.tell_each((host,), message) == 1
 
     def tell_all(self, message: Message) -> int:
-        """Queue a message on every link, and return how many."""
+        """Queue a message on every link; return on how many."""
         return self.tell_each([peer.host for peer in self._table], message)
 
     def tell_each(self, hosts: Iterable[HostId], message: Message) -> int:
-        """Queue a message to several hosts; return to how many.
+        """Queue a message for several hosts; return for how many.
 
-        It is packed once only.
+        The message is serialised only once.
         """
-        return self._sender.tell(hosts, message)
+        return self._sender.send(hosts, message)
 
     async def ask(
         self,
@@ -178,41 +184,41 @@
         message: Message,
         timeout: float,
     ) -> Message | Refusal:
-        """Send a message and wait for its reply.
+        """Send a request and wait for its reply.
 
         Args:
-            host: Whom to ask.
-            message: The question.
-            timeout: Seconds to wait.
+            host: Host to ask.
+            message: The request.
+            timeout: Seconds to wait for the reply.
         """
         number = self._pending.open(host)
-        if not self._sender.ask(host, number, message):
+        if not self._sender.send_request(host, number, message):
             self._pending.close(number)
-            reason = f'There is no link to host {host}, or no room on it.'
+            reason = f'No link to host {host}, or its send queue is full.'
             return Refusal(ResultCode.PEER_UNREACHABLE, reason)
         return await self._pending.wait(number, timeout)
 
     def _accept(self, reader: StreamReader, writer: StreamWriter) -> None:
-        work = self._welcome(reader, writer)
+        work = self._run_accepted(reader, writer)
         self._tasks.start(Metered(self._context.account, LINKS_PART, work))
 
-    async def _welcome(
+    async def _run_accepted(
         self,
         reader: StreamReader,
         writer: StreamWriter,
     ) -> None:
-        opened = await self._handshaker.accept(reader, writer)
-        if opened is not None:
-            await self._runner.run(opened, self._tasks)
+        authenticated = await self._handshaker.accept(reader, writer)
+        if authenticated is not None:
+            await self._runner.run(authenticated, self._tasks)
 
-    async def _dial(self, address: Address) -> bool:
-        opened = await self._handshaker.connect(address)
-        if opened is None:
+    async def _connect_link(self, address: Address) -> bool:
+        authenticated = await self._handshaker.connect(address)
+        if authenticated is None:
             return False
-        host = opened.connection.identity.host
-        self._table.note_alias(address, host)
-        work = self._runner.run(opened, self._tasks)
+        host = authenticated.connection.identity.host
+        self._table.add_alias(address, host)
+        work = self._runner.run(authenticated, self._tasks)
         self._tasks.start(Metered(self._context.account, LINKS_PART, work))
-        # The task enters the connection into the table when it first runs.
+        # The task adds the connection to the table when it first runs.
         await asyncio.sleep(0)
         return self._table.is_linked(address)
--- a/src/nutmegroad/membership/members.py
+++ b/src/nutmegroad/membership/members.py
@@ -1,9 +1,10 @@
-"""The membership: which hosts there are, and which of them live.
+"""Membership of one host: which hosts exist and which of them are live.
 
-Hosts of a failure domain are all linked and hear each other's heartbeats;
-to each other domain a host has a few links. Changes travel as records in
-the heartbeats, so that a host without a link is known too. A domain from
-which no word comes by any way counts as cut off; its records are kept.
+All hosts of a failure domain are linked to each other and receive each
+other's heartbeats; each host has a few links to every other domain. Changed
+records are propagated in heartbeats, so that hosts without a direct link are
+known too. A domain about which no update arrives, directly or through other
+hosts, is considered unreachable; its records are kept.
 """
 
 from collections.abc import Coroutine
@@ -21,25 +22,28 @@
 from nutmegroad.membership._member_messages import MEMBERS_PART
 from nutmegroad.membership._member_table import MemberTable, Reachability
 
-#: A tick that is later than so many intervals was a pause of our own.
-_PAUSE: Final = 2.0
-#: Heartbeats are moved by up to this share, so that hosts don't march in step.
+#: Number of heartbeat intervals after which a late tick is treated as a pause
+#: of this process.
+_PAUSE_FACTOR: Final = 2.0
+#: Maximum fraction by which heartbeat intervals vary, so that hosts do not
+#: send in step.
 _JITTER: Final = 0.1
-#: Seconds between reads of the host list, at least; twice that at most.
-_LIST_SECONDS: Final = 15.0
+#: Minimum seconds between reads of the host list; the maximum is twice as
+#: much.
+_MIN_LIST_INTERVAL: Final = 15.0
 
 
 class Members:
-    """Keeps the membership of one host.
+    """Membership of one host.
 
-    It sends heartbeats while it is open; at its end it says that the host
-    is leaving, and then that it is gone.
+    Sends heartbeats while it is open. On exit it announces that the host is
+    leaving, and then that it is gone.
 
     Args:
-        context: Time, randomness, account and where to start from.
-        links: The links; opened before and closed after this.
-        table: Records and who we are; the links' roster.
-        reachability: When hosts and domains were last heard.
+        context: Clock, randomness, cost account and initial peers.
+        links: Links to other hosts; opened before and closed after this.
+        table: Member records; also the roster of the links.
+        reachability: When hosts and domains were last seen.
     """
 
     def __init__(
@@ -57,12 +61,12 @@
 
     @property
     def host(self) -> HostId:
-        """This host."""
+        """Id of this host."""
         return self._table.own.host
 
     @property
     def domain(self) -> DomainId:
-        """The failure domain of this host."""
+        """Failure domain of this host."""
         return self._table.identity.domain
 
     @property
@@ -72,15 +76,15 @@
 
     @property
     def suspects(self) -> tuple[HostId, ...]:
-        """Hosts of the domain that are silent and not yet given up."""
+        """Local hosts that are unresponsive and not declared gone."""
         return self._coordinator.verdicts.suspects
 
     async def __aenter__(self) -> Self:
-        """Begin to send heartbeats and to look for hosts."""
+        """Start sending heartbeats and discovering hosts."""
         self._coordinator.open()
-        self._start(self._run())
+        self._start_task(self._send_heartbeats())
         if self._context.host_list is not None:
-            self._start(self._read_list(self._context.host_list))
+            self._start_task(self._poll_host_list(self._context.host_list))
         return self
 
     async def __aexit__(
@@ -89,18 +93,18 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Say goodbye and stop."""
+        """Announce that this host is gone and stop all tasks."""
         self.leave()
         await self._tasks.aclose()
         self._table.set_presence(Presence.GONE)
         self._coordinator.send()
 
     def members(self) -> tuple[Member, ...]:
-        """Return the other hosts that are live or leaving, as known now."""
+        """Return the other reachable hosts that are live or leaving."""
         return self._table.members()
 
     def live_hosts(self) -> tuple[HostId, ...]:
-        """Return the live hosts of this domain, this one among them."""
+        """Return the live hosts of this domain, including this one."""
         live = [
             member.host
             for member in self.members()
@@ -111,34 +115,34 @@
         return tuple(sorted(live))
 
     def leave(self) -> None:
-        """Tell all at once that this host takes no new work."""
+        """Announce immediately that this host accepts no new work."""
         if self.presence is Presence.LIVE:
             self._table.set_presence(Presence.LEAVING)
             self._coordinator.send()
 
-    async def _run(self) -> None:
+    async def _send_heartbeats(self) -> None:
         clock = self._context.clock
         interval = self._context.heartbeat
         while True:
-            began = clock.now()
-            spread = self._context.randomness.uniform(-_JITTER, _JITTER)
-            await clock.sleep(interval * (1 + spread))
-            if clock.now() - began > _PAUSE * interval:
+            started = clock.now()
+            jitter = self._context.randomness.uniform(-_JITTER, _JITTER)
+            await clock.sleep(interval * (1 + jitter))
+            if clock.now() - started > _PAUSE_FACTOR * interval:
                 self._context.account.count('members_own_pause')
-                self._reachability.forgive()
+                self._reachability.reset_timers()
             self._coordinator.tick()
 
-    async def _read_list(self, host_list: HostList) -> None:
+    async def _poll_host_list(self, host_list: HostList) -> None:
         while True:
             listing = await host_list.listing()
             if not isinstance(listing, Refusal):
                 hosts = listing.hosts
-                self._coordinator.targets.take_listing(
+                self._coordinator.targets.set_listed_addresses(
                     host.address for host in hosts
                 )
-            spread = self._context.randomness.uniform(1, 2)
-            await self._context.clock.sleep(_LIST_SECONDS * spread)
+            jitter = self._context.randomness.uniform(1, 2)
+            await self._context.clock.sleep(_MIN_LIST_INTERVAL * jitter)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         account = self._context.account
         self._tasks.start(Metered(account, MEMBERS_PART, work))
--- a/src/nutmegroad/membership/part.py
+++ b/src/nutmegroad/membership/part.py
@@ -1,4 +1,4 @@
-"""The part that links this host to the others."""
+"""Kernel part that provides links, membership and duties."""
 
 import random
 
@@ -16,25 +16,26 @@
 from nutmegroad.membership.links import Links
 from nutmegroad.membership.members import Members
 
-_MILLISECONDS = 1000
+_MILLISECONDS_PER_SECOND = 1000
 
 
 @register('part', 'mesh')
 class MeshPart:
-    """Provides the mesh, the membership and duties."""
+    """Provides the mesh, the membership and the duties."""
 
     needs = (HostList, Account)
 
     async def open(self, kernel: Kernel) -> None:
-        """Listen to other hosts and begin to send heartbeats.
+        """Accept connections of other hosts and start sending heartbeats.
 
-        At the end the membership says goodbye before the links close.
+        On exit the membership announces that this host is gone before the links
+        close.
         """
         settings = kernel.settings
         if not settings.cluster_key:
-            message = 'The cluster key is empty; hosts need it to link.'
+            message = 'The cluster key is empty; hosts need it for links.'
             raise SettingsError(message)
-        ledger = kernel.need(Account)
+        account = kernel.need(Account)
         table, reachability = make_table(
             identity_of(kernel),
             kernel.clock,
@@ -45,15 +46,15 @@
             old_key=settings.cluster_key_old.encode(),
             clock=kernel.clock,
             randomness=kernel.randomness,
-            # A nonce that could be foreseen would let a proof be replayed.
+            # A predictable nonce would allow a proof to be replayed.
             nonces=random.SystemRandom(),
-            account=ledger,
+            account=account,
         )
         links = await kernel.stack.enter_async_context(Links(context, table))
         member_context = MemberContext(
             clock=kernel.clock,
             randomness=kernel.randomness,
-            account=ledger,
+            account=account,
             heartbeat=settings.heartbeat,
             seeds=settings.seeds,
             host_list=recent_list(kernel.need(HostList)),
@@ -67,12 +68,12 @@
 
 
 def identity_of(kernel: Kernel) -> Identity:
-    """Return who this host is, as it will tell others."""
+    """Return the identity of this host that it sends to others."""
     settings = kernel.settings
     return Identity(
         host=settings.host,
         incarnation=kernel.incarnation,
-        generation=int(kernel.clock.wall() * _MILLISECONDS),
+        generation=int(kernel.clock.wall() * _MILLISECONDS_PER_SECOND),
         domain=settings.domain,
         ip=settings.peers.ip,
         port=settings.peers.port,
--- a/tests/memory_links.py
+++ b/tests/memory_links.py
@@ -1,4 +1,4 @@
-"""Hosts with a membership over links in memory, for tests."""
+"""Hosts with a membership over in-memory links, for tests."""
 
 import random
 from collections.abc import Iterable
@@ -22,12 +22,12 @@
 from nutmegroad.membership.members import Members
 from nutmegroad.testing.virtual import ManualClock, MemoryMesh, PausableClock
 
-#: Seconds after which real links are closed when nothing comes.
-SILENCE = 20
+#: Seconds without traffic after which links are closed, as real links are.
+IDLE_TIMEOUT = 20
 
 
-class Wires:
-    """Where in-memory links find each other."""
+class MemoryNetwork:
+    """Network that connects in-memory links by address."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
@@ -41,61 +41,61 @@
 
 
 class MemoryLinks:
-    """The links of one host: like the real ones, over a MemoryMesh."""
+    """Links of one host, like the real ones, over a ``MemoryMesh``."""
 
-    def __init__(self, wires: Wires, table: MemberTable) -> None:
-        self.wires = wires
+    def __init__(self, network: MemoryNetwork, table: MemberTable) -> None:
+        self.network = network
         self.table = table
         self.is_paused = False
         identity = table.identity
-        self.peer = wires.mesh.join(identity.host, identity.domain)
-        self.heard: dict[HostId, float] = {}
+        self.peer = network.mesh.join(identity.host, identity.domain)
+        self.last_received: dict[HostId, float] = {}
         self.listener: LinkListener | None = None
-        wires.ends[identity.address] = self
+        network.ends[identity.address] = self
 
     def listen(self, listener: LinkListener) -> None:
         self.listener = listener
 
     def keep_links(self, addresses: Iterable[Address]) -> None:
-        now = self.wires.clock.now()
-        for host, heard in tuple(self.heard.items()):
-            if now - heard > SILENCE:
+        now = self.network.clock.now()
+        for host, last_received in tuple(self.last_received.items()):
+            if now - last_received > IDLE_TIMEOUT:
                 self.drop(host)
         for address in sorted(addresses, key=str):
-            other = self.wires.ends.get(address)
+            other = self.network.ends.get(address)
             if other is not None and other is not self:
                 self.connect(other)
 
     def connect(self, other: 'MemoryLinks') -> None:
         ours, theirs = self.table.identity, other.table.identity
-        is_cut = self.wires.mesh.is_cut(ours.host, theirs.host)
-        if theirs.host in self.heard or is_cut or other.is_paused:
+        is_cut = self.network.mesh.is_cut(ours.host, theirs.host)
+        if theirs.host in self.last_received or is_cut or other.is_paused:
             return
         known = other.table.newer_generation(ours)
         if known:
             assert self.listener is not None
-            self.listener.outdated(known)
+            self.listener.generation_outdated(known)
             return
         for end, identity in ((self, theirs), (other, ours)):
-            end.heard[identity.host] = self.wires.clock.now()
+            end.last_received[identity.host] = self.network.clock.now()
             assert end.listener is not None
             end.listener.link_opened(identity)
 
     def linked(self) -> dict[HostId, float]:
-        return dict(self.heard)
+        return dict(self.last_received)
 
     def drop(self, host: HostId) -> None:
-        if self.heard.pop(host, None) is None:
+        if self.last_received.pop(host, None) is None:
             return
-        for other in tuple(self.wires.ends.values()):
+        for other in tuple(self.network.ends.values()):
             if other.table.identity.host == host and self.listener:
                 self.listener.link_closed(other.table.identity)
                 other.drop(self.table.identity.host)
 
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
         async def handle(host: HostId, message: Any) -> Message | None:
-            if host in self.heard:
-                self.heard[host] = self.wires.clock.now()
+            if host in self.last_received:
+                self.last_received[host] = self.network.clock.now()
             return await handler(host, message)
 
         self.peer.handle(kind, handle)
@@ -104,13 +104,13 @@
         return self.table.members()
 
     def tell(self, host: HostId, message: Message) -> bool:
-        return host in self.heard and self.peer.tell(host, message)
+        return host in self.last_received and self.peer.tell(host, message)
 
     def tell_each(self, hosts: Iterable[HostId], message: Message) -> int:
         return sum(self.tell(host, message) for host in hosts)
 
     def tell_all(self, message: Message) -> int:
-        return self.tell_each(tuple(self.heard), message)
+        return self.tell_each(tuple(self.last_received), message)
 
     async def ask(
         self,
@@ -122,18 +122,18 @@
 
 
 class Host:
-    """One host, and what a test looks at and does to it."""
+    """One host, with what tests inspect and control."""
 
     def __init__(
         self,
-        wires: Wires,
+        network: MemoryNetwork,
         name: str,
         domain: DomainId,
         seeds: tuple[Address, ...],
         generation: int = 1,
     ) -> None:
-        address = wires.address()
-        self.clock = PausableClock(wires.clock)
+        address = network.address()
+        self.clock = PausableClock(network.clock)
         identity = Identity(
             host=HostId(name),
             incarnation=Incarnation(f'{name}.{address.port}'),
@@ -143,16 +143,16 @@
             port=address.port,
         )
         self.ledger = Ledger(float)
-        made = make_table(identity, self.clock, 1)
-        self.table = made[0]
-        self.links = MemoryLinks(wires, self.table)
+        shared = make_table(identity, self.clock, 1)
+        self.table = shared[0]
+        self.links = MemoryLinks(network, self.table)
         context = MemberContext(
             clock=self.clock,
             randomness=random.Random(name),
             account=self.ledger,
             seeds=seeds,
         )
-        self.members = Members(context, self.links, *made)
+        self.members = Members(context, self.links, *shared)
 
     @property
     def name(self) -> HostId:
@@ -182,7 +182,7 @@
         self.links.is_paused = False
         self.clock.resume()
         coordinator = self.members._coordinator
-        self.links.handle(Heartbeat, coordinator._take_heartbeat)
+        self.links.handle(Heartbeat, coordinator._handle_heartbeat)
 
 
 async def ignore(host: HostId, message: Message) -> None:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,10 +1,10 @@
-"""Tests of how duties are shared out."""
+"""Tests of the distribution of duties."""
 
 import unittest
 
 from nutmegroad.foundations.types import HostId, UpstreamId
 from nutmegroad.membership.duties import (
-    WATCH_HOLDERS,
+    WATCHERS_PER_UPSTREAM,
     Duties,
     DutyName,
     watch_of,
@@ -19,7 +19,7 @@
 
 
 class FixedHosts:
-    """Live hosts that a test sets."""
+    """Membership with live hosts that a test sets."""
 
     def __init__(self, host: HostId, live: Hosts) -> None:
         self.host = host
@@ -30,9 +30,11 @@
 
 
 def holders_of(live: Hosts) -> dict[DutyName, Hosts]:
-    """Return who watches what among some live hosts."""
+    """Return the watchers of each upstream, given the live hosts."""
     duties = Duties(FixedHosts(live[0], live))
-    return {duty: duties.holders(duty, WATCH_HOLDERS) for duty in DUTIES}
+    return {
+        duty: duties.holders(duty, WATCHERS_PER_UPSTREAM) for duty in DUTIES
+    }
 
 
 class DutiesTest(unittest.TestCase):
@@ -47,20 +49,20 @@
             self.assertEqual(duties.is_mine(DUTIES[0], 2), host in holders)
         self.assertEqual(len(set(holders)), 2)
 
-    def test_a_host_that_goes_moves_only_its_own_duties(self) -> None:
+    def test_removed_host_moves_only_its_own_duties(self) -> None:
         before = holders_of(HOSTS)
         after = holders_of(HOSTS[1:])
         for duty, holders in before.items():
-            kept = set(holders) - {HOSTS[0]}
-            self.assertLessEqual(kept, set(after[duty]))
+            unaffected = set(holders) - {HOSTS[0]}
+            self.assertLessEqual(unaffected, set(after[duty]))
 
-    def test_a_host_that_comes_takes_about_its_share(self) -> None:
+    def test_added_host_takes_its_fair_fraction_of_duties(self) -> None:
         before = holders_of(HOSTS[1:])
         after = holders_of(HOSTS)
         moved = sum(before[duty] != after[duty] for duty in DUTIES)
-        share = WATCH_HOLDERS / len(HOSTS)
-        self.assertLess(moved / len(DUTIES), 1.5 * share)
-        self.assertGreater(moved / len(DUTIES), 0.5 * share)
+        fraction = WATCHERS_PER_UPSTREAM / len(HOSTS)
+        self.assertLess(moved / len(DUTIES), 1.5 * fraction)
+        self.assertGreater(moved / len(DUTIES), 0.5 * fraction)
 
     def test_duties_follow_the_live_hosts(self) -> None:
         hosts = FixedHosts(HOSTS[0], HOSTS[:2])
--- a/tests/test_link_parts.py
+++ b/tests/test_link_parts.py
@@ -1,4 +1,4 @@
-"""Tests of what the links are made of, each by itself."""
+"""Tests of the components of links in isolation."""
 
 import asyncio
 import itertools
@@ -17,24 +17,26 @@
 
 
 def identity_of(host: str) -> Identity:
-    """Return who a host is."""
+    """Return the identity of a host."""
     domain = DomainId('east')
     return Identity(HostId(host), Incarnation(host), 1, domain, '::', 1)
 
 
 class StubConnection(Connection):
-    """A connection that only notes what is done with it."""
+    """A connection that records the calls to it."""
 
-    def __init__(self, host: str, *, initiator: bool) -> None:
+    def __init__(self, host: str, *, is_initiator: bool) -> None:
         streams: Any = (None, None)
         identity = identity_of(host)
-        super().__init__(identity, streams, ManualClock(), initiator=initiator)
+        super().__init__(
+            identity, streams, ManualClock(), is_initiator=is_initiator
+        )
         self.done: list[str] = []
 
-    def rest(self) -> None:
+    def stop_writing(self) -> None:
         self.done.append('rests')
 
-    def finish(self) -> None:
+    def close_writing(self) -> None:
         self.done.append('finished')
 
     def abort(self) -> None:
@@ -44,59 +46,65 @@
 class PeerTableTest(unittest.TestCase):
     """Which of two connections between two hosts is used."""
 
-    def test_both_ends_keep_the_same_one_and_read_the_other(self) -> None:
+    def test_both_ends_use_the_same_connection_and_read_the_other(self) -> None:
         orders = itertools.product(((0, 1), (1, 0)), repeat=2)
         for order_at_a, order_at_b in orders:
             with self.subTest(at_a=order_at_a, at_b=order_at_b):
-                self.assertEqual(self.kept_at('a', 'b', order_at_a), 0)
-                self.assertEqual(self.kept_at('b', 'a', order_at_b), 0)
-
-    def kept_at(self, own: str, other: str, order: tuple[int, int]) -> int:
-        """Return the number of the kept connection; ``a`` began number 0."""
+                self.assertEqual(
+                    self.index_of_retained('a', 'b', order_at_a), 0
+                )
+                self.assertEqual(
+                    self.index_of_retained('b', 'a', order_at_b), 0
+                )
+
+    def index_of_retained(
+        self, own: str, other: str, order: tuple[int, int]
+    ) -> int:
+        """Return the index of the connection in use; ``a`` opened number 0."""
         table = PeerTable(HostId(own), ManualClock(), LinkLimits())
         connections = [
-            StubConnection(other, initiator=(own == 'a')),
-            StubConnection(other, initiator=(own == 'b')),
+            StubConnection(other, is_initiator=(own == 'a')),
+            StubConnection(other, is_initiator=(own == 'b')),
         ]
         for number in order:
-            table.enter(connections[number])
+            table.add(connections[number])
         peer = table.get(HostId(other))
         assert peer is not None
-        kept = connections.index(cast(StubConnection, peer.connection))
-        self.assertEqual(connections[kept].done, [])
-        spare = connections[1 - kept]
-        self.assertEqual(spare.done, ['rests'])
-        table.used(peer, spare)
-        self.assertEqual(spare.done, ['rests'])
-        table.used(peer, peer.connection)
-        self.assertEqual(spare.done, ['rests', 'finished'])
-        self.assertEqual(connections[kept].done, [])
-        return kept
-
-    def test_the_spare_one_ends_with_a_kept_one_that_was_never_used(
+        retained = connections.index(cast(StubConnection, peer.connection))
+        self.assertEqual(connections[retained].done, [])
+        redundant = connections[1 - retained]
+        self.assertEqual(redundant.done, ['rests'])
+        table.note_received(peer, redundant)
+        self.assertEqual(redundant.done, ['rests'])
+        table.note_received(peer, peer.connection)
+        self.assertEqual(redundant.done, ['rests', 'finished'])
+        self.assertEqual(connections[retained].done, [])
+        return retained
+
+    def test_redundant_connection_ends_with_the_unused_main_one(
         self,
     ) -> None:
         table = PeerTable(HostId('b'), ManualClock(), LinkLimits())
-        spare = StubConnection('a', initiator=True)
-        kept = StubConnection('a', initiator=False)
-        table.enter(spare)
-        table.enter(kept)
-        self.assertTrue(table.leave(kept))
-        self.assertEqual(spare.done, ['rests', 'aborted'])
+        redundant = StubConnection('a', is_initiator=True)
+        retained = StubConnection('a', is_initiator=False)
+        table.add(redundant)
+        table.add(retained)
+        self.assertTrue(table.remove(retained))
+        self.assertEqual(redundant.done, ['rests', 'aborted'])
 
 
-class OutboxTest(unittest.TestCase):
-    """What a full queue does."""
+class SendQueueTest(unittest.TestCase):
+    """Limits of the send queue."""
 
-    def test_a_replaceable_message_makes_room(self) -> None:
+    def test_replaceable_message_is_dropped_from_a_full_queue(self) -> None:
         queue = SendQueue(2, 100)
         old = QueuedFrame(b'old', '', replaceable=True)
-        firm = QueuedFrame(b'firm', '')
-        self.assertTrue(queue.put(firm))
+        required = QueuedFrame(b'firm', '')
+        self.assertTrue(queue.put(required))
         self.assertTrue(queue.put(old))
-        self.assertTrue(queue.put(firm))
+        self.assertTrue(queue.put(required))
         self.assertFalse(queue.put(old))
-        self.assertEqual(asyncio.run(queue.take_all()), (firm, firm))
+        self.assertEqual(asyncio.run(queue.take_all()), (required, required))
 
     def test_bytes_are_bounded_too(self) -> None:
         queue = SendQueue(100, 10)
@@ -105,18 +113,18 @@
 
 
 class UnpackerTest(unittest.TestCase):
-    """What a stream may hold."""
+    """Limits of the unpacker."""
 
     def test_an_object_may_arrive_in_pieces(self) -> None:
         unpacker = Unpacker(100)
-        plain = ['a' * 20, 7]
-        packed = pack(plain)
-        found = [
+        original = ['a' * 20, 7]
+        packed = pack(original)
+        unpacked = [
             thing
             for place in range(len(packed))
             for thing in unpacker.feed(packed[place : place + 1])
         ]
-        self.assertEqual(found, [(plain, len(packed))])
+        self.assertEqual(unpacked, [(original, len(packed))])
 
     def test_an_array_in_pieces_is_bounded(self) -> None:
         unpacker = Unpacker(1000)
@@ -127,7 +135,7 @@
 
 
 class BackoffTest(unittest.TestCase):
-    """Waits between tries."""
+    """Delays between connection attempts."""
 
     def test_waits_double_up_to_a_bound_with_jitter(self) -> None:
         backoff = Backoff(1, 8, random.Random(3))
