--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Tests of the links between hosts, over real sockets on loopback."""
+"""Tests of the links between hosts over loopback sockets."""
 
 import asyncio
 import random
@@ -27,14 +27,14 @@
 from tests.recorders import Holder, Recorder, echo_back
 
 KEY = b'a key for tests'
-#: Seconds between looks, and looks after which a test is broken.
-STEP = 0.005
-LOOKS = 4000
-QUICK = LinkLimits(first_wait=0.01, most_wait=0.05)
+#: Seconds between checks of a condition, and checks after which a test fails.
+CHECK_INTERVAL = 0.005
+MAX_CHECKS = 4000
+QUICK = LinkLimits(initial_backoff=0.01, max_backoff=0.05)
 
 
 class Ask(Message, frozen=True, tag='links-test-ask'):
-    """Asks for a text back."""
+    """Request that asks for an echo of a text."""
 
     part: ClassVar[str] = 'test'
 
@@ -42,13 +42,13 @@
 
 
 class Reply(Message, frozen=True, tag='links-test-reply'):
-    """The text."""
+    """Reply that contains the text."""
 
     text: str
 
 
 class FixedRoster:
-    """Knows only who it is, and generations that a test sets."""
+    """Roster with the generations that a test sets."""
 
     def __init__(self, host: str, generation: int = 1) -> None:
         self.known: dict[HostId, int] = {}
@@ -79,7 +79,7 @@
 
 
 class Host:
-    """Links, and what a test looks at."""
+    """Links of one host, with what tests inspect."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         generation: int = 1,
         clock: Clock | None = None,
     ) -> None:
-        self.outdated_by: list[int] = []
+        self.newer_generations: list[int] = []
         self.roster = FixedRoster(name, generation)
         self.ledger = Ledger(time.thread_time)
         self.texts: list[str] = []
@@ -117,13 +117,13 @@
         return self.address.port
 
     def link_opened(self, identity: Identity) -> None:
-        """Ignore it."""
+        """Ignore the event."""
 
     def link_closed(self, identity: Identity) -> None:
-        """Ignore it."""
+        """Ignore the event."""
 
-    def outdated(self, known: int) -> None:
-        self.outdated_by.append(known)
+    def generation_outdated(self, known: int) -> None:
+        self.newer_generations.append(known)
 
     async def answer(self, host: HostId, ask: Ask) -> Reply:
         if ask.text == 'fail':
@@ -136,21 +136,21 @@
 
 
 async def never_answer(host: HostId, ask: Ask) -> None:
-    """Wait for ever."""
+    """Wait forever."""
     await asyncio.Event().wait()
 
 
-async def until(condition: Callable[[], object]) -> None:
-    """Wait until something holds, but not for ever."""
-    for _ in range(LOOKS):
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Wait until a condition holds, for a limited number of checks."""
+    for _ in range(MAX_CHECKS):
         if condition():
             return
-        await asyncio.sleep(STEP)
+        await asyncio.sleep(CHECK_INTERVAL)
     raise AssertionError('What the test waits for did not happen.')
 
 
 class LinksTest(unittest.IsolatedAsyncioTestCase):
-    """Hosts on loopback."""
+    """Hosts with links over loopback."""
 
     async def host(self, name: str, **given: Any) -> Host:
         host = Host(name, **given)
@@ -166,11 +166,11 @@
 
     async def link(self, one: Host, two: Host) -> None:
         one.links.keep_links([two.address])
-        await until(lambda: two.host in one.links.linked())
-        await until(lambda: one.host in two.links.linked())
+        await wait_until(lambda: two.host in one.links.linked())
+        await wait_until(lambda: one.host in two.links.linked())
 
     async def connect(self, host: Host) -> StreamWriter:
-        """Return a connection from somebody unknown."""
+        """Return the writer of a connection from an unknown client."""
         opened = await asyncio.open_connection(host.address.ip, host.port)
         self.addCleanup(opened[1].close)
         return opened[1]
@@ -185,44 +185,44 @@
         reply = await two.links.ask(one.host, Ask('hello'), 5)
         self.assertEqual(reply, Reply('hello to two'))
         self.assertEqual(two.links.tell_all(Ask('all')), 1)
-        await until(lambda: 'all' in one.texts)
+        await wait_until(lambda: 'all' in one.texts)
 
     async def test_a_wrong_key_is_refused_and_counted(self) -> None:
         one = await self.host('one', key=b'another key')
         two = await self.host('two')
         one.links.keep_links([two.address])
-        await until(lambda: two.count('links_wrong_key'))
+        await wait_until(lambda: two.count('links_wrong_key'))
         self.assertEqual(one.links.linked(), {})
         self.assertEqual(two.links.linked(), {})
 
     async def test_a_listener_without_the_key_is_refused(self) -> None:
-        # The listener echoes, so it gives our own proof back to us.
+        # The listener echoes, so that a host receives its own proof.
         echo = await asyncio.start_server(echo_back, '127.0.0.1', 0)
         await self.enterAsyncContext(echo)
         port = echo.sockets[0].getsockname()[1]
         one = await self.host('one')
         one.links.keep_links([Address('127.0.0.1', port)])
-        await until(lambda: one.count('links_to_self'))
+        await wait_until(lambda: one.count('links_to_self'))
         self.assertEqual(one.links.linked(), {})
 
-    async def test_a_proof_does_not_hold_twice(self) -> None:
-        # A recorder between two hosts hears a whole handshake, and then
-        # says again what the first of them said.
+    async def test_replayed_proof_is_rejected(self) -> None:
+        # A recorder between two hosts stores a complete handshake, and then
+        # replays what the first host sent.
         one = await self.host('one')
         two = await self.host('two')
         recorder = Recorder(two.address)
         await self.enterAsyncContext(recorder)
         one.links.keep_links([recorder.address])
-        await until(lambda: one.links.linked())
+        await wait_until(lambda: one.links.linked())
         one.links.keep_links([])
         two.links.drop(one.host)
-        await until(lambda: not two.links.linked())
+        await wait_until(lambda: not two.links.linked())
         writer = await self.connect(two)
         writer.write(bytes(recorder.heard))
-        await until(lambda: two.count('links_wrong_key'))
+        await wait_until(lambda: two.count('links_wrong_key'))
         self.assertEqual(two.links.linked(), {})
 
-    async def test_garbage_harms_no_other_link(self) -> None:
+    async def test_invalid_bytes_do_not_affect_other_links(self) -> None:
         one, two = await self.pair()
         garbage = {
             'text': b'GET / HTTP/1.1\r\n\r\n',
@@ -237,46 +237,46 @@
                 await self.assert_works(one, two)
 
     async def send_garbage(self, host: Host, sent: bytes) -> None:
-        """Send something to a host until it is counted."""
+        """Send invalid bytes to a host until it has counted them."""
         event = 'links_handshake_garbage'
         before = host.count(event)
         writer = await self.connect(host)
         writer.write(sent)
-        await until(lambda: host.count(event) > before)
+        await wait_until(lambda: host.count(event) > before)
 
-    async def test_garbage_after_a_handshake_ends_that_link(self) -> None:
+    async def test_invalid_bytes_after_a_handshake_end_that_link(self) -> None:
         one, two = await self.pair()
         three = await self.host('three')
         await self.link(three, two)
         peer = next(iter(three.links._table))
         peer.queue.put(QueuedFrame(b'\xc1\xc1', 'test'))
-        await until(lambda: two.count('links_garbage'))
+        await wait_until(lambda: two.count('links_garbage'))
         await self.assert_works(one, two)
 
     async def test_a_message_over_the_limit_is_not_sent(self) -> None:
         one, two = await self.pair()
-        huge = Ask('a' * LinkLimits().message)
+        huge = Ask('a' * LinkLimits().max_message_bytes)
         self.assertFalse(one.links.tell(two.host, huge))
         self.assertEqual(one.count('links_message_too_large'), 1)
         await self.assert_works(one, two)
 
     async def test_a_slow_handshake_is_cut_off(self) -> None:
-        limits = LinkLimits(handshake=3, unauthenticated=2)
+        limits = LinkLimits(handshake_timeout=3, max_unauthenticated=2)
         clock = ManualClock()
         host = await self.host('one', limits=limits, clock=clock)
         for _ in range(3):
             await self.connect(host)
-        await until(lambda: host.count('links_too_many_unknown'))
+        await wait_until(lambda: host.count('links_too_many_unknown'))
         await clock.advance(4)
-        await until(lambda: host.count('links_handshake_slow') == 2)
+        await wait_until(lambda: host.count('links_handshake_slow') == 2)
         self.assertEqual(host.count('links_too_many_unknown'), 1)
 
-    async def test_a_silent_link_is_closed(self) -> None:
+    async def test_idle_link_is_closed(self) -> None:
         clock = ManualClock()
         one = await self.host('one')
         two = await self.host('two', clock=clock)
         await self.link(one, two)
-        await clock.advance(LinkLimits().silence - 1)
+        await clock.advance(LinkLimits().idle_timeout - 1)
         self.assertEqual(two.count('links_silent'), 0)
         await clock.advance(4)
         self.assertEqual(two.count('links_silent'), 1)
@@ -288,39 +288,39 @@
                 two = await self.host(f'two{seed}')
                 one.links.keep_links([two.address])
                 two.links.keep_links([one.address])
-                await until(one.links.linked)
-                await until(two.links.linked)
+                await wait_until(one.links.linked)
+                await wait_until(two.links.linked)
                 reply = await one.links.ask(two.host, Ask('hello'), 5)
                 self.assertIsInstance(reply, Reply)
                 self.assertEqual(len(one.links.linked()), 1)
                 self.assertEqual(len(two.links.linked()), 1)
 
-    async def test_the_spare_one_ends_only_when_the_kept_one_is_used(
+    async def test_redundant_connection_ends_after_the_main_one_is_used(
         self,
     ) -> None:
-        # Each connects to the other, and neither has the other's proof
-        # yet. "two" gets it first and knows that it keeps the connection
-        # of "one", which still has no other than the one to be ended.
+        # Both connect to each other, and neither has received the other's
+        # proof yet. "two" receives it first and knows that it uses the
+        # connection of "one", which still knows only the redundant one.
         one, two = await self.host('one'), await self.host('two')
         from_one, from_two = Holder(two.address), Holder(one.address)
         await self.enterAsyncContext(from_one)
         await self.enterAsyncContext(from_two)
         one.links.keep_links([from_one.address])
         two.links.keep_links([from_two.address])
-        await until(lambda: one.links.linked() and two.links.linked())
+        await wait_until(lambda: one.links.linked() and two.links.linked())
         question = one.links.ask(two.host, Ask('hello'), 5)
         asking = asyncio.ensure_future(question)
         from_two.released.set()
-        await until(lambda: two.texts)
+        await wait_until(lambda: two.texts)
         self.assertEqual(two.count('links_doubled'), 1)
-        # Time enough for the end of the spare one to be seen.
+        # Enough time for the end of the redundant connection to be noticed.
         await asyncio.sleep(0.1)
         self.assertEqual(list(one.links.linked()), [two.host])
         from_one.released.set()
         self.assertEqual(await asking, Reply('hello to one'))
         self.assertEqual(one.count('links_closed'), 0)
         await self.assert_works(one, two)
-        await until(lambda: one.count('links_closed') == 1)
+        await wait_until(lambda: one.count('links_closed') == 1)
         self.assertEqual(list(one.links.linked()), [two.host])
 
     async def test_an_old_incarnation_gets_no_link(self) -> None:
@@ -329,7 +329,7 @@
         two.roster.known[one.host] = 8
         one.links.listen(one)
         one.links.keep_links([two.address])
-        await until(lambda: one.outdated_by == [8])
+        await wait_until(lambda: one.newer_generations == [8])
         self.assertEqual(two.count('links_old_incarnation'), 1)
         self.assertEqual(two.links.linked(), {})
 
@@ -337,32 +337,32 @@
         one, two = await self.pair()
         two.roster.known[one.host] = 8
         self.assertTrue(one.links.tell(two.host, Ask('late')))
-        await until(lambda: two.count('links_old_message'))
+        await wait_until(lambda: two.count('links_old_message'))
         self.assertEqual(two.texts, [])
 
     async def test_a_new_incarnation_takes_the_link_over(self) -> None:
         one, two = await self.pair()
         later = await self.host('one', generation=2)
         later.links.keep_links([two.address])
-        await until(later.links.linked)
+        await wait_until(later.links.linked)
         two.links.tell(one.host, Ask('to the later'))
-        await until(lambda: later.texts)
+        await wait_until(lambda: later.texts)
         self.assertEqual(one.texts, [])
 
-    async def test_a_lost_link_is_made_again(self) -> None:
+    async def test_lost_link_is_restored(self) -> None:
         one, two = await self.pair()
         two.links.drop(one.host)
-        await until(lambda: not one.links.linked())
-        await until(one.links.linked)
-        await until(two.links.linked)
+        await wait_until(lambda: not one.links.linked())
+        await wait_until(one.links.linked)
+        await wait_until(two.links.linked)
         await self.assert_works(one, two)
 
-    async def test_a_question_to_a_lost_host_is_unknown(self) -> None:
+    async def test_outcome_of_request_to_a_lost_host_is_unknown(self) -> None:
         one, two = await self.pair()
         two.links.handle(Ask, never_answer)
         question = one.links.ask(two.host, Ask('?'), 99)
         asking = asyncio.ensure_future(question)
-        await until(lambda: two.links.linked())
+        await wait_until(lambda: two.links.linked())
         await asyncio.sleep(0.05)
         two.links.drop(one.host)
         reply = await asking
@@ -377,7 +377,7 @@
         self.assertEqual(reply.code, ResultCode.PEER_REFUSED)
         await self.assert_works(one, two)
 
-    async def test_no_link_means_not_run(self) -> None:
+    async def test_request_without_a_link_was_not_run(self) -> None:
         one = await self.host('one')
         reply = await one.links.ask(HostId('nobody'), Ask('?'), 5)
         assert isinstance(reply, Refusal)
--- a/tests/test_mesh_part.py
+++ b/tests/test_mesh_part.py
@@ -1,4 +1,4 @@
-"""Tests of the part that links a host to the others."""
+"""Tests of the kernel part that provides links and membership."""
 
 import asyncio
 import random
@@ -22,7 +22,7 @@
 from nutmegroad.membership.part import MeshPart
 
 NOWHERE = Address('127.0.0.1', 0)
-LOOKS = 4000
+MAX_CHECKS = 4000
 ROOT: Final = Path(__file__).resolve().parent.parent
 PAGE: Final = ROOT / 'docs' / 'MEMBERSHIP.md'
 SOURCES: Final = ROOT / 'src' / 'nutmegroad'
@@ -30,7 +30,7 @@
 
 
 class NoHostList:
-    """A host list that is down."""
+    """A host list that is unavailable."""
 
     async def listing(self) -> Listing | Refusal:
         return Refusal(ResultCode.HOST_LIST_UNAVAILABLE, 'It is down.')
@@ -64,15 +64,15 @@
         return kernel
 
     async def until_known(self, kernel: Kernel, *known: Presence) -> None:
-        """Wait until the other hosts stand so."""
-        for _ in range(LOOKS):
+        """Wait until the other hosts have these presences."""
+        for _ in range(MAX_CHECKS):
             members = kernel.need(Mesh).members()
             if known == tuple(member.presence for member in members):
                 return
             await asyncio.sleep(0.005)
         raise AssertionError(f'The other hosts are not {known}.')
 
-    async def test_hosts_find_each_other_and_part(self) -> None:
+    async def test_hosts_discover_each_other_and_leave(self) -> None:
         one = await self.open('one')
         two = await self.open('two', seeds=(one.listening['peers'],))
         await self.until_known(one, Presence.LIVE)
@@ -94,9 +94,9 @@
 
 
 class MembershipPageTest(unittest.TestCase):
-    """The operators' page."""
+    """The membership page of the operators' documentation."""
 
-    def test_its_example_has_settings_that_hold(self) -> None:
+    def test_example_has_valid_settings(self) -> None:
         example = PAGE.read_text().split('```')[1]
         key = re.search('NUTMEGROAD_CLUSTER_KEY=(.*)', example)
         assert key is not None
@@ -108,7 +108,7 @@
         self.assertEqual(first.domain, second.domain)
         self.assertEqual(second.seeds, (first.peers,))
 
-    def test_it_explains_every_event(self) -> None:
+    def test_page_explains_every_event(self) -> None:
         page = PAGE.read_text()
         for module in SOURCES.glob('*.py'):
             for event in EVENT.findall(module.read_text()):
--- a/tests/test_paused_host.py
+++ b/tests/test_paused_host.py
@@ -1,4 +1,4 @@
-"""A host that was stopped and goes on sends nothing on what it knew before."""
+"""A host that is paused and resumed acts on no outdated configuration."""
 
 import asyncio
 import signal
@@ -20,8 +20,8 @@
 from nutmegroad.contracts.documents import Role
 
 VERSION = 'brief-small@2'
-#: Reads of the head are seldom enough that, as a rule, only the question
-#: after the pause tells the host of the withdrawal in time.
+#: The head is polled so rarely that usually only the query after the pause
+#: notifies the host of the withdrawal in time.
 RIG = Rig(
     'lesen',
     ((VERSION,),),
@@ -32,7 +32,11 @@
 
 
 class PausedHostTest(unittest.IsolatedAsyncioTestCase):
-    """SIGSTOP, a withdrawal elsewhere, a request, SIGCONT."""
+    """A version is withdrawn while its host is paused with SIGSTOP.
+
+    A request arrives during the pause. After SIGCONT the host must not
+    execute it on the configuration that it had before the pause.
+    """
 
     async def asyncSetUp(self) -> None:
         stack = AsyncExitStack()
@@ -68,14 +72,14 @@
         )
         self.assertNotIn('error', done)
 
-    async def test_what_was_withdrawn_meanwhile_is_not_run(self) -> None:
+    async def test_version_withdrawn_during_the_pause_is_not_run(self) -> None:
         async with asyncio.timeout(20):
             while (await self.ask())[0] != 200:
                 await asyncio.sleep(0.1)
         self.host.signal(signal.SIGSTOP)
         asking = asyncio.create_task(self.ask())
         await self.withdraw()
-        # Longer than the gap that counts as a pause.
+        # Longer than the minimum gap that counts as a pause.
         await asyncio.sleep(1.5)
         self.host.signal(signal.SIGCONT)
         status, body = await asking
