--- a/src/nutmegroad/membership/_connection.py
+++ b/src/nutmegroad/membership/_connection.py
@@ -15,8 +15,8 @@
 from nutmegroad.membership._handshake import Identity
 from nutmegroad.membership._wire import StreamError, Unpacker, as_struct, pack
 
-_CHUNK: Final = 65_536
-#: Part that bytes are attributed to if their message type is unknown.
+_READ_SIZE: Final = 65_536
+#: Part that costs are attributed to where the message type is unknown.
 LINKS_PART: Final = 'links'
 
 
@@ -52,7 +52,7 @@
         self._max_messages = max_messages
         self._max_bytes = max_bytes
         self._frames: deque[QueuedFrame] = deque()
-        self._bytes = 0
+        self._queued_bytes = 0
         self._has_frames = asyncio.Event()
 
     def __len__(self) -> int:
@@ -65,7 +65,7 @@
             if not self._drop_replaceable():
                 return False
         self._frames.append(frame)
-        self._bytes += len(frame.packed)
+        self._queued_bytes += len(frame.packed)
         if not frame.lazy:
             self._has_frames.set()
         return True
@@ -75,12 +75,12 @@
         await self._has_frames.wait()
         frames = tuple(self._frames)
         self._frames.clear()
-        self._bytes = 0
+        self._queued_bytes = 0
         self._has_frames.clear()
         return frames
 
     def _has_capacity(self, frame: QueuedFrame) -> bool:
-        size = self._bytes + len(frame.packed)
+        size = self._queued_bytes + len(frame.packed)
         return len(self._frames) < self._max_messages and (
             size <= self._max_bytes
         )
@@ -89,14 +89,21 @@
         for frame in self._frames:
             if frame.replaceable:
                 self._frames.remove(frame)
-                self._bytes -= len(frame.packed)
+                self._queued_bytes -= len(frame.packed)
                 return True
         return False
 
 
 @unique
 class FrameKind(IntEnum):
-    """Type of a frame."""
+    """Type of a frame.
+
+    Attributes:
+        TELL: A message that expects no reply.
+        ASK: A request that expects a reply.
+        REPLY: The reply to a request.
+        REFUSED: The refusal of a request.
+    """
 
     TELL = 0
     ASK = 1
@@ -182,7 +189,7 @@
                 self.last_received = self._clock.now()
                 for plain, size in unpacker.feed(chunk):
                     receive(_to_frame(plain), size)
-                chunk = await self._reader.read(_CHUNK)
+                chunk = await self._reader.read(_READ_SIZE)
         except StreamError:
             return 'links_garbage'
         except OSError:
--- a/src/nutmegroad/membership/_coordinator.py
+++ b/src/nutmegroad/membership/_coordinator.py
@@ -27,10 +27,11 @@
 
 #: Number of consecutive heartbeats with a different digest after which the
 #: difference is not attributed to propagation delay.
-_LASTING_HEARTBEATS: Final = 3
+_PERSISTENT_HEARTBEATS: Final = 3
 #: Minimum and maximum seconds between two fetches.
 _FETCH_INTERVAL: Final = (3.0, 8.0)
-_TIMEOUT: Final = 5.0
+#: Seconds to wait for the reply to a fetch.
+_FETCH_TIMEOUT: Final = 5.0
 
 _LOG: Final = part_logger('members')
 #: Seconds after its start during which a host may find that its wall clock is
@@ -66,31 +67,31 @@
         self._mesh = mesh
         self._clock = clock
         self._randomness = randomness
-        self._differing: Counter[HostId] = Counter()
+        self._differing_digests: Counter[HostId] = Counter()
         self._next_fetch = clock.now()
         self._is_first = True
 
     def is_due(self, host: HostId, digest: int) -> bool:
         """Compare a digest; return whether to fetch the records now."""
         if digest == self._table.entries.digest:
-            self._differing.pop(host, None)
+            self._differing_digests.pop(host, None)
             return False
-        self._differing[host] += 1
-        required = 1 if self._is_first else _LASTING_HEARTBEATS
-        is_lasting = self._differing[host] >= required
-        return is_lasting and self._clock.now() >= self._next_fetch
+        self._differing_digests[host] += 1
+        required = 1 if self._is_first else _PERSISTENT_HEARTBEATS
+        is_persistent = self._differing_digests[host] >= required
+        return is_persistent and self._clock.now() >= self._next_fetch
 
     def forget(self, host: HostId) -> None:
         """Remove the state of a host whose link was lost."""
-        self._differing.pop(host, None)
+        self._differing_digests.pop(host, None)
 
     async def fetch(self, host: HostId, domain: DomainId) -> None:
         """Request all records of a host and merge them."""
         self._next_fetch = self._clock.now() + self._randomness.uniform(
             *_FETCH_INTERVAL
         )
-        self._differing.clear()
-        reply = await self._mesh.ask(host, TableRequest(), _TIMEOUT)
+        self._differing_digests.clear()
+        reply = await self._mesh.ask(host, TableRequest(), _FETCH_TIMEOUT)
         if not isinstance(reply, TableReply):
             return
         is_local = domain == self._table.identity.domain
@@ -153,7 +154,7 @@
             context.clock,
             context.randomness,
         )
-        self._started = context.clock.now()
+        self._started_at = context.clock.now()
         self._ticks = 0
 
     def open(self) -> None:
@@ -208,7 +209,7 @@
 
     def generation_outdated(self, known: int) -> None:
         """Choose a later generation if this host has just started."""
-        if self._context.clock.now() - self._started > _STARTUP_PERIOD:
+        if self._context.clock.now() - self._started_at > _STARTUP_PERIOD:
             # Another process runs under the same host id, and it is the later
             # one.
             self._context.account.count('members_superseded')
--- a/src/nutmegroad/membership/_dialer.py
+++ b/src/nutmegroad/membership/_dialer.py
@@ -45,8 +45,8 @@
     def delay(self, failures: int) -> float:
         """Return the seconds to wait after consecutive failures."""
         doublings = min(failures, _MAX_DOUBLINGS)
-        bound = min(self.maximum, self.initial * 2**doublings)
-        return self.randomness.uniform(bound / 2, bound)
+        max_delay = min(self.maximum, self.initial * 2**doublings)
+        return self.randomness.uniform(max_delay / 2, max_delay)
 
 
 class RateLimiter:
@@ -65,10 +65,10 @@
     async def acquire(self) -> None:
         """Wait until the caller may proceed."""
         now = self._clock.now()
-        wait = self._next_start - now
+        delay = self._next_start - now
         self._next_start = max(now, self._next_start) + self._interval
-        if wait > 0:
-            await self._clock.sleep(wait)
+        if delay > 0:
+            await self._clock.sleep(delay)
 
 
 async def run_with_timeout(
@@ -81,16 +81,16 @@
     Raises:
         TimeoutError: If it did not; it has been cancelled.
     """
-    worker = asyncio.ensure_future(work)
+    task = asyncio.ensure_future(work)
     timer = asyncio.ensure_future(clock.sleep(seconds))
-    both = (worker, timer)
+    tasks = (task, timer)
     try:
-        await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     finally:
-        await _cancel_all(both)
-    if worker.cancelled():
+        await _cancel_all(tasks)
+    if task.cancelled():
         raise TimeoutError
-    return worker.result()
+    return task.result()
 
 
 async def _cancel_all(tasks: tuple[asyncio.Future[Any], ...]) -> None:
--- a/src/nutmegroad/membership/_handshake.py
+++ b/src/nutmegroad/membership/_handshake.py
@@ -191,7 +191,7 @@
         """Receive a struct of a given type.
 
         Raises:
-            HandshakeError: If something else was received, or the stream ended.
+            HandshakeError: If another object or the end of the stream came.
         """
         try:
             plain = await self._read()
--- a/src/nutmegroad/membership/_heartbeats.py
+++ b/src/nutmegroad/membership/_heartbeats.py
@@ -78,12 +78,12 @@
         # sent again.
         state = LinkState(identity.domain, self._table.entries.change_number)
         self._links.setdefault(identity.host, state)
-        news = [self._table.own]
+        updates = [self._table.own]
         peer_record = self._table.get(identity.host)
         if peer_record is not None:
-            news.append(peer_record)
+            updates.append(peer_record)
         heartbeat = Heartbeat(
-            self._table.entries.digest, wanted=True, news=tuple(news)
+            self._table.entries.digest, wanted=True, news=tuple(updates)
         )
         self._sender.tell_each((identity.host,), heartbeat)
 
@@ -121,9 +121,11 @@
         local_only = _Near(suspects, self._detector.pop_vouched())
         local_hosts: list[HostId] = []
         for host, state in self._links.items():
-            news = self._pop_updates(host, state)
-            if news or host not in needed:
-                self._send(host, state, local_only, news, wanted=host in needed)
+            updates = self._pop_updates(host, state)
+            if updates or host not in needed:
+                self._send(
+                    host, state, local_only, updates, wanted=host in needed
+                )
             elif state.domain == self._table.identity.domain:
                 local_hosts.append(host)
             elif self._ticks % _REMOTE_TICKS == 0:
@@ -146,7 +148,7 @@
         host: HostId,
         state: LinkState,
         local_only: '_Near',
-        news: tuple[Record, ...],
+        updates: tuple[Record, ...],
         *,
         wanted: bool,
     ) -> None:
@@ -154,7 +156,7 @@
         heartbeat = Heartbeat(
             digest=self._table.entries.digest,
             wanted=wanted,
-            news=news,
+            news=updates,
             ages=self._encoded_ages(),
             suspects=local_only.suspects if is_local else (),
             vouched=local_only.vouched if is_local else (),
--- a/src/nutmegroad/membership/_link_lifecycle.py
+++ b/src/nutmegroad/membership/_link_lifecycle.py
@@ -84,7 +84,7 @@
             return None
         stream = HandshakeStream(reader, writer)
         handshake = greet(stream, self._credentials())
-        return await self._open(handshake, stream, initiator=True)
+        return await self._open(handshake, stream, is_initiator=True)
 
     async def accept(
         self,
@@ -100,7 +100,7 @@
         stream = HandshakeStream(reader, writer)
         handshake = answer(stream, self._credentials())
         try:
-            return await self._open(handshake, stream, initiator=False)
+            return await self._open(handshake, stream, is_initiator=False)
         finally:
             self._unauthenticated -= 1
 
@@ -109,7 +109,7 @@
         handshake: Coroutine[Any, Any, Identity],
         stream: HandshakeStream,
         *,
-        initiator: bool,
+        is_initiator: bool,
     ) -> AuthenticatedConnection | None:
         identity = await self._run_handshake(handshake)
         if identity is None:
@@ -119,7 +119,7 @@
             identity,
             stream.streams,
             self._context.clock,
-            is_initiator=initiator,
+            is_initiator=is_initiator,
         )
         return AuthenticatedConnection(connection, stream.rest())
 
@@ -133,14 +133,14 @@
                 self._context.clock, seconds, handshake
             )
         except HandshakeError as error:
-            self._refuse(error)
+            self._report_failure(error)
         except TimeoutError:
             self._context.account.count('links_handshake_slow')
         except OSError:
             self._context.account.count('links_handshake_cut')
         return None
 
-    def _refuse(self, error: HandshakeError) -> None:
+    def _report_failure(self, error: HandshakeError) -> None:
         self._context.account.count(error.event)
         _LOG.info('handshake failed: %s', error.event)
         if error.known:
--- a/src/nutmegroad/membership/_link_targets.py
+++ b/src/nutmegroad/membership/_link_targets.py
@@ -41,14 +41,14 @@
         self._reachability = reachability
         self._randomness = randomness
         self._seeds = frozenset(seeds)
-        self._listed: frozenset[Address] = frozenset()
+        self._listed_addresses: frozenset[Address] = frozenset()
         self._probes: frozenset[Address] = frozenset()
         self._chosen: dict[HostId, Address] = {}
         self._chosen_change = 0
 
     def set_listed_addresses(self, addresses: Iterable[Address]) -> None:
         """Set the addresses that the host list contains."""
-        self._listed = frozenset(addresses)
+        self._listed_addresses = frozenset(addresses)
 
     def hosts(self) -> dict[HostId, Address]:
         """Return the known hosts to which there should be links."""
@@ -69,16 +69,18 @@
         """Select new addresses at which to look for hosts.
 
         Args:
-            has_links: Whether there is any link; without one, several addresses
-                are probed at a time.
+            has_links: Whether there is any link; without one, several
+                addresses are probed at a time.
         """
         candidates = (
-            self._seeds | self._listed | self._addresses_of_empty_domains()
+            self._seeds
+            | self._listed_addresses
+            | self._addresses_of_empty_domains()
         )
-        shuffled = sorted(candidates - self._known(), key=str)
-        self._randomness.shuffle(shuffled)
+        addresses = sorted(candidates - self._known(), key=str)
+        self._randomness.shuffle(addresses)
         size = 1 if has_links else _MAX_INITIAL_SEEDS
-        self._probes = frozenset(shuffled[:size])
+        self._probes = frozenset(addresses[:size])
 
     def _choose(self) -> dict[HostId, Address]:
         by_domain = self._by_domain()
--- a/src/nutmegroad/membership/_member_table.py
+++ b/src/nutmegroad/membership/_member_table.py
@@ -38,18 +38,22 @@
     def __init__(self, clock: Clock, domain_timeout: float) -> None:
         self._clock = clock
         self._domain_timeout = domain_timeout
-        self._hosts: dict[HostId, float] = {}
-        self._domains: dict[DomainId, float] = {}
+        self._hosts_seen_at: dict[HostId, float] = {}
+        self._domains_seen_at: dict[DomainId, float] = {}
         self._domain_reported_at: dict[DomainId, float] = {}
         self._timers_reset_at = clock.now()
 
-    def record_host_seen(self, host: HostId, when: float) -> None:
+    def record_host_seen(self, host: HostId, seen_at: float) -> None:
         """Record when a host was received or first reported."""
-        self._hosts[host] = max(when, self._hosts.get(host, when))
+        self._hosts_seen_at[host] = max(
+            seen_at, self._hosts_seen_at.get(host, seen_at)
+        )
 
-    def record_domain_seen(self, domain: DomainId, when: float) -> None:
+    def record_domain_seen(self, domain: DomainId, seen_at: float) -> None:
         """Record when this or another host received a domain."""
-        self._domains[domain] = max(when, self._domains.get(domain, when))
+        self._domains_seen_at[domain] = max(
+            seen_at, self._domains_seen_at.get(domain, seen_at)
+        )
         self._domain_reported_at[domain] = self._clock.now()
 
     def reset_timers(self) -> None:
@@ -58,38 +62,49 @@
 
     def forget_host(self, host: HostId) -> None:
         """Remove a host."""
-        self._hosts.pop(host, None)
+        self._hosts_seen_at.pop(host, None)
 
     def last_seen(self, host: HostId) -> float:
         """Return the clock seconds at which a host was last seen."""
-        return self._hosts.get(host, self._timers_reset_at)
+        return self._hosts_seen_at.get(host, self._timers_reset_at)
 
     def seconds_since_seen(self, host: HostId) -> float:
         """Return the seconds since a host was last seen."""
-        seen = self._hosts.get(host, self._timers_reset_at)
-        return self._clock.now() - max(seen, self._timers_reset_at)
+        seen_at = self._hosts_seen_at.get(host, self._timers_reset_at)
+        return self._clock.now() - max(seen_at, self._timers_reset_at)
 
     def is_domain_unreachable(self, domain: DomainId) -> bool:
         """Return whether no host of a domain is seen, not even by others."""
-        seen = self._timers_reset_at
+        seen_at = self._timers_reset_at
         # After a pause of this process, reports of other hosts are better
         # evidence than the lack of updates during the pause.
         if (
             self._domain_reported_at.get(domain, self._timers_reset_at)
             > self._timers_reset_at
         ):
-            seen = self._domains[domain]
-        return self._clock.now() - seen > self._domain_timeout
+            seen_at = self._domains_seen_at[domain]
+        return self._clock.now() - seen_at > self._domain_timeout
 
     def domain_ages(self) -> Mapping[DomainId, float]:
         """Return the seconds since each domain was last seen."""
         now = self._clock.now()
-        return {domain: now - when for domain, when in self._domains.items()}
+        return {
+            domain: now - seen_at
+            for domain, seen_at in self._domains_seen_at.items()
+        }
 
 
 @unique
 class Origin(Enum):
-    """How a change was learned; decides to whom it is forwarded."""
+    """How a change was learned; decides to whom it is forwarded.
+
+    Attributes:
+        OWN: This host made the change.
+        NEAR: Reported by a host of the local domain.
+        FAR: Reported by a host of another domain.
+        VERDICT: This host declared another one gone.
+        SYNC: Found in a fetched member table; not forwarded.
+    """
 
     OWN = 'own'
     NEAR = 'near'
@@ -133,12 +148,12 @@
 
     @property
     def change_number(self) -> int:
-        """How many changes there were."""
+        """Sequence number of the latest change."""
         return self._change_number
 
     @property
     def digest(self) -> int:
-        """A hash over all the records that are not gone."""
+        """Hash over all records that are not gone."""
         return self._digest
 
     def get(self, host: HostId) -> Entry | None:
@@ -180,15 +195,15 @@
             The removed hosts.
         """
         gone = [entry for entry in self if entry.record.is_gone]
-        surplus = len(gone) - _MAX_GONE
-        forgotten = [
+        excess = len(gone) - _MAX_GONE
+        removed = [
             entry.record.host
-            for place, entry in enumerate(gone)
-            if entry.recorded_at < before or place < surplus
+            for index, entry in enumerate(gone)
+            if entry.recorded_at < before or index < excess
         ]
-        for host in forgotten:
+        for host in removed:
             self._entries.pop(host)
-        return forgotten
+        return removed
 
     def _toggle_digest(self, record: Record) -> None:
         """Add a record to the hash, or remove it again."""
@@ -225,21 +240,25 @@
 
     def bind(self, address: Address) -> None:
         """Set the listening address of this host once it is known."""
-        moved = msgspec.structs.replace(
+        bound_identity = msgspec.structs.replace(
             self.identity,
             ip=address.ip,
             port=address.port,
         )
-        self._set_own(msgspec.structs.replace(self.own, identity=moved))
+        self._set_own(
+            msgspec.structs.replace(self.own, identity=bound_identity)
+        )
 
     def raise_generation(self, known: int) -> None:
         """Choose a generation later than the one that other hosts know."""
         generation = max(known, self.identity.generation) + 1
-        later = msgspec.structs.replace(
+        later_identity = msgspec.structs.replace(
             self.identity,
             generation=generation,
         )
-        self._set_own(msgspec.structs.replace(self.own, identity=later))
+        self._set_own(
+            msgspec.structs.replace(self.own, identity=later_identity)
+        )
 
     def set_presence(self, presence: Presence) -> None:
         """Change the presence of this host."""
--- a/src/nutmegroad/membership/_wire.py
+++ b/src/nutmegroad/membership/_wire.py
@@ -9,7 +9,7 @@
 from nutmegroad.contracts.peers import Message
 
 #: Exceptions that ``msgpack`` raises for an invalid stream.
-_UNREADABLE: Final = (
+_UNPACK_ERRORS: Final = (
     msgpack.exceptions.UnpackException,
     ValueError,
     TypeError,
@@ -47,8 +47,8 @@
             strict_map_key=False,
         )
         self._max_bytes = max_bytes
-        self._fed = 0
-        self._done = 0
+        self._fed_bytes = 0
+        self._unpacked_bytes = 0
 
     def feed(self, chunk: bytes) -> Iterator[tuple[object, int]]:
         """Yield each object that is complete, and its size in bytes.
@@ -56,10 +56,10 @@
         Raises:
             StreamError: If the stream is invalid or an object is too large.
         """
-        self._fed += len(chunk)
+        self._fed_bytes += len(chunk)
         try:
             self._unpacker.feed(chunk)
-        except _UNREADABLE as error:
+        except _UNPACK_ERRORS as error:
             raise StreamError('The message is too large.') from error
         return self._unpack()
 
@@ -73,14 +73,14 @@
                 unpacked = self._unpacker.unpack()
             except msgpack.OutOfData:
                 break
-            except _UNREADABLE as error:
+            except _UNPACK_ERRORS as error:
                 raise StreamError('The stream is not valid msgpack.') from error
-            size = self._unpacker.tell() - self._done
-            self._done += size
+            size = self._unpacker.tell() - self._unpacked_bytes
+            self._unpacked_bytes += size
             yield unpacked, size
         # The unpacker limits its buffer only; an array that arrives item by
         # item would grow without limit.
-        if self._fed - self._done > self._max_bytes:
+        if self._fed_bytes - self._unpacked_bytes > self._max_bytes:
             raise StreamError('The message is too large.')
 
 
--- a/src/nutmegroad/membership/links.py
+++ b/src/nutmegroad/membership/links.py
@@ -30,6 +30,7 @@
 )
 from nutmegroad.membership._peer_table import MessageSender, PeerTable
 
+#: Maximum incoming connections that wait to be accepted.
 _BACKLOG: Final = 256
 
 
--- a/src/nutmegroad/membership/members.py
+++ b/src/nutmegroad/membership/members.py
@@ -71,7 +71,7 @@
 
     @property
     def presence(self) -> Presence:
-        """Whether this host is live, leaving or gone."""
+        """Presence of this host: live, leaving or gone."""
         return self._table.own.presence
 
     @property
--- a/src/nutmegroad/membership/part.py
+++ b/src/nutmegroad/membership/part.py
@@ -28,8 +28,8 @@
     async def open(self, kernel: Kernel) -> None:
         """Accept connections of other hosts and start sending heartbeats.
 
-        On exit the membership announces that this host is gone before the links
-        close.
+        On exit the membership announces that this host is gone before the
+        links close.
         """
         settings = kernel.settings
         if not settings.cluster_key:
--- a/tests/test_link_parts.py
+++ b/tests/test_link_parts.py
@@ -106,7 +106,7 @@
         self.assertFalse(queue.put(old))
         self.assertEqual(asyncio.run(queue.take_all()), (required, required))
 
-    def test_bytes_are_bounded_too(self) -> None:
+    def test_queued_bytes_are_bounded(self) -> None:
         queue = SendQueue(100, 10)
         self.assertTrue(queue.put(QueuedFrame(b'a' * 10, '')))
         self.assertFalse(queue.put(QueuedFrame(b'a', '')))
@@ -121,8 +121,8 @@
         packed = pack(original)
         unpacked = [
             thing
-            for place in range(len(packed))
-            for thing in unpacker.feed(packed[place : place + 1])
+            for index in range(len(packed))
+            for thing in unpacker.feed(packed[index : index + 1])
         ]
         self.assertEqual(unpacked, [(original, len(packed))])
 
@@ -137,10 +137,10 @@
 class BackoffTest(unittest.TestCase):
     """Delays between connection attempts."""
 
-    def test_waits_double_up_to_a_bound_with_jitter(self) -> None:
+    def test_delays_double_up_to_a_maximum_with_jitter(self) -> None:
         backoff = Backoff(1, 8, random.Random(3))
         for failures, bound in enumerate((1, 2, 4, 8, 8, 8)):
-            waits = {backoff.delay(failures) for _ in range(50)}
-            self.assertLessEqual(max(waits), bound)
-            self.assertGreaterEqual(min(waits), bound / 2)
-            self.assertGreater(len(waits), 40)
+            delays = {backoff.delay(failures) for _ in range(50)}
+            self.assertLessEqual(max(delays), bound)
+            self.assertGreaterEqual(min(delays), bound / 2)
+            self.assertGreater(len(delays), 40)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -146,14 +146,14 @@
         if condition():
             return
         await asyncio.sleep(CHECK_INTERVAL)
-    raise AssertionError('What the test waits for did not happen.')
+    raise AssertionError('The condition was not met in time.')
 
 
 class LinksTest(unittest.IsolatedAsyncioTestCase):
     """Hosts with links over loopback."""
 
-    async def host(self, name: str, **given: Any) -> Host:
-        host = Host(name, **given)
+    async def host(self, name: str, **options: Any) -> Host:
+        host = Host(name, **options)
         await self.enterAsyncContext(host.links)
         return host
 
@@ -253,14 +253,14 @@
         await wait_until(lambda: two.count('links_garbage'))
         await self.assert_works(one, two)
 
-    async def test_a_message_over_the_limit_is_not_sent(self) -> None:
+    async def test_message_over_the_limit_is_not_sent(self) -> None:
         one, two = await self.pair()
         huge = Ask('a' * LinkLimits().max_message_bytes)
         self.assertFalse(one.links.tell(two.host, huge))
         self.assertEqual(one.count('links_message_too_large'), 1)
         await self.assert_works(one, two)
 
-    async def test_a_slow_handshake_is_cut_off(self) -> None:
+    async def test_slow_handshake_times_out(self) -> None:
         limits = LinkLimits(handshake_timeout=3, max_unauthenticated=2)
         clock = ManualClock()
         host = await self.host('one', limits=limits, clock=clock)
@@ -281,7 +281,7 @@
         await clock.advance(4)
         self.assertEqual(two.count('links_silent'), 1)
 
-    async def test_hosts_that_connect_at_once_keep_one_link(self) -> None:
+    async def test_simultaneous_connections_result_in_one_link(self) -> None:
         for seed in range(5):
             with self.subTest(seed=seed):
                 one = await self.host(f'one{seed}')
@@ -323,7 +323,7 @@
         await wait_until(lambda: one.count('links_closed') == 1)
         self.assertEqual(list(one.links.linked()), [two.host])
 
-    async def test_an_old_incarnation_gets_no_link(self) -> None:
+    async def test_outdated_incarnation_gets_no_link(self) -> None:
         one = await self.host('one', generation=7)
         two = await self.host('two')
         two.roster.known[one.host] = 8
@@ -340,7 +340,7 @@
         await wait_until(lambda: two.count('links_old_message'))
         self.assertEqual(two.texts, [])
 
-    async def test_a_new_incarnation_takes_the_link_over(self) -> None:
+    async def test_new_incarnation_takes_over_the_link(self) -> None:
         one, two = await self.pair()
         later = await self.host('one', generation=2)
         later.links.keep_links([two.address])
@@ -369,7 +369,7 @@
         assert isinstance(reply, Refusal)
         self.assertEqual(reply.ran, Ran.UNKNOWN)
 
-    async def test_a_failing_handler_refuses_and_goes_on(self) -> None:
+    async def test_failing_handler_refuses_and_keeps_the_link(self) -> None:
         one, two = await self.pair()
         with self.assertLogs(level='ERROR'):
             reply = await one.links.ask(two.host, Ask('fail'), 5)
@@ -383,7 +383,7 @@
         assert isinstance(reply, Refusal)
         self.assertEqual(reply.ran, Ran.NOT_RUN)
 
-    async def test_cost_is_written_by_part(self) -> None:
+    async def test_cost_is_attributed_to_the_part(self) -> None:
         one, two = await self.pair()
         await self.assert_works(one, two)
         sent, received = one.ledger.costs(), two.ledger.costs()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -95,9 +95,9 @@
         hosts = await self.start_all({EAST: 5, WEST: 5})
         fewest = min(len(host.links.linked()) for host in hosts)
         self.assertLess(fewest, len(hosts) - 1)
-        host_a = {host.name for host in hosts[:5]}
+        local_names = {host.name for host in hosts[:5]}
         for host in hosts[:5]:
-            others = host_a.difference({host.name})
+            others = local_names.difference({host.name})
             self.assertLessEqual(others, host.links.last_received.keys())
         self.assertEqual(len({host.table.entries.digest for host in hosts}), 1)
 
@@ -113,7 +113,7 @@
         self.crash(crashed)
         await self.clock.advance(5)
         known = [crashed.name in host.known() for host in hosts]
-        self.assertNotIn(False, known, 'given up too early')
+        self.assertNotIn(False, known, 'declared gone too early')
         self.assertIn(crashed.name, hosts[0].members.suspects)
         await self.clock.advance(7)
         self.assert_all_known(hosts)
@@ -157,8 +157,8 @@
         self,
     ) -> None:
         hosts = await self.start_all({EAST: 5})
-        for deaf in hosts[:2]:
-            self.network.mesh.cut(deaf.name, hosts[4].name)
+        for disconnected in hosts[:2]:
+            self.network.mesh.cut(disconnected.name, hosts[4].name)
         await self.clock.advance(30)
         self.assertIn(hosts[4].name, hosts[0].members.suspects)
         self.assert_all_known(hosts)
@@ -185,7 +185,9 @@
         await self.clock.advance(20)
         self.assert_all_known(hosts)
         versions = {host.table.own.version for host in hosts}
-        self.assertEqual(versions, {0}, 'nobody had to speak for itself')
+        self.assertEqual(
+            versions, {0}, 'no host had to refute a record of itself'
+        )
 
     async def test_domain_is_known_through_a_third_domain(self) -> None:
         hosts = await self.start_all({EAST: 2, WEST: 2, NORTH: 2})
@@ -199,7 +201,7 @@
         await self.clock.advance(4)
         self.assertIn(late.name, hosts[0].known())
 
-    async def test_an_isolated_host_declares_nobody_gone(self) -> None:
+    async def test_isolated_host_declares_no_host_gone(self) -> None:
         hosts = await self.start_all({EAST: 3, WEST: 2})
         for peer in hosts[1:]:
             self.network.mesh.cut(hosts[0].name, peer.name)
