--- a/src/nutmegroad/membership/_link_targets.py
+++ b/src/nutmegroad/membership/_link_targets.py
@@ -46,8 +46,8 @@
         self._chosen: dict[HostId, Address] = {}
         self._chosen_change = 0
 
-    def set_listed_addresses(self, addresses: Iterable[Address]) -> None:
-        """Set the addresses that the host list contains."""
+    def update_listed_addresses(self, addresses: Iterable[Address]) -> None:
+        """Update the addresses that the host list contains."""
         self._listed_addresses = frozenset(addresses)
 
     def hosts(self) -> dict[HostId, Address]:
--- a/src/nutmegroad/membership/_message_receiver.py
+++ b/src/nutmegroad/membership/_message_receiver.py
@@ -124,12 +124,12 @@
         self._roster = roster
         self._pending = pending
         self._tasks = tasks
-        self._kinds = Kinds()
+        self._message_types = Kinds()
         self._handlers: dict[type[Message], Handler[Any]] = {}
 
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
         """Register the handler for a type of message."""
-        self._kinds.add(kind)
+        self._message_types.add(kind)
         self._handlers[kind] = handler
 
     def receive(self, peer: Peer, frame: Frame, size: int) -> None:
@@ -138,7 +138,7 @@
             self._context.account.count('links_old_message')
             peer.connection.abort()
             return
-        message = self._kinds.decode(frame.body)
+        message = self._message_types.decode(frame.body)
         part = LINKS_PART if message is None else message.part
         self._context.account.received(part, size)
         if frame.kind in {FrameKind.REPLY, FrameKind.REFUSED}:
--- a/src/nutmegroad/membership/members.py
+++ b/src/nutmegroad/membership/members.py
@@ -137,7 +137,7 @@
             listing = await host_list.listing()
             if not isinstance(listing, Refusal):
                 hosts = listing.hosts
-                self._coordinator.targets.set_listed_addresses(
+                self._coordinator.targets.update_listed_addresses(
                     host.address for host in hosts
                 )
             jitter = self._context.randomness.uniform(1, 2)
