--- a/src/nutmegroad/membership/_coordinator.py
+++ b/src/nutmegroad/membership/_coordinator.py
@@ -219,7 +219,7 @@
             self._table.raise_generation(known)
 
     def _is_in_contact(self, linked: dict[HostId, float], now: float) -> bool:
-        """Return whether any host was received recently."""
+        """Return whether any linked host sent something recently."""
         timeout = _CONTACT_INTERVALS * self._context.heartbeat
         return any(
             now - last_received < timeout for last_received in linked.values()
--- a/src/nutmegroad/membership/_detector.py
+++ b/src/nutmegroad/membership/_detector.py
@@ -109,7 +109,7 @@
         )
 
     def pop_vouched(self) -> tuple[HostId, ...]:
-        """Return and clear the suspects of others that this host receives."""
+        """Return and clear the suspects of others that respond to this host."""
         vouched = tuple(sorted(self._pending_vouches))
         self._pending_vouches.clear()
         return vouched
--- a/src/nutmegroad/membership/_member_context.py
+++ b/src/nutmegroad/membership/_member_context.py
@@ -29,7 +29,7 @@
         """Maintain links to the hosts at these addresses from now on."""
 
     def linked(self) -> dict[HostId, float]:
-        """Return the linked hosts and when each was last received."""
+        """Return the linked hosts and when each last sent something."""
 
     def drop(self, host: HostId) -> None:
         """Close the link to a host."""
--- a/src/nutmegroad/membership/_member_messages.py
+++ b/src/nutmegroad/membership/_member_messages.py
@@ -67,7 +67,7 @@
         news: Records that changed.
         ages: Tenths of a second since each domain was last seen.
         suspects: Hosts of the sender's domain that are unresponsive to it.
-        vouched: Hosts that others suspect and the sender receives.
+        vouched: Hosts that others suspect, but that respond to the sender.
     """
 
     part: ClassVar[str] = MEMBERS_PART
--- a/src/nutmegroad/membership/_member_table.py
+++ b/src/nutmegroad/membership/_member_table.py
@@ -44,13 +44,13 @@
         self._timers_reset_at = clock.now()
 
     def record_host_seen(self, host: HostId, seen_at: float) -> None:
-        """Record when a host was received or first reported."""
+        """Record when a host sent something or was first reported."""
         self._hosts_seen_at[host] = max(
             seen_at, self._hosts_seen_at.get(host, seen_at)
         )
 
     def record_domain_seen(self, domain: DomainId, seen_at: float) -> None:
-        """Record when this or another host received a domain."""
+        """Record when this or another host saw a domain."""
         self._domains_seen_at[domain] = max(
             seen_at, self._domains_seen_at.get(domain, seen_at)
         )
--- a/src/nutmegroad/membership/links.py
+++ b/src/nutmegroad/membership/links.py
@@ -145,7 +145,7 @@
         self._table.retain_aliases(wanted)
 
     def linked(self) -> dict[HostId, float]:
-        """Return the linked hosts and when each was last received."""
+        """Return the linked hosts and when each last sent something."""
         return {
             peer.host: peer.connection.last_received for peer in self._table
         }
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -153,7 +153,7 @@
         await self.clock.advance(20)
         self.assert_all_known(hosts)
 
-    async def test_suspect_that_others_receive_is_not_declared_gone(
+    async def test_suspect_that_responds_to_others_is_not_declared_gone(
         self,
     ) -> None:
         hosts = await self.start_all({EAST: 5})
