--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -219,8 +219,8 @@
         await self.clock.advance(0.1)
         leaving = {hosts[0].name}
         self.assertEqual(hosts[1].known(Presence.LEAVING), leaving)
-        exchange_heartbeats = tuple(host.name for host in hosts[1:3])
-        self.assertEqual(hosts[1].members.live_hosts(), exchange_heartbeats)
+        live_hosts = tuple(host.name for host in hosts[1:3])
+        self.assertEqual(hosts[1].members.live_hosts(), live_hosts)
         await self.clock.advance(4)
         for host in hosts[1:]:
             self.assertEqual(host.known(Presence.LEAVING), leaving)
