--- a/experiments/configuration/spread.py
+++ b/experiments/configuration/spread.py
@@ -38,7 +38,10 @@
 )
 from nutmegroad.membership._handshake import Identity
 from nutmegroad.membership._link_context import LinkContext
-from nutmegroad.membership._member_context import MemberContext, make_table
+from nutmegroad.membership._member_context import (
+    MemberContext,
+    create_member_table,
+)
 from nutmegroad.membership.links import Links
 from nutmegroad.membership.members import Members
 
@@ -112,7 +115,7 @@
             port=0,
         )
         ledger = Ledger(time.thread_time)
-        table, reachability = make_table(identity, self.clock, 1)
+        table, reachability = create_member_table(identity, self.clock, 1)
         context = LinkContext(
             key=b'a key for measurements',
             clock=self.clock,
--- a/experiments/costs/records_cost.py
+++ b/experiments/costs/records_cost.py
@@ -39,7 +39,7 @@
 )
 from nutmegroad.membership._handshake import Identity
 from nutmegroad.membership._link_context import LinkContext
-from nutmegroad.membership._member_context import make_table
+from nutmegroad.membership._member_context import create_member_table
 from nutmegroad.membership.links import Links
 from nutmegroad.records.at_most_once import (
     AtMostOnce,
@@ -169,7 +169,7 @@
         '127.0.0.1',
         0,
     )
-    table, _ = make_table(identity, clock, 1)
+    table, _ = create_member_table(identity, clock, 1)
     ledger = Ledger(time.thread_time)
     context = LinkContext(
         key=KEY.encode(),
@@ -209,7 +209,7 @@
     """Link two hosts over loopback."""
     one, _ = await link(stack, 'one')
     two, near = await link(stack, 'two')
-    one.keep_links((near,))
+    one.maintain_links((near,))
     while not one.linked():
         await asyncio.sleep(0.01)
     return OnePeer(one, HostId('two')), OnePeer(two, HostId('one'))
--- a/experiments/slopes/mesh.py
+++ b/experiments/slopes/mesh.py
@@ -27,7 +27,10 @@
     HostId,
     Presence,
 )
-from nutmegroad.membership._member_context import MemberContext, make_table
+from nutmegroad.membership._member_context import (
+    MemberContext,
+    create_member_table,
+)
 from nutmegroad.membership._member_messages import Record
 from nutmegroad.membership._member_table import Origin
 from nutmegroad.membership.members import Members
@@ -150,7 +153,7 @@
     identity = identity_of(host, DomainId('domain-0'))
     ledger = Ledger(time.thread_time)
     context = MemberContext(SystemClock(), random.Random(1), ledger, FAST)
-    made = make_table(identity, context.clock, FAST)
+    made = create_member_table(identity, context.clock, FAST)
     for number in range(records):
         domain = DomainId(f'domain-{number % DOMAINS}')
         other = identity_of(HostId(f'host-{number:03}'), domain)
--- a/experiments/slopes/mesh_hosts.py
+++ b/experiments/slopes/mesh_hosts.py
@@ -21,7 +21,10 @@
 )
 from nutmegroad.membership._handshake import Identity
 from nutmegroad.membership._link_context import LinkContext, LinkListener
-from nutmegroad.membership._member_context import MemberContext, make_table
+from nutmegroad.membership._member_context import (
+    MemberContext,
+    create_member_table,
+)
 from nutmegroad.membership.links import Links
 from nutmegroad.membership.members import Members
 from nutmegroad.testing.virtual import PausableClock
@@ -73,7 +76,7 @@
         identity = identity_of(HostId(f'host-{number:03}'), domain)
         self.clock = PausableClock(SystemClock())
         self.ledger = Ledger(time.thread_time)
-        made = make_table(identity, self.clock, 1)
+        made = create_member_table(identity, self.clock, 1)
         self.table = made[0]
         randomness = random.Random(number)
         context = LinkContext(
@@ -165,7 +168,7 @@
     def listen(self, listener: LinkListener) -> None:
         """Tell nobody."""
 
-    def keep_links(self, addresses: Iterable[Address]) -> None:
+    def maintain_links(self, addresses: Iterable[Address]) -> None:
         """Connect to nobody."""
 
     def linked(self) -> dict[HostId, float]:
@@ -187,7 +190,7 @@
         """Send nothing."""
         return False
 
-    def tell_each(self, hosts: Iterable[HostId], message: Message) -> int:
+    def multicast(self, hosts: Iterable[HostId], message: Message) -> int:
         """Send nothing."""
         return 0
 
--- a/src/nutmegroad/membership/_connection.py
+++ b/src/nutmegroad/membership/_connection.py
@@ -99,14 +99,14 @@
     """Type of a frame.
 
     Attributes:
-        TELL: A message that expects no reply.
-        ASK: A request that expects a reply.
+        NOTIFICATION: A message that expects no reply.
+        REQUEST: A request that expects a reply.
         REPLY: The reply to a request.
         REFUSED: The refusal of a request.
     """
 
-    TELL = 0
-    ASK = 1
+    NOTIFICATION = 0
+    REQUEST = 1
     REPLY = 2
     REFUSED = 3
 
--- a/src/nutmegroad/membership/_coordinator.py
+++ b/src/nutmegroad/membership/_coordinator.py
@@ -102,7 +102,7 @@
         self._merge_all(
             host,
             reply.records,
-            Origin.SYNC if needs_no_forwarding else Origin.FAR,
+            Origin.SYNC if needs_no_forwarding else Origin.REMOTE,
         )
 
     def _merge_all(
@@ -163,7 +163,7 @@
         self._links.handle(Heartbeat, self._handle_heartbeat)
         self._links.handle(TableRequest, self._handle_table_request)
         self.targets.choose_probes(has_links=False)
-        self._links.keep_links(self.targets.addresses())
+        self._links.maintain_links(self.targets.addresses())
 
     def tick(self) -> None:
         """Detect failures, update links and send heartbeats."""
@@ -182,7 +182,7 @@
         if self._ticks % _CLEANUP_TICKS == 0:
             self._drop_unwanted()
             self._table.purge()
-        self._links.keep_links(self.targets.addresses())
+        self._links.maintain_links(self.targets.addresses())
         self.send()
 
     def send(self) -> None:
@@ -276,5 +276,7 @@
 
     def _origin(self, domain: DomainId) -> Origin:
         return (
-            Origin.NEAR if domain == self._table.identity.domain else Origin.FAR
+            Origin.LOCAL
+            if domain == self._table.identity.domain
+            else Origin.REMOTE
         )
--- a/src/nutmegroad/membership/_dialer.py
+++ b/src/nutmegroad/membership/_dialer.py
@@ -130,7 +130,9 @@
         self._tasks: dict[Address, asyncio.Task[None]] = {}
         self._lost_events: dict[Address, asyncio.Event] = {}
 
-    def keep_links(self, addresses: Iterable[Address]) -> frozenset[Address]:
+    def maintain_links(
+        self, addresses: Iterable[Address]
+    ) -> frozenset[Address]:
         """Maintain links to these addresses only.
 
         Existing links to other addresses stay open, but are not restored.
@@ -152,7 +154,7 @@
     async def aclose(self) -> None:
         """Cancel all tasks and wait for their end."""
         tasks = tuple(self._tasks.values())
-        self.keep_links(())
+        self.maintain_links(())
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _maintain_link(self, address: Address) -> None:
--- a/src/nutmegroad/membership/_handshake.py
+++ b/src/nutmegroad/membership/_handshake.py
@@ -202,7 +202,7 @@
             raise HandshakeError('links_handshake_garbage')
         return struct
 
-    def rest(self) -> bytes:
+    def take_remaining(self) -> bytes:
         """Return the bytes received after the handshake."""
         return self._unpacker.take_remaining(_MAX_BYTES)
 
@@ -221,7 +221,9 @@
                 raise HandshakeError('links_handshake_cut')
 
 
-async def greet(stream: HandshakeStream, credentials: Credentials) -> Identity:
+async def initiate_handshake(
+    stream: HandshakeStream, credentials: Credentials
+) -> Identity:
     """Perform the handshake as the side that connected.
 
     Returns:
@@ -245,7 +247,9 @@
     return server_hello.identity
 
 
-async def answer(stream: HandshakeStream, credentials: Credentials) -> Identity:
+async def accept_handshake(
+    stream: HandshakeStream, credentials: Credentials
+) -> Identity:
     """Perform the handshake as the side that accepted the connection.
 
     Returns:
--- a/src/nutmegroad/membership/_heartbeats.py
+++ b/src/nutmegroad/membership/_heartbeats.py
@@ -29,7 +29,7 @@
 class Sender(Protocol):
     """Output for heartbeats."""
 
-    def tell_each(self, hosts: Iterable[HostId], message: Message) -> int:
+    def multicast(self, hosts: Iterable[HostId], message: Message) -> int:
         """Queue a message for several hosts."""
 
 
@@ -85,7 +85,7 @@
         heartbeat = Heartbeat(
             self._table.entries.digest, wanted=True, news=tuple(updates)
         )
-        self._sender.tell_each((identity.host,), heartbeat)
+        self._sender.multicast((identity.host,), heartbeat)
 
     def link_closed(self, host: HostId) -> None:
         """Remove the state of a link."""
@@ -130,7 +130,7 @@
                 local_hosts.append(host)
             elif self._ticks % _REMOTE_TICKS == 0:
                 self._send(host, state, local_only, (), wanted=True)
-        self._sender.tell_each(local_hosts, self._local_heartbeat(local_only))
+        self._sender.multicast(local_hosts, self._local_heartbeat(local_only))
 
     def _local_heartbeat(self, local_only: '_Near') -> Heartbeat:
         """Return the heartbeat for all local hosts without pending changes."""
@@ -161,7 +161,7 @@
             suspects=local_only.suspects if is_local else (),
             vouched=local_only.vouched if is_local else (),
         )
-        self._sender.tell_each((host,), heartbeat)
+        self._sender.multicast((host,), heartbeat)
 
     def _pop_updates(
         self, host: HostId, state: LinkState
@@ -210,8 +210,8 @@
     reached this host only.
     """
     match entry.origin:
-        case Origin.OWN | Origin.FAR:
+        case Origin.OWN | Origin.REMOTE:
             return True
-        case Origin.NEAR | Origin.VERDICT:
+        case Origin.LOCAL | Origin.VERDICT:
             return entry.is_forwarder
     return False
--- a/src/nutmegroad/membership/_link_lifecycle.py
+++ b/src/nutmegroad/membership/_link_lifecycle.py
@@ -18,8 +18,8 @@
     HandshakeError,
     HandshakeStream,
     Identity,
-    answer,
-    greet,
+    accept_handshake,
+    initiate_handshake,
 )
 from nutmegroad.membership._link_context import (
     LinkContext,
@@ -83,7 +83,7 @@
             self._context.account.count('links_unreachable')
             return None
         stream = HandshakeStream(reader, writer)
-        handshake = greet(stream, self._credentials())
+        handshake = initiate_handshake(stream, self._credentials())
         return await self._open(handshake, stream, is_initiator=True)
 
     async def accept(
@@ -98,7 +98,7 @@
             return None
         self._unauthenticated += 1
         stream = HandshakeStream(reader, writer)
-        handshake = answer(stream, self._credentials())
+        handshake = accept_handshake(stream, self._credentials())
         try:
             return await self._open(handshake, stream, is_initiator=False)
         finally:
@@ -121,7 +121,7 @@
             self._context.clock,
             is_initiator=is_initiator,
         )
-        return AuthenticatedConnection(connection, stream.rest())
+        return AuthenticatedConnection(connection, stream.take_remaining())
 
     async def _run_handshake(
         self,
--- a/src/nutmegroad/membership/_member_context.py
+++ b/src/nutmegroad/membership/_member_context.py
@@ -25,7 +25,7 @@
     def listen(self, listener: LinkListener) -> None:
         """Set the listener that is notified when links open or close."""
 
-    def keep_links(self, addresses: Iterable[Address]) -> None:
+    def maintain_links(self, addresses: Iterable[Address]) -> None:
         """Maintain links to the hosts at these addresses from now on."""
 
     def linked(self) -> dict[HostId, float]:
@@ -34,7 +34,7 @@
     def drop(self, host: HostId) -> None:
         """Close the link to a host."""
 
-    def tell_each(self, hosts: Iterable[HostId], message: Message) -> int:
+    def multicast(self, hosts: Iterable[HostId], message: Message) -> int:
         """Queue a message for several hosts; return for how many."""
 
 
@@ -59,7 +59,7 @@
     host_list: HostList | None = None
 
 
-def make_table(
+def create_member_table(
     identity: Identity,
     clock: Clock,
     heartbeat: float,
--- a/src/nutmegroad/membership/_member_table.py
+++ b/src/nutmegroad/membership/_member_table.py
@@ -100,15 +100,15 @@
 
     Attributes:
         OWN: This host made the change.
-        NEAR: Reported by a host of the local domain.
-        FAR: Reported by a host of another domain.
+        LOCAL: Reported by a host of the local domain.
+        REMOTE: Reported by a host of another domain.
         VERDICT: This host declared another one gone.
         SYNC: Found in a fetched member table; not forwarded.
     """
 
     OWN = 'own'
-    NEAR = 'near'
-    FAR = 'far'
+    LOCAL = 'near'
+    REMOTE = 'far'
     VERDICT = 'verdict'
     SYNC = 'sync'
 
--- a/src/nutmegroad/membership/_message_receiver.py
+++ b/src/nutmegroad/membership/_message_receiver.py
@@ -20,7 +20,7 @@
 )
 from nutmegroad.membership._link_context import LinkContext, Roster
 from nutmegroad.membership._peer_table import Peer
-from nutmegroad.membership._wire import Kinds, as_plain
+from nutmegroad.membership._wire import MessageTypes, as_plain
 
 _ReplyFuture = asyncio.Future[Message | Refusal]
 
@@ -50,7 +50,7 @@
         self._pending[number] = (host, reply_future)
         return number
 
-    def answer(
+    def resolve(
         self,
         host: HostId,
         number: int,
@@ -73,7 +73,7 @@
             if expected_host == host and not reply_future.done():
                 reply_future.set_result(refusal)
 
-    def close(self, number: int) -> None:
+    def discard(self, number: int) -> None:
         """Remove a request that was never sent."""
         self._pending.pop(number)
 
@@ -124,7 +124,7 @@
         self._roster = roster
         self._pending = pending
         self._tasks = tasks
-        self._message_types = Kinds()
+        self._message_types = MessageTypes()
         self._handlers: dict[type[Message], Handler[Any]] = {}
 
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
@@ -156,7 +156,7 @@
         if reply is None:
             reason = f'Host {peer.host} refused: {frame.body}'
             reply = Refusal(ResultCode.PEER_REFUSED, reason, Ran.UNKNOWN)
-        if not self._pending.answer(peer.host, frame.number, reply):
+        if not self._pending.resolve(peer.host, frame.number, reply):
             self._context.account.count('links_late_reply')
 
     def _start_handler(
@@ -189,7 +189,7 @@
             return
         finally:
             peer.running_handlers -= 1
-        if frame.kind is FrameKind.TELL:
+        if frame.kind is FrameKind.NOTIFICATION:
             return
         if reply is None:
             self._refuse(peer, frame, 'links_no_reply')
@@ -199,7 +199,7 @@
 
     def _refuse(self, peer: Peer, frame: Frame, event: str) -> None:
         self._context.account.count(event)
-        if frame.kind is FrameKind.ASK:
+        if frame.kind is FrameKind.REQUEST:
             packed = pack_frame(FrameKind.REFUSED, frame.number, event)
             self._enqueue(peer, QueuedFrame(packed, LINKS_PART))
 
--- a/src/nutmegroad/membership/_peer_table.py
+++ b/src/nutmegroad/membership/_peer_table.py
@@ -201,11 +201,13 @@
 
     def send(self, hosts: Iterable[HostId], message: Message) -> int:
         """Queue a message for several hosts; return for how many."""
-        return self._enqueue_all(hosts, FrameKind.TELL, 0, message)
+        return self._enqueue_all(hosts, FrameKind.NOTIFICATION, 0, message)
 
     def send_request(self, host: HostId, number: int, message: Message) -> bool:
         """Queue a request; false if there is no link or no capacity."""
-        return self._enqueue_all((host,), FrameKind.ASK, number, message) == 1
+        return (
+            self._enqueue_all((host,), FrameKind.REQUEST, number, message) == 1
+        )
 
     def _enqueue_all(
         self,
@@ -218,7 +220,7 @@
         if len(packed) > self._context.limits.max_message_bytes:
             self._context.account.count('links_message_too_large')
             return 0
-        lazy = message.lazy and kind is FrameKind.TELL
+        lazy = message.lazy and kind is FrameKind.NOTIFICATION
         frame = QueuedFrame(packed, message.part, message.replaceable, lazy)
         return sum(self._enqueue(host, frame) for host in hosts)
 
--- a/src/nutmegroad/membership/_wire.py
+++ b/src/nutmegroad/membership/_wire.py
@@ -111,7 +111,7 @@
     return str(kind.__struct_config__.tag)
 
 
-class Kinds:
+class MessageTypes:
     """Message types by their tags.
 
     Types with a handler take precedence; replies need no handler, so all other
--- a/src/nutmegroad/membership/duties.py
+++ b/src/nutmegroad/membership/duties.py
@@ -58,13 +58,13 @@
 
     def watches(self, upstream: UpstreamId) -> bool:
         """Return whether this host watches an upstream."""
-        return self.is_mine(watch_of(upstream), WATCHERS_PER_UPSTREAM)
+        return self.is_mine(watch_duty(upstream), WATCHERS_PER_UPSTREAM)
 
     def hosts(self) -> tuple[HostId, ...]:
         """Return the live hosts over which duties are distributed."""
         return self._members.live_hosts()
 
-    def watch_places(
+    def watch_ranks(
         self,
         upstreams: Iterable[UpstreamId],
     ) -> dict[UpstreamId, int]:
@@ -79,7 +79,9 @@
         own = self._members.host
         positions: dict[UpstreamId, int] = {}
         for upstream in upstreams:
-            holders = self._ranking(watch_of(upstream))[:WATCHERS_PER_UPSTREAM]
+            holders = self._ranking(watch_duty(upstream))[
+                :WATCHERS_PER_UPSTREAM
+            ]
             if own in holders:
                 positions[upstream] = holders.index(own)
         return positions
@@ -97,6 +99,6 @@
         return self._ranks[duty]
 
 
-def watch_of(upstream: UpstreamId) -> DutyName:
+def watch_duty(upstream: UpstreamId) -> DutyName:
     """Return the duty of watching an upstream."""
     return DutyName(f'watch:{upstream}')
--- a/src/nutmegroad/membership/links.py
+++ b/src/nutmegroad/membership/links.py
@@ -1,7 +1,7 @@
 """Links to other hosts: authenticated TCP streams of msgpack messages.
 
 There is one link for each pair of hosts. The membership decides which hosts
-to connect to (``keep_links``); handlers decide what messages mean.
+to connect to (``maintain_links``); handlers decide what messages mean.
 """
 
 import asyncio
@@ -76,7 +76,7 @@
 
         async with Links(context, roster) as links:
             links.handle(Hello, answer_hello)
-            links.keep_links([Address('127.0.0.1', 7003)])
+            links.maintain_links([Address('127.0.0.1', 7003)])
 
     Args:
         context: Keys, clock, randomness, cost account and limits.
@@ -139,9 +139,9 @@
         """Set the listener that is notified when links open or close."""
         self._events.listener = listener
 
-    def keep_links(self, addresses: Iterable[Address]) -> None:
+    def maintain_links(self, addresses: Iterable[Address]) -> None:
         """Maintain links to the hosts at these addresses from now on."""
-        wanted = self._dialer.keep_links(addresses)
+        wanted = self._dialer.maintain_links(addresses)
         self._table.retain_aliases(wanted)
 
     def linked(self) -> dict[HostId, float]:
@@ -166,13 +166,13 @@
 
     def tell(self, host: HostId, message: Message) -> bool:
         """Queue a message; false if there is no link or no capacity."""
-        return self.tell_each((host,), message) == 1
+        return self.multicast((host,), message) == 1
 
     def tell_all(self, message: Message) -> int:
         """Queue a message on every link; return on how many."""
-        return self.tell_each([peer.host for peer in self._table], message)
+        return self.multicast([peer.host for peer in self._table], message)
 
-    def tell_each(self, hosts: Iterable[HostId], message: Message) -> int:
+    def multicast(self, hosts: Iterable[HostId], message: Message) -> int:
         """Queue a message for several hosts; return for how many.
 
         The message is serialised only once.
@@ -194,7 +194,7 @@
         """
         number = self._pending.open(host)
         if not self._sender.send_request(host, number, message):
-            self._pending.close(number)
+            self._pending.discard(number)
             reason = f'No link to host {host}, or its send queue is full.'
             return Refusal(ResultCode.PEER_UNREACHABLE, reason)
         return await self._pending.wait(number, timeout)
--- a/src/nutmegroad/membership/part.py
+++ b/src/nutmegroad/membership/part.py
@@ -11,7 +11,10 @@
 from nutmegroad.kernel.registry import register
 from nutmegroad.membership._handshake import Identity
 from nutmegroad.membership._link_context import LinkContext
-from nutmegroad.membership._member_context import MemberContext, make_table
+from nutmegroad.membership._member_context import (
+    MemberContext,
+    create_member_table,
+)
 from nutmegroad.membership.duties import Duties
 from nutmegroad.membership.links import Links
 from nutmegroad.membership.members import Members
@@ -36,7 +39,7 @@
             message = 'The cluster key is empty; hosts need it for links.'
             raise SettingsError(message)
         account = kernel.need(Account)
-        table, reachability = make_table(
+        table, reachability = create_member_table(
             identity_of(kernel),
             kernel.clock,
             settings.heartbeat,
--- a/src/nutmegroad/routing/watch_sharing.py
+++ b/src/nutmegroad/routing/watch_sharing.py
@@ -135,7 +135,7 @@
             for state in states
             if is_engine(state) and state.info.domain == self._domain
         ]
-        self._places = self._duties.watch_places(local)
+        self._places = self._duties.watch_ranks(local)
 
     def should_poll(self, state: UpstreamState) -> bool:
         """Return whether this host has to poll an engine itself."""
--- a/src/nutmegroad/testing/_memory_mesh.py
+++ b/src/nutmegroad/testing/_memory_mesh.py
@@ -17,7 +17,7 @@
     Ran,
 )
 from nutmegroad.membership._message_receiver import PendingReplies
-from nutmegroad.membership._wire import Kinds, as_plain
+from nutmegroad.membership._wire import MessageTypes, as_plain
 
 _NONCE_BITS: Final = 64
 _NOWHERE: Final = Address('127.0.0.1', 0)
@@ -102,7 +102,7 @@
         self._names = names
         self._network = network
         self._tasks = tasks
-        self._kinds = Kinds()
+        self._kinds = MessageTypes()
         self._handlers: dict[type[Message], Handler[Any]] = {}
         self._pending = PendingReplies(network.clock)
 
@@ -184,7 +184,7 @@
         else:
             unreadable = _refuse('The reply is unreadable.')
             reply = self._kinds.decode(frame.body) or unreadable
-        self._pending.answer(sender, frame.answers, reply)
+        self._pending.resolve(sender, frame.answers, reply)
 
     async def _work(self, sender: HostId, frame: _Frame) -> None:
         message = self._kinds.decode(frame.body)
--- a/tests/memory_links.py
+++ b/tests/memory_links.py
@@ -16,7 +16,10 @@
 )
 from nutmegroad.membership._handshake import Identity
 from nutmegroad.membership._link_context import LinkListener
-from nutmegroad.membership._member_context import MemberContext, make_table
+from nutmegroad.membership._member_context import (
+    MemberContext,
+    create_member_table,
+)
 from nutmegroad.membership._member_messages import Heartbeat
 from nutmegroad.membership._member_table import MemberTable
 from nutmegroad.membership.members import Members
@@ -56,7 +59,7 @@
     def listen(self, listener: LinkListener) -> None:
         self.listener = listener
 
-    def keep_links(self, addresses: Iterable[Address]) -> None:
+    def maintain_links(self, addresses: Iterable[Address]) -> None:
         now = self.network.clock.now()
         for host, last_received in tuple(self.last_received.items()):
             if now - last_received > IDLE_TIMEOUT:
@@ -106,11 +109,11 @@
     def tell(self, host: HostId, message: Message) -> bool:
         return host in self.last_received and self.peer.tell(host, message)
 
-    def tell_each(self, hosts: Iterable[HostId], message: Message) -> int:
+    def multicast(self, hosts: Iterable[HostId], message: Message) -> int:
         return sum(self.tell(host, message) for host in hosts)
 
     def tell_all(self, message: Message) -> int:
-        return self.tell_each(tuple(self.last_received), message)
+        return self.multicast(tuple(self.last_received), message)
 
     async def ask(
         self,
@@ -143,7 +146,7 @@
             port=address.port,
         )
         self.ledger = Ledger(float)
-        shared = make_table(identity, self.clock, 1)
+        shared = create_member_table(identity, self.clock, 1)
         self.table = shared[0]
         self.links = MemoryLinks(network, self.table)
         context = MemberContext(
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -7,11 +7,11 @@
     WATCHERS_PER_UPSTREAM,
     Duties,
     DutyName,
-    watch_of,
+    watch_duty,
 )
 
 DUTIES = tuple(
-    watch_of(UpstreamId(f'engine-{number}')) for number in range(890)
+    watch_duty(UpstreamId(f'engine-{number}')) for number in range(890)
 )
 HOSTS = tuple(HostId(f'host-{number}') for number in range(44))
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -26,7 +26,7 @@
     Credentials,
     HandshakeStream,
     Identity,
-    greet,
+    initiate_handshake,
 )
 from nutmegroad.membership._wire import as_plain
 from nutmegroad.operators.operator_requests import ExplainQuestion
@@ -162,7 +162,7 @@
         stream = HandshakeStream(reader, writer)
         try:
             async with asyncio.timeout(LIMIT):
-                await greet(stream, self.credentials())
+                await initiate_handshake(stream, self.credentials())
                 writer.write(sent or self.question())
                 if sent:
                     writer.write_eof()
@@ -179,7 +179,7 @@
     ) -> None:
         """Demand a reply to the question among what the host sends."""
         unpacker = msgpack.Unpacker()
-        unpacker.feed(stream.rest())
+        unpacker.feed(stream.take_remaining())
         while True:
             for frame in unpacker:
                 if frame[0] == FrameKind.REPLY and frame[1] == 1:
@@ -191,7 +191,7 @@
 
     def question(self) -> bytes:
         question = ExplainQuestion(host=HostId('h1'), request=RequestId('r'))
-        return pack_frame(FrameKind.ASK, 1, as_plain(question))
+        return pack_frame(FrameKind.REQUEST, 1, as_plain(question))
 
     def credentials(self) -> Credentials:
         """Return those of a host that was not there before."""
@@ -226,7 +226,7 @@
                 await original(thing)
 
             noted.send = send  # type: ignore[method-assign]
-            await greet(noted, self.credentials())
+            await initiate_handshake(noted, self.credentials())
             writer.close()
 
         self.run_in(record())
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -30,8 +30,8 @@
     HandshakeError,
     HandshakeStream,
     Identity,
-    answer,
-    greet,
+    accept_handshake,
+    initiate_handshake,
 )
 from nutmegroad.records.tickets import Ticket, TicketSigner
 from tests.configurations import document_of, version_of
@@ -79,7 +79,7 @@
     async def accept(reader: StreamReader, writer: StreamWriter) -> None:
         """Answer the handshake of a connection."""
         try:
-            await answer(HandshakeStream(reader, writer), other)
+            await accept_handshake(HandshakeStream(reader, writer), other)
         except HandshakeError:
             answered.set_result(False)
         else:
@@ -91,7 +91,7 @@
         port = server.sockets[0].getsockname()[1]
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
         try:
-            await greet(HandshakeStream(reader, writer), one)
+            await initiate_handshake(HandshakeStream(reader, writer), one)
         except HandshakeError:
             return False
         finally:
@@ -181,7 +181,9 @@
         peers = host.kernel.listening['peers']
         opened = await asyncio.open_connection(peers.ip, peers.port)
         with self.assertRaises(HandshakeError):
-            await greet(HandshakeStream(*opened), credentials('x', NEW, ''))
+            await initiate_handshake(
+                HandshakeStream(*opened), credentials('x', NEW, '')
+            )
         opened[1].close()
         url = f'http://{host.kernel.listening["operators"]}/metrics'
         async with ClientSession() as session, session.get(url) as response:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -165,7 +165,7 @@
         return one, two
 
     async def link(self, one: Host, two: Host) -> None:
-        one.links.keep_links([two.address])
+        one.links.maintain_links([two.address])
         await wait_until(lambda: two.host in one.links.linked())
         await wait_until(lambda: one.host in two.links.linked())
 
@@ -190,7 +190,7 @@
     async def test_a_wrong_key_is_refused_and_counted(self) -> None:
         one = await self.host('one', key=b'another key')
         two = await self.host('two')
-        one.links.keep_links([two.address])
+        one.links.maintain_links([two.address])
         await wait_until(lambda: two.count('links_wrong_key'))
         self.assertEqual(one.links.linked(), {})
         self.assertEqual(two.links.linked(), {})
@@ -201,7 +201,7 @@
         await self.enterAsyncContext(echo)
         port = echo.sockets[0].getsockname()[1]
         one = await self.host('one')
-        one.links.keep_links([Address('127.0.0.1', port)])
+        one.links.maintain_links([Address('127.0.0.1', port)])
         await wait_until(lambda: one.count('links_to_self'))
         self.assertEqual(one.links.linked(), {})
 
@@ -212,9 +212,9 @@
         two = await self.host('two')
         recorder = Recorder(two.address)
         await self.enterAsyncContext(recorder)
-        one.links.keep_links([recorder.address])
+        one.links.maintain_links([recorder.address])
         await wait_until(lambda: one.links.linked())
-        one.links.keep_links([])
+        one.links.maintain_links([])
         two.links.drop(one.host)
         await wait_until(lambda: not two.links.linked())
         writer = await self.connect(two)
@@ -286,8 +286,8 @@
             with self.subTest(seed=seed):
                 one = await self.host(f'one{seed}')
                 two = await self.host(f'two{seed}')
-                one.links.keep_links([two.address])
-                two.links.keep_links([one.address])
+                one.links.maintain_links([two.address])
+                two.links.maintain_links([one.address])
                 await wait_until(one.links.linked)
                 await wait_until(two.links.linked)
                 reply = await one.links.ask(two.host, Ask('hello'), 5)
@@ -305,8 +305,8 @@
         from_one, from_two = Holder(two.address), Holder(one.address)
         await self.enterAsyncContext(from_one)
         await self.enterAsyncContext(from_two)
-        one.links.keep_links([from_one.address])
-        two.links.keep_links([from_two.address])
+        one.links.maintain_links([from_one.address])
+        two.links.maintain_links([from_two.address])
         await wait_until(lambda: one.links.linked() and two.links.linked())
         question = one.links.ask(two.host, Ask('hello'), 5)
         asking = asyncio.ensure_future(question)
@@ -328,7 +328,7 @@
         two = await self.host('two')
         two.roster.known[one.host] = 8
         one.links.listen(one)
-        one.links.keep_links([two.address])
+        one.links.maintain_links([two.address])
         await wait_until(lambda: one.newer_generations == [8])
         self.assertEqual(two.count('links_old_incarnation'), 1)
         self.assertEqual(two.links.linked(), {})
@@ -343,7 +343,7 @@
     async def test_new_incarnation_takes_over_the_link(self) -> None:
         one, two = await self.pair()
         later = await self.host('one', generation=2)
-        later.links.keep_links([two.address])
+        later.links.maintain_links([two.address])
         await wait_until(later.links.linked)
         two.links.tell(one.host, Ask('to the later'))
         await wait_until(lambda: later.texts)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -14,7 +14,7 @@
 )
 from nutmegroad.membership._detector import Detector, Verdicts
 from nutmegroad.membership._handshake import Identity
-from nutmegroad.membership._member_context import make_table
+from nutmegroad.membership._member_context import create_member_table
 from nutmegroad.membership._member_messages import Heartbeat, Record
 from nutmegroad.membership._member_table import GONE_RETENTION, Origin
 from nutmegroad.testing.virtual import ManualClock
@@ -274,12 +274,14 @@
 
     def setUp(self) -> None:
         self.clock = ManualClock()
-        table, reachability = make_table(identity_of('me'), self.clock, 1)
+        table, reachability = create_member_table(
+            identity_of('me'), self.clock, 1
+        )
         self.reachability = reachability
         self.detector = Detector(table, reachability, 1)
         for name in ('one', 'two', 'silent'):
             record = Record(identity_of(name), 0, Presence.LIVE)
-            table.merge(record, Origin.NEAR, record.host)
+            table.merge(record, Origin.LOCAL, record.host)
 
     async def exchange_heartbeats(
         self, seconds: int, heartbeat: Heartbeat
@@ -335,6 +337,6 @@
             self.assertFalse(self.is_accepted(earlier, after=later))
 
     def is_accepted(self, record: Record, after: Record) -> bool:
-        table, _ = make_table(identity_of('me'), ManualClock(), 1)
-        table.merge(after, Origin.FAR, HostId('other'))
-        return table.merge(record, Origin.FAR, HostId('other'))
+        table, _ = create_member_table(identity_of('me'), ManualClock(), 1)
+        table.merge(after, Origin.REMOTE, HostId('other'))
+        return table.merge(record, Origin.REMOTE, HostId('other'))
--- a/tests/test_watch_sharing.py
+++ b/tests/test_watch_sharing.py
@@ -19,7 +19,7 @@
     UpstreamKind,
     VersionId,
 )
-from nutmegroad.membership.duties import Duties, watch_of
+from nutmegroad.membership.duties import Duties, watch_duty
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.draining_notices import DrainingNotices
 from nutmegroad.routing.remote_loads import RemoteLoads
@@ -170,7 +170,7 @@
 
     def holders(self) -> list[Host]:
         """Return the hosts that poll the first engine, in their order."""
-        order = Duties(self.hosts[0]).holders(watch_of(ONE), 2)
+        order = Duties(self.hosts[0]).holders(watch_duty(ONE), 2)
         return [
             next(host for host in self.local_hosts if host.host == chosen)
             for chosen in order
