--- a/experiments/costs/planner_speed.py
+++ b/experiments/costs/planner_speed.py
@@ -20,9 +20,9 @@
 from nutmegroad.contracts.documents import VersionEntry
 from nutmegroad.contracts.platform import Rating
 from nutmegroad.foundations.types import TaskName, VersionId
+from nutmegroad.quality.canary_policy import CanaryPolicy, PresetShares
 from nutmegroad.quality.estimates import Estimates
 from nutmegroad.quality.plans import AdaptivePlanner
-from nutmegroad.quality.trials import PresetShares, Trials
 
 COUNTS: Final = (2, 8, 22)
 RUNS: Final = 5000
@@ -46,7 +46,7 @@
         self._planner = AdaptivePlanner(
             configuration,
             self._estimates,
-            Trials(PresetShares(configuration)),
+            CanaryPolicy(PresetShares(configuration)),
             random.Random(1),
         )
         versions = tuple(_entry(number).version for number in range(count))
@@ -72,7 +72,7 @@
             _rating(first + place, version)
             for place, version in enumerate(versions)
         ]
-        self._estimates.take(tuple(ratings))
+        self._estimates.add_ratings(tuple(ratings))
 
 
 def main() -> None:
--- a/experiments/trials/planner_trials.py
+++ b/experiments/trials/planner_trials.py
@@ -33,11 +33,11 @@
 from nutmegroad.contracts.requests import ModelRequest, Plan
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.types import TaskName, VersionId
+from nutmegroad.quality.canary_policy import CanaryPolicy, PresetShares
 from nutmegroad.quality.estimates import Estimates
-from nutmegroad.quality.plans import EXPLORED, AdaptivePlanner
+from nutmegroad.quality.plans import EXPLORATION_FRACTION, AdaptivePlanner
 from nutmegroad.quality.prices import cost_of
-from nutmegroad.quality.rating_samples import SampleShares
-from nutmegroad.quality.trials import PresetShares, Trials
+from nutmegroad.quality.rating_samples import SamplingRates
 from nutmegroad.routing.baselines import (
     cheapest_only,
     most_expensive,
@@ -113,7 +113,7 @@
     configuration: Configuration
     estimates: Estimates
     mix: str
-    shares: SampleShares
+    shares: SamplingRates
 
 
 Maker = Callable[[World, random.Random], Planner]
@@ -127,7 +127,7 @@
         return AdaptivePlanner(
             world.configuration,
             world.estimates,
-            Trials(PresetShares(world.configuration)),
+            CanaryPolicy(PresetShares(world.configuration)),
             randomness,
             explored,
         )
@@ -143,7 +143,7 @@
         draws,
     ),
     'cheapest': lambda world, _: CheapestPlanner(world.configuration),
-    'adaptive': adaptive(EXPLORED),
+    'adaptive': adaptive(EXPLORATION_FRACTION),
     'no-exploring': adaptive(0),
 }
 
@@ -166,7 +166,7 @@
         configuration,
         estimates,
         mix,
-        SampleShares(),
+        SamplingRates(),
     )
     planner = make(world, random.Random(f'planner {seed}'))
     tally = Tally()
@@ -190,7 +190,7 @@
     while feed and feed[0][0] <= tick:
         due.append(feed.popleft()[1])
     if due:
-        world.estimates.take(tuple(due))
+        world.estimates.add_ratings(tuple(due))
 
 
 def _ask(
@@ -256,7 +256,7 @@
 ) -> float:
     """Return how likely an answer is handed in."""
     estimate = world.estimates.estimate(version, request.task)
-    return world.shares.share(
+    return world.shares.sampling_rate(
         version,
         request.task,
         estimate,
--- a/src/nutmegroad/quality/trials.py
+++ b/src/nutmegroad/quality/canary_policy.py
@@ -53,7 +53,7 @@
         return 0
 
 
-class Trials:
+class CanaryPolicy:
     """Holds the rule for versions in a rollout; another part may replace it.
 
     Args:
--- a/src/nutmegroad/quality/estimates.py
+++ b/src/nutmegroad/quality/estimates.py
@@ -14,7 +14,7 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import Epoch, TaskName, VersionId
 from nutmegroad.quality._bounds import Evidence, posterior
-from nutmegroad.quality.quality_book import (
+from nutmegroad.quality.quality_tracker import (
     Cell,
     CellKey,
     QualityState,
@@ -100,7 +100,7 @@
             self._cache[key] = cached
         return cached
 
-    def take(self, ratings: tuple[Rating, ...]) -> bool:
+    def add_ratings(self, ratings: tuple[Rating, ...]) -> bool:
         """Add ratings from the feed; return whether any was new."""
         return self._invalidate() if self._tracker.add(ratings) else False
 
--- a/src/nutmegroad/quality/part.py
+++ b/src/nutmegroad/quality/part.py
@@ -11,6 +11,7 @@
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
 from nutmegroad.membership.duties import Duties, DutyName
+from nutmegroad.quality.canary_policy import CanaryPolicy, PresetShares
 from nutmegroad.quality.estimates import Estimates
 from nutmegroad.quality.plans import AdaptivePlanner
 from nutmegroad.quality.quality_sharing import (
@@ -20,7 +21,6 @@
     QualityStore,
 )
 from nutmegroad.quality.rating_samples import RatingSampler
-from nutmegroad.quality.trials import PresetShares, Trials
 
 #: Seconds between two updates of the metrics.
 _METRICS_PERIOD: Final = 15.0
@@ -42,7 +42,7 @@
         metrics = kernel.need(Metrics)
         estimates = Estimates(configuration, kernel.clock)
         kernel.provide(Estimates, estimates)
-        kernel.provide(Trials, Trials(PresetShares(configuration)))
+        kernel.provide(CanaryPolicy, CanaryPolicy(PresetShares(configuration)))
 
         async def update_periodically() -> None:
             """Update the metrics until cancelled."""
@@ -128,7 +128,7 @@
     return AdaptivePlanner(
         kernel.need(Configuration),
         kernel.need(Estimates),
-        kernel.need(Trials),
+        kernel.need(CanaryPolicy),
         kernel.randomness,
     )
 
--- a/src/nutmegroad/quality/plans.py
+++ b/src/nutmegroad/quality/plans.py
@@ -24,6 +24,7 @@
     explain,
     standing_of,
 )
+from nutmegroad.quality.canary_policy import CanaryPolicy
 from nutmegroad.quality.cascades import (
     PASS_THRESHOLD,
     AnswerCheck,
@@ -33,10 +34,9 @@
 )
 from nutmegroad.quality.estimates import Estimates
 from nutmegroad.quality.prices import cost_of
-from nutmegroad.quality.trials import Trials
 
 #: Fraction of a task's requests that may explore a cheaper, uncertain version.
-EXPLORED: Final = 0.02
+EXPLORATION_FRACTION: Final = 0.02
 #: Maximum exploration budget, in requests; bounds a burst after a quiet time.
 _MAX_BUDGET: Final = 1.0
 #: Maximum number of cached evaluations.
@@ -102,9 +102,9 @@
         self,
         configuration: Configuration,
         estimates: Estimates,
-        canary_policy: Trials,
+        canary_policy: CanaryPolicy,
         randomness: random.Random,
-        exploration: float = EXPLORED,
+        exploration: float = EXPLORATION_FRACTION,
         check: AnswerCheck | None = None,
     ) -> None:
         self._configuration = configuration
--- a/src/nutmegroad/quality/quality_sharing.py
+++ b/src/nutmegroad/quality/quality_sharing.py
@@ -22,7 +22,7 @@
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.types import HostId
 from nutmegroad.quality.estimates import Estimates
-from nutmegroad.quality.quality_book import QualityState
+from nutmegroad.quality.quality_tracker import QualityState
 
 _LOG: Final = part_logger('quality')
 #: Part to which the cost of the messages is charged.
@@ -133,7 +133,7 @@
                 _LOG.warning('cannot read the ratings feed: %s', page.reason)
                 return
             # Ratings that a peer's state has brought meanwhile are skipped.
-            if not self._estimates.take(page):
+            if not self._estimates.add_ratings(page):
                 return
 
 
--- a/src/nutmegroad/quality/rating_samples.py
+++ b/src/nutmegroad/quality/rating_samples.py
@@ -57,7 +57,7 @@
 _AnswerKey = tuple[RequestId, VersionId]
 
 
-class SampleShares:
+class SamplingRates:
     """Computes the sampling rate of the answers of a version and task class.
 
     All answers of a version with few ratings are rated, and all answers of one
@@ -75,7 +75,7 @@
         used[version] = used.get(version, 0) + 1
         return used[version] / sum(used.values())
 
-    def share(
+    def sampling_rate(
         self,
         version: VersionId,
         task: TaskName,
@@ -127,7 +127,7 @@
         self._clock = clock
         self._randomness = randomness
         self._queue: asyncio.Queue[RatedAnswer] = asyncio.Queue(QUEUE_LIMIT)
-        self._sampling_rates = SampleShares()
+        self._sampling_rates = SamplingRates()
         self._remembered: OrderedDict[_AnswerKey, None] = OrderedDict()
         self._steady_bucket = _TokenBucket(clock, RATE, BURST)
         self._canary_bucket = _TokenBucket(clock, CANARY_RATE, CANARY_BURST)
@@ -180,7 +180,7 @@
     def _sampling_rate(self, start: AttemptStart, *, is_canary: bool) -> float:
         """Return the probability with which to have an answer rated."""
         estimate = self._estimates.estimate(start.version, start.task)
-        rate = self._sampling_rates.share(
+        rate = self._sampling_rates.sampling_rate(
             start.version,
             start.task,
             estimate,
--- a/src/nutmegroad/rollouts/trials_part.py
+++ b/src/nutmegroad/rollouts/trials_part.py
@@ -2,7 +2,7 @@
 
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
-from nutmegroad.quality.trials import Trials
+from nutmegroad.quality.canary_policy import CanaryPolicy
 from nutmegroad.rollouts.rollout_shares import RolloutShares
 
 
@@ -10,8 +10,8 @@
 class TrialsPart:
     """Makes the planner follow the traffic shares of rollouts."""
 
-    needs = (RolloutShares, Trials)
+    needs = (RolloutShares, CanaryPolicy)
 
     async def open(self, kernel: Kernel) -> None:
         """Replace the rule that only knows the preset."""
-        kernel.need(Trials).rule = kernel.need(RolloutShares)
+        kernel.need(CanaryPolicy).rule = kernel.need(RolloutShares)
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -36,10 +36,10 @@
     TaskName,
     VersionId,
 )
+from nutmegroad.quality.canary_policy import CanaryPolicy, PresetShares
 from nutmegroad.quality.cascades import CheckPower, NoCheck
 from nutmegroad.quality.estimates import HALF_LIFE, Estimates
 from nutmegroad.quality.plans import AdaptivePlanner
-from nutmegroad.quality.trials import PresetShares, Trials
 from nutmegroad.routing.baselines import (
     cheapest_only,
     most_expensive,
@@ -60,7 +60,7 @@
         self.planner = AdaptivePlanner(
             self.configuration,
             self.estimates,
-            Trials(PresetShares(self.configuration)),
+            CanaryPolicy(PresetShares(self.configuration)),
             self.randomness,
             self.exploration,
         )
@@ -83,7 +83,7 @@
             )
             for number in range(count)
         ]
-        self.estimates.take(tuple(ratings))
+        self.estimates.add_ratings(tuple(ratings))
 
     def plan(self, task: TaskName, **changes: object) -> Plan:
         plan = self.planner.plan(request_of(task, **changes))
@@ -273,7 +273,7 @@
         planner = AdaptivePlanner(
             self.configuration,
             self.estimates,
-            Trials(PresetShares(self.configuration)),
+            CanaryPolicy(PresetShares(self.configuration)),
             self.randomness,
             0,
             _FixedPowerCheck(power),
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -9,7 +9,7 @@
 
 from nutmegroad.contracts.platform import Rating
 from nutmegroad.foundations.types import Epoch, RequestId, TaskName, VersionId
-from nutmegroad.quality.quality_book import (
+from nutmegroad.quality.quality_tracker import (
     FREEZE_LIMIT,
     MAX_CELLS,
     QualityState,
--- a/tests/test_quality_sharing.py
+++ b/tests/test_quality_sharing.py
@@ -160,7 +160,7 @@
         seen = 0
         for position in range(1, 31):
             rating = Rating(position, RequestId(''), TAG, SMALL, 0.9)
-            source.estimates.take((rating,))
+            source.estimates.add_ratings((rating,))
             source.sharer.advertise()
             await self.clock.advance(1)
             fetched += self.hosts['new'].position > seen
--- a/tests/test_rating_samples.py
+++ b/tests/test_rating_samples.py
@@ -28,7 +28,7 @@
     BURST,
     QUEUE_LIMIT,
     RatingSampler,
-    SampleShares,
+    SamplingRates,
 )
 from nutmegroad.testing.virtual import ManualClock
 
@@ -150,16 +150,16 @@
 
 class SampleSharesTest(unittest.TestCase):
     def test_uncertain_and_rare_versions_are_rated_more(self) -> None:
-        shares = SampleShares()
+        shares = SamplingRates()
         task = TaskName('t')
         frequent, rare = VersionId('m@1'), VersionId('m@2')
         clear = Estimate(0.9, 0.95, 0.01, 0.93, 0.94, 0.97, 90)
         unclear = Estimate(0.9, 0.9, 0.01, 0.88, 0.89, 0.92, 90)
         new = Estimate(0.9, 0.9, 0.05, 0.8, 0.85, 1, 3)
         for _ in range(200):
-            settled = shares.share(frequent, task, clear, 0.9)
-        uncertain = shares.share(frequent, task, unclear, 0.9)
+            settled = shares.sampling_rate(frequent, task, clear, 0.9)
+        uncertain = shares.sampling_rate(frequent, task, unclear, 0.9)
         self.assertLess(settled, uncertain)
         self.assertLess(uncertain, 1)
-        self.assertEqual(shares.share(frequent, task, new, 0.9), 1)
-        self.assertEqual(shares.share(rare, task, clear, 0.9), 1)
+        self.assertEqual(shares.sampling_rate(frequent, task, new, 0.9), 1)
+        self.assertEqual(shares.sampling_rate(rare, task, clear, 0.9), 1)
