--- a/experiments/configuration/hosts.py
+++ b/experiments/configuration/hosts.py
@@ -11,12 +11,12 @@
     MemoryPlatform,
 )
 from nutmegroad.configuration.announcements import Announcer
-from nutmegroad.configuration.changes import Changes
-from nutmegroad.configuration.confirmations import Confirmations
+from nutmegroad.configuration.changes import ConfigurationChanges
 from nutmegroad.configuration.heads import HeadStore
 from nutmegroad.configuration.in_force import Configuration
+from nutmegroad.configuration.peer_queries import PeerQueries
+from nutmegroad.configuration.poller import ConfigurationPoller, PollTiming
 from nutmegroad.configuration.progress import ChangeProgress
-from nutmegroad.configuration.spread import ConfigurationPoller, PollTiming
 from nutmegroad.contracts.documents import (
     Document,
     PresetEntry,
@@ -147,7 +147,7 @@
             services,
             lambda: f'{randomness.getrandbits(96):024x}',
         )
-        self.confirmations = Confirmations(
+        self.confirmations = PeerQueries(
             self.mesh,
             self.configuration,
             self.clock,
@@ -176,7 +176,9 @@
             names.host,
             names.domain,
         )
-        self.changes = Changes(self.store, self.poller, self.configuration)
+        self.changes = ConfigurationChanges(
+            self.store, self.poller, self.configuration
+        )
 
     def start(self) -> None:
         """Begin to poll and to compare."""
--- a/experiments/configuration/random_runs.py
+++ b/experiments/configuration/random_runs.py
@@ -22,7 +22,7 @@
 )
 from experiments.configuration.memory_platform import TableFaults
 from experiments.configuration.watch import LAG, Report, Watch
-from nutmegroad.configuration.changes import Withdrawn
+from nutmegroad.configuration.changes import WithdrawalOutcome
 from nutmegroad.configuration.heads import Head
 from nutmegroad.configuration.withdrawals import WithdrawalSet
 from nutmegroad.foundations.results import Refusal
@@ -101,7 +101,7 @@
         author = OperatorId(f'operator-{self._count}')
         preset = PresetName(self._randomness.choice(PRESETS))
         if self._randomness.choice((True, True, False)):
-            outcome = await host.changes.switch(preset, author, None)
+            outcome = await host.changes.switch_preset(preset, author, None)
         else:
             document = make_document(self._count)
             outcome = await host.changes.apply(document, preset, author, None)
@@ -114,8 +114,8 @@
         version = VersionId(self._randomness.choice(VERSIONS))
         epoch = Epoch(self._randomness.randint(0, 3))
         author = OperatorId('a withdrawer')
-        outcome = await host.changes.withdraw(version, epoch, author)
-        if isinstance(outcome, Withdrawn):
+        outcome = await host.changes.withdraw_version(version, epoch, author)
+        if isinstance(outcome, WithdrawalOutcome):
             self._report.done['withdrawn'] += 1
             self._report.check(
                 host.configuration.is_withdrawn(version, epoch),
--- a/experiments/configuration/spread.py
+++ b/experiments/configuration/spread.py
@@ -155,7 +155,7 @@
     """Switch the preset at a drawn host; return seconds until all have it."""
     host = hosts.randomness.choice(hosts.hosts)
     preset = PresetName(PRESETS[number % len(PRESETS)])
-    head: Any = await host.changes.switch(preset, _OPERATOR, None)
+    head: Any = await host.changes.switch_preset(preset, _OPERATOR, None)
     return await hosts.wait(head.revision, 0)
 
 
@@ -163,7 +163,7 @@
     """Withdraw while the platform is down; return seconds until all know."""
     host = hosts.randomness.choice(hosts.hosts)
     version = VersionId('small@1')
-    work = host.changes.withdraw(version, Epoch(number), _OPERATOR)
+    work = host.changes.withdraw_version(version, Epoch(number), _OPERATOR)
     task = asyncio.ensure_future(work)
     began = time.perf_counter()
     async with asyncio.timeout(LIMIT):
--- a/experiments/costs/decision_speed.py
+++ b/experiments/costs/decision_speed.py
@@ -30,7 +30,10 @@
 from experiments.load.reports import Percentiles, percentiles
 from experiments.load.tables import table
 from experiments.processes import LOOPBACK
-from nutmegroad.configuration.in_force import Accepted, Configuration
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
 from nutmegroad.contracts.documents import Document
 from nutmegroad.contracts.requests import ModelRequest
 from nutmegroad.foundations.clocks import SystemClock
@@ -105,8 +108,10 @@
         """Tell the host of its configuration and of its upstreams."""
         configuration = self._kernel.need(Configuration)
         preset = PresetName('peak')
-        configuration.take(
-            Accepted(Revision(1), Digest(''), self._document, preset, ''),
+        configuration.apply(
+            AcceptedConfiguration(
+                Revision(1), Digest(''), self._document, preset, ''
+            ),
         )
         configuration.confirm(Revision(1), self._kernel.clock.now())
         directory = self._kernel.need(Directory)
--- a/experiments/costs/planner_speed.py
+++ b/experiments/costs/planner_speed.py
@@ -16,7 +16,10 @@
 
 from experiments.trials.planner_worlds import SCENARIOS, SteppedClock, accepted
 from experiments.trials.planner_worlds import make_request as make
-from nutmegroad.configuration.in_force import Accepted, Configuration
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
 from nutmegroad.contracts.documents import VersionEntry
 from nutmegroad.contracts.platform import Rating
 from nutmegroad.foundations.types import TaskName, VersionId
@@ -41,7 +44,7 @@
 
     def __init__(self, count: int) -> None:
         configuration = Configuration(SteppedClock(), _LEASE)
-        configuration.take(_accepted(count))
+        configuration.apply(_accepted(count))
         self._estimates = Estimates(configuration, SteppedClock())
         self._planner = AdaptivePlanner(
             configuration,
@@ -88,7 +91,7 @@
         )
 
 
-def _accepted(count: int) -> Accepted:
+def _accepted(count: int) -> AcceptedConfiguration:
     """Return the trial's configuration with so many versions."""
     base = accepted(SCENARIOS[0])
     versions = tuple(_entry(number) for number in range(count))
--- a/experiments/costs/selection_speed.py
+++ b/experiments/costs/selection_speed.py
@@ -201,7 +201,7 @@
 ) -> FairAdmitter:
     """Return an admitter of one of ten hosts."""
     configuration = Configuration(clock, 8)
-    configuration.take(accepted_for((1,) * 10, 0.5))
+    configuration.apply(accepted_for((1,) * 10, 0.5))
     identity = Identity(HostId('a'), DOMAINS[0])
     slots = HostSlots(identity, directory, fleet, ShareLedger(), clock)
     demand = Demand(configuration, fleet, identity)
--- a/experiments/soak/history.py
+++ b/experiments/soak/history.py
@@ -7,7 +7,7 @@
 
 from experiments.soak.hosts import SoakHost
 from nutmegroad.configuration.heads import HEAD_KEY, Head
-from nutmegroad.configuration.in_force import Accepted
+from nutmegroad.configuration.in_force import AcceptedConfiguration
 from nutmegroad.contracts.documents import (
     Document,
     Isolation,
@@ -95,7 +95,7 @@
         for fact in head.withdrawals:
             self._withdrawn.setdefault((fact.version, fact.epoch), now)
 
-    def differs(self, accepted: Accepted) -> bool:
+    def differs(self, accepted: AcceptedConfiguration) -> bool:
         """Tell whether a host has something else than was written."""
         return not any(
             move.head.revision == accepted.revision
--- a/experiments/soak/mutants.py
+++ b/experiments/soak/mutants.py
@@ -8,8 +8,11 @@
 from nutmegroad.adapters._event_streams import AnswerReader
 from nutmegroad.callers.intake import IntakeReader
 from nutmegroad.callers.session_pins import SessionPins
-from nutmegroad.configuration.in_force import Accepted, Configuration
-from nutmegroad.configuration.spread import ConfigurationPoller
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
+from nutmegroad.configuration.poller import ConfigurationPoller
 from nutmegroad.contracts.fences import Fence
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.types import Ran
@@ -36,7 +39,7 @@
 async def _not_forward(self: Any, head: Any, host: Any) -> Any:
     """Take whatever comes, also an older revision."""
     accepted = await self._accepted(head, host)
-    if isinstance(accepted, Accepted):
+    if isinstance(accepted, AcceptedConfiguration):
         self._configuration._accepted = accepted
         return None
     return accepted
--- a/experiments/soak/operators.py
+++ b/experiments/soak/operators.py
@@ -9,7 +9,7 @@
 
 from experiments.soak.hosts import SoakHost
 from experiments.soak.judge import Judge
-from nutmegroad.configuration.changes import Changes
+from nutmegroad.configuration.changes import ConfigurationChanges
 from nutmegroad.contracts.documents import Document, VersionEntry
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import (
@@ -59,12 +59,12 @@
 
     async def _change(self, host: SoakHost, operator: OperatorId) -> None:
         """Switch the preset, or change or put back a workspace."""
-        changes = host.kernel.need(Changes)
+        changes = host.kernel.need(ConfigurationChanges)
         preset = PresetName(
             self.randomness.choice(self.document.presets).name,
         )
         if self.randomness.getrandbits(1):
-            outcome: Any = await changes.switch(preset, operator, None)
+            outcome: Any = await changes.switch_preset(preset, operator, None)
         else:
             entry = self.randomness.choice(self.document.workspaces)
             if self.randomness.getrandbits(1):
@@ -86,8 +86,8 @@
         version = VersionId(self.randomness.choice(self.document.versions).id)
         self.judge.note(f'{version} withdrawn at {host.host}')
         self.judge.counts['withdrawals'] += 1
-        changes = host.kernel.need(Changes)
-        await changes.withdraw(version, None, _OPERATORS[0])
+        changes = host.kernel.need(ConfigurationChanges)
+        await changes.withdraw_version(version, None, _OPERATORS[0])
         await self._last(LONG)
         while not await self._allow_again():
             await self._last(SHORT)
@@ -106,7 +106,7 @@
         versions = tuple(self._renewed(entry) for entry in document.versions)
         if versions == document.versions:
             return True
-        head = await host.kernel.need(Changes).apply(
+        head = await host.kernel.need(ConfigurationChanges).apply(
             changed(document, versions=versions),
             None,
             _OPERATORS[1],
--- a/experiments/soak/program.py
+++ b/experiments/soak/program.py
@@ -32,7 +32,7 @@
     VirtualLoop,
     run_virtually,
 )
-from nutmegroad.configuration.changes import Changes
+from nutmegroad.configuration.changes import ConfigurationChanges
 from nutmegroad.contracts.documents import Document, parse_document
 from nutmegroad.contracts.platform import Listing
 from nutmegroad.daemon.plugins import load_plugins
@@ -211,7 +211,7 @@
                     DomainId(domain),
                 )
         first = next(iter(self._judge.hosts.values()))
-        await first.kernel.need(Changes).apply(
+        await first.kernel.need(ConfigurationChanges).apply(
             self._document,
             None,
             OperatorId('first'),
--- a/experiments/trials/exposure_judges.py
+++ b/experiments/trials/exposure_judges.py
@@ -12,7 +12,10 @@
     TASK,
     Scenario,
 )
-from nutmegroad.configuration.in_force import Accepted, Configuration
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
 from nutmegroad.contracts.documents import (
     Document,
     PresetEntry,
@@ -153,8 +156,8 @@
         ),
     )
     configuration = Configuration(ManualClock(), 1)
-    configuration.take(
-        Accepted(
+    configuration.apply(
+        AcceptedConfiguration(
             Revision(1),
             Digest(''),
             document,
--- a/experiments/trials/planner_trials.py
+++ b/experiments/trials/planner_trials.py
@@ -158,7 +158,7 @@
     clock = SteppedClock()
     clock.seed = seed
     configuration = Configuration(clock, _LEASE)
-    configuration.take(accepted(scenario))
+    configuration.apply(accepted(scenario))
     estimates = Estimates(configuration, clock)
     world = World(
         scenario,
@@ -230,7 +230,7 @@
     """Return the least cost at which a version's true mean is enough."""
     entries = [
         entry
-        for entry in map(world.configuration.entry, VERSIONS)
+        for entry in map(world.configuration.version_entry, VERSIONS)
         if entry is not None
     ]
     prices = {
--- a/experiments/trials/planner_worlds.py
+++ b/experiments/trials/planner_worlds.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from nutmegroad.configuration.in_force import Accepted
+from nutmegroad.configuration.in_force import AcceptedConfiguration
 from nutmegroad.contracts.documents import (
     Concern,
     Document,
@@ -167,7 +167,7 @@
 )
 
 
-def accepted(scenario: Scenario) -> Accepted:
+def accepted(scenario: Scenario) -> AcceptedConfiguration:
     """Return the configuration that a scenario is run under."""
     shifts = dict(scenario.declared)
     versions = tuple(
@@ -199,7 +199,7 @@
             ),
         ),
     )
-    return Accepted(
+    return AcceptedConfiguration(
         Revision(1),
         Digest(''),
         document,
--- a/experiments/trials/selection_fleet.py
+++ b/experiments/trials/selection_fleet.py
@@ -12,7 +12,10 @@
 
 from experiments.trials.engine_model import EngineModel
 from experiments.virtual_time import VirtualClock
-from nutmegroad.configuration.in_force import Accepted, Configuration
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
 from nutmegroad.contracts.decisions import (
     Admitter,
     Observers,
@@ -280,7 +283,7 @@
         self._directory = Directory(clock)
         self._observers = Observers()
         self._configuration = Configuration(clock, 8)
-        self._configuration.take(accepted_for(size.shares, size.queue_limit))
+        self._configuration.apply(accepted_for(size.shares, size.queue_limit))
 
     def make(self) -> Host:
         """Return the host."""
@@ -362,7 +365,7 @@
 def accepted_for(
     shares: tuple[float, ...],
     queue_limit: float,
-) -> Accepted:
+) -> AcceptedConfiguration:
     """Return a configuration with the trial's workspaces."""
     workspaces = tuple(
         WorkspaceEntry(
@@ -386,7 +389,7 @@
         workspaces=workspaces,
         presets=(preset,),
     )
-    return Accepted(
+    return AcceptedConfiguration(
         Revision(1),
         Digest(''),
         document,
--- a/src/nutmegroad/callers/intake.py
+++ b/src/nutmegroad/callers/intake.py
@@ -10,7 +10,10 @@
 from msgspec import Meta, Struct
 
 from nutmegroad.callers.sessions import TOKEN_PREFIX, SessionSigner
-from nutmegroad.configuration.in_force import Accepted, Configuration
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
 from nutmegroad.contracts.documents import TaskEntry, WorkspaceEntry
 from nutmegroad.contracts.requests import ModelRequest, SessionClaim
 from nutmegroad.foundations.clocks import Clock
@@ -105,7 +108,7 @@
 
 def authenticate(
     headers: Mapping[str, str],
-    accepted: Accepted | None,
+    accepted: AcceptedConfiguration | None,
 ) -> WorkspaceEntry | Refusal:
     """Return the workspace whose key the caller sent, or a refusal.
 
@@ -275,7 +278,9 @@
     )
 
 
-def _find_task(body: ChatBody, accepted: Accepted) -> TaskEntry | Refusal:
+def _find_task(
+    body: ChatBody, accepted: AcceptedConfiguration
+) -> TaskEntry | Refusal:
     """Return the task class of a request."""
     name = TaskName(body.nutmegroad_task or body.model)
     task = accepted.document.task(name)
@@ -292,7 +297,9 @@
     )
 
 
-def _model_versions(model: str, accepted: Accepted) -> tuple[VersionId, ...]:
+def _model_versions(
+    model: str, accepted: AcceptedConfiguration
+) -> tuple[VersionId, ...]:
     """Return the versions of a model, given as ``model[@version]``."""
     return tuple(
         entry.version
@@ -305,7 +312,7 @@
     body: ChatBody,
     task: TaskEntry,
     workspace: WorkspaceEntry,
-    accepted: Accepted,
+    accepted: AcceptedConfiguration,
     claim: SessionClaim | None,
 ) -> tuple[VersionId, ...] | Refusal:
     """Return the versions that may answer a request.
@@ -334,7 +341,7 @@
 
 def _preset_versions(
     task: TaskEntry,
-    accepted: Accepted,
+    accepted: AcceptedConfiguration,
 ) -> tuple[VersionId, ...]:
     """Return the versions that the preset lists for a task class."""
     for entry in accepted.preset_entry.tasks:
@@ -346,7 +353,7 @@
 def _quality_target(
     task: TaskEntry,
     workspace: WorkspaceEntry,
-    accepted: Accepted,
+    accepted: AcceptedConfiguration,
 ) -> float:
     """Return the quality target of a request.
 
--- a/src/nutmegroad/callers/session_pins.py
+++ b/src/nutmegroad/callers/session_pins.py
@@ -90,5 +90,5 @@
 
     def _epoch(self, version: VersionId) -> Epoch:
         """Return the current epoch of a version; 0 if it is unknown."""
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         return Epoch(entry.epoch if entry else 0)
--- a/src/nutmegroad/configuration/announcements.py
+++ b/src/nutmegroad/configuration/announcements.py
@@ -10,9 +10,9 @@
 from typing import Final
 
 from nutmegroad.configuration._configuration_messages import HeadNotice
-from nutmegroad.configuration.confirmations import Confirmations
 from nutmegroad.configuration.in_force import Configuration
-from nutmegroad.configuration.spread import JITTER, ConfigurationPoller
+from nutmegroad.configuration.peer_queries import PeerQueries
+from nutmegroad.configuration.poller import JITTER, ConfigurationPoller
 from nutmegroad.contracts.peers import Mesh
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import HostId
@@ -39,7 +39,7 @@
         self,
         mesh: Mesh,
         configuration: Configuration,
-        confirmations: Confirmations,
+        confirmations: PeerQueries,
         poller: ConfigurationPoller,
         clock: Clock,
         randomness: random.Random,
@@ -53,7 +53,7 @@
         self._randomness = randomness
         self._period = period
         mesh.handle(HeadNotice, self._handle_notice)
-        configuration.listen(self.announce)
+        configuration.subscribe(self.announce)
 
     async def run(self) -> None:
         """Periodically compare with one other host, until cancelled."""
@@ -80,7 +80,7 @@
     async def _handle_notice(self, host: HostId, notice: HeadNotice) -> None:
         """Apply what another host has, or reply with what it is missing."""
         configuration = self._configuration
-        configuration.withdraw(notice.withdrawals)
+        configuration.add_withdrawals(notice.withdrawals)
         if notice.facts_digest != configuration.withdrawals_digest:
             await self._confirmations.fetch_withdrawals(host)
         await self._poller.apply_notice(notice, host)
--- a/src/nutmegroad/configuration/changes.py
+++ b/src/nutmegroad/configuration/changes.py
@@ -7,7 +7,7 @@
 from nutmegroad.configuration.checks import check_document
 from nutmegroad.configuration.heads import Head, HeadChange, HeadStore
 from nutmegroad.configuration.in_force import Configuration
-from nutmegroad.configuration.spread import ConfigurationPoller
+from nutmegroad.configuration.poller import ConfigurationPoller
 from nutmegroad.contracts.documents import Document, Withdrawal, WorkspaceEntry
 from nutmegroad.contracts.problems import Problem
 from nutmegroad.foundations.results import Refusal, ResultCode
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
+class WithdrawalOutcome:
     """Result of a withdrawal.
 
     Attributes:
@@ -38,7 +38,7 @@
     reason: str
 
 
-class Changes:
+class ConfigurationChanges:
     """Makes operators' changes, each with one move of the head.
 
     Args:
@@ -92,7 +92,7 @@
 
         return await self._move(change, expected)
 
-    async def switch(
+    async def switch_preset(
         self,
         preset: PresetName,
         author: OperatorId,
@@ -123,12 +123,12 @@
 
         return await self._move(change, expected)
 
-    async def withdraw(
+    async def withdraw_version(
         self,
         version: VersionId,
         epoch: Epoch | None,
         author: OperatorId,
-    ) -> Withdrawn | Refusal:
+    ) -> WithdrawalOutcome | Refusal:
         """Withdraw a version, even if the table is unavailable.
 
         This host stops using the version before it answers, and notifies
@@ -140,7 +140,7 @@
             epoch: Withdraw its epochs up to this one; None for the current.
             author: The operator who makes the change.
         """
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         if entry is None:
             return Refusal(
                 ResultCode.NOT_FOUND,
@@ -149,13 +149,15 @@
             )
         last_epoch = Epoch(entry.epoch) if epoch is None else epoch
         withdrawal = Withdrawal(version=version, epoch=last_epoch)
-        self._configuration.withdraw((withdrawal,))
+        self._configuration.add_withdrawals((withdrawal,))
         head = await self._store.merge_withdrawals((withdrawal,), author)
         if isinstance(head, Refusal):
-            return Withdrawn(version, last_epoch, None, head.reason)
-        self._configuration.record(head.withdrawals)
+            return WithdrawalOutcome(version, last_epoch, None, head.reason)
+        self._configuration.add_recorded(head.withdrawals)
         await self._poller.poll()
-        return Withdrawn(version, last_epoch, Revision(head.revision), '')
+        return WithdrawalOutcome(
+            version, last_epoch, Revision(head.revision), ''
+        )
 
     async def set_workspace(
         self,
--- a/src/nutmegroad/configuration/heads.py
+++ b/src/nutmegroad/configuration/heads.py
@@ -20,7 +20,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from nutmegroad.configuration.in_force import Accepted
+from nutmegroad.configuration.in_force import AcceptedConfiguration
 from nutmegroad.configuration.withdrawals import Withdrawals, union
 from nutmegroad.contracts.documents import (
     Document,
@@ -306,14 +306,14 @@
         return wanted if _made(history, wanted) else _conflict(move)
 
 
-def accept(head: Head, content: bytes) -> Accepted | Refusal:
+def accept(head: Head, content: bytes) -> AcceptedConfiguration | Refusal:
     """Decode a document after verifying it against the digest in the head."""
     if digest_of(content) != head.digest:
         return Refusal(
             ResultCode.CONFIGURATION_INVALID,
             f'The document for revision {head.revision} has the wrong digest.',
         )
-    return Accepted(
+    return AcceptedConfiguration(
         Revision(head.revision),
         Digest(head.digest),
         decode_document(content),
--- a/src/nutmegroad/configuration/in_force.py
+++ b/src/nutmegroad/configuration/in_force.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Accepted:
+class AcceptedConfiguration:
     """A configuration that the head row named.
 
     Attributes:
@@ -83,7 +83,7 @@
     def __init__(self, clock: Clock, lease: float) -> None:
         self._clock = clock
         self._lease = lease
-        self._accepted: Accepted | None = None
+        self._accepted: AcceptedConfiguration | None = None
         self._highest_known = NO_REVISION
         self._confirmed = _NEVER
         self._failed = _NEVER
@@ -93,7 +93,7 @@
         self._listeners: list[Callable[[], None]] = []
 
     @property
-    def accepted(self) -> Accepted | None:
+    def accepted(self) -> AcceptedConfiguration | None:
         """The newest configuration applied, or None before the first."""
         return self._accepted
 
@@ -105,12 +105,12 @@
         return self._accepted.revision
 
     @property
-    def heard(self) -> Revision:
+    def highest_known_revision(self) -> Revision:
         """The highest revision that this host knows to exist."""
         return max(self._highest_known, self.revision)
 
     @property
-    def behind(self) -> bool:
+    def is_behind(self) -> bool:
         """Whether a higher revision exists that this host does not have."""
         return self._highest_known > self.revision
 
@@ -125,7 +125,7 @@
         return self.confirmation_age >= self._lease
 
     @property
-    def must_confirm(self) -> bool:
+    def needs_confirmation(self) -> bool:
         """Whether the host is isolated without a recent attempt to confirm.
 
         A host that is cut off has failed to confirm within the last lease
@@ -154,15 +154,15 @@
             if not self._recorded.covers(withdrawal)
         )
 
-    def listen(self, listener: Callable[[], None]) -> None:
+    def subscribe(self, listener: Callable[[], None]) -> None:
         """Register a function to be called after each change."""
         self._listeners.append(listener)
 
-    def hear(self, revision: Revision) -> None:
+    def observe_revision(self, revision: Revision) -> None:
         """Record that a revision exists, which this host may not have yet."""
         self._highest_known = max(self._highest_known, revision)
 
-    def take(self, accepted: Accepted) -> bool:
+    def apply(self, accepted: AcceptedConfiguration) -> bool:
         """Put a configuration into force if it is newer.
 
         Returns:
@@ -171,7 +171,7 @@
         if accepted.revision <= self.revision:
             return False
         self._accepted = accepted
-        self.hear(accepted.revision)
+        self.observe_revision(accepted.revision)
         self._apply_times[accepted.revision] = self._clock.now()
         if len(self._apply_times) > _MAX_APPLY_TIMES:
             self._apply_times.pop(min(self._apply_times))
@@ -191,16 +191,16 @@
         Returns:
             Whether the confirmation is valid.
         """
-        if revision != self.revision or self.behind:
+        if revision != self.revision or self.is_behind:
             return False
         self._confirmed = max(self._confirmed, started)
         return True
 
-    def fail(self, started: float) -> None:
+    def record_failure(self, started: float) -> None:
         """Record that an attempt to confirm, begun at ``started``, failed."""
         self._failed = max(self._failed, started)
 
-    def in_force_in(self, revision: Revision) -> float | None:
+    def seconds_until_in_force(self, revision: Revision) -> float | None:
         """Return seconds until a revision is in force everywhere.
 
         One lease and the clock margin after the revision was made, it is in
@@ -220,23 +220,23 @@
         until = min(times) + self._lease + CLOCK_MARGIN
         return max(0, until - self._clock.now())
 
-    def withdraw(self, withdrawals: Withdrawals) -> bool:
+    def add_withdrawals(self, withdrawals: Withdrawals) -> bool:
         """Add withdrawals; return whether any was new."""
         changed = self._withdrawn.add(withdrawals)
         if changed:
             self._notify()
         return changed
 
-    def record(self, withdrawals: Withdrawals) -> None:
+    def add_recorded(self, withdrawals: Withdrawals) -> None:
         """Add withdrawals that are known to be in the table."""
         self._recorded.add(withdrawals)
-        self.withdraw(withdrawals)
+        self.add_withdrawals(withdrawals)
 
     def is_withdrawn(self, version: VersionId, epoch: Epoch) -> bool:
         """Return whether an epoch of a version has been withdrawn."""
         return self._withdrawn.covers(Withdrawal(version, epoch))
 
-    def entry(self, version: VersionId) -> VersionEntry | None:
+    def version_entry(self, version: VersionId) -> VersionEntry | None:
         """Return the document's entry for a version, or None."""
         if self._accepted is None:
             return None
--- a/src/nutmegroad/configuration/leases.py
+++ b/src/nutmegroad/configuration/leases.py
@@ -75,7 +75,7 @@
     since: float
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Acquires, renews and releases the leases of one host.
 
     Args:
@@ -121,7 +121,7 @@
         for name in tuple(self._held):
             await self.release(name)
 
-    def held(self, name: str) -> Lease | None:
+    def valid_lease(self, name: str) -> Lease | None:
         """Return a lease if this host holds it and it is valid now."""
         lease = self._held.get(name)
         if lease is None or self._clock.now() >= lease.expires:
@@ -142,7 +142,7 @@
             return _lease_lost(lease.name)
         return None
 
-    async def keep(self, name: str) -> Lease | Refusal:
+    async def acquire(self, name: str) -> Lease | Refusal:
         """Renew a lease, or acquire it if it is free or has expired."""
         row = await self._table.read(_key(name))
         if isinstance(row, Refusal):
--- a/src/nutmegroad/configuration/part.py
+++ b/src/nutmegroad/configuration/part.py
@@ -3,12 +3,12 @@
 from typing import Final
 
 from nutmegroad.configuration.announcements import Announcer
-from nutmegroad.configuration.changes import Changes
-from nutmegroad.configuration.confirmations import Confirmations
+from nutmegroad.configuration.changes import ConfigurationChanges
 from nutmegroad.configuration.heads import HeadStore
 from nutmegroad.configuration.in_force import Configuration
+from nutmegroad.configuration.peer_queries import PeerQueries
+from nutmegroad.configuration.poller import ConfigurationPoller, PollTiming
 from nutmegroad.configuration.progress import ChangeProgress
-from nutmegroad.configuration.spread import ConfigurationPoller, PollTiming
 from nutmegroad.contracts.peers import Mesh
 from nutmegroad.contracts.platform import Objects, Table
 from nutmegroad.foundations.clocks import Clock
@@ -51,7 +51,10 @@
         kernel.provide(HeadStore, store)
         kernel.provide(ConfigurationPoller, poller)
         kernel.provide(ChangeProgress, progress)
-        kernel.provide(Changes, Changes(store, poller, configuration))
+        kernel.provide(
+            ConfigurationChanges,
+            ConfigurationChanges(store, poller, configuration),
+        )
 
 
 def _start_distribution(
@@ -60,7 +63,7 @@
     store: HeadStore,
 ) -> ConfigurationPoller:
     """Start to announce changes to peers, and return the poller."""
-    confirmations = Confirmations(
+    confirmations = PeerQueries(
         kernel.need(Mesh),
         configuration,
         kernel.clock,
@@ -90,7 +93,7 @@
     """Update the metrics of the configuration, until cancelled."""
     while True:
         metrics.state.revision(configuration.revision)
-        metrics.state.heard(configuration.heard)
+        metrics.state.heard(configuration.highest_known_revision)
         metrics.state.isolated(configuration.isolated)
         metrics.state.lease_age(configuration.confirmation_age)
         await clock.sleep(_METRICS_INTERVAL)
--- a/src/nutmegroad/configuration/confirmations.py
+++ b/src/nutmegroad/configuration/peer_queries.py
@@ -57,7 +57,7 @@
     confirmed: float | None
 
 
-class Confirmations:
+class PeerQueries:
     """Asks peers about the configuration, and answers their queries.
 
     Args:
@@ -150,7 +150,7 @@
             )
             if not isinstance(reply, WithdrawalsReply):
                 return
-            self._configuration.withdraw(reply.withdrawals)
+            self._configuration.add_withdrawals(reply.withdrawals)
             if not reply.more or not reply.withdrawals:
                 return
             after = reply.withdrawals[-1].version
@@ -186,7 +186,7 @@
     ) -> Message | None:
         """Reply with the configuration in force and its confirmation's age."""
         configuration = self._configuration
-        if configuration.behind or configuration.isolated:
+        if configuration.is_behind or configuration.isolated:
             return HeadReply(self.notice)
         return HeadReply(self.notice, configuration.confirmation_age)
 
--- a/src/nutmegroad/configuration/spread.py
+++ b/src/nutmegroad/configuration/poller.py
@@ -6,9 +6,12 @@
 from typing import Final, Protocol
 
 from nutmegroad.configuration._configuration_messages import HeadNotice
-from nutmegroad.configuration.confirmations import PeerHead
 from nutmegroad.configuration.heads import Head, HeadStore, accept
-from nutmegroad.configuration.in_force import Accepted, Configuration
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
+from nutmegroad.configuration.peer_queries import PeerHead
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal, ResultCode
@@ -105,16 +108,16 @@
         if isinstance(head, Refusal):
             refusal = await self._ask_peers(head)
         else:
-            refusal = await self._learn(head, started)
-            await self._record()
+            refusal = await self._apply_read(head, started)
+            await self._write_unrecorded()
         if refusal is not None:
             _LOG.warning('configuration not confirmed: %s', refusal.reason)
-            self._configuration.fail(started)
+            self._configuration.record_failure(started)
         return refusal
 
     async def confirm_if_expired(self) -> None:
         """Poll if the confirmation expired unnoticed, as during a pause."""
-        if self._configuration.must_confirm:
+        if self._configuration.needs_confirmation:
             await self.poll()
 
     async def apply_notice(
@@ -131,9 +134,9 @@
         )
         return await self._take(head, host)
 
-    async def _learn(self, head: Head, started: float) -> Refusal | None:
+    async def _apply_read(self, head: Head, started: float) -> Refusal | None:
         """Apply and confirm the head that a read begun at ``started`` gave."""
-        self._configuration.record(head.withdrawals)
+        self._configuration.add_recorded(head.withdrawals)
         refusal = await self._take(head, None)
         if refusal is not None:
             return refusal
@@ -148,7 +151,7 @@
         """Apply what peers have in force, and their confirmations."""
         for peer in await self._peers.query_heads():
             notice = peer.notice
-            self._configuration.withdraw(notice.withdrawals)
+            self._configuration.add_withdrawals(notice.withdrawals)
             if notice.facts_digest != self._configuration.withdrawals_digest:
                 await self._peers.fetch_withdrawals(peer.host)
             await self.apply_notice(notice, peer.host)
@@ -161,7 +164,7 @@
 
     async def _take(self, head: Head, host: HostId | None) -> Refusal | None:
         """Put a head into force if it is newer than the one on this host."""
-        self._configuration.hear(Revision(head.revision))
+        self._configuration.observe_revision(Revision(head.revision))
         async with self._apply_lock:
             if head.revision <= self._configuration.revision:
                 self._check_consistency(head)
@@ -169,7 +172,7 @@
             accepted = await self._accepted(head, host)
             if isinstance(accepted, Refusal):
                 return accepted
-            if self._configuration.take(accepted):
+            if self._configuration.apply(accepted):
                 _LOG.info(
                     'applied revision %d with preset %s, by %s',
                     accepted.revision,
@@ -198,7 +201,7 @@
         self,
         head: Head,
         host: HostId | None,
-    ) -> Accepted | Refusal:
+    ) -> AcceptedConfiguration | Refusal:
         """Find the document of a head: locally, in the store or at a peer."""
         current = self._configuration.accepted
         if current is not None and current.digest == head.digest:
@@ -216,11 +219,11 @@
             return content
         return accept(head, content)
 
-    async def _record(self) -> None:
+    async def _write_unrecorded(self) -> None:
         """Write the withdrawals to the table that it does not have yet."""
         missing = self._configuration.unrecorded
         if not missing:
             return
         head = await self._store.merge_withdrawals(missing, _MERGE_AUTHOR)
         if not isinstance(head, Refusal):
-            self._configuration.record(head.withdrawals)
+            self._configuration.add_recorded(head.withdrawals)
--- a/src/nutmegroad/configuration/progress.py
+++ b/src/nutmegroad/configuration/progress.py
@@ -134,7 +134,7 @@
             reached=True,
         )
 
-    async def ask(self, change: Change) -> tuple[HostProgress, ...]:
+    async def collect(self, change: Change) -> tuple[HostProgress, ...]:
         """Ask all known hosts.
 
         Returns:
--- a/src/nutmegroad/daemon/part.py
+++ b/src/nutmegroad/daemon/part.py
@@ -4,7 +4,7 @@
 
 from nutmegroad.callers.session_names import SessionNames
 from nutmegroad.configuration.in_force import Configuration
-from nutmegroad.configuration.spread import ConfigurationPoller
+from nutmegroad.configuration.poller import ConfigurationPoller
 from nutmegroad.contracts.peers import Mesh
 from nutmegroad.contracts.platform import Table
 from nutmegroad.daemon.pauses import PauseDetector
--- a/src/nutmegroad/operators/interface.py
+++ b/src/nutmegroad/operators/interface.py
@@ -168,8 +168,8 @@
                 revision=self._configuration.revision,
                 preset=accepted.preset if accepted else '',
                 author=accepted.author if accepted else '',
-                heard=self._configuration.heard,
-                behind=self._configuration.behind,
+                heard=self._configuration.highest_known_revision,
+                behind=self._configuration.is_behind,
                 isolated=self._configuration.isolated,
                 confirmation_age=None if age == float('inf') else age,
                 withdrawals=tuple(
@@ -223,8 +223,8 @@
                 'only requests that are allowed in isolation.'
             )
             conditions.append(_condition(ResultCode.ISOLATED, message))
-        if configuration.behind:
-            message = f'The host lacks revision {configuration.heard}.'
+        if configuration.is_behind:
+            message = f'The host lacks revision {configuration.highest_known_revision}.'
             code = ResultCode.CONFIGURATION_UNCONFIRMED
             conditions.append(_condition(code, message))
         if configuration.unrecorded:
--- a/src/nutmegroad/operators/operator_configuration.py
+++ b/src/nutmegroad/operators/operator_configuration.py
@@ -13,7 +13,7 @@
 from aiohttp.web import Application, Request, Response
 from msgspec import Struct
 
-from nutmegroad.configuration.changes import Changes
+from nutmegroad.configuration.changes import ConfigurationChanges
 from nutmegroad.configuration.checks import read_document
 from nutmegroad.configuration.differences import compare
 from nutmegroad.configuration.heads import HeadStore
@@ -155,7 +155,7 @@
     def __init__(self, kernel: Kernel, access: Access) -> None:
         self._access = access
         self._configuration = kernel.need(Configuration)
-        self._changes = kernel.need(Changes)
+        self._changes = kernel.need(ConfigurationChanges)
         self._store = kernel.need(HeadStore)
         self._progress = kernel.need(ChangeProgress)
 
@@ -250,8 +250,10 @@
             return refusal_response(epoch)
         version = VersionId(http.query.get('version', ''))
         change = Change(Revision(number), version, Epoch(epoch))
-        hosts = await self._progress.ask(change)
-        in_force_in = self._configuration.in_force_in(change.revision)
+        hosts = await self._progress.collect(change)
+        in_force_in = self._configuration.seconds_until_in_force(
+            change.revision
+        )
         return json_response(
             ProgressBody(
                 revision=change.revision,
--- a/src/nutmegroad/operators/operator_presets.py
+++ b/src/nutmegroad/operators/operator_presets.py
@@ -8,7 +8,7 @@
 from aiohttp.web import Application, Request, Response
 from msgspec import Struct
 
-from nutmegroad.configuration.changes import Changes
+from nutmegroad.configuration.changes import ConfigurationChanges
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.contracts.documents import PresetEntry
 from nutmegroad.foundations.results import Refusal, ResultCode
@@ -66,7 +66,7 @@
     def __init__(self, kernel: Kernel, access: Access) -> None:
         self._access = access
         self._configuration = kernel.need(Configuration)
-        self._changes = kernel.need(Changes)
+        self._changes = kernel.need(ConfigurationChanges)
 
     def add_routes(self, app: Application) -> None:
         """Register the routes."""
@@ -100,7 +100,7 @@
         authorized = await self._access.read(http, SwitchBody)
         if isinstance(authorized, Refusal):
             return refusal_response(authorized)
-        head = await self._changes.switch(
+        head = await self._changes.switch_preset(
             PresetName(authorized.body.preset),
             authorized.operator,
             optional_revision(authorized.body.expected),
--- a/src/nutmegroad/operators/operator_withdrawals.py
+++ b/src/nutmegroad/operators/operator_withdrawals.py
@@ -11,7 +11,10 @@
 from aiohttp.web import Application, Request, Response
 from msgspec import Struct
 
-from nutmegroad.configuration.changes import Changes, Withdrawn
+from nutmegroad.configuration.changes import (
+    ConfigurationChanges,
+    WithdrawalOutcome,
+)
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.types import Epoch, VersionId
@@ -76,7 +79,7 @@
     def __init__(self, kernel: Kernel, access: Access) -> None:
         self._access = access
         self._configuration = kernel.need(Configuration)
-        self._changes = kernel.need(Changes)
+        self._changes = kernel.need(ConfigurationChanges)
 
     def add_routes(self, app: Application) -> None:
         """Register the routes."""
@@ -106,7 +109,7 @@
         if isinstance(authorized, Refusal):
             return refusal_response(authorized)
         epoch = authorized.body.epoch
-        outcome = await self._changes.withdraw(
+        outcome = await self._changes.withdraw_version(
             VersionId(authorized.body.version),
             None if epoch is None else Epoch(epoch),
             authorized.operator,
@@ -117,7 +120,7 @@
         return json_response(_body_of(outcome), status)
 
 
-def _body_of(outcome: Withdrawn) -> WithdrawalBody:
+def _body_of(outcome: WithdrawalOutcome) -> WithdrawalBody:
     """Return the response body for the outcome of a withdrawal."""
     in_table = outcome.revision is not None
     return WithdrawalBody(
--- a/src/nutmegroad/operators/operator_workspaces.py
+++ b/src/nutmegroad/operators/operator_workspaces.py
@@ -11,7 +11,7 @@
 from aiohttp.web import Application, Request, Response
 from msgspec import Struct
 
-from nutmegroad.configuration.changes import Changes
+from nutmegroad.configuration.changes import ConfigurationChanges
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.contracts.documents import WorkspaceEntry
 from nutmegroad.foundations.results import Refusal, ResultCode
@@ -57,7 +57,7 @@
     def __init__(self, kernel: Kernel, access: Access) -> None:
         self._access = access
         self._configuration = kernel.need(Configuration)
-        self._changes = kernel.need(Changes)
+        self._changes = kernel.need(ConfigurationChanges)
 
     def add_routes(self, app: Application) -> None:
         """Register the routes."""
--- a/src/nutmegroad/operators/part.py
+++ b/src/nutmegroad/operators/part.py
@@ -11,7 +11,7 @@
 
 from nutmegroad.callers._http_edge import BodyReader, protect
 from nutmegroad.callers._http_listener import Listener
-from nutmegroad.configuration.changes import Changes
+from nutmegroad.configuration.changes import ConfigurationChanges
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.contracts.peers import Mesh
 from nutmegroad.foundations._cost_metrics import CostPublisher
@@ -71,7 +71,7 @@
     """Serves the operators' HTTP interface on its own listener."""
 
     needs = (
-        Changes,
+        ConfigurationChanges,
         Directory,
         Explanations,
         GracefulStop,
--- a/src/nutmegroad/quality/estimates.py
+++ b/src/nutmegroad/quality/estimates.py
@@ -74,7 +74,7 @@
         self._aged_at = self._last_rating
         self._cached_position = 0
         self._frozen = False
-        configuration.listen(self._invalidate_all)
+        configuration.subscribe(self._invalidate_all)
 
     @property
     def tracker(self) -> QualityTracker:
@@ -110,7 +110,7 @@
 
     def _compute(self, version: VersionId, task: TaskName) -> Estimate:
         """Combine the declared quality with the ratings."""
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         declared = entry.quality.get(task, 0) if entry else 0
         cell = self._tracker.cell(version, task)
         evidence = Evidence() if cell is None else self._aged_evidence(cell)
@@ -168,5 +168,5 @@
 
     def _epoch_of(self, version: VersionId) -> Epoch:
         """Return the current epoch of a version."""
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         return Epoch(entry.epoch if entry else 0)
--- a/src/nutmegroad/quality/plans.py
+++ b/src/nutmegroad/quality/plans.py
@@ -11,7 +11,10 @@
 from dataclasses import dataclass
 from typing import Final
 
-from nutmegroad.configuration.in_force import Accepted, Configuration
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
 from nutmegroad.contracts.decisions import AttemptEnd
 from nutmegroad.contracts.documents import Concern, Stage, VersionEntry
 from nutmegroad.contracts.requests import ModelRequest, Plan
@@ -114,7 +117,7 @@
         self._exploration = exploration
         self._check = NoCheck() if check is None else check
         self._cache: dict[_CacheKey, _Evaluation] = {}
-        self._accepted: Accepted | None = None
+        self._accepted: AcceptedConfiguration | None = None
         self._entries_by_id: dict[VersionId, VersionEntry] = {}
         self._budget: dict[TaskName, float] = {}
 
@@ -317,7 +320,7 @@
         version: VersionId,
     ) -> Plan | Refusal:
         """Return the plan that pins a session to its version."""
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         if entry is None:
             return _no_plan(request, f'the session keeps {version}')
         candidate = self._candidate(request, entry, in_use=True)
--- a/src/nutmegroad/quality/rating_samples.py
+++ b/src/nutmegroad/quality/rating_samples.py
@@ -174,7 +174,7 @@
 
     def _is_canary(self, version: VersionId) -> bool:
         """Return whether a version is in a rollout."""
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         return entry is not None and entry.stage is Stage.ROLLOUT
 
     def _sampling_rate(self, start: AttemptStart, *, is_canary: bool) -> float:
--- a/src/nutmegroad/rollouts/exposure.py
+++ b/src/nutmegroad/rollouts/exposure.py
@@ -169,7 +169,7 @@
         sample = Moments(tally.count, tally.total, tally.squares)
         key = tally.key
         self._rated[key] = self.ratings(*key).plus(sample)
-        entry = self._configuration.entry(tally.version)
+        entry = self._configuration.version_entry(tally.version)
         if entry is None:
             return
         tests = self._tests_of(entry, tally.task)
@@ -184,7 +184,7 @@
 
     def add_attempts(self, key: EvidenceKey, fresh: Tally) -> None:
         """Test new attempts."""
-        entry = self._configuration.entry(key[0])
+        entry = self._configuration.version_entry(key[0])
         if entry is None:
             return
         tests = self._tests_of(entry, key[1])
--- a/src/nutmegroad/rollouts/order_controller.py
+++ b/src/nutmegroad/rollouts/order_controller.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from nutmegroad.configuration.in_force import Configuration
-from nutmegroad.configuration.leases import Lease, LeaseKeeper
+from nutmegroad.configuration.leases import Lease, LeaseManager
 from nutmegroad.contracts.platform import RowKey, RowWrite, Table, Weights
 from nutmegroad.contracts.upstreams import (
     EngineClient,
@@ -59,7 +59,7 @@
     configuration: Configuration
     directory: Directory
     engines: EngineClient
-    leases: LeaseKeeper
+    leases: LeaseManager
     shares: RolloutShares
     table: Table
     weights: Weights
@@ -108,7 +108,7 @@
 
     async def reconcile(self) -> None:
         """Check the engines once, and send the orders that are due."""
-        lease = await self._parts.leases.keep(self.lease_name)
+        lease = await self._parts.leases.acquire(self.lease_name)
         if isinstance(lease, Refusal):
             return
         desired = await self._desired()
@@ -266,7 +266,7 @@
                 reason = f'{version} has work in flight.'
                 return Refusal(ResultCode.UPSTREAM_BUSY, reason)
             return None
-        entry = self._parts.configuration.entry(version)
+        entry = self._parts.configuration.version_entry(version)
         epoch = Epoch(entry.epoch if entry else 0)
         if self._parts.configuration.is_withdrawn(version, epoch):
             reason = f'{version} has been withdrawn.'
--- a/src/nutmegroad/rollouts/orders.py
+++ b/src/nutmegroad/rollouts/orders.py
@@ -10,7 +10,10 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from nutmegroad.configuration.in_force import Accepted, Configuration
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
 from nutmegroad.contracts.documents import PresetEntry, Stage
 from nutmegroad.contracts.upstreams import (
     EngineReport,
@@ -238,7 +241,9 @@
     return DesiredState(wanted, allowed)
 
 
-def _presets_named(accepted: Accepted, prepared: str) -> list[PresetEntry]:
+def _presets_named(
+    accepted: AcceptedConfiguration, prepared: str
+) -> list[PresetEntry]:
     """Return the preset with a name, if there is one."""
     return [
         preset
@@ -249,7 +254,7 @@
 
 def _allowed(
     configuration: Configuration,
-    accepted: Accepted,
+    accepted: AcceptedConfiguration,
 ) -> frozenset[VersionId]:
     """Return versions that a workspace may use and that are not withdrawn."""
     named = {
@@ -266,7 +271,7 @@
 
 
 def _is_used(
-    accepted: Accepted,
+    accepted: AcceptedConfiguration,
     version: VersionId,
     sharing: frozenset[VersionId],
 ) -> bool:
--- a/src/nutmegroad/rollouts/orders_part.py
+++ b/src/nutmegroad/rollouts/orders_part.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from nutmegroad.configuration.in_force import Configuration
-from nutmegroad.configuration.leases import LeaseKeeper
+from nutmegroad.configuration.leases import LeaseManager
 from nutmegroad.contracts.platform import Table, Weights
 from nutmegroad.contracts.upstreams import EngineClient
 from nutmegroad.kernel.core import Kernel
@@ -28,7 +28,7 @@
 class OrdersPart:
     """Provides the order controller."""
 
-    needs = (LeaseKeeper, RolloutShares, Directory, EngineClient, Weights)
+    needs = (LeaseManager, RolloutShares, Directory, EngineClient, Weights)
 
     async def open(self, kernel: Kernel) -> None:
         """Start to check the engines."""
@@ -36,7 +36,7 @@
             kernel.need(Configuration),
             kernel.need(Directory),
             kernel.need(EngineClient),
-            kernel.need(LeaseKeeper),
+            kernel.need(LeaseManager),
             kernel.need(RolloutShares),
             kernel.need(Table),
             kernel.need(Weights),
--- a/src/nutmegroad/rollouts/part.py
+++ b/src/nutmegroad/rollouts/part.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from nutmegroad.configuration.in_force import Configuration
-from nutmegroad.configuration.leases import LeaseKeeper
+from nutmegroad.configuration.leases import LeaseManager
 from nutmegroad.contracts.peers import Mesh
 from nutmegroad.contracts.platform import Table
 from nutmegroad.kernel.core import Kernel
@@ -38,7 +38,7 @@
 
     async def open(self, kernel: Kernel) -> None:
         """Start to read and to advance rollouts."""
-        leases = LeaseKeeper(
+        leases = LeaseManager(
             kernel.incarnation,
             kernel.need(Table),
             kernel.clock,
@@ -67,7 +67,7 @@
             ROLLOUT_PERIOD,
         )
         duties = kernel.need(Duties)
-        kernel.provide(LeaseKeeper, leases)
+        kernel.provide(LeaseManager, leases)
         kernel.provide(RolloutShares, shares)
         service = RolloutService(configuration, store, shares, quarantines)
         kernel.provide(RolloutService, service)
--- a/src/nutmegroad/rollouts/quarantines.py
+++ b/src/nutmegroad/rollouts/quarantines.py
@@ -14,7 +14,10 @@
 
 from msgspec import Struct
 
-from nutmegroad.configuration.in_force import Accepted, Configuration
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
 from nutmegroad.contracts.documents import Stage
 from nutmegroad.contracts.peers import Message
 from nutmegroad.foundations.logs import part_logger
@@ -135,7 +138,7 @@
         for record in records:
             if record.task == task:
                 return record
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         in_rollout = entry is not None and entry.stage is Stage.ROLLOUT
         if records and (in_rollout or len(records) >= MIN_TASKS_FOR_ALL):
             return records[0]
@@ -143,7 +146,7 @@
 
     def all_active(self, version: VersionId) -> tuple[QuarantineRecord, ...]:
         """Return the active quarantines of a version, for any task."""
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         if entry is None:
             return ()
         return tuple(
@@ -162,7 +165,7 @@
         reason: str,
     ) -> None:
         """Quarantine a version for a task class."""
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         if entry is None:
             return
         name = (version, Epoch(entry.epoch), task)
@@ -231,7 +234,7 @@
 
     def _is_usable(self, version: VersionId, task: TaskName) -> bool:
         """Return whether a version is steady, allowed and not in quarantine."""
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         if entry is None or entry.stage is Stage.ROLLOUT:
             return False
         epoch = Epoch(entry.epoch)
@@ -240,7 +243,9 @@
         return self.active(version, task) is None
 
 
-def _versions_for(accepted: Accepted, task: TaskName) -> tuple[VersionId, ...]:
+def _versions_for(
+    accepted: AcceptedConfiguration, task: TaskName
+) -> tuple[VersionId, ...]:
     """Return the versions that the preset in force assigns to a task."""
     for entry in accepted.preset_entry.tasks:
         if entry.task == task:
--- a/src/nutmegroad/rollouts/rollout_controller.py
+++ b/src/nutmegroad/rollouts/rollout_controller.py
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from nutmegroad.configuration.in_force import Configuration
-from nutmegroad.configuration.leases import Lease, LeaseKeeper
+from nutmegroad.configuration.leases import Lease, LeaseManager
 from nutmegroad.contracts.documents import VersionEntry
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
@@ -69,7 +69,7 @@
     configuration: Configuration
     store: RolloutStore
     shares: RolloutShares
-    leases: LeaseKeeper
+    leases: LeaseManager
     guard: ExposureGuard
     evidence: EvidenceStore
     quarantines: Quarantines
@@ -122,7 +122,7 @@
 
     async def advance(self, rollouts: tuple[Rollout, ...]) -> None:
         """Advance the running rollouts under the lease."""
-        lease = await self._parts.leases.keep(ROLLOUTS_LEASE)
+        lease = await self._parts.leases.acquire(ROLLOUTS_LEASE)
         if isinstance(lease, Refusal):
             self._step_starts.clear()
             return
@@ -132,7 +132,7 @@
 
     async def _advance_one(self, rollout: Rollout, lease: Lease) -> None:
         state = rollout.state
-        entry = self._parts.configuration.entry(state.version)
+        entry = self._parts.configuration.version_entry(state.version)
         if entry is None or entry.epoch != state.epoch:
             return
         if state.fencing != lease.number:
--- a/src/nutmegroad/rollouts/rollout_service.py
+++ b/src/nutmegroad/rollouts/rollout_service.py
@@ -110,7 +110,7 @@
 
         Halting a version does not need the platform.
         """
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         if entry is None:
             return _not_found(f'There is no version {version!r}.')
         if action is Action.LIFT:
--- a/src/nutmegroad/rollouts/rollout_shares.py
+++ b/src/nutmegroad/rollouts/rollout_shares.py
@@ -62,7 +62,7 @@
         A steady version has no bound. A version in a rollout has no share
         before an operator has started the rollout of its present epoch.
         """
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         if entry is None:
             return 0
         if entry.stage is not Stage.ROLLOUT:
--- a/src/nutmegroad/routing/attempts.py
+++ b/src/nutmegroad/routing/attempts.py
@@ -306,7 +306,7 @@
 
     def _cost(self, start: AttemptStart, prompt: int, output: int) -> float:
         """Return the cost of an attempt at the current prices."""
-        entry = self._configuration.entry(start.version)
+        entry = self._configuration.version_entry(start.version)
         if entry is None:
             return 0
         return cost_of(entry, prompt, output)
--- a/src/nutmegroad/routing/baselines.py
+++ b/src/nutmegroad/routing/baselines.py
@@ -39,7 +39,7 @@
         """Return a plan of one step."""
         costs: dict[str, float] = {}
         entries: list[VersionEntry] = []
-        for entry in map(self._configuration.entry, request.versions):
+        for entry in map(self._configuration.version_entry, request.versions):
             if entry is None:
                 continue
             prompt, output = request.prompt_tokens, request.output_tokens
@@ -61,7 +61,7 @@
 
     def estimate(self, request: ModelRequest, end: AttemptEnd) -> float:
         """Return the quality declared by the version's owner."""
-        entry = self._configuration.entry(end.start.version)
+        entry = self._configuration.version_entry(end.start.version)
         return entry.quality.get(request.task, 0) if entry else 0
 
 
--- a/src/nutmegroad/routing/gates.py
+++ b/src/nutmegroad/routing/gates.py
@@ -136,7 +136,10 @@
 
     def _workspace(self, name: WorkspaceId) -> WorkspaceEntry | Refusal:
         """Return the workspace's current entry, or why there is none."""
-        if self._configuration.accepted and self._configuration.must_confirm:
+        if (
+            self._configuration.accepted
+            and self._configuration.needs_confirmation
+        ):
             return Refusal(
                 ResultCode.HOST_PAUSED,
                 'This host was paused and must confirm its configuration.',
@@ -192,7 +195,7 @@
         epoch: Epoch | None,
     ) -> Refusal | None:
         """Return why a version may not answer now."""
-        entry = self._configuration.entry(version)
+        entry = self._configuration.version_entry(version)
         if entry is None or version not in workspace.versions:
             return Refusal(
                 ResultCode.VERSION_NOT_ALLOWED,
--- a/src/nutmegroad/routing/policies.py
+++ b/src/nutmegroad/routing/policies.py
@@ -28,7 +28,9 @@
         """Return a plan of one step."""
         plans = [
             self._single(request, entry)
-            for entry in map(self._configuration.entry, request.versions)
+            for entry in map(
+                self._configuration.version_entry, request.versions
+            )
             if entry is not None
         ]
         fit = [plan for plan in plans if plan.quality >= request.target]
@@ -42,7 +44,7 @@
 
     def estimate(self, request: ModelRequest, end: AttemptEnd) -> float:
         """Return the quality declared by the version's owner."""
-        entry = self._configuration.entry(end.start.version)
+        entry = self._configuration.version_entry(end.start.version)
         return entry.quality.get(request.task, 0) if entry else 0
 
     def _single(self, request: ModelRequest, entry: VersionEntry) -> Plan:
--- a/tests/configurations.py
+++ b/tests/configurations.py
@@ -2,7 +2,10 @@
 
 from collections.abc import Mapping
 
-from nutmegroad.configuration.in_force import Accepted, Configuration
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
 from nutmegroad.contracts.documents import (
     Document,
     PresetEntry,
@@ -77,24 +80,24 @@
     )
 
 
-def put(
+def apply_document(
     configuration: Configuration,
     document: Document,
     revision: int = 1,
 ) -> None:
     """Put a document into force."""
-    accepted = Accepted(
+    accepted = AcceptedConfiguration(
         Revision(revision),
         Digest(''),
         document,
         PresetName('day'),
         'test',
     )
-    configuration.take(accepted)
+    configuration.apply(accepted)
 
 
 def configuration_of(clock: Clock, document: Document) -> Configuration:
     """Return a configuration with a document in force."""
     configuration = Configuration(clock, 8)
-    put(configuration, document)
+    apply_document(configuration, document)
     return configuration
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -9,13 +9,16 @@
     HeadQuestion,
     HeadReply,
 )
-from nutmegroad.configuration.confirmations import (
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
+from nutmegroad.configuration.peer_queries import (
     REPLY_TIMEOUT,
-    Confirmations,
     PeerHead,
+    PeerQueries,
 )
-from nutmegroad.configuration.in_force import Accepted, Configuration
-from nutmegroad.configuration.spread import ConfigurationPoller
+from nutmegroad.configuration.poller import ConfigurationPoller
 from nutmegroad.configuration.withdrawals import WithdrawalSet
 from nutmegroad.foundations.types import HostId
 
@@ -23,7 +26,7 @@
 async def take_any_head(self: Any, head: Any, host: Any) -> Any:
     """Take what is told, older or newer."""
     accepted = await self._accepted(head, host)
-    if isinstance(accepted, Accepted):
+    if isinstance(accepted, AcceptedConfiguration):
         self._configuration._accepted = accepted
         return None
     return accepted
@@ -40,12 +43,12 @@
     asked = self._timing.clock.now()
     head = await self._store.read()
     if isinstance(head, heads.Head):
-        refusal = await self._learn(head, self._timing.clock.now())
-        await self._record()
+        refusal = await self._apply_read(head, self._timing.clock.now())
+        await self._write_unrecorded()
     else:
         refusal = await self._ask_peers(head)
     if refusal is not None:
-        self._configuration.fail(asked)
+        self._configuration.record_failure(asked)
     return refusal
 
 
@@ -82,7 +85,7 @@
     return patch.object(owner, attribute, new)
 
 
-_ASK: Final = (Confirmations, '_ask_one')
+_ASK: Final = (PeerQueries, '_ask_one')
 _MUTANTS: Final = {
     'not forward only': (ConfigurationPoller, '_take', take_any_head),
     'any revision confirms': (Configuration, 'confirm', confirm_any),
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -8,7 +8,10 @@
 
 from experiments.deployment import read_example
 
-from nutmegroad.configuration.in_force import Accepted, Configuration
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
 from nutmegroad.contracts.decisions import Observers, Planner
 from nutmegroad.contracts.documents import Concern, parse_document
 from nutmegroad.contracts.requests import ModelRequest
@@ -178,8 +181,8 @@
         """Put the objects together."""
         document = parse_document(read_example('lesen'))
         self.configuration = Configuration(self.clock, 8)
-        self.configuration.take(
-            Accepted(
+        self.configuration.apply(
+            AcceptedConfiguration(
                 Revision(1),
                 'd',
                 document,
--- a/tests/shared_documents.py
+++ b/tests/shared_documents.py
@@ -2,7 +2,10 @@
 
 from typing import Final
 
-from nutmegroad.configuration.in_force import Accepted, Configuration
+from nutmegroad.configuration.in_force import (
+    AcceptedConfiguration,
+    Configuration,
+)
 from nutmegroad.contracts.documents import (
     Document,
     PresetEntry,
@@ -42,6 +45,8 @@
     )
     configuration = Configuration(clock, 8)
     name = PresetName('peak')
-    accepted = Accepted(Revision(1), Digest(''), document, name, 'test')
-    configuration.take(accepted)
+    accepted = AcceptedConfiguration(
+        Revision(1), Digest(''), document, name, 'test'
+    )
+    configuration.apply(accepted)
     return configuration
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -135,7 +135,7 @@
     async def test_each_token_is_paid_once(self) -> None:
         answer = await self.ask(broken(6))
         assert isinstance(answer, Answer)
-        entry = self.rig.configuration.entry(answer.version)
+        entry = self.rig.configuration.version_entry(answer.version)
         assert entry is not None
         # The prompt counts twice. The output is ten words, of which the
         # resumed attempt writes four again for the comparison.
@@ -153,7 +153,7 @@
     async def fail_to_confirm(self) -> None:
         """Fail to confirm, as a host without a connection does regularly."""
         while True:
-            self.rig.configuration.fail(self.clock.now())
+            self.rig.configuration.record_failure(self.clock.now())
             await self.clock.sleep(2)
 
     async def test_a_stalled_attempt_ends_and_is_resumed(self) -> None:
@@ -219,7 +219,7 @@
         with self.assertRaises(asyncio.CancelledError):
             await task
         self.assertEqual(len(self.rig.engines.cancelled), 1)
-        entry = self.rig.configuration.entry(self.rig.spent.version)
+        entry = self.rig.configuration.version_entry(self.rig.spent.version)
         assert entry is not None
         expected = (5 * entry.price_in + 3 * entry.price_out) / 1000
         self.assertAlmostEqual(self.rig.spent.cost, expected)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -259,7 +259,7 @@
         first = await self.send(session='desk')
         version = (await first.json())['model']
         withdrawal = Withdrawal(version=version, epoch=9)
-        self.host.kernel.need(Configuration).withdraw((withdrawal,))
+        self.host.kernel.need(Configuration).add_withdrawals((withdrawal,))
         for name in ('desk', first.headers['Nutmegroad-Session']):
             response = await self.send(session=name)
             body = await response.json()
--- a/tests/test_confirmations.py
+++ b/tests/test_confirmations.py
@@ -20,7 +20,7 @@
     make_document,
 )
 
-from nutmegroad.configuration.changes import Withdrawn
+from nutmegroad.configuration.changes import WithdrawalOutcome
 from nutmegroad.configuration.heads import MAX_MOVES, Head
 from nutmegroad.configuration.in_force import CLOCK_MARGIN
 from nutmegroad.configuration.progress import Change
@@ -83,7 +83,9 @@
         await self.fleet.clock.advance(seconds)
 
     async def switch(self, host: TrialHost, preset: PresetName) -> Any:
-        return await self.wait_for(host.changes.switch(preset, ANN, None))
+        return await self.wait_for(
+            host.changes.switch_preset(preset, ANN, None)
+        )
 
     def isolate(self, host: TrialHost) -> None:
         """Disconnect a host from the platform and from all other hosts."""
@@ -122,17 +124,21 @@
         self.isolate(self.west)
         await self.switch(self.east, PEAK)
         configuration = self.east.configuration
-        self.assertIsNone(configuration.in_force_in(Revision(3)))
-        await self.pass_time(configuration.in_force_in(Revision(2)) or 0)
+        self.assertIsNone(configuration.seconds_until_in_force(Revision(3)))
+        await self.pass_time(
+            configuration.seconds_until_in_force(Revision(2)) or 0
+        )
         self.assertEqual(self.west.configuration.revision, 1)
         self.assertTrue(self.west.configuration.isolated)
-        self.assertFalse(self.west.configuration.must_confirm)
+        self.assertFalse(self.west.configuration.needs_confirmation)
         self.heal()
         await self.pass_time(LEASE)
         self.assertEqual(self.west.configuration.revision, 2)
 
     async def test_restarted_host_needs_only_peers(self) -> None:
-        await self.wait_for(self.east.changes.withdraw(SMALL, None, ANN))
+        await self.wait_for(
+            self.east.changes.withdraw_version(SMALL, None, ANN)
+        )
         self.fleet.platform.faults.down = True
         west = await self.fleet.restart(WEST)
         await self.pass_time(3)
@@ -155,10 +161,10 @@
     async def test_host_that_lacks_a_known_revision_confirms_nothing(
         self,
     ) -> None:
-        self.west.configuration.hear(Revision(9))
+        self.west.configuration.observe_revision(Revision(9))
         await self.pass_time(LEASE)
         configuration = self.west.configuration
-        self.assertTrue(configuration.behind and configuration.isolated)
+        self.assertTrue(configuration.is_behind and configuration.isolated)
         reply = await self.west.confirmations._answer_head(EAST, None)  # type: ignore[arg-type]
         self.assertIsNone(getattr(reply, 'age', 0))
 
@@ -178,7 +184,9 @@
         self.fleet.network.cut_domain(self.north.names.domain)
         self.fleet.platform.faults.cut.add(self.north.names.domain)
         await self.switch(self.east, PEAK)
-        hosts = await self.wait_for(self.east.progress.ask(Change(Revision(2))))
+        hosts = await self.wait_for(
+            self.east.progress.collect(Change(Revision(2)))
+        )
         missing = [host.host for host in hosts if not host.acknowledged]
         self.assertEqual((len(hosts), missing), (3, [NORTH]))
 
@@ -226,7 +234,9 @@
     async def test_paused_host_confirms_before_it_serves(self) -> None:
         self.west.pause()
         await self.pass_time(2 * LEASE)
-        await self.wait_for(self.east.changes.withdraw(SMALL, None, ANN))
+        await self.wait_for(
+            self.east.changes.withdraw_version(SMALL, None, ANN)
+        )
         self.west.resume()
         # The host does not know of the withdrawal yet, and must not serve.
         configuration = self.west.configuration
@@ -262,9 +272,9 @@
     ) -> None:
         self.fleet.platform.faults.down = True
         outcome = await self.wait_for(
-            self.west.changes.withdraw(SMALL, None, ANN)
+            self.west.changes.withdraw_version(SMALL, None, ANN)
         )
-        self.assertIsInstance(outcome, Withdrawn)
+        self.assertIsInstance(outcome, WithdrawalOutcome)
         self.assertIsNone(outcome.revision)
         for host in self.fleet.hosts.values():
             configuration = host.configuration
@@ -284,7 +294,9 @@
         self,
     ) -> None:
         self.isolate(self.north)
-        await self.wait_for(self.east.changes.withdraw(SMALL, None, ANN))
+        await self.wait_for(
+            self.east.changes.withdraw_version(SMALL, None, ANN)
+        )
         configuration = self.north.configuration
         await self.pass_time(LEASE + CLOCK_MARGIN)
         self.assertTrue(configuration.isolated)
@@ -296,14 +308,16 @@
 
     async def test_old_notice_does_not_revert_withdrawal(self) -> None:
         old = self.west.confirmations.notice
-        await self.wait_for(self.east.changes.withdraw(SMALL, None, ANN))
+        await self.wait_for(
+            self.east.changes.withdraw_version(SMALL, None, ANN)
+        )
         await self.wait_for(self.west.announcer._handle_notice(EAST, old))
         configuration = self.west.configuration
         self.assertTrue(configuration.is_withdrawn(SMALL, FIRST_EPOCH))
         document = make_document(7, Epoch(1))
         await self.wait_for(self.east.changes.apply(document, None, ANN, None))
         await self.pass_time(1)
-        entry = configuration.entry(SMALL)
+        entry = configuration.version_entry(SMALL)
         assert entry is not None
         self.assertFalse(configuration.is_withdrawn(SMALL, Epoch(entry.epoch)))
 
@@ -311,7 +325,7 @@
         self.fleet.platform.faults.down = True
         names = [f'model-{number:03}@1' for number in range(100)]
         withdrawals = tuple(Withdrawal(name, 0) for name in names)
-        self.east.configuration.withdraw(withdrawals)
+        self.east.configuration.add_withdrawals(withdrawals)
         await self.pass_time(1)
         self.assertEqual(self.north.configuration.withdrawals, withdrawals)
 
@@ -321,8 +335,10 @@
 
     async def test_one_of_two_concurrent_changes_succeeds(self) -> None:
         work = asyncio.gather(
-            self.east.changes.switch(PEAK, ANN, None),
-            self.west.changes.switch(MAINTENANCE, OperatorId('bob'), None),
+            self.east.changes.switch_preset(PEAK, ANN, None),
+            self.west.changes.switch_preset(
+                MAINTENANCE, OperatorId('bob'), None
+            ),
         )
         outcomes = await self.wait_for(work)
         succeeded = [out for out in outcomes if isinstance(out, Head)]
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -76,7 +76,7 @@
 
         async def withdraw() -> None:
             withdrawal = Withdrawal(version=MEDIUM, epoch=0)
-            rig.configuration.withdraw((withdrawal,))
+            rig.configuration.add_withdrawals((withdrawal,))
 
         def script(attempt: Attempt) -> list[Any]:
             return [Piece(0, 'bad'), withdraw, ENDING]
@@ -110,7 +110,7 @@
     async def test_a_withdrawal_of_its_version_ends_a_session_not_run(
         self,
     ) -> None:
-        self.rig.configuration.withdraw(WITHDRAWN)
+        self.rig.configuration.add_withdrawals(WITHDRAWN)
         outcome = await self.ask()
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.code, ResultCode.SESSION_ENDED)
@@ -122,7 +122,7 @@
     ) -> None:
         for name in ('one', 'two'):
             self.rig.directory.reported(UpstreamId(name), report_of(MEDIUM))
-        self.rig.configuration.withdraw(WITHDRAWN)
+        self.rig.configuration.add_withdrawals(WITHDRAWN)
         outcome = await self.ask()
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.code, ResultCode.SESSION_ENDED)
@@ -131,7 +131,7 @@
         self,
     ) -> None:
         async def withdraw() -> None:
-            self.rig.configuration.withdraw(WITHDRAWN)
+            self.rig.configuration.add_withdrawals(WITHDRAWN)
 
         self.rig.engines.scripts = [lambda attempt: [withdraw, CUT]]
         outcome = await self.ask()
@@ -161,13 +161,13 @@
         self.assertEqual(
             self.rig.dispatcher.choose_session_version(request), SMALL
         )
-        self.rig.configuration.withdraw(WITHDRAWN)
+        self.rig.configuration.add_withdrawals(WITHDRAWN)
         self.assertEqual(
             self.rig.dispatcher.choose_session_version(request), MEDIUM
         )
 
     async def test_another_epoch_is_another_version(self) -> None:
-        self.rig.configuration.withdraw(WITHDRAWN)
+        self.rig.configuration.add_withdrawals(WITHDRAWN)
         self.session = replace(self.session, epoch=Epoch(1))
         answer = await self.ask()
         self.assertIsInstance(answer, Answer)
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -25,9 +25,9 @@
     NEW,
     OLD,
     TAG,
+    apply_document,
     configuration_of,
     document_of,
-    put,
     version_of,
 )
 from tests.test_evidence import end_of
@@ -242,7 +242,7 @@
         host = self.hosts(STEADY)[0]
         host.quarantines.impose(OLD, TAG, Grade.STRONG, 'bad.')
         again = document_of(version_of(OLD, epoch=1), version_of(NEW))
-        put(host.configuration, again, revision=2)
+        apply_document(host.configuration, again, revision=2)
         self.assertFalse(host.blocks(OLD))
 
     async def test_the_refusal_says_why(self) -> None:
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -31,7 +31,7 @@
         self.assertEqual(self.rig.engines.sent, [])
 
     async def test_a_withdrawn_version_gets_no_first_byte(self) -> None:
-        self.rig.configuration.withdraw(
+        self.rig.configuration.add_withdrawals(
             (Withdrawal(version='brief-small@2', epoch=0),),
         )
         await self.refused_as(ResultCode.VERSION_WITHDRAWN)
@@ -41,7 +41,7 @@
     ) -> None:
         async def withdraw() -> None:
             withdrawal = Withdrawal(version='brief-small@2', epoch=0)
-            self.rig.configuration.withdraw((withdrawal,))
+            self.rig.configuration.add_withdrawals((withdrawal,))
 
         self.rig.engines.scripts = [lambda attempt: [withdraw, CUT]]
         outcome = await self.rig.ask()
@@ -53,7 +53,7 @@
     async def test_a_resumption_is_held_to_a_withdrawal_too(self) -> None:
         async def withdraw() -> None:
             withdrawal = Withdrawal(version='brief-small@2', epoch=0)
-            self.rig.configuration.withdraw((withdrawal,))
+            self.rig.configuration.add_withdrawals((withdrawal,))
 
         def script(attempt: Attempt) -> list[object]:
             return [Piece(0, 'w0 '), withdraw, CUT]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -8,7 +8,7 @@
 import random
 import unittest
 
-from nutmegroad.configuration.leases import Lease, LeaseKeeper
+from nutmegroad.configuration.leases import Lease, LeaseManager
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Incarnation
 from nutmegroad.testing.virtual import ManualClock, PausableClock
@@ -28,10 +28,10 @@
         self.first = self.lease_manager('a', self.clocks[0])
         self.second = self.lease_manager('b', self.clocks[1])
 
-    def lease_manager(self, name: str, clock: ManualClock) -> LeaseKeeper:
+    def lease_manager(self, name: str, clock: ManualClock) -> LeaseManager:
         """Return the leases of one host."""
         numbers = itertools.count()
-        return LeaseKeeper(
+        return LeaseManager(
             Incarnation(name),
             self.table,
             clock,
@@ -44,20 +44,20 @@
         for clock in self.clocks:
             await clock.advance(seconds)
 
-    async def acquire(self, manager: LeaseKeeper) -> Lease:
+    async def acquire(self, manager: LeaseManager) -> Lease:
         """Acquire or renew the lease; fail the test if it is refused."""
-        lease = await manager.keep(NAME)
+        lease = await manager.acquire(NAME)
         if isinstance(lease, Refusal):
             self.fail(lease.reason)
         return lease
 
     async def assert_refused(
         self,
-        manager: LeaseKeeper,
+        manager: LeaseManager,
         code: ResultCode,
     ) -> None:
         """Check that the lease is refused with a code."""
-        lease = await manager.keep(NAME)
+        lease = await manager.acquire(NAME)
         self.assertIsInstance(lease, Refusal)
         self.assertEqual(getattr(lease, 'code', None), code)
 
@@ -108,7 +108,7 @@
 ) -> None:
     """Acquire and renew a lease, and record its number after each check."""
     numbers = itertools.count()
-    manager = LeaseKeeper(
+    manager = LeaseManager(
         Incarnation(name),
         table,
         clock,
@@ -116,7 +116,7 @@
         TERM,
     )
     while True:
-        lease = await manager.keep(NAME)
+        lease = await manager.acquire(NAME)
         for _ in range(4):
             await clock.sleep(0.5)
             if isinstance(lease, Lease) and manager.check(lease) is None:
@@ -156,7 +156,7 @@
         self.assertIsNone(self.first.check(lease))
         await self.advance(0.02)
         self.assertIsNotNone(self.first.check(lease))
-        self.assertIsNone(self.first.held(NAME))
+        self.assertIsNone(self.first.valid_lease(NAME))
 
     async def test_requested_margin_adds_to_the_safety_margin(self) -> None:
         lease = await self.acquire(self.first)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -8,7 +8,7 @@
 
 from msgspec.structs import replace as replace_fields
 
-from nutmegroad.configuration.leases import LeaseKeeper
+from nutmegroad.configuration.leases import LeaseManager
 from nutmegroad.contracts.documents import Document, Withdrawal, WorkspaceEntry
 from nutmegroad.contracts.upstreams import (
     EngineOrder,
@@ -45,9 +45,9 @@
 from tests.configurations import (
     NEW,
     OLD,
+    apply_document,
     configuration_of,
     document_of,
-    put,
     version_of,
 )
 from tests.tables import MemoryTable
@@ -122,7 +122,7 @@
         peer = case.mesh.join(HostId(name), DOMAIN)
         self.configuration = configuration_of(clock, case.document)
         self.directory = Directory(clock)
-        self.leases = LeaseKeeper(
+        self.leases = LeaseManager(
             peer.incarnation,
             case.table,
             clock,
@@ -248,7 +248,7 @@
         )
         presets = (*self.document.presets, night)
         more = replace_fields(self.document, presets=presets)
-        put(self.first.configuration, more, revision=2)
+        apply_document(self.first.configuration, more, revision=2)
         operator = OperatorId('op')
         refusal = await self.first.controller.prepare('nigth', operator)
         self.assertIsNotNone(refusal)
@@ -307,7 +307,7 @@
     async def test_an_allowed_version_is_never_unloaded(self) -> None:
         for host in (self.first, self.second):
             allowed = allow_versions(self.document, OLD, NEW)
-            put(host.configuration, allowed, revision=2)
+            apply_document(host.configuration, allowed, revision=2)
         await self.run_rounds(self.first, self.second, seconds=200)
         self.assertEqual(self.copies(NEW), 1)
         self.assertEqual(self.copies(OLD), 3)
@@ -378,7 +378,7 @@
         order = next(iter(self.missing()))
         before = len(self.engines.executed)
         withdrawal = Withdrawal(version=NEW, epoch=0)
-        self.first.configuration.withdraw((withdrawal,))
+        self.first.configuration.add_withdrawals((withdrawal,))
         await self.first.controller._send(order, lease)
         self.assertEqual(len(self.engines.executed), before)
 
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -54,7 +54,7 @@
     def setUp(self) -> None:
         self.clock = ManualClock()
         self.configuration = Configuration(self.clock, 8)
-        self.configuration.take(accepted(SCENARIOS[0]))
+        self.configuration.apply(accepted(SCENARIOS[0]))
         self.estimates = Estimates(self.configuration, self.clock)
         self.randomness = random.Random(3)
         self.planner = AdaptivePlanner(
@@ -105,7 +105,7 @@
             versions=(*base.document.versions, entry),
             presets=(preset,),
         )
-        self.configuration.take(
+        self.configuration.apply(
             replace(base, document=document, revision=Revision(2)),
         )
 
@@ -158,13 +158,15 @@
 
     def test_the_refusal_of_withdrawn_versions_says_so(self) -> None:
         withdrawals = [Withdrawal(version=one, epoch=0) for one in VERSIONS]
-        self.configuration.withdraw(tuple(withdrawals))
+        self.configuration.add_withdrawals(tuple(withdrawals))
         refusal = self.planner.plan(request_of(TAG))
         assert isinstance(refusal, Refusal)
         self.assertIs(refusal.code, ResultCode.VERSION_WITHDRAWN)
 
     def test_a_withdrawn_version_is_not_chosen(self) -> None:
-        self.configuration.withdraw((Withdrawal(version=SMALL, epoch=0),))
+        self.configuration.add_withdrawals(
+            (Withdrawal(version=SMALL, epoch=0),)
+        )
         self.assertEqual(self.plan(TAG).steps, (MEDIUM,))
 
     def test_exposure_requires_more_ratings_for_a_change(self) -> None:
@@ -320,7 +322,9 @@
         self.rate(SMALL, TAG, 0.9, 1)
         self.assertGreater(self.estimates.generation, before)
         before = self.estimates.generation
-        self.configuration.withdraw((Withdrawal(version=SMALL, epoch=0),))
+        self.configuration.add_withdrawals(
+            (Withdrawal(version=SMALL, epoch=0),)
+        )
         self.assertGreater(self.estimates.generation, before)
 
 
--- a/tests/test_quality_sharing.py
+++ b/tests/test_quality_sharing.py
@@ -88,7 +88,7 @@
 
     def estimates(self) -> Estimates:
         configuration = Configuration(self.clock, 8)
-        configuration.take(accepted(SCENARIOS[0]))
+        configuration.apply(accepted(SCENARIOS[0]))
         return Estimates(configuration, self.clock)
 
     def host(self, name: str, domain: str, *, reads: bool = False) -> Host:
--- a/tests/test_rating_samples.py
+++ b/tests/test_rating_samples.py
@@ -71,7 +71,7 @@
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
         self.configuration = Configuration(self.clock, 8)
-        self.configuration.take(accepted(SCENARIOS[0]))
+        self.configuration.apply(accepted(SCENARIOS[0]))
         self.counts: Counter[str] = Counter()
 
     def sampler(self, ratings: GatedRatings) -> RatingSampler:
@@ -136,7 +136,7 @@
             stage=Stage.ROLLOUT,
         )
         document = structs.replace(base.document, versions=(canary,))
-        self.configuration.take(
+        self.configuration.apply(
             replace(base, document=document, revision=Revision(2)),
         )
         ratings = GatedRatings()
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from nutmegroad.configuration.leases import LeaseKeeper
+from nutmegroad.configuration.leases import LeaseManager
 from nutmegroad.contracts.documents import Concern, Stage
 from nutmegroad.contracts.requests import ModelRequest
 from nutmegroad.foundations.results import Refusal, ResultCode
@@ -96,8 +96,8 @@
         self._evidence = evidence
         store = RolloutStore(table, nonce)
         self.shares = RolloutShares(configuration, peer)
-        leases = LeaseKeeper(peer.incarnation, table, mesh.clock, nonce, TERM)
-        self.held = leases.held
+        leases = LeaseManager(peer.incarnation, table, mesh.clock, nonce, TERM)
+        self.held = leases.valid_lease
         self.rate = guard.add_ratings
         parts = RolloutDependencies(
             configuration,
