--- a/src/nutmegroad/callers/_http_edge.py
+++ b/src/nutmegroad/callers/_http_middleware.py
@@ -18,13 +18,13 @@
     middleware,
 )
 
-from nutmegroad.callers._caller_guard import STREAM_KEY
 from nutmegroad.callers._http_listener import (
     NO_REQUEST_ID,
     Connection,
     http_error_refusal,
     internal_error,
 )
+from nutmegroad.callers._stop_guard import STREAM_KEY
 from nutmegroad.callers.answer_streams import EventStream
 from nutmegroad.callers.replies import REQUEST_HEADER, code_of, refuse
 from nutmegroad.foundations.logs import about_request, part_logger
@@ -117,7 +117,7 @@
         return refuse(refusal, request_id)
 
 
-def protect(
+def install_request_middleware(
     kernel: Kernel,
     app: Application,
     part: str,
@@ -157,7 +157,7 @@
         self._timeout = timeout
         self._count_refusal = count_refusal
 
-    def protect(self, app: Application) -> None:
+    def install(self, app: Application) -> None:
         """Add the middleware to an application."""
         app.middlewares.append(self._make_middleware())
 
--- a/src/nutmegroad/callers/intake.py
+++ b/src/nutmegroad/callers/intake.py
@@ -9,7 +9,7 @@
 import xxhash
 from msgspec import Meta, Struct
 
-from nutmegroad.callers.sessions import TOKEN_PREFIX, SessionSigner
+from nutmegroad.callers.session_tokens import TOKEN_PREFIX, SessionSigner
 from nutmegroad.configuration.in_force import (
     AcceptedConfiguration,
     Configuration,
--- a/src/nutmegroad/callers/interface.py
+++ b/src/nutmegroad/callers/interface.py
@@ -13,13 +13,13 @@
     StreamResponse,
 )
 
-from nutmegroad.callers._caller_guard import STREAM_KEY
-from nutmegroad.callers._caller_parts import CallerContext
-from nutmegroad.callers._caller_requests import (
+from nutmegroad.callers._caller_context import CallerContext
+from nutmegroad.callers._incoming_requests import (
     DetachableSink,
     IncomingRequest,
     forwarded_headers,
 )
+from nutmegroad.callers._stop_guard import STREAM_KEY
 from nutmegroad.callers.answer_streams import EventStream
 from nutmegroad.callers.intake import authenticate
 from nutmegroad.callers.model_routes import ModelCall, ModelRoutes
--- a/src/nutmegroad/callers/session_names.py
+++ b/src/nutmegroad/callers/named_sessions.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from nutmegroad.callers.sessions import SessionToken
+from nutmegroad.callers.session_tokens import SessionToken
 from nutmegroad.contracts.peers import Mesh, Message
 from nutmegroad.contracts.platform import (
     ABSENT,
@@ -73,7 +73,7 @@
     text: str
 
 
-class SessionNames:
+class NamedSessions:
     """Finds and starts sessions by the names that callers gave them.
 
     Args:
--- a/src/nutmegroad/callers/part.py
+++ b/src/nutmegroad/callers/part.py
@@ -1,16 +1,16 @@
 """The kernel part that serves the callers' HTTP interface."""
 
-from nutmegroad.callers._caller_guard import StopGuard
-from nutmegroad.callers._caller_parts import CallerContext
-from nutmegroad.callers._http_edge import protect
+from nutmegroad.callers._caller_context import CallerContext
 from nutmegroad.callers._http_listener import Listener
+from nutmegroad.callers._http_middleware import install_request_middleware
+from nutmegroad.callers._stop_guard import StopGuard
 from nutmegroad.callers.intake import IntakeReader
 from nutmegroad.callers.interface import CallersInterface
 from nutmegroad.callers.model_routes import ModelContext, ModelRoutes
+from nutmegroad.callers.named_sessions import NamedSessions
 from nutmegroad.callers.service_routes import ServiceRoutes
-from nutmegroad.callers.session_names import SessionNames
 from nutmegroad.callers.session_pins import SessionPins
-from nutmegroad.callers.sessions import SessionSigner
+from nutmegroad.callers.session_tokens import SessionSigner
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.contracts.decisions import Observers
 from nutmegroad.foundations.metrics import Metrics
@@ -37,7 +37,7 @@
         ServiceCaller,
         AtMostOnce,
         RecordSender,
-        SessionNames,
+        NamedSessions,
         GracefulStop,
         Listener,
         Metrics,
@@ -65,7 +65,7 @@
         stop = kernel.need(GracefulStop)
         metrics = kernel.need(Metrics)
         StopGuard(stop, metrics).install(app)
-        protect(kernel, app, 'callers', metrics.refused)
+        install_request_middleware(kernel, app, 'callers', metrics.refused)
         kernel.listening['callers'] = await kernel.need(Listener).listen(
             kernel,
             app,
@@ -88,7 +88,7 @@
             dispatcher=dispatcher,
             runner=runner,
             pins=SessionPins(
-                kernel.need(SessionNames),
+                kernel.need(NamedSessions),
                 dispatcher,
                 configuration,
                 signer,
--- a/src/nutmegroad/callers/session_pins.py
+++ b/src/nutmegroad/callers/session_pins.py
@@ -3,8 +3,8 @@
 from dataclasses import replace
 
 from nutmegroad.callers.intake import Intake
-from nutmegroad.callers.session_names import SessionNames
-from nutmegroad.callers.sessions import SessionSigner, SessionToken
+from nutmegroad.callers.named_sessions import NamedSessions
+from nutmegroad.callers.session_tokens import SessionSigner, SessionToken
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.contracts.requests import ModelRequest, SessionClaim
 from nutmegroad.foundations.results import Refusal
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        names: SessionNames,
+        names: NamedSessions,
         dispatcher: Dispatcher,
         configuration: Configuration,
         signer: SessionSigner,
--- a/src/nutmegroad/daemon/part.py
+++ b/src/nutmegroad/daemon/part.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from nutmegroad.callers.session_names import SessionNames
+from nutmegroad.callers.named_sessions import NamedSessions
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.configuration.poller import ConfigurationPoller
 from nutmegroad.contracts.peers import Mesh
@@ -80,10 +80,10 @@
 
     async def open(self, kernel: Kernel) -> None:
         """Begin to answer other hosts."""
-        names = SessionNames(
+        names = NamedSessions(
             kernel.need(Table),
             kernel.need(Mesh),
             kernel.need(Duties),
             kernel.need(Invariants),
         )
-        kernel.provide(SessionNames, names)
+        kernel.provide(NamedSessions, names)
--- a/src/nutmegroad/operators/part.py
+++ b/src/nutmegroad/operators/part.py
@@ -9,8 +9,11 @@
     middleware,
 )
 
-from nutmegroad.callers._http_edge import BodyReader, protect
 from nutmegroad.callers._http_listener import Listener
+from nutmegroad.callers._http_middleware import (
+    BodyReader,
+    install_request_middleware,
+)
 from nutmegroad.configuration.changes import ConfigurationChanges
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.contracts.peers import Mesh
@@ -104,8 +107,8 @@
         app = interface.application()
         add_host_routes(app, kernel)
         count = kernel.need(Metrics).operator_refused
-        BodyReader(kernel.settings.body_timeout, count).protect(app)
-        protect(kernel, app, 'operators', count)
+        BodyReader(kernel.settings.body_timeout, count).install(app)
+        install_request_middleware(kernel, app, 'operators', count)
         kernel.listening['operators'] = await kernel.need(Listener).listen(
             kernel,
             app,
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -10,7 +10,7 @@
 import msgspec
 from aiohttp import ClientSession
 
-from nutmegroad.callers.sessions import SessionSigner, SessionToken
+from nutmegroad.callers.session_tokens import SessionSigner, SessionToken
 from nutmegroad.configuration.checks import check_document
 from nutmegroad.contracts.documents import WorkspaceEntry
 from nutmegroad.contracts.requests import SessionClaim
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from nutmegroad.callers.session_names import SessionNames
-from nutmegroad.callers.sessions import SessionSigner, SessionToken
+from nutmegroad.callers.named_sessions import NamedSessions
+from nutmegroad.callers.session_tokens import SessionSigner, SessionToken
 from nutmegroad.contracts.platform import (
     ABSENT,
     Conflict,
@@ -99,8 +99,8 @@
 
     def make_sessions(
         self, host: HostId, hosts: tuple[HostId, ...]
-    ) -> SessionNames:
-        return SessionNames(
+    ) -> NamedSessions:
+        return NamedSessions(
             self.table,
             self.mesh.join(host, DOMAIN),
             Duties(AllLive(host, hosts)),
