--- a/experiments/failed_stories.py
+++ b/experiments/failed_stories.py
@@ -11,7 +11,11 @@
 from collections import defaultdict
 from pathlib import Path
 
-from nutmegroad.cli.log_stories import LogLine, read_logs, story
+from nutmegroad.cli.request_timelines import (
+    LogLine,
+    read_logs,
+    request_timeline,
+)
 
 #: Refusals that a caller brought on itself.
 CALLERS_OWN = frozenset(('UNAUTHENTICATED', 'ROUTE_UNKNOWN', 'BODY_TOO_LARGE'))
@@ -59,7 +63,9 @@
         known += explained(lines, request)
         if not given.quiet:
             sys.stdout.write(f'\n{request}\n')
-            sys.stdout.writelines(f'{told}\n' for told in story(lines, request))
+            sys.stdout.writelines(
+                f'{told}\n' for told in request_timeline(lines, request)
+            )
     sys.stdout.write(
         f'{known} of {len(drawn)} explained, {len(requests)} failed\n'
     )
--- a/src/nutmegroad/cli/_cli_commands.py
+++ b/src/nutmegroad/cli/_cli_commands.py
@@ -10,7 +10,7 @@
 
 from nutmegroad.cli._cli_client import ExitCode, Failure, OperatorClient
 from nutmegroad.cli._cli_output import format_fields, format_value
-from nutmegroad.cli.log_stories import read_logs, story
+from nutmegroad.cli.request_timelines import read_logs, request_timeline
 from nutmegroad.configuration.checks import read_document
 from nutmegroad.contracts.documents import Document
 
@@ -56,7 +56,7 @@
         lines = read_logs(Path(name) for name in args.logs)
     except (OSError, UnicodeDecodeError) as problem:
         return Failure(ExitCode.USAGE, f'A log cannot be read: {problem}.')
-    entries = story(lines, args.request)
+    entries = request_timeline(lines, args.request)
     if entries:
         return {'story': entries}
     return Failure(
--- a/src/nutmegroad/cli/log_stories.py
+++ b/src/nutmegroad/cli/request_timelines.py
@@ -99,7 +99,7 @@
     return sorted(lines, key=lambda line: line.timestamp)
 
 
-def story(lines: list[LogLine], request: str) -> list[str]:
+def request_timeline(lines: list[LogLine], request: str) -> list[str]:
     """Return the timeline of a request; empty if no line has its id."""
     own = [line for line in lines if line.request == request]
     if not own:
--- a/tests/test_log_stories.py
+++ b/tests/test_request_timelines.py
@@ -5,8 +5,12 @@
 import unittest
 from pathlib import Path
 
-from nutmegroad.cli.log_stories import read_lines, read_logs, story
 from nutmegroad.cli.program import main
+from nutmegroad.cli.request_timelines import (
+    read_lines,
+    read_logs,
+    request_timeline,
+)
 
 
 def line(time: float, part: str, event: str, **more: object) -> str:
@@ -33,7 +37,7 @@
     def test_timeline_contains_all_hosts_and_their_state_changes(self) -> None:
         """Lines of other hosts and older state changes are excluded."""
         lines = sorted(read_lines(TEXT, 'f'), key=lambda each: each.timestamp)
-        timeline = story(lines, 'r1')
+        timeline = request_timeline(lines, 'r1')
         self.assertEqual(len(timeline), 3)
         self.assertIn('-1.000 s  host-1  followers: store lost', timeline[0])
         self.assertIn('code=X', timeline[1])
@@ -41,7 +45,9 @@
 
     def test_unknown_request_has_an_empty_timeline(self) -> None:
         """Lines of other requests are not used instead."""
-        self.assertEqual(story(list(read_lines(TEXT, 'f')), 'r9'), [])
+        self.assertEqual(
+            request_timeline(list(read_lines(TEXT, 'f')), 'r9'), []
+        )
 
 
 class CommandTest(unittest.TestCase):
