--- a/src/nutmegroad/operators/interface.py
+++ b/src/nutmegroad/operators/interface.py
@@ -224,7 +224,10 @@
             )
             conditions.append(_condition(ResultCode.ISOLATED, message))
         if configuration.is_behind:
-            message = f'The host lacks revision {configuration.highest_known_revision}.'
+            message = (
+                'The host lacks revision '
+                f'{configuration.highest_known_revision}.'
+            )
             code = ResultCode.CONFIGURATION_UNCONFIRMED
             conditions.append(_condition(code, message))
         if configuration.unrecorded:
