--- a/src/nutmegroad/contracts/__init__.py
+++ b/src/nutmegroad/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""What rooms ask of each other and of the platform: types and Protocols."""
+"""Types and Protocols between the subpackages, and those of the platform."""
--- a/src/nutmegroad/contracts/_watch_rows.py
+++ b/src/nutmegroad/contracts/_watch_rows.py
@@ -1,9 +1,9 @@
-"""What hosts tell each other about engines, in few bytes.
+"""Compact messages in which hosts exchange the load reports of engines.
 
-A row names a run of an engine (its id and address) by a hash of 32 bits,
-which takes 5 bytes instead of some 30. Two runs with the same hash are both
-left out, so that nobody takes the report of one for that of the other; who
-hears nothing of an engine asks it.
+A row identifies the endpoint of an engine (its id and address) by a 32-bit
+hash, which takes 5 bytes instead of about 30. Two endpoints with the same
+hash are both left out, so that no report is attributed to the wrong engine;
+a host that receives no report of an engine polls it itself.
 """
 
 from collections.abc import Iterable
@@ -17,25 +17,27 @@
 from nutmegroad.foundations.types import FencingNumber, UpstreamInfo, VersionId
 
 WATCH_PART: Final = 'watch'
-#: The cost of asking engines over HTTP; processor time counts as the watch's.
+#: The cost of polling engines over HTTP; processor time is charged to
+#: ``WATCH_PART``.
 REPORTS_PART: Final = 'reports'
 
-_LEAVING: Final = 1
+_DRAINING: Final = 1
 _CHECKS_FENCING: Final = 2
-_TENTHS: Final = 10
+_TENTHS_PER_SECOND: Final = 10
 
 
 class ReportRow(Struct, frozen=True, array_like=True):
-    """An engine's report.
+    """The load report of one engine, as an array on the wire.
 
     Attributes:
         run: Hash of the engine's id and address.
-        age: Tenths of a second since the engine was asked.
+        age: Tenths of a second since the engine was polled.
         running: Requests in its batch.
-        queued: Requests that wait.
+        queued: Requests in its queue.
         slots: Requests that its batch can hold.
-        flags: 1 if it is leaving, 2 if it checks fencing numbers.
-        versions: Places of its versions among the names of the message;
+        flags: Sum of 1 if the engine is draining and 2 if it checks fencing
+            numbers.
+        versions: Indices of its versions in the ``names`` of the message;
             None if they have not changed.
         fencing: Highest fencing number that it has seen.
     """
@@ -51,12 +53,12 @@
 
 
 class WatchReports(Message, frozen=True, tag='watch-reports', array_like=True):
-    """Tells the domain what engines have reported.
+    """Broadcasts engine reports within the failure domain.
 
     Attributes:
-        names: Names of versions.
-        rows: Reports.
-        failed: Runs that gave no report.
+        names: Names of versions, which the rows refer to by index.
+        rows: The reports.
+        failed: Endpoint hashes of the engines that could not be polled.
     """
 
     part: ClassVar[str] = WATCH_PART
@@ -68,17 +70,17 @@
 
 
 class LoadAsk(Message, frozen=True, tag='load-ask'):
-    """Asks a host of another domain for the reports of its engines."""
+    """Asks a host of another failure domain for the reports of its engines."""
 
     part: ClassVar[str] = WATCH_PART
 
 
 class LoadReply(Message, frozen=True, tag='load-reply', array_like=True):
-    """The reports of a domain's engines.
+    """Replies with the reports of a failure domain's engines.
 
     Attributes:
-        names: Names of versions.
-        rows: Reports.
+        names: Names of versions, which the rows refer to by index.
+        rows: The reports.
     """
 
     part: ClassVar[str] = WATCH_PART
@@ -88,10 +90,10 @@
 
 
 class RowWriter:
-    """Makes the rows of one message.
+    """Encodes the rows of one message.
 
     Args:
-        now: Clock seconds.
+        now: Clock seconds at which the message is sent.
     """
 
     def __init__(self, now: float) -> None:
@@ -101,25 +103,32 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Return the names that the rows refer to."""
+        """The names of versions that the rows refer to by index."""
         return tuple(self._names)
 
     @property
     def rows(self) -> tuple[ReportRow, ...]:
-        """Return the rows."""
+        """The rows added so far."""
         return tuple(self._rows)
 
     def add(self, state: UpstreamState, *, with_versions: bool) -> None:
-        """Add an engine's last report, if there was one."""
+        """Add the last report of an engine, if it has one.
+
+        Args:
+            state: The engine.
+            with_versions: Whether the row includes the loaded versions.
+        """
         report = state.report
         if report is None:
             return
-        versions = self._places(report) if with_versions else None
-        flags = _LEAVING * report.leaving
+        versions = self._version_indices(report) if with_versions else None
+        flags = _DRAINING * report.leaving
         flags += _CHECKS_FENCING * report.checks_fencing
         row = ReportRow(
             run=run_of(state.info),
-            age=max(0, round(_TENTHS * (self._now - state.reported))),
+            age=max(
+                0, round(_TENTHS_PER_SECOND * (self._now - state.reported))
+            ),
             running=report.running,
             queued=report.queued,
             slots=report.slots,
@@ -129,7 +138,7 @@
         )
         self._rows.append(row)
 
-    def _places(self, report: EngineReport) -> tuple[int, ...]:
+    def _version_indices(self, report: EngineReport) -> tuple[int, ...]:
         return tuple(
             self._names.setdefault(version, len(self._names))
             for version in report.versions
@@ -137,39 +146,39 @@
 
 
 class RunIndex:
-    """Finds engines by the hash of their run."""
+    """Finds engines by the hash of their endpoint."""
 
     def __init__(self) -> None:
         self._infos: tuple[UpstreamInfo, ...] = ()
         self._states: dict[int, UpstreamState] = {}
 
     def refresh(self, states: Iterable[UpstreamState]) -> None:
-        """Take in which upstreams there are now."""
+        """Rebuild the index if the set of upstreams has changed."""
         known = tuple(states)
         infos = tuple(state.info for state in known)
-        same = infos == self._infos
-        # The list's next reading brings equal entries that are other
-        # objects; kept, they are compared by identity from then on.
+        unchanged = infos == self._infos
+        # Each read of the host list creates new but equal entries. Keeping
+        # the new ones lets later comparisons succeed by identity.
         self._infos = infos
-        if same:
+        if unchanged:
             return
         self._states = {}
-        doubled: set[int] = set()
+        collisions: set[int] = set()
         for state in known:
             run = run_of(state.info)
             if run in self._states:
-                doubled.add(run)
+                collisions.add(run)
             self._states[run] = state
-        for twice in doubled:
-            self._states.pop(twice)
+        for run in collisions:
+            self._states.pop(run)
 
     def find(self, run: int) -> UpstreamState | None:
-        """Return the engine of a run, or None if it is not known."""
+        """Return the engine with a hash; None if unknown or ambiguous."""
         return self._states.get(run)
 
 
 def run_of(info: UpstreamInfo) -> int:
-    """Return the hash of an upstream's id and address."""
+    """Return the 32-bit hash of an upstream's id and address."""
     return xxhash.xxh32_intdigest(f'{info.upstream} {info.address}'.encode())
 
 
@@ -178,24 +187,34 @@
     names: tuple[str, ...],
     known: EngineReport | None,
 ) -> EngineReport | None:
-    """Return a row's report; None if its versions can't be told."""
+    """Return the report that a row encodes.
+
+    Args:
+        row: The row.
+        names: Names of versions, from the row's message.
+        known: The last report of the engine, whose versions are used if the
+            row has none; None if there is no such report.
+
+    Returns:
+        The report, or None if its versions are unknown.
+    """
     versions = () if known is None else known.versions
     if row.versions is None and known is None:
         return None
     if row.versions is not None:
-        places = [place for place in row.versions if place < len(names)]
-        versions = tuple(VersionId(names[place]) for place in places)
+        indices = [index for index in row.versions if index < len(names)]
+        versions = tuple(VersionId(names[index]) for index in indices)
     return EngineReport(
         versions=versions,
         running=row.running,
         queued=row.queued,
         slots=row.slots,
-        leaving=bool(row.flags & _LEAVING),
+        leaving=bool(row.flags & _DRAINING),
         checks_fencing=bool(row.flags & _CHECKS_FENCING),
         fencing=FencingNumber(row.fencing),
     )
 
 
 def age_of(row: ReportRow) -> float:
-    """Return the seconds between the question and the telling."""
-    return max(0, row.age) / _TENTHS
+    """Return the age of a report when its row was sent, in seconds."""
+    return max(0, row.age) / _TENTHS_PER_SECOND
--- a/src/nutmegroad/contracts/decisions.py
+++ b/src/nutmegroad/contracts/decisions.py
@@ -1,6 +1,6 @@
-"""The Protocols of the decisions, and the events that they learn from.
+"""Protocols of the routing policies, and the attempt events they observe.
 
-Policies register themselves under the kinds ``planner``, ``selector``,
+Policies are registered as plug-ins of the kinds ``planner``, ``selector``,
 ``admitter`` and ``retry budget``; a setting names the one that is used.
 """
 
@@ -23,15 +23,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStart:
-    """An attempt is about to send its first byte.
+    """The event that an attempt is about to send its first byte.
 
     Attributes:
-        attempt: Its id.
-        request: Its request.
-        workspace: Who asks.
+        attempt: The attempt.
+        request: The request that it belongs to.
+        workspace: The workspace of the caller.
         task: The task class.
-        version: The version that is to answer.
-        upstream: Where it goes.
+        version: The model version that is asked.
+        upstream: The upstream that is asked.
     """
 
     attempt: AttemptId
@@ -44,20 +44,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """An attempt has ended, well or not.
+    """The event that an attempt has ended, successfully or not.
 
     Attributes:
-        start: What was announced when it began.
-        code: How it ended; ``OK`` for a whole answer.
-        first_token: Seconds to the first piece; None if none came.
-        seconds: Seconds from beginning to end.
-        prompt_tokens: Tokens read.
-        output_tokens: Tokens written.
-        cost: What it cost.
-        text: The whole answer, if there was one.
-        cached_tokens: Prompt tokens that the engine had in its cache.
-        out_of_time: Its caller's time was up, or its caller left, while the
-            upstream was at work: this says nothing of version and upstream.
+        start: The event of its start.
+        code: The result; ``OK`` for a complete answer.
+        first_token: Seconds to the first piece; None if none was received.
+        seconds: Seconds from start to end.
+        prompt_tokens: Tokens in the prompt.
+        output_tokens: Tokens in the answer.
+        cost: Cost of the attempt.
+        text: The complete answer, if there was one.
+        cached_tokens: Prompt tokens found in the engine's prefix cache.
+        out_of_time: Whether the deadline passed or the caller disconnected
+            while the upstream was working. Such an end is no evidence about
+            the version or the upstream.
     """
 
     start: AttemptStart
@@ -73,44 +74,44 @@
 
 
 class Observer(Protocol):
-    """Learns from attempts; it must be quick and never raise."""
+    """Receives attempt events; its methods must return fast and never raise."""
 
     def started(self, start: AttemptStart) -> None:
-        """Note that an attempt begins."""
+        """Process the start of an attempt."""
 
     def ended(self, end: AttemptEnd) -> None:
-        """Note how an attempt ended."""
+        """Process the end of an attempt."""
 
 
 class Observers:
-    """Hands events of attempts to all that asked for them."""
+    """Forwards attempt events to all registered observers."""
 
     def __init__(self) -> None:
         self._observers: list[Observer] = []
 
     def add(self, observer: Observer) -> None:
-        """Hand all later events to an observer too."""
+        """Register an observer for all later events."""
         self._observers.append(observer)
 
     def started(self, start: AttemptStart) -> None:
-        """Tell all observers that an attempt begins."""
+        """Forward the start of an attempt."""
         for observer in self._observers:
             observer.started(start)
 
     def ended(self, end: AttemptEnd) -> None:
-        """Tell all observers how an attempt ended."""
+        """Forward the end of an attempt."""
         for observer in self._observers:
             observer.ended(end)
 
 
 class Planner(Protocol):
-    """Chooses the versions that a request is to be answered by."""
+    """Chooses the model versions that answer a request."""
 
     def plan(self, request: ModelRequest) -> Plan | Refusal:
         """Return the cheapest plan that meets the request's target."""
 
     def estimate(self, request: ModelRequest, end: AttemptEnd) -> float:
-        """Return the estimated quality of an answer of a cascade's step."""
+        """Return the estimated quality of the answer of a cascade step."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,9 +119,9 @@
     """The upstream that a selector chose.
 
     Attributes:
-        state: The upstream.
+        state: The chosen upstream.
         expected: Estimated seconds to the first token.
-        reason: Why this one, in one sentence.
+        reason: Why it was chosen, in one sentence.
     """
 
     state: UpstreamState
@@ -129,7 +130,7 @@
 
 
 class Selector(Protocol):
-    """Chooses the upstream that an attempt goes to."""
+    """Chooses the upstream for an attempt."""
 
     def choose(
         self,
@@ -137,11 +138,11 @@
         version: VersionId,
         excluded: frozenset[UpstreamId],
     ) -> Choice | Refusal:
-        """Return an upstream that has the version and is not excluded."""
+        """Return an upstream that serves the version and is not excluded."""
 
 
 class Admitter(Protocol):
-    """Lets requests in, or refuses them at once."""
+    """Admits requests, or refuses them."""
 
     async def admit(
         self,
@@ -151,26 +152,30 @@
 
 
 class Spender(Protocol):
-    """Whose retries they are: a model request, or a call to a service."""
+    """What a retry is charged to: a model request, or a service call."""
 
     @property
     def request(self) -> RequestId:
-        """Its id."""
+        """The id of the request."""
 
     @property
     def workspace(self) -> WorkspaceId:
-        """Who asks."""
+        """The workspace of the caller."""
 
 
 class RetryBudget(Protocol):
-    """Bounds retries to a share of the traffic."""
+    """Limits retries to a fraction of the traffic."""
 
     def spend(self, request: Spender) -> bool:
-        """Take one retry out of the budget, if there is one."""
+        """Take one retry out of the budget.
+
+        Returns:
+            Whether the budget had a retry left.
+        """
 
 
 class Quarantine(Protocol):
-    """Versions that this host has stopped using on its own evidence."""
+    """Versions that this host has blocked because of its own evidence."""
 
     def blocked(self, version: VersionId, task: TaskName) -> Refusal | None:
-        """Return why a version gets no work of a task, or None."""
+        """Return why a version is blocked for a task class, or None."""
--- a/src/nutmegroad/contracts/documents.py
+++ b/src/nutmegroad/contracts/documents.py
@@ -1,7 +1,8 @@
-"""The configuration document: its typed schema.
+"""The typed schema of the configuration document.
 
-Operators write it as TOML. It is stored as canonical JSON, an immutable
-object that is named by its digest. Cross-checks live in ``checks``.
+Operators write the document as TOML. It is stored as canonical JSON, in an
+immutable object that is named by its digest. Checks across fields are in
+``nutmegroad.configuration.checks``.
 """
 
 import hashlib
@@ -35,7 +36,7 @@
 
 @unique
 class Stage(Enum):
-    """How far a version has come."""
+    """Whether a version is fully released or being rolled out."""
 
     STEADY = 'steady'
     ROLLOUT = 'rollout'
@@ -43,7 +44,7 @@
 
 @unique
 class Isolation(Enum):
-    """What a workspace gets from a host that nothing has confirmed."""
+    """What a host without a confirmed configuration does for a workspace."""
 
     SERVE = 'serve'
     REFUSE = 'refuse'
@@ -51,7 +52,7 @@
 
 @unique
 class Concern(Enum):
-    """The measure that a workspace weighs most."""
+    """The measure that matters most to a workspace."""
 
     COST = 'cost'
     LATENCY = 'latency'
@@ -69,22 +70,22 @@
 class DocumentPart(
     Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """Base of all parts of the document: unknown fields are refused."""
+    """Base of all sections of the document; rejects unknown fields."""
 
 
 class VersionEntry(DocumentPart):
-    """A version of a model.
+    """A version of a model, and its prices.
 
     Attributes:
         id: ``model@version``.
         price_in: Cost of 1,000 prompt tokens.
         price_out: Cost of 1,000 output tokens.
-        quality: What its owner says of its quality by task, from 0 to 1;
+        quality: Quality by task class as stated by its owner, from 0 to 1;
             a prior that ratings correct.
         stage: Steady, or being rolled out.
-        epoch: Counts how often it was allowed anew after a withdrawal.
-        replaces: The version that a roll-out is compared with.
-        isolated: Whether a host that nothing confirms may use it.
+        epoch: Number of times that it was allowed again after a withdrawal.
+        replaces: The version that it is compared with during its rollout.
+        isolated: Whether a host without a confirmed configuration may use it.
     """
 
     id: VersionText
@@ -98,22 +99,22 @@
 
     @property
     def version(self) -> VersionId:
-        """Return the id as its own type."""
+        """The id as a ``VersionId``."""
         return VersionId(self.id)
 
 
 class TaskEntry(DocumentPart):
-    """A task class: requests that are alike.
+    """A task class: requests of the same kind.
 
     Attributes:
-        name: Its name; callers give it as the model.
+        name: The name, which callers give as the model.
         target: Quality that an answer must reach, from 0 to 1.
-        output_tokens: Tokens that an answer usually has.
-        max_tokens: Tokens that an answer may have.
-        repeatable: Whether a request may run twice.
-        deadline: Seconds, where a request states none.
-        priority: Smaller numbers go first.
-        cascade: Whether a cheap version may be tried first.
+        output_tokens: Typical number of tokens in an answer.
+        max_tokens: Maximum number of tokens in an answer.
+        repeatable: Whether a request may be executed more than once.
+        deadline: Default deadline in seconds, for requests without one.
+        priority: Priority; smaller numbers are served first.
+        cascade: Whether a cheap version may be asked first.
     """
 
     name: Name
@@ -127,20 +128,21 @@
 
 
 class WorkspaceEntry(DocumentPart):
-    """A workspace: who may use what, and what it needs.
+    """A workspace: its key, its permissions and its requirements.
 
     Attributes:
-        name: Its name.
-        key_hash: SHA-256 of its callers' key, hexadecimal.
-        old_key_hash: The same of a key that still holds while callers
-            change over to the new one; None if there is none.
+        name: The name.
+        key_hash: SHA-256 of the key of its callers, hexadecimal.
+        old_key_hash: SHA-256 of the previous key, which stays valid while
+            callers switch to the new one; None if there is none.
         versions: Versions that it may use.
         services: Plain services that it may call.
         share: Its weight when capacity is short.
-        concern: The measure that it weighs most.
+        concern: The measure that matters most to it.
         isolation: Whether an isolated host may serve it.
-        isolation_limit: Seconds of isolation after which it is refused.
-        targets: Its own quality targets by task.
+        isolation_limit: Seconds of isolation after which its requests are
+            refused.
+        targets: Its own quality targets by task class.
     """
 
     name: Name
@@ -156,24 +158,25 @@
 
     @property
     def key_hashes(self) -> tuple[str, ...]:
-        """Return the hashes of all keys that hold, the newest first."""
+        """The hashes of all valid keys, the newest first."""
         if self.old_key_hash is None:
             return (self.key_hash,)
         return (self.key_hash, self.old_key_hash)
 
     @property
     def workspace(self) -> WorkspaceId:
-        """Return the name as its own type."""
+        """The name as a ``WorkspaceId``."""
         return WorkspaceId(self.name)
 
 
 class PresetTask(DocumentPart):
-    """What a preset says of a task class.
+    """The settings of a preset for one task class.
 
     Attributes:
         task: The task class.
         versions: Versions that its plans may use.
-        target: Quality target that holds under this preset, if another.
+        target: Quality target under this preset; None for that of the task
+            class.
     """
 
     task: Name
@@ -182,11 +185,11 @@
 
 
 class RolloutShare(DocumentPart):
-    """The most that a version in roll-out may get under a preset.
+    """The maximum traffic share of a version in rollout under a preset.
 
     Attributes:
         version: The version.
-        share: Share of its tasks' requests, from 0 to 1.
+        share: Fraction of the requests of its tasks, from 0 to 1.
     """
 
     version: VersionText
@@ -194,14 +197,15 @@
 
 
 class PresetEntry(DocumentPart):
-    """A preset, such as an ordinary day's; exactly one is in force.
+    """A set of routing settings, such as for peak load; one is in force.
 
     Attributes:
-        name: Its name.
-        tasks: What it says of each task class.
-        rollouts: Bounds for versions in roll-out.
-        preload: Versions by how many engines ought to have them loaded.
-        queue_limit: Requests that may wait for each engine slot.
+        name: The name.
+        tasks: Settings for each task class.
+        rollouts: Maximum traffic shares of versions in rollout.
+        preload: Number of engines that should have a version loaded, by
+            version.
+        queue_limit: Requests that may wait, per engine slot.
     """
 
     name: Name
@@ -212,17 +216,17 @@
 
     @property
     def preset(self) -> PresetName:
-        """Return the name as its own type."""
+        """The name as a ``PresetName``."""
         return PresetName(self.name)
 
 
 class CallRule(DocumentPart):
-    """Which calls of a plain service may be repeated.
+    """A rule about which calls of a plain service may be repeated.
 
     Attributes:
         method: HTTP method.
-        path: Path pattern in the manner of ``fnmatch``.
-        repeatable: Whether such a call may run twice.
+        path: Path pattern with the syntax of ``fnmatch``.
+        repeatable: Whether a matching call may be executed more than once.
     """
 
     method: Annotated[str, Meta(pattern='^[A-Z]{3,7}$')]
@@ -234,9 +238,10 @@
     """A plain service.
 
     Attributes:
-        name: Its name.
-        calls: Rules; the first that fits holds. None means not repeatable.
-        timeout: Seconds that a call may take.
+        name: The name.
+        calls: Rules, of which the first match applies; a call that matches
+            none is not repeatable.
+        timeout: Timeout of a call, in seconds.
     """
 
     name: Name
@@ -245,7 +250,7 @@
 
     @property
     def service(self) -> ServiceName:
-        """Return the name as its own type."""
+        """The name as a ``ServiceName``."""
         return ServiceName(self.name)
 
 
@@ -253,9 +258,9 @@
     """An operator.
 
     Attributes:
-        name: Its name.
-        token_hash: SHA-256 of its token, hexadecimal.
-        role: What it may do.
+        name: The name.
+        token_hash: SHA-256 of the operator's token, hexadecimal.
+        role: What the operator may do.
     """
 
     name: Name
@@ -264,17 +269,17 @@
 
     @property
     def operator(self) -> OperatorId:
-        """Return the name as its own type."""
+        """The name as an ``OperatorId``."""
         return OperatorId(self.name)
 
 
 class Document(DocumentPart):
-    """One configuration, whole.
+    """A complete configuration.
 
     Attributes:
-        format: Version of this schema.
-        name: The deployment's name.
-        versions: Models and versions.
+        format: Version of the schema.
+        name: Name of the deployment.
+        versions: Versions of models.
         tasks: Task classes.
         workspaces: Workspaces.
         presets: Presets.
@@ -292,63 +297,64 @@
     operators: tuple[OperatorEntry, ...] = ()
 
     def version(self, version: VersionId) -> VersionEntry | None:
-        """Return a version's entry, or None if it has none."""
-        return next((ent for ent in self.versions if ent.id == version), None)
+        """Return the entry of a version, or None if there is none."""
+        return next((it for it in self.versions if it.id == version), None)
 
     def task(self, task: TaskName) -> TaskEntry | None:
-        """Return a task class's entry, or None if it has none."""
-        return next((ent for ent in self.tasks if ent.name == task), None)
+        """Return the entry of a task class, or None if there is none."""
+        return next((it for it in self.tasks if it.name == task), None)
 
     def preset(self, preset: PresetName) -> PresetEntry | None:
-        """Return a preset's entry, or None if it has none."""
-        return next((ent for ent in self.presets if ent.name == preset), None)
+        """Return the entry of a preset, or None if there is none."""
+        return next((it for it in self.presets if it.name == preset), None)
 
     def service(self, service: ServiceName) -> ServiceEntry | None:
-        """Return a plain service's entry, or None if it has none."""
-        return next((ent for ent in self.services if ent.name == service), None)
+        """Return the entry of a plain service, or None if there is none."""
+        return next((it for it in self.services if it.name == service), None)
 
 
 class Withdrawal(Struct, frozen=True, order=True):
-    """The fact that a version was withdrawn; it is never taken back.
+    """The withdrawal of a version, which is permanent.
 
     Attributes:
         version: The version.
-        epoch: The version's epochs up to this one are withdrawn.
+        epoch: Highest epoch of the version that is withdrawn; all epochs up
+            to it are.
     """
 
     version: str
     epoch: int
 
     def covers(self, version: VersionId, epoch: Epoch) -> bool:
-        """Tell whether this fact speaks of that version and epoch."""
+        """Return whether the epoch of a version is withdrawn by this."""
         return version == self.version and epoch <= self.epoch
 
 
 def encode_document(document: Document) -> bytes:
-    """Return the canonical form, the same bytes for the same document."""
+    """Encode a document as canonical JSON: equal documents, equal bytes."""
     return msgspec.json.encode(document, order='sorted')
 
 
 def decode_document(content: bytes) -> Document:
-    """Read the canonical form.
+    """Decode a document from canonical JSON.
 
     Raises:
-        msgspec.ValidationError: If the content is no such document.
+        msgspec.ValidationError: If the content is not a valid document.
     """
     return msgspec.json.decode(content, type=Document)
 
 
 def parse_document(text: str) -> Document:
-    """Read what an operator wrote, as TOML.
+    """Parse a document from the TOML that an operator wrote.
 
     Raises:
-        msgspec.DecodeError: If it is no TOML.
-        msgspec.ValidationError: If a field is wrong; the message ends with
-            the field's path.
+        msgspec.DecodeError: If the text is not valid TOML.
+        msgspec.ValidationError: If a field is invalid; the message ends with
+            the path of the field.
     """
     return msgspec.toml.decode(text, type=Document)
 
 
 def digest_of(content: bytes) -> Digest:
-    """Return the name under which content is stored."""
+    """Return the SHA-256 digest that names a stored document."""
     return Digest(hashlib.sha256(content).hexdigest())
--- a/src/nutmegroad/contracts/fences.py
+++ b/src/nutmegroad/contracts/fences.py
@@ -1,7 +1,8 @@
-"""The fence of one request: what of it has gone out, and until when it may.
+"""Fences, which limit when and how often a request is sent to upstreams.
 
-The gate of each attempt asks the fence last, in the step in which the
-first byte goes out. So the fence knows what was sent, whoever sent it.
+The gate of each attempt checks the fence of the request last, in the same
+event-loop step in which the first byte is sent. So the fence counts every
+attempt that was sent, whichever code sent it.
 """
 
 from dataclasses import dataclass
@@ -18,13 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceTerms:
-    """What a fence holds a request to.
+    """The limits that a fence enforces.
 
     Attributes:
         request: The request.
-        repeatable: Whether it may run twice.
-        send_by: Clock seconds after which its first byte may not go out;
-            None for a request without a lease.
+        repeatable: Whether the request may be executed more than once.
+        send_by: Clock seconds at which its lease expires, from when on no
+            first byte may be sent; None for a request without a lease.
     """
 
     request: RequestId
@@ -33,15 +34,15 @@
 
 
 class Fence:
-    """Lets the first bytes of one request's attempts pass.
+    """Decides whether the first byte of an attempt of a request may be sent.
 
-    A host that was paused for longer than its lease finds it lapsed here:
-    the clock is monotonic and goes on while the process stands still.
+    A host that was paused for longer than the lease of the request detects
+    the expiry here, since the monotonic clock advances during the pause.
 
     Args:
-        terms: What the request is held to.
+        terms: The limits to enforce.
         clock: The host's clock.
-        invariants: Told whether the request went out too often.
+        invariants: Records whether the request was sent too often.
     """
 
     def __init__(
@@ -57,49 +58,53 @@
 
     @property
     def passed(self) -> int:
-        """Return how many attempts went out and may have run."""
+        """The number of attempts that were sent and may have been executed."""
         return self._passed
 
     def check(self) -> Refusal | None:
-        """Let a first byte go out now, or say why not."""
+        """Admit and count an attempt that is sent now.
+
+        Returns:
+            None if it may be sent, otherwise why not.
+        """
         terms = self._terms
         if terms.send_by is not None and self._clock.now() >= terms.send_by:
             return Refusal(
                 ResultCode.HOST_PAUSED,
-                'The lease of the request lapsed before it was sent.',
+                'The lease of the request expired before it was sent.',
                 retry_after=1,
             )
         if not terms.repeatable and not self._invariants.check(
             ONE_DISPATCH,
             self._passed == 0,
-            f'the request {terms.request} was about to go out again',
+            f'request {terms.request} was about to be sent again',
         ):
             return Refusal(
                 ResultCode.OUTCOME_UNKNOWN,
-                'The request went out before and may not be repeated.',
+                'The request was sent before and may not be repeated.',
                 Ran.UNKNOWN,
             )
         self._passed += 1
         return None
 
     def attempt(self) -> 'AttemptFence':
-        """Return the way of one attempt through the fence."""
+        """Return the fence of a new attempt."""
         return AttemptFence(self)
 
     def withdraw(self) -> None:
-        """Take in that an attempt that went out was proved not run."""
+        """Subtract an attempt that was sent but proved not to have run."""
         self._passed -= 1
 
     def review(self, refusal: Refusal) -> Refusal:
-        """Return a refusal, put right if it says ``not run`` falsely."""
-        claims = refusal.ran is Ran.NOT_RUN
-        held = self._invariants.check(
+        """Return a refusal, corrected if it wrongly claims ``NOT_RUN``."""
+        claims_not_run = refusal.ran is Ran.NOT_RUN
+        is_true = self._invariants.check(
             TRUE_NOT_RUN,
-            not claims or self._passed == 0,
-            f'the request {self._terms.request} is refused as not run by '
-            f'{refusal.code.name}, and it went out',
+            not claims_not_run or self._passed == 0,
+            f'request {self._terms.request} is refused as not run with '
+            f'{refusal.code.name}, but it was sent',
         )
-        if held:
+        if is_true:
             return refusal
         return Refusal(
             refusal.code,
@@ -110,12 +115,12 @@
 
 
 class AttemptFence:
-    """The way of one attempt through its request's fence.
+    """The part of a request's fence that belongs to one attempt.
 
-    An attempt that is resumed at the upstream that has it passes once.
+    An attempt that is resumed at its upstream is counted only once.
 
     Args:
-        fence: The fence.
+        fence: The fence of the request.
     """
 
     def __init__(self, fence: Fence) -> None:
@@ -124,7 +129,11 @@
         self._ran = False
 
     def check(self) -> Refusal | None:
-        """Let the attempt's first byte go out now, or say why not."""
+        """Admit the attempt if it is sent now for the first time.
+
+        Returns:
+            None if it may be sent, otherwise why not.
+        """
         if self._passed:
             return None
         refusal = self._fence.check()
@@ -132,7 +141,11 @@
         return refusal
 
     def end(self, reply: object) -> None:
-        """Take in how the attempt ended: whatever came, or a refusal."""
+        """Record the end of the attempt.
+
+        Args:
+            reply: The reply of the upstream, or a refusal.
+        """
         not_run = isinstance(reply, Refusal) and reply.ran is Ran.NOT_RUN
         if not self._passed or self._ran:
             return
@@ -140,5 +153,6 @@
             self._passed = False
             self._fence.withdraw()
         else:
-            # What resumes it later and fails unsent does not undo that.
+            # A later attempt to resume it that fails before it is sent does
+            # not change that the attempt may have run.
             self._ran = True
--- a/src/nutmegroad/contracts/peers.py
+++ b/src/nutmegroad/contracts/peers.py
@@ -1,4 +1,4 @@
-"""Messages between hosts, and the Protocol of the links that carry them."""
+"""The base of messages between hosts, and the Protocol of their links."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -17,17 +17,17 @@
 
 
 class Message(Struct, frozen=True, tag_field='type'):
-    """Base of what hosts say to each other.
+    """Base of the messages that hosts send to each other.
 
-    A subclass states ``tag='a-name'``; the links register it when a
+    A subclass sets ``tag='a-name'``; the links register the type when a
     handler for it is added. Its fields are plain data.
 
     Attributes:
-        part: Whose control cost the kind is.
-        replaceable: Whether a later message makes an earlier one needless,
-            so that a full queue may drop it.
-        lazy: Whether it may wait for the next message that is not, such as
-            a heartbeat, and go out in the same segment.
+        part: The name under which the cost of the type is accounted.
+        replaceable: Whether a later message supersedes an earlier one, so
+            that a full queue may drop the earlier one.
+        lazy: Whether it may be delayed until the next message that is not
+            lazy, such as a heartbeat, to be sent in the same segment.
     """
 
     part: ClassVar[str] = 'other'
@@ -37,21 +37,21 @@
 
 Sent = TypeVar('Sent', bound=Message)
 
-#: Handles a message from a host; a message returned is the reply.
+#: Handles a message from a host, and returns the reply if there is one.
 Handler = Callable[[HostId, Sent], Awaitable[Message | None]]
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Another host, as the links know it now.
+    """The current state of another host, as known to this host.
 
     Attributes:
-        host: Its id.
-        incarnation: Which run of it.
+        host: The id of the host.
+        incarnation: Its incarnation, which changes with each restart.
         domain: Its failure domain.
-        address: Where it listens to peers.
-        presence: Live, leaving or gone.
-        heard: Clock seconds at which it was last heard.
+        address: The address on which it listens for peers.
+        presence: Whether it is live, leaving or gone.
+        heard: Clock seconds at which it was last seen.
     """
 
     host: HostId
@@ -63,19 +63,19 @@
 
 
 class Mesh(Protocol):
-    """Links to other hosts: all of this domain, a few of the others."""
+    """The links to all hosts of this failure domain and some of the others."""
 
     def members(self) -> tuple[Member, ...]:
-        """Return the hosts that are live or leaving, as known now."""
+        """Return the other hosts that are currently live or leaving."""
 
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
-        """Register what is done with messages of a kind."""
+        """Register the handler for messages of a type."""
 
     def tell(self, host: HostId, message: Message) -> bool:
-        """Queue a message to a host; false if there is no link to it."""
+        """Queue a message to a host; return false if there is no link to it."""
 
     def tell_all(self, message: Message) -> int:
-        """Queue a message on every link, and return how many."""
+        """Queue a message on every link; return the number of links."""
 
     async def ask(
         self,
@@ -83,4 +83,10 @@
         message: Message,
         timeout: float,
     ) -> Message | Refusal:
-        """Send a message and wait for its reply."""
+        """Send a message and wait for its reply.
+
+        Args:
+            host: The receiver.
+            message: The message.
+            timeout: Seconds to wait for the reply.
+        """
--- a/src/nutmegroad/contracts/platform.py
+++ b/src/nutmegroad/contracts/platform.py
@@ -1,7 +1,7 @@
-"""What the platform gives: a Protocol for each of its services.
+"""Protocols of the services that the platform provides.
 
-Adapters register themselves under these kinds (see ``registry``):
-``table``, ``objects``, ``host list``, ``ratings`` and ``weights``.
+Adapters are registered as plug-ins of the kinds ``table``, ``objects``,
+``host list``, ``ratings`` and ``weights`` (see ``kernel.registry``).
 """
 
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 RowKey = NewType('RowKey', str)
 RowVersion = NewType('RowVersion', int)
 
-#: The version that a row has before it is first written.
+#: The version of a row that was never written.
 ABSENT = RowVersion(0)
 
 
@@ -28,9 +28,9 @@
     """A row of the table service.
 
     Attributes:
-        key: Its name.
-        text: Its value.
-        version: Grows by one with each write; ``ABSENT`` if never written.
+        key: The key.
+        text: The value.
+        version: Incremented by each write; ``ABSENT`` if never written.
     """
 
     key: RowKey
@@ -40,12 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RowWrite:
-    """A write that takes effect only on the expected version.
+    """A conditional write: it requires the expected version of the row.
 
     Attributes:
-        key: The row.
-        text: Its new value.
-        expected: The version that the row must have; ``ABSENT`` for none.
+        key: The key of the row.
+        text: The new value.
+        expected: The version that the row must have; ``ABSENT`` if the row
+            must not exist.
     """
 
     key: RowKey
@@ -55,60 +56,60 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A write did not take effect, since a row had moved on.
+    """The result of a commit in which a row had an unexpected version.
 
-    It is false, as a refusal is.
+    Like a refusal, it is false in a condition.
 
     Attributes:
-        row: The row as it stands; version ``ABSENT`` if there is none.
+        row: The current row; its version is ``ABSENT`` if there is none.
     """
 
     row: Row
 
     def __bool__(self) -> bool:
-        """Return false, always."""
+        """Return false."""
         return False
 
 
 class Table(Protocol):
     """The transactional table service.
 
-    A refusal whose ``ran`` is ``UNKNOWN`` may hide a write that took
-    effect; the writer reads back and looks for its own nonce.
+    After a refusal whose ``ran`` is ``UNKNOWN`` the write may have taken
+    effect; the writer reads the row back and looks for its own nonce.
     """
 
     async def read(self, key: RowKey) -> Row | Refusal:
-        """Return a row; one that was never written has ``ABSENT``."""
+        """Return a row; its version is ``ABSENT`` if it was never written."""
 
     async def scan(self, prefix: str) -> tuple[Row, ...] | Refusal:
-        """Return the rows whose keys begin with ``prefix``, in order."""
+        """Return the rows whose keys start with ``prefix``, in order."""
 
     async def commit(
         self,
         writes: tuple[RowWrite, ...],
     ) -> tuple[Row, ...] | Conflict | Refusal:
-        """Do all the writes or none, and return the new rows."""
+        """Apply all writes atomically and return the new rows."""
 
 
 class Objects(Protocol):
-    """The object store; an object never changes once it is stored."""
+    """The object store; stored objects are immutable."""
 
     async def put(self, name: str, content: bytes) -> Refusal | None:
-        """Store an object; storing the same again changes nothing."""
+        """Store an object; storing the same object again has no effect."""
 
     async def fetch(self, name: str) -> bytes | Refusal:
-        """Return an object's content."""
+        """Return the content of an object."""
 
     async def names(self, prefix: str) -> tuple[str, ...] | Refusal:
-        """Return the names that begin with ``prefix``, in order."""
+        """Return the object names that start with ``prefix``, in order."""
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """What the host list says at one moment; it lags behind the truth.
+    """The content of the host list at one time, which may be out of date.
 
     Attributes:
-        hosts: Entry hosts of ours.
+        hosts: Hosts of this router.
         upstreams: Engines and plain services.
     """
 
@@ -117,21 +118,21 @@
 
 
 class HostList(Protocol):
-    """The lagging list of live and leaving hosts."""
+    """The list of live and leaving hosts and upstreams, which may lag."""
 
     async def listing(self) -> Listing | Refusal:
-        """Return the list as the platform has it."""
+        """Return the current content of the list."""
 
 
 @dataclass(frozen=True, slots=True)
 class RatedAnswer:
-    """An answer that is given to the rating service.
+    """An answer that is submitted to the rating service.
 
     Attributes:
-        request: Its request.
+        request: The request that it answers.
         task: The task class.
-        version: The version that wrote it.
-        text: The whole answer.
+        version: The version that produced it.
+        text: The complete answer.
     """
 
     request: RequestId
@@ -142,13 +143,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Rating:
-    """A rating that came back.
+    """A rating of an answer, read from the feed of the rating service.
 
     Attributes:
-        position: Place in the feed; the next read starts after it.
-        request: Its request.
+        position: Position in the feed, after which the next read starts.
+        request: The request whose answer was rated.
         task: The task class.
-        version: The version that was rated.
+        version: The rated version.
         score: From 0 (useless) to 1 (perfect).
     """
 
@@ -160,17 +161,17 @@
 
 
 class Ratings(Protocol):
-    """The rating service: answers go in, ratings come out later."""
+    """The rating service, which rates submitted answers asynchronously."""
 
     async def submit(self, answer: RatedAnswer) -> Refusal | None:
-        """Hand an answer in for rating."""
+        """Submit an answer for rating."""
 
     async def feed(self, after: int) -> tuple[Rating, ...] | Refusal:
-        """Return ratings whose position is greater than ``after``."""
+        """Return the ratings whose position is greater than ``after``."""
 
 
 class Weights(Protocol):
-    """The weight store, as far as we need it: how many loads it bears."""
+    """The weight store, of which only the load capacity is used here."""
 
     async def loads_per_minute(self) -> float | Refusal:
-        """Return how many weight loads a minute the store serves."""
+        """Return how many weight loads per minute the store can serve."""
--- a/src/nutmegroad/contracts/problems.py
+++ b/src/nutmegroad/contracts/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with a configuration document, and where."""
+"""Problems found in a configuration document, and checks of its names."""
 
 from collections.abc import Collection, Iterable, Iterator
 from dataclasses import dataclass
@@ -6,12 +6,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """A field that is wrong.
+    """An invalid field.
 
     Attributes:
-        path: The field's path, such as ``$.presets[0].tasks[2].task``.
-        wrong: What is wrong, with the bad value.
-        expected: What would be right.
+        path: Path of the field, such as ``$.presets[0].tasks[2].task``.
+        wrong: What is wrong, including the invalid value.
+        expected: What a valid value would be.
     """
 
     path: str
@@ -19,31 +19,31 @@
     expected: str
 
     def __str__(self) -> str:
-        """Return one sentence for a person."""
+        """Return the problem as one sentence."""
         return f'{self.path}: {self.wrong}; expected {self.expected}.'
 
 
 def choices_of(names: Collection[str]) -> str:
-    """Return the names as the end of a sentence."""
+    """Return the valid names as the end of a sentence."""
     quoted = ', '.join(f'"{name}"' for name in sorted(names))
     return f'one of {quoted}' if quoted else 'none, as none is defined'
 
 
 def repeated(path: str, names: Iterable[str]) -> Iterator[Problem]:
-    """Find names that stand twice.
+    """Yield a problem for each name that repeats an earlier one.
 
     Args:
-        path: Path of a name, with ``{0}`` for its place.
+        path: Path of a name, with ``{0}`` for its index.
         names: The names, in order.
     """
     seen: dict[str, int] = {}
-    for place, name in enumerate(names):
-        first = seen.setdefault(name, place)
-        if first != place:
+    for index, name in enumerate(names):
+        first = seen.setdefault(name, index)
+        if first != index:
             yield Problem(
-                path.format(place),
-                f'"{name}" stands at {path.format(first)} already',
-                'a value of its own',
+                path.format(index),
+                f'"{name}" is already used at {path.format(first)}',
+                'a unique value',
             )
 
 
@@ -53,17 +53,17 @@
     names: Iterable[str],
     known: Collection[str],
 ) -> Iterator[Problem]:
-    """Find names that nothing defines.
+    """Yield a problem for each name that is not defined.
 
     Args:
         path: Path of the field that holds the names.
-        kind: What they name, such as ``version``.
+        kind: What the names refer to, such as ``version``.
         names: The names.
-        known: Names that are defined.
+        known: The defined names.
     """
     for name in names:
         if name not in known:
-            wrong = f'there is no {kind} "{name}" to refer to'
+            wrong = f'{kind} "{name}" is not defined'
             yield Problem(path, wrong, choices_of(known))
 
 
@@ -73,7 +73,7 @@
     names: Collection[str],
     known: Collection[str],
 ) -> Iterator[Problem]:
-    """Find names in a list that stand twice or that nothing defines."""
+    """Yield the problems of a list of names: duplicates and undefined ones."""
     yield from repeated(f'{path}[{{0}}]', names)
-    for place, name in enumerate(names):
-        yield from unknown(f'{path}[{place}]', kind, (name,), known)
+    for index, name in enumerate(names):
+        yield from unknown(f'{path}[{index}]', kind, (name,), known)
--- a/src/nutmegroad/contracts/requests.py
+++ b/src/nutmegroad/contracts/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request, as every decision sees it."""
+"""A model request of a caller, and the plan for answering it."""
 
 from dataclasses import dataclass
 
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionClaim:
-    """What a session is held to.
+    """The version that a session is bound to.
 
     Attributes:
-        name: The session's name.
-        version: The version that it keeps.
-        epoch: The version's epoch when the session began.
+        name: Name of the session.
+        version: The version that answers all requests of the session.
+        epoch: The epoch of the version when the session started.
     """
 
     name: str
@@ -34,24 +34,24 @@
     """A request to a model.
 
     Attributes:
-        request: Its id.
-        workspace: Who asks.
-        concern: The measure that the workspace weighs most.
+        request: The id of the request.
+        workspace: The workspace of the caller.
+        concern: The measure that matters most to the workspace.
         task: The task class.
         target: Quality that the answer must reach, from 0 to 1.
-        versions: Versions that may answer: allowed by the workspace, by
-            the preset and by what the caller named.
-        repeatable: Whether it may run twice.
-        deadline: Clock seconds at which its caller gives up.
-        priority: Smaller numbers go first.
-        prompt_tokens: Estimated tokens of the prompt.
-        output_tokens: Estimated tokens of the answer.
-        prefix: Hash of the prompt's first part, for cache affinity.
+        versions: Versions that may answer: those allowed by the workspace,
+            by the preset and by the model that the caller named.
+        repeatable: Whether the request may be executed more than once.
+        deadline: Clock seconds at which the caller gives up.
+        priority: Priority; smaller numbers are served first.
+        prompt_tokens: Estimated number of tokens in the prompt.
+        output_tokens: Estimated number of tokens in the answer.
+        prefix: Hash of the start of the prompt, for cache affinity.
         key: The caller's idempotency key; empty for none.
-        session: What the session is held to; None for no session or for
-            its first request.
-        body: The body for the upstream, as JSON, without ``model``.
-        fence: What each of its attempts must pass; None in tests only.
+        session: The version that the session is bound to; None if there is
+            no session or this is its first request.
+        body: The JSON body for the upstream, without ``model``.
+        fence: The fence that each attempt must pass; None only in tests.
     """
 
     request: RequestId
@@ -74,15 +74,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How a request is to be answered.
+    """The versions that answer a request, as one step or a cascade.
 
     Attributes:
-        steps: Versions to be asked in turn; the last answer counts.
+        steps: Versions to ask in order; the last answer is returned.
         accept: For each step but the last, the estimated quality of the
-            answer above which the next step is spared.
+            answer above which the next step is skipped.
         cost: Estimated cost.
-        quality: Estimated quality, a lower bound.
-        reason: Why this plan, in one sentence.
+        quality: Lower bound of the estimated quality.
+        reason: Why this plan was chosen, in one sentence.
     """
 
     steps: tuple[VersionId, ...]
--- a/src/nutmegroad/contracts/upstreams.py
+++ b/src/nutmegroad/contracts/upstreams.py
@@ -1,8 +1,8 @@
-"""What upstreams can do: the Protocol that each kind's adapter meets.
+"""Protocols of the clients for engines and plain services.
 
-An adapter calls the attempt's ``gate`` in the same step of the event loop
-in which the first byte goes out, with no ``await`` between. A gate that
-returns a refusal means that nothing was sent.
+An adapter calls the ``gate`` of an attempt in the same event-loop step in
+which it sends the first byte, with no ``await`` in between. If the gate
+returns a refusal, nothing has been sent.
 """
 
 from collections.abc import AsyncIterator, Callable
@@ -20,23 +20,25 @@
     VersionId,
 )
 
-#: Looks once more, right before the first byte; returns why not to send.
+#: The final check right before the first byte; returns why not to send, or
+#: None.
 Gate = Callable[[], Refusal | None]
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One try at having an upstream answer.
+    """One attempt at sending a model request to an engine.
 
     Attributes:
-        attempt: Its id; each try has its own.
-        upstream: Where it goes.
-        version: The model version that is to answer.
+        attempt: The id of the attempt.
+        upstream: The engine.
+        version: The model version that is asked.
         body: The request body, as JSON.
-        gate: The last check before the first byte.
-        timeout: Seconds that it may take in all.
-        priority: Smaller numbers go first at the engine.
-        skip: Pieces that the caller already has, when an answer is resumed.
+        gate: The final check before the first byte.
+        timeout: Timeout of the whole attempt, in seconds.
+        priority: Priority at the engine; smaller numbers are served first.
+        skip: Number of pieces that the caller has received already, for an
+            answer that is resumed.
     """
 
     attempt: AttemptId
@@ -54,8 +56,8 @@
     """A piece of an answer's text.
 
     Attributes:
-        index: Place of the piece in the answer, counted from 0.
-        text: What the engine wrote.
+        index: Index of the piece in the answer, from 0.
+        text: The text.
     """
 
     index: int
@@ -64,13 +66,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Ending:
-    """The mark that an answer is whole.
+    """The event that an answer is complete.
 
     Attributes:
         reason: Why the engine stopped, such as ``stop`` or ``length``.
-        prompt_tokens: Tokens read.
-        output_tokens: Tokens written.
-        cached_tokens: Prompt tokens that were found in the prefix cache.
+        prompt_tokens: Tokens in the prompt.
+        output_tokens: Tokens in the answer.
+        cached_tokens: Prompt tokens found in the prefix cache.
     """
 
     reason: str
@@ -79,21 +81,22 @@
     cached_tokens: int = 0
 
 
-#: A stream yields pieces, then one ending, or a refusal at any point.
+#: A stream yields pieces and then one ending; a refusal may end it at any
+#: point.
 AnswerEvent = Piece | Ending | Refusal
 
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of its load; it lags.
+    """The load that an engine reports, which may be out of date.
 
     Attributes:
         versions: Versions that it has loaded.
         running: Requests in its batch.
-        queued: Requests that wait.
+        queued: Requests in its queue.
         slots: Requests that its batch can hold.
-        leaving: It says itself that it is leaving.
-        checks_fencing: It refuses orders with an old fencing number.
+        leaving: Whether it reports that it is draining.
+        checks_fencing: Whether it refuses orders with an old fencing number.
         fencing: Highest fencing number that it has seen.
     """
 
@@ -107,13 +110,13 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether a request that comes has to wait."""
+        """Whether a new request would have to wait."""
         return self.running + self.queued >= self.slots
 
 
 @unique
 class OrderAction(Enum):
-    """What an engine can be told to do."""
+    """An action that an engine can be ordered to take."""
 
     LOAD = 'load'
     UNLOAD = 'unload'
@@ -124,10 +127,10 @@
     """An order to an engine, given under a lease.
 
     Attributes:
-        action: What to do.
-        version: With which version.
-        fencing: The lease's fencing number.
-        gate: Looks at the lease right before the first byte.
+        action: The action.
+        version: The version to load or unload.
+        fencing: Fencing number of the lease.
+        gate: Checks the lease right before the first byte.
     """
 
     action: OrderAction
@@ -137,23 +140,23 @@
 
 
 class EngineClient(Protocol):
-    """How engines are reached."""
+    """A client for engines."""
 
     def answer(
         self,
         attempt: Attempt,
     ) -> AbstractAsyncContextManager[AsyncIterator[AnswerEvent]]:
-        """Open an answer; leaving the context early cancels it."""
+        """Request an answer; leaving the context early cancels it."""
 
     async def report(self, upstream: UpstreamInfo) -> EngineReport | Refusal:
-        """Ask an engine for its load."""
+        """Fetch the load report of an engine."""
 
     async def order(
         self,
         upstream: UpstreamInfo,
         order: EngineOrder,
     ) -> Refusal | None:
-        """Tell an engine to load or unload a version."""
+        """Order an engine to load or unload a version."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -161,15 +164,16 @@
     """A call to a plain service.
 
     Attributes:
-        attempt: Its id.
-        upstream: Where it goes.
+        attempt: The id of the attempt.
+        upstream: The service.
         method: HTTP method.
-        path: Path below the service, without a leading slash.
+        path: Path relative to the service, without a leading slash.
         body: Request body.
         content_type: Media type of the body.
-        gate: The last check before the first byte.
-        timeout: Seconds that it may take in all.
-        key: The caller's idempotency key, handed on; empty for none.
+        gate: The final check before the first byte.
+        timeout: Timeout of the whole call, in seconds.
+        key: The caller's idempotency key, which is forwarded; empty for
+            none.
     """
 
     attempt: AttemptId
@@ -185,11 +189,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceReply:
-    """What a plain service answered.
+    """The reply of a plain service.
 
     Attributes:
         status: HTTP status.
-        body: Reply body.
+        body: Response body.
         content_type: Media type of the body.
     """
 
@@ -199,28 +203,30 @@
 
 
 class ServiceClient(Protocol):
-    """How plain services are reached."""
+    """A client for plain services."""
 
     async def call(self, call: ServiceCall) -> ServiceReply | Refusal:
-        """Make a call, once."""
+        """Send a call, without retries."""
 
 
 @dataclass(slots=True)
 class UpstreamState:
-    """What this host knows of an upstream, beside the list's entry.
+    """The state of an upstream, as known to this host.
 
     Attributes:
-        info: The host list's entry.
-        report: Last report of an engine, if there was one.
-        reported: Clock seconds at which it was asked for.
-        in_flight: Requests that this host has there now.
-        failures: Failed attempts since the last good one.
-        leaving: It gets no new work: somebody has said that it is leaving,
-            or it refuses connections.
-        leaving_since: Clock seconds at which that was last said.
-        refusals: Connections that it refused since the last good one.
+        info: Its entry in the host list.
+        report: Last report of an engine; None if there is none.
+        reported: Clock seconds at which that report was requested.
+        in_flight: Requests from this host that it is executing.
+        failures: Failed attempts since the last successful one.
+        leaving: Whether it gets no new requests because it is reported to
+            be draining or refuses connections.
+        leaving_since: Clock seconds at which that was last reported or
+            observed.
+        refusals: Connections that it refused since the last successful one.
         first_seen: Clock seconds at which this host learned of it.
-        in_flight_versions: This host's requests there by version.
+        in_flight_versions: Requests from this host that it is executing, by
+            version.
     """
 
     info: UpstreamInfo
@@ -236,5 +242,5 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it may get new work, by the list and by all else."""
+        """Whether it may get new requests: listed as live and not draining."""
         return self.info.presence is Presence.LIVE and not self.leaving
