--- a/src/nutmegroad/kernel/__init__.py
+++ b/src/nutmegroad/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""Opens the parts of a host in order, from checked settings."""
+"""Settings, plug-in registry, start and graceful stop of a host."""
--- a/src/nutmegroad/kernel/_setting_specs.py
+++ b/src/nutmegroad/kernel/_setting_specs.py
@@ -1,4 +1,4 @@
-"""The table of settings: how each is written, checked and defaulted."""
+"""Specifications of all settings: parsers, defaults and descriptions."""
 
 import ipaddress
 import math
@@ -9,211 +9,217 @@
 
 from nutmegroad.foundations.types import Address
 
-#: Reads a setting's text; raises ValueError where the text is wrong.
-Reader = Callable[[str], Any]
+#: Parses the text of a setting; raises ValueError if the text is invalid.
+Parser = Callable[[str], Any]
 
 _NAME: Final = re.compile('[a-z0-9][a-z0-9._-]{0,62}')
 _MODULE: Final = re.compile(r'[A-Za-z_]\w*(\.[A-Za-z_]\w*)*')
-_HIGHEST_PORT: Final = 65535
-#: Shorter keys can be guessed.
-_SHORTEST_SECRET: Final = 16
+_MAX_PORT: Final = 65535
+#: Minimum length; shorter secrets can be guessed.
+_MIN_SECRET_LENGTH: Final = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Spec:
-    """A setting.
+    """The specification of a setting.
 
     Attributes:
-        name: Its field in ``Settings``.
-        read: Reads its text; raises ValueError where the text is wrong.
-        expected: What the text has to be, as the end of a sentence.
-        meaning: What it is for, one line.
-        default: Text that holds where none is given; None if one must be.
-        secret: It comes by the environment only and is never shown.
+        name: Name of the field in ``Settings``.
+        parse: Parses the text; raises ValueError if the text is invalid.
+        expected: Description of a valid text, as the end of a sentence.
+        description: Description of the setting, in one line.
+        default: Text that is used if none is given; None if the setting is
+            required.
+        secret: Whether it is read from the environment only and never shown.
     """
 
     name: str
-    read: Reader
+    parse: Parser
     expected: str
-    meaning: str
+    description: str
     default: str | None = None
     secret: bool = False
 
     @property
     def flag(self) -> str:
-        """Return its flag."""
+        """The command-line flag."""
         return f'--{self.name}'.replace('_', '-')
 
     @property
     def variable(self) -> str:
-        """Return its environment variable."""
+        """The environment variable."""
         return f'NUTMEGROAD_{self.name.upper()}'
 
 
-def read_name(text: str) -> str:
-    """Read a name."""
+def parse_name(text: str) -> str:
+    """Parse a name."""
     if not _NAME.fullmatch(text):
         raise ValueError
     return text
 
 
-def read_listener(text: str) -> Address:
-    """Read where to listen; port 0 lets the system choose."""
+def parse_listener(text: str) -> Address:
+    """Parse an address to listen on; port 0 lets the system choose one."""
     ip, _, port = text.rpartition(':')
     if not re.fullmatch('[0-9]{1,5}', port):
         raise ValueError
-    # Names are refused here: ``ipaddress`` takes numbers alone.
+    # Rejects host names: ``ipaddress`` accepts numeric addresses only.
     address = Address(str(ipaddress.IPv4Address(ip)), int(port))
-    if address.port > _HIGHEST_PORT:
+    if address.port > _MAX_PORT:
         raise ValueError
     return address
 
 
-def read_target(text: str) -> Address:
-    """Read where to connect to, so neither 0.0.0.0 nor port 0 will do."""
-    address = read_listener(text)
+def parse_target(text: str) -> Address:
+    """Parse an address to connect to; rejects 0.0.0.0 and port 0."""
+    address = parse_listener(text)
     if not address.port or ipaddress.IPv4Address(address.ip).is_unspecified:
         raise ValueError
     return address
 
 
 def read_targets(text: str) -> tuple[Address, ...]:
-    """Read addresses to connect to, divided by commas; none is fine."""
+    """Parse comma-separated addresses to connect to; may be empty."""
     if not text.strip():
         return ()
-    return tuple(read_target(part.strip()) for part in text.split(','))
+    return tuple(parse_target(part.strip()) for part in text.split(','))
 
 
-def read_peers(text: str) -> Address:
-    """Read where to listen to hosts; others must be able to reach it."""
-    address = read_listener(text)
+def parse_peer_listener(text: str) -> Address:
+    """Parse the listen address for peers.
+
+    Peers connect to this address, so 0.0.0.0 is rejected.
+    """
+    address = parse_listener(text)
     if ipaddress.IPv4Address(address.ip).is_unspecified:
         raise ValueError
     return address
 
 
-def read_secret(text: str) -> str:
-    """Read a secret."""
-    if len(text) < _SHORTEST_SECRET:
+def parse_secret(text: str) -> str:
+    """Parse a secret."""
+    if len(text) < _MIN_SECRET_LENGTH:
         raise ValueError
     return text
 
 
-def read_modules(text: str) -> tuple[str, ...]:
-    """Read names of Python modules, divided by commas; none is fine."""
+def parse_modules(text: str) -> tuple[str, ...]:
+    """Parse comma-separated names of Python modules; may be empty."""
     names = tuple(part.strip() for part in text.split(',') if part.strip())
     if not all(_MODULE.fullmatch(name) for name in names):
         raise ValueError
     return names
 
 
-def seconds(lowest: float, highest: float) -> Reader:
-    """Return a reader of seconds between two bounds."""
+def bounded_seconds(minimum: float, maximum: float) -> Parser:
+    """Return a parser of a number of seconds between two bounds."""
 
-    def factory(text: str) -> float:
-        """Read seconds."""
+    def parse(text: str) -> float:
+        """Parse a number of seconds."""
         number = float(text)
-        if not math.isfinite(number) or not lowest <= number <= highest:
+        if not math.isfinite(number) or not minimum <= number <= maximum:
             raise ValueError
         return number
 
-    return factory
+    return parse
 
 
-def whole(lowest: int, highest: int) -> Reader:
-    """Return a reader of a whole number between two bounds."""
+def bounded_int(minimum: int, maximum: int) -> Parser:
+    """Return a parser of an integer between two bounds."""
 
-    def factory(text: str) -> int:
-        """Read a whole number."""
+    def parse(text: str) -> int:
+        """Parse an integer."""
         number = int(text)
-        if not lowest <= number <= highest:
+        if not minimum <= number <= maximum:
             raise ValueError
         return number
 
-    return factory
+    return parse
 
 
-def one_of(*choices: str) -> Reader:
-    """Return a reader of one of some words."""
+def one_of(*choices: str) -> Parser:
+    """Return a parser that accepts one of the given words."""
 
-    def factory(text: str) -> str:
-        """Read a word."""
+    def parse(text: str) -> str:
+        """Parse one of the words."""
         if text not in choices:
             raise ValueError
         return text
 
-    return factory
+    return parse
 
 
-def optional(read: Reader) -> Reader:
-    """Return a reader that reads an empty text as it would no text."""
+def optional(parser: Parser) -> Parser:
+    """Return a parser that reads an empty text as None."""
 
-    def factory(text: str) -> Any:
-        """Read a text that may be empty."""
-        return read(text) if text else None
+    def parse(text: str) -> Any:
+        """Parse a text that may be empty."""
+        return parser(text) if text else None
 
-    return factory
+    return parse
 
 
 def _seconds_spec(
     name: str,
-    meaning: str,
+    description: str,
     default: str,
-    highest: int,
+    maximum: int,
 ) -> Spec:
-    """Return the spec of a time in seconds."""
+    """Return the specification of a time in seconds."""
     return Spec(
         name,
-        seconds(0.05, highest),
-        f'a number of seconds from 0.05 to {highest}',
-        meaning,
+        bounded_seconds(0.05, maximum),
+        f'a number of seconds from 0.05 to {maximum}',
+        description,
         default,
     )
 
 
-def _policy_spec(name: str, default: str, meaning: str) -> Spec:
-    """Return the spec of a policy, which is a plug-in's name."""
-    words = 'the name of a registered policy, such as'
-    return Spec(name, read_name, f'{words} {default!r}', meaning, default)
+def _policy_spec(name: str, default: str, description: str) -> Spec:
+    """Return the specification of a policy, given as the name of a plug-in."""
+    expected = f'the name of a registered policy, such as {default!r}'
+    return Spec(name, parse_name, expected, description, default)
 
 
-_NAME_WORDS: Final = (
+_NAME_FORMAT: Final = (
     'a name of small letters, digits, dots, dashes and underscores, '
     'at most 63, such as "kent-hall-2"'
 )
-_LISTENER_WORDS: Final = (
+_LISTENER_FORMAT: Final = (
     'an IPv4 number and a port, such as "127.0.0.1:8080"; '
     'names of hosts are not looked up'
 )
-_TARGET_WORDS: Final = (
+_TARGET_FORMAT: Final = (
     'an IPv4 number, other than 0.0.0.0, and a port that others can reach, '
     'such as "10.0.0.7:8090"; names of hosts are not looked up'
 )
-_SECRET_WORDS: Final = f'at least {_SHORTEST_SECRET} characters'
+_SECRET_FORMAT: Final = f'at least {_MIN_SECRET_LENGTH} characters'
 
 SPECS: Final = (
-    Spec('host', read_name, _NAME_WORDS, 'id of this host'),
-    Spec('domain', read_name, _NAME_WORDS, 'failure domain of this host'),
-    Spec('callers', read_listener, _LISTENER_WORDS, 'listener for callers'),
+    Spec('host', parse_name, _NAME_FORMAT, 'id of this host'),
+    Spec('domain', parse_name, _NAME_FORMAT, 'failure domain of this host'),
+    Spec('callers', parse_listener, _LISTENER_FORMAT, 'listener for callers'),
     Spec(
         'operators',
-        read_listener,
-        _LISTENER_WORDS,
+        parse_listener,
+        _LISTENER_FORMAT,
         'listener for operators',
     ),
-    Spec('peers', read_peers, _TARGET_WORDS, 'listener for other hosts'),
-    Spec('platform', read_target, _TARGET_WORDS, "the platform's service"),
+    Spec(
+        'peers', parse_peer_listener, _TARGET_FORMAT, 'listener for other hosts'
+    ),
+    Spec('platform', parse_target, _TARGET_FORMAT, "the platform's service"),
     Spec(
         'cluster_key',
-        read_secret,
-        _SECRET_WORDS,
+        parse_secret,
+        _SECRET_FORMAT,
         'secret that hosts share',
         secret=True,
     ),
     Spec(
         'cluster_key_old',
-        lambda text: read_secret(text) if text else text,
-        f'{_SECRET_WORDS}, or nothing',
+        lambda text: parse_secret(text) if text else text,
+        f'{_SECRET_FORMAT}, or nothing',
         'another key that holds while the cluster key is changed',
         '',
         secret=True,
@@ -227,8 +233,8 @@
     ),
     Spec(
         'bootstrap_token',
-        lambda text: read_secret(text) if text else text,
-        f'{_SECRET_WORDS}, or nothing',
+        lambda text: parse_secret(text) if text else text,
+        f'{_SECRET_FORMAT}, or nothing',
         'operator token until operators are configured',
         '',
         secret=True,
@@ -245,7 +251,7 @@
     _seconds_spec('drain', 'time for a graceful stop', '30', 86400),
     Spec(
         'max_body',
-        whole(1024, 1 << 30),
+        bounded_int(1024, 1 << 30),
         'a whole number of bytes from 1024 to 1073741824',
         "bytes that a caller's body may have",
         '4000000',
@@ -260,7 +266,7 @@
     ),
     Spec(
         'seed',
-        optional(whole(0, (1 << 63) - 1)),
+        optional(bounded_int(0, (1 << 63) - 1)),
         'a whole number from 0 to 9223372036854775807, or nothing',
         'seed for randomness',
         '',
@@ -276,7 +282,7 @@
     _policy_spec('quarantine', 'evidence', 'policy that blocks versions'),
     Spec(
         'plugins',
-        read_modules,
+        parse_modules,
         'names of Python modules, divided by commas',
         'more plug-in modules to import',
         '',
--- a/src/nutmegroad/kernel/core.py
+++ b/src/nutmegroad/kernel/core.py
@@ -1,6 +1,7 @@
-"""The kernel: it opens the parts of a host in order and closes them all.
+"""The kernel, which starts the parts of a host in dependency order.
 
-A part is an object that a plug-in provides under a type. Its module says::
+A part is a plug-in that provides objects to other parts by type. A module
+defines one like this::
 
     @register('part', 'billing')
     class BillingPart:
@@ -33,30 +34,34 @@
 
 
 class Part(Protocol):
-    """A plug-in of kind ``part``.
+    """A component of a host, as a plug-in of the kind ``part``.
 
     Attributes:
-        needs: Types that others must have provided before.
+        needs: Types that other parts must have provided before it starts.
     """
 
     needs: tuple[type[Any], ...]
 
     async def open(self, kernel: 'Kernel') -> None:
-        """Start, push what must be closed, and provide."""
+        """Start the part and provide its objects.
+
+        What must be closed when the host stops is pushed onto
+        ``kernel.stack``.
+        """
 
 
-#: Makes a part.
+#: Creates a part.
 MakePart = Callable[[], Part]
 
 _NOTHING: Final[Mapping[str, MakePart]] = MappingProxyType({})
 
 
 class Kernel:
-    """What the parts of one host share.
+    """The container of the parts of one host and the objects they provide.
 
     Args:
-        settings: Checked settings.
-        clock: Time.
+        settings: The validated settings.
+        clock: The clock of the host.
         randomness: The only source of random numbers.
     """
 
@@ -69,38 +74,42 @@
         self.settings = settings
         self.clock = clock
         self.randomness = randomness
-        # Names this run of this host; a host that restarts has another.
+        # A host that restarts has a new incarnation.
         nonce = f'{randomness.getrandbits(64):016x}'
         self.incarnation = Incarnation(f'{settings.host}.{nonce}')
         self.stack = AsyncExitStack()
-        #: Where each listener ended up, by its name.
+        #: The address that each listener is bound to, by its name.
         self.listening: dict[str, Address] = {}
         self._provided: dict[type[Any], Any] = {}
 
     async def __aenter__(self) -> Self:
-        """Open nothing yet; ``start`` does."""
+        """Return the kernel; ``start`` starts the parts."""
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Close all parts, the last opened first."""
+        """Close all parts, the most recently started first."""
         await self.stack.aclose()
 
     def provide(self, kind: type[Provided], thing: Provided) -> None:
-        """Offer a thing to the other parts under a type.
+        """Provide an object to the other parts under a type.
+
+        Args:
+            kind: The type.
+            thing: The object.
 
         Raises:
-            RegistryError: If the type is provided already.
+            RegistryError: If an object of the type is already provided.
         """
         if kind in self._provided:
-            message = f'Two parts provide {kind.__name__}.'
+            message = f'More than one part provides {kind.__name__}.'
             raise RegistryError(message)
         self._provided[kind] = thing
 
     def need(self, kind: type[Provided]) -> Provided:
-        """Return the thing that was provided under a type.
+        """Return the object that is provided under a type.
 
         Raises:
-            RegistryError: If nothing was.
+            RegistryError: If there is none.
         """
         if kind not in self._provided:
             message = f'No part provides {kind.__name__}.'
@@ -108,7 +117,7 @@
         return cast(Provided, self._provided[kind])
 
     def nonce(self) -> str:
-        """Return a word that never repeats."""
+        """Return a random token of 96 bits, as hexadecimal digits."""
         return f'{self.randomness.getrandbits(96):024x}'
 
     def spawn(
@@ -116,27 +125,35 @@
         coroutine: Coroutine[Any, Any, None],
         name: str,
     ) -> asyncio.Task[None]:
-        """Run a task until the kernel closes; its failure is logged.
+        """Run a background task until the kernel closes.
 
-        Its processor time is charged to the part of its name.
+        A failure of the task is logged. Its processor time is accounted
+        under its name.
+
+        Args:
+            coroutine: What the task runs.
+            name: Name of the task.
         """
         account = self._provided.get(Account)
         if account is not None:
             coroutine = Metered(account, name, coroutine)
         task = asyncio.create_task(coroutine, name=name)
         task.add_done_callback(_log_failure)
-        self.stack.push_async_callback(_end, task)
+        self.stack.push_async_callback(_cancel, task)
         return task
 
     async def start(
         self,
         replacing: Mapping[str, MakePart] = _NOTHING,
     ) -> None:
-        """Open every registered part, each after those that it needs.
+        """Start every registered part, each after the parts it depends on.
 
         Args:
-            replacing: Parts by the name of the one whose place they take,
-                so that a whole host can stand on other adapters.
+            replacing: Factories that replace registered ones of the same
+                name, to run a complete host with other adapters.
+
+        Raises:
+            RegistryError: If a dependency of a part is not provided.
         """
         factories = {**registered('part'), **replacing}
         waiting = {name: make() for name, make in factories.items()}
@@ -148,14 +165,14 @@
             ]
             if not ready:
                 names = ', '.join(sorted(waiting))
-                message = f'These parts need what nothing provides: {names}.'
+                message = f'No part provides what these parts need: {names}.'
                 raise RegistryError(message)
             for name in ready:
                 await waiting.pop(name).open(self)
 
 
 def _log_failure(task: asyncio.Task[None]) -> None:
-    """Say so if a task ended by an exception, which none should."""
+    """Log the exception of a task that failed."""
     if task.cancelled() or task.exception() is None:
         return
     _LOG.exception(
@@ -165,8 +182,8 @@
     )
 
 
-async def _end(task: asyncio.Task[None]) -> None:
-    """Cancel a task and wait for its end."""
+async def _cancel(task: asyncio.Task[None]) -> None:
+    """Cancel a task and wait until it has ended."""
     task.cancel()
     with suppress(asyncio.CancelledError, Exception):
         await task
--- a/src/nutmegroad/kernel/part.py
+++ b/src/nutmegroad/kernel/part.py
@@ -1,4 +1,4 @@
-"""The part that counts what the host does."""
+"""The kernel part that provides metrics, accounting and invariants."""
 
 import time
 from typing import Final
@@ -10,18 +10,18 @@
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.registry import register
 
-#: Seconds between two updates of what control costs.
+#: Seconds between two updates of the metrics of control cost.
 PUBLISH_PERIOD: Final = 5.0
 
 
 @register('part', 'metrics')
 class MetricsPart:
-    """Provides the metrics and invariants, which all parts may use."""
+    """Provides the metrics, the accounting and the invariants of a host."""
 
     needs = ()
 
     async def open(self, kernel: Kernel) -> None:
-        """Make the metrics, and keep the cost of control in them."""
+        """Provide them, and publish the control cost periodically."""
         metrics = Metrics(time.thread_time)
         ledger = Ledger(time.thread_time)
         kernel.provide(Account, ledger)
@@ -34,7 +34,7 @@
 
 
 async def _publish(kernel: Kernel, publisher: CostPublisher) -> None:
-    """Publish the cost of control until cancelled."""
+    """Publish the control cost until cancelled."""
     while True:
         publisher.publish()
         await kernel.clock.sleep(PUBLISH_PERIOD)
--- a/src/nutmegroad/kernel/registry.py
+++ b/src/nutmegroad/kernel/registry.py
@@ -1,7 +1,7 @@
-"""Where plug-ins register themselves, by kind and name.
+"""The registry of plug-ins, by kind and name.
 
-A plug-in module registers its factory when it is imported; the list of
-modules to import is in ``plugins``. Adding a plug-in is one new module.
+A plug-in module registers its factory when it is imported. The modules to
+import are listed in ``daemon.plugins``.
 """
 
 from collections.abc import Callable
@@ -18,18 +18,20 @@
     """Return a decorator that registers a factory.
 
     Args:
-        kind: What it makes, such as ``part`` or ``table``.
-        name: Its name, unique among its kind.
+        kind: The kind of plug-in, such as ``part`` or ``table``.
+        name: The name, unique within the kind.
 
     Raises:
-        RegistryError: If the name is taken by another factory.
+        RegistryError: If the name is already registered.
     """
 
     def decorate(factory: Factory) -> Factory:
-        """Put the factory into the registry."""
+        """Register the factory and return it."""
         named = _factories.setdefault(kind, {})
         if name in named:
-            message = f'There are two plug-ins {name!r} of kind {kind!r}.'
+            message = (
+                f'Plug-in {name!r} of kind {kind!r} is already registered.'
+            )
             raise RegistryError(message)
         named[name] = factory
         return factory
@@ -38,19 +40,19 @@
 
 
 def registered(kind: str) -> dict[str, Callable[..., Any]]:
-    """Return the factories of a kind by name."""
+    """Return all factories of a kind, by name."""
     return dict(_factories.get(kind, {}))
 
 
 def lookup(kind: str, name: str) -> Callable[..., Any]:
-    """Return one factory.
+    """Return the factory of a plug-in.
 
     Raises:
-        RegistryError: If there is none of that name.
+        RegistryError: If there is no such plug-in.
     """
     named = _factories.get(kind, {})
     if name in named:
         return named[name]
     choices = ', '.join(sorted(named)) or 'none'
-    message = f'There is no plug-in {name!r} of kind {kind!r}; {choices}.'
+    message = f'No plug-in {name!r} of kind {kind!r}; known are: {choices}.'
     raise RegistryError(message)
--- a/src/nutmegroad/kernel/settings.py
+++ b/src/nutmegroad/kernel/settings.py
@@ -1,8 +1,8 @@
-"""Settings of the daemon: flags and environment variables, all checked.
+"""Settings of the daemon, read from flags and environment variables.
 
-A setting ``max_body`` is given as ``--max-body`` or NUTMEGROAD_MAX_BODY; the
-flag wins. Secrets come by the environment only, since others on the machine
-can read a program's flags.
+The setting ``max_body`` is given as ``--max-body`` or NUTMEGROAD_MAX_BODY; the
+flag takes precedence. Secrets are read from the environment only, since other
+users of the machine can see the flags of a process.
 """
 
 import argparse
@@ -15,12 +15,12 @@
 from nutmegroad.foundations.types import Address, DomainId, HostId
 from nutmegroad.kernel._setting_specs import SPECS, Spec
 
-_PRINT: Final = 'print_settings'
+_PRINT_SETTINGS: Final = 'print_settings'
 
 
 @unique
 class SettingSource(Enum):
-    """Whence a setting's value comes."""
+    """Where the value of a setting comes from."""
 
     FLAG = 'flag'
     ENVIRONMENT = 'environment'
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingOrigin:
-    """A setting's value, and whence it comes.
+    """The value of a setting and its source, safe to be shown.
 
     Attributes:
         name: The setting.
-        text: The value as it was written; for a secret, whether it is set.
-        source: Whence it comes.
+        text: The value as given; for a secret, only whether it is set.
+        source: Where the value comes from.
     """
 
     name: str
@@ -45,38 +45,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a host is told at start.
+    """The settings of a host.
 
     Attributes:
         host: Id of this host, unique in the deployment.
-        domain: Failure domain that it stands in.
-        callers: Where it listens to callers.
-        operators: Where it listens to operators.
-        peers: Where it listens to other hosts.
-        platform: Where the platform's service is.
-        seeds: Peer addresses of some other hosts, to start from.
-        cluster_key: Secret that hosts share; from the environment only.
-        cluster_key_old: Another one that holds while the key is changed;
-            from the environment only.
-        bootstrap_token: Operator token that holds until a configuration
-            with operators is in force; from the environment only.
-        lease: Seconds for which a confirmed configuration holds.
-        poll: Seconds between reads of the configuration's head.
+        domain: Failure domain of this host.
+        callers: Listen address for callers.
+        operators: Listen address for operators.
+        peers: Listen address for other hosts.
+        platform: Address of the platform's service.
+        seeds: Peer addresses of some other hosts, for joining the mesh.
+        cluster_key: Secret that all hosts share; environment only.
+        cluster_key_old: Second key that is accepted while the cluster key is
+            rotated; environment only.
+        bootstrap_token: Operator token that is valid until a configuration
+            with operators is in force; environment only.
+        lease: Seconds for which a confirmation of the configuration is valid.
+        poll: Seconds between reads of the configuration head.
         heartbeat: Seconds between heartbeats to peers.
-        lame_duck: Seconds for which a host that stops still takes new
-            work, as the balancer learns late that it is not ready.
-        drain: Seconds that a graceful stop may take in all.
-        max_body: Bytes that a caller's body may have.
-        body_timeout: Seconds that a caller may take to send its body.
+        lame_duck: Seconds for which a stopping host still accepts new
+            requests, since the load balancer learns with a delay that the
+            host is not ready.
+        drain: Maximum duration of a graceful stop, in seconds.
+        max_body: Maximum size of a caller's request body, in bytes.
+        body_timeout: Seconds within which a caller must send its body.
         log_format: ``text`` or ``json``.
-        seed: Seed for randomness; None takes one from the system.
+        seed: Random seed; None takes one from the operating system.
         planner: Policy that chooses versions.
         selector: Policy that chooses upstreams.
-        admitter: Policy that lets requests in.
-        retries: Policy that bounds retries.
-        quarantine: Policy that blocks versions on evidence.
-        plugins: More plug-in modules to import, beside our own.
-        print_settings: Show the settings and stop.
+        admitter: Policy that admits requests.
+        retries: Policy that limits retries.
+        quarantine: Policy that blocks versions because of evidence.
+        plugins: Plug-in modules to import in addition to the built-in ones.
+        print_settings: Print the settings and exit.
     """
 
     host: HostId
@@ -108,30 +109,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Given:
-    """A setting's text as it was given, secrets too; never shown whole."""
+class _RawSetting:
+    """The text of a setting as given; may hold a secret, so never shown."""
 
     spec: Spec
     text: str
     source: SettingSource
 
     def problem(self) -> str:
-        """Say what is wrong with it, without showing a secret."""
+        """Describe why the text is invalid, without showing a secret."""
         spec = self.spec
         if self.source is SettingSource.MISSING:
             by_flag = '' if spec.secret else f'{spec.flag} or '
             fault = f'is not set; set {by_flag}{spec.variable} to'
         elif spec.secret:
-            fault = f'has a bad value in {spec.variable}; expected'
+            fault = f'has an invalid value in {spec.variable}; expected'
         else:
             label = spec.variable
             if self.source is SettingSource.FLAG:
                 label = spec.flag
-            fault = f'has the bad value {self.text!r} in {label}; expected'
+            fault = f'has invalid value {self.text!r} in {label}; expected'
         return f'Setting {spec.name} {fault} {spec.expected}.'
 
     def origin(self) -> SettingOrigin:
-        """Return what may be shown of it."""
+        """Return the value as it may be shown, and its source."""
         text = self.text
         if self.spec.secret:
             text = 'set, not shown' if text else 'not set'
@@ -142,35 +143,36 @@
     argv: Sequence[str],
     environ: Mapping[str, str],
 ) -> tuple[Settings, tuple[SettingOrigin, ...]]:
-    """Read and check all settings.
+    """Read and validate all settings.
 
     Args:
-        argv: Flags, without the program's name.
+        argv: Command-line arguments, without the name of the program.
         environ: Environment variables.
 
     Returns:
-        The settings, and whence each value comes.
+        The settings, and the source of each value.
 
     Raises:
-        SettingsError: If any is wrong; its message has a line for each.
+        SettingsError: If any setting is invalid; the message has one line
+            for each problem.
     """
-    flags, extras = _parser().parse_known_args(argv)
+    flags, extras = _flag_parser().parse_known_args(argv)
     problems = _extra_problems(extras)
-    fields: dict[str, Any] = {_PRINT: getattr(flags, _PRINT)}
-    texts = [_given(spec, flags, environ) for spec in SPECS]
-    for given in texts:
+    fields: dict[str, Any] = {_PRINT_SETTINGS: getattr(flags, _PRINT_SETTINGS)}
+    raw_settings = [_find_raw(spec, flags, environ) for spec in SPECS]
+    for raw in raw_settings:
         try:
-            fields[given.spec.name] = _read(given)
+            fields[raw.spec.name] = _parse(raw)
         except ValueError:
-            problems.append(given.problem())
+            problems.append(raw.problem())
     problems.extend(_cross_problems(fields))
     if problems:
         raise SettingsError('\n'.join(problems))
-    return Settings(**fields), tuple(text.origin() for text in texts)
+    return Settings(**fields), tuple(raw.origin() for raw in raw_settings)
 
 
 def format_settings(origins: Sequence[SettingOrigin]) -> str:
-    """Return a line for each setting: its name, its value, its source."""
+    """Return one line for each setting: its name, value and source."""
     width = max(len(origin.name) for origin in origins)
     return '\n'.join(
         f'{origin.name:{width}}  {origin.text}  ({origin.source.value})'
@@ -178,65 +180,65 @@
     )
 
 
-def _parser() -> argparse.ArgumentParser:
-    """Return a parser that leaves all judgement to the checks here."""
+def _flag_parser() -> argparse.ArgumentParser:
+    """Return a parser of flags that does not validate their values."""
     parser = argparse.ArgumentParser(
         prog='nutmegroadd',
-        description='The daemon of nutmegroad, a model-aware router.',
-        epilog='By the environment only: '
+        description='The daemon of nutmegroad, a model-aware request router.',
+        epilog='Read from the environment only: '
         + ', '.join(spec.variable for spec in SPECS if spec.secret),
         allow_abbrev=False,
     )
     parser.add_argument(
         '--print-settings',
         action='store_true',
-        help='show each setting and whence it comes, and stop',
+        help='print each setting with its source and exit',
     )
     for spec in SPECS:
         if not spec.secret:
-            # A flag without a value reads as an empty one, so that it is
+            # A flag without a value is read as an empty text, so that it is
             # reported together with all other problems.
             parser.add_argument(
                 spec.flag,
                 nargs='?',
                 const='',
-                help=f'{spec.meaning} ({spec.variable})',
+                help=f'{spec.description} ({spec.variable})',
             )
     return parser
 
 
-def _given(
+def _find_raw(
     spec: Spec,
     flags: argparse.Namespace,
     environ: Mapping[str, str],
-) -> _Given:
-    """Find a setting's text: by flag, else by environment, else default."""
+) -> _RawSetting:
+    """Return the text of a setting: flag, else environment, else default."""
     by_flag = getattr(flags, spec.name, None)
     if by_flag is not None:
-        return _Given(spec, by_flag, SettingSource.FLAG)
+        return _RawSetting(spec, by_flag, SettingSource.FLAG)
     text = environ.get(spec.variable)
     if text is not None:
-        return _Given(spec, text, SettingSource.ENVIRONMENT)
+        return _RawSetting(spec, text, SettingSource.ENVIRONMENT)
     if spec.default is None:
-        return _Given(spec, '', SettingSource.MISSING)
-    return _Given(spec, spec.default, SettingSource.DEFAULT)
+        return _RawSetting(spec, '', SettingSource.MISSING)
+    return _RawSetting(spec, spec.default, SettingSource.DEFAULT)
 
 
-def _read(given: _Given) -> Any:
-    """Read a text.
+def _parse(raw: _RawSetting) -> Any:
+    """Parse the text of a setting.
 
     Raises:
-        ValueError: If it is wrong or missing.
+        ValueError: If the text is invalid or missing.
     """
-    if given.source is SettingSource.MISSING:
+    if raw.source is SettingSource.MISSING:
         raise ValueError
-    return given.spec.read(given.text)
+    return raw.spec.parse(raw.text)
 
 
 def _extra_problems(extras: Sequence[str]) -> list[str]:
-    """Say what is wrong with arguments that no flag takes.
+    """Return a problem for each argument that no flag accepts.
 
-    What follows an unknown flag is not shown: it may be a secret.
+    The argument after an unknown flag is not shown, as it may be a secret.
     """
     secrets = {spec.flag: spec.variable for spec in SPECS if spec.secret}
     problems = []
@@ -246,21 +248,21 @@
         variable = secrets.get(flag)
         if variable:
             problems.append(
-                f'A secret may not be given by the flag {flag}; '
+                f'A secret must not be given as the flag {flag}; '
                 f'set {variable}.',
             )
         elif extra.startswith('-'):
-            problems.append(f'There is no flag {flag}; --help lists them.')
+            problems.append(f'Unknown flag {flag}; --help lists all flags.')
         elif not after_flag:
-            problems.append(f'The argument {extra!r} belongs to no flag.')
+            problems.append(f'Unexpected argument {extra!r}.')
         after_flag = extra.startswith('-') and not equals
     return problems
 
 
 def _cross_problems(fields: Mapping[str, Any]) -> list[str]:
-    """Say which settings do not go together, of those that were read."""
+    """Return a problem for each conflict between valid settings."""
     problems = [
-        f'Setting {shorter} has the bad value {fields[shorter]:g}; expected '
+        f'Setting {shorter} has invalid value {fields[shorter]:g}; expected '
         f'less than half of lease, which is {fields["lease"]:g}.'
         for shorter in ('poll', 'heartbeat')
         if {shorter, 'lease'} <= fields.keys()
@@ -272,8 +274,8 @@
         other = seen.get(address)
         if other:
             problems.append(
-                f'Setting {name} has the bad value {address}; expected an '
-                f'address of its own, since {other} has this one.',
+                f'Setting {name} has invalid value {address}; expected a '
+                f'unique address, but {other} has the same one.',
             )
         if address is not None and address.port:
             seen[address] = name
--- a/src/nutmegroad/kernel/settings_page.py
+++ b/src/nutmegroad/kernel/settings_page.py
@@ -1,7 +1,6 @@
-"""The page ``docs/SETTINGS.md``, from the table of settings.
+"""Generates the page ``docs/SETTINGS.md`` from the setting specifications.
 
-It is written by
-``python -m nutmegroad.kernel.settings_page > docs/SETTINGS.md``.
+Run ``python -m nutmegroad.kernel.settings_page > docs/SETTINGS.md``.
 """
 
 import sys
@@ -37,18 +36,24 @@
 
 
 def render_page() -> str:
-    """Return the page."""
+    """Return the page as Markdown."""
     rows = '\n'.join(_row(spec) for spec in SPECS)
     return f'{_HEAD}{rows}\n'
 
 
 def _row(spec: Spec) -> str:
-    """Return a setting's row."""
+    """Return the table row of a setting."""
     flag = '(environment only)' if spec.secret else f'`{spec.flag}`'
     default = f'`{spec.default}`' if spec.default else 'none'
     if spec.default is None:
         default = 'must be set'
-    cells = (flag, f'`{spec.variable}`', spec.meaning, spec.expected, default)
+    cells = (
+        flag,
+        f'`{spec.variable}`',
+        spec.description,
+        spec.expected,
+        default,
+    )
     return f'| {" | ".join(cells)} |'
 
 
--- a/src/nutmegroad/kernel/stops.py
+++ b/src/nutmegroad/kernel/stops.py
@@ -1,9 +1,10 @@
-"""A graceful stop: readiness falls, open requests end whole, then we close.
+"""The graceful stop of a host, which lets open requests complete.
 
-The phases follow one another. While *leaving*, the host is not ready any
-more but still serves, as the balancer learns of it late. While *refusing*,
-new work is refused as not run and what is open goes on. At the limit what
-is still open is *ended* with an explicit error.
+The phases follow one another. In *leaving* the host is no longer ready but
+still accepts requests, since the load balancer learns of this with a delay.
+In *refusing* new requests are refused as not run, and open ones continue. At
+the time limit, requests that are still open are *ended* with an explicit
+error.
 """
 
 import asyncio
@@ -19,16 +20,16 @@
 
 _LOG: Final = part_logger('stop')
 
-#: Seconds between looks at what is still open.
-STEP: Final = 0.02
+#: Seconds between two checks for open requests.
+POLL_INTERVAL: Final = 0.02
 
-#: Seconds in which what is ended may still send its error.
-LAST_WORDS: Final = 1.0
+#: Seconds within which cancelled requests may still send their error.
+CANCELLATION_GRACE: Final = 1.0
 
 
 @unique
 class Phase(IntEnum):
-    """How far a host's stop has come."""
+    """The phase of a host's graceful stop."""
 
     SERVING = 0
     LEAVING = 1
@@ -37,12 +38,12 @@
 
 
 class GracefulStop:
-    """Takes a host out of service without cutting a request.
+    """Takes a host out of service while open requests complete.
 
     Args:
         clock: The host's clock.
-        lame_duck: Seconds for which new work is still served.
-        limit: Seconds that the stop may take in all.
+        lame_duck: Seconds for which new requests are still accepted.
+        limit: Seconds after which open requests are cancelled.
     """
 
     def __init__(self, clock: Clock, lame_duck: float, limit: float) -> None:
@@ -52,52 +53,56 @@
         self._phase = Phase.SERVING
         self._open: dict[asyncio.Task[object], int] = {}
         self._listeners: list[Callable[[], object]] = []
-        self._asked: list[Callable[[], object]] = []
+        self._request_listeners: list[Callable[[], object]] = []
 
     @property
     def phase(self) -> Phase:
-        """Return how far the stop has come."""
+        """The current phase."""
         return self._phase
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send callers here."""
+        """Whether the load balancer may send requests to this host."""
         return self._phase is Phase.SERVING
 
     @property
     def open_requests(self) -> int:
-        """Return how many requests are open."""
+        """The number of open requests."""
         return sum(self._open.values())
 
     def listen(self, listener: Callable[[], object]) -> None:
-        """Call a function as soon as the stop begins."""
+        """Register a function that is called when the stop starts."""
         self._listeners.append(listener)
 
     def when_asked(self, listener: Callable[[], object]) -> None:
-        """Call a function when somebody asks that the host stop."""
-        self._asked.append(listener)
+        """Register a function that is called when a stop is requested."""
+        self._request_listeners.append(listener)
 
     def ask(self) -> None:
-        """Ask whoever runs this host to stop it, and return at once."""
-        for listener in self._asked:
+        """Request a stop from the process of this host, without waiting."""
+        for listener in self._request_listeners:
             listener()
 
     def refusal(self) -> Refusal | None:
-        """Return why new work is not taken, or None."""
+        """Return why new requests are refused, or None if they are accepted."""
         if self._phase < Phase.REFUSING:
             return None
-        return _stopping(Ran.NOT_RUN)
+        return _stopping_refusal(Ran.NOT_RUN)
 
     def gate_refusal(self) -> Refusal | None:
-        """Return why no first byte may go out any more, or None."""
-        return _stopping(Ran.NOT_RUN) if self._phase is Phase.ENDING else None
+        """Return why no attempt may be sent any more, or None."""
+        return (
+            _stopping_refusal(Ran.NOT_RUN)
+            if self._phase is Phase.ENDING
+            else None
+        )
 
     @contextmanager
     def request(self) -> Iterator[None]:
-        """Count the running task as an open request."""
+        """Count the current task as an open request within the context."""
         task = asyncio.current_task()
         if task is None:
-            raise RuntimeError('requests run in tasks')
+            raise RuntimeError('a request must run in an asyncio task')
         self._open[task] = self._open.get(task, 0) + 1
         try:
             yield
@@ -107,46 +112,51 @@
                 self._open.pop(task)
 
     async def run(self) -> int:
-        """Stop; return how many requests had to be ended."""
+        """Stop gracefully.
+
+        Returns:
+            The number of requests that were cancelled; 0 if a stop is under
+            way already.
+        """
         if self._phase is not Phase.SERVING:
             return 0
-        began = self._clock.now()
+        started = self._clock.now()
         self._phase = Phase.LEAVING
         _LOG.info('stopping with %d open requests', self.open_requests)
         for listener in self._listeners:
             listener()
         await self._clock.sleep(min(self._lame_duck, self._limit))
         self._phase = Phase.REFUSING
-        await self._wait(began + self._limit)
-        left = self.open_requests
+        await self._wait(started + self._limit)
+        cancelled = self.open_requests
         self._phase = Phase.ENDING
         for task in tuple(self._open):
             task.cancel()
-        await self._wait(self._clock.now() + LAST_WORDS)
-        _LOG.info('stopped, %d requests were ended', left)
-        return left
+        await self._wait(self._clock.now() + CANCELLATION_GRACE)
+        _LOG.info('stopped, %d requests were cancelled', cancelled)
+        return cancelled
 
     async def _wait(self, until: float) -> None:
-        """Wait until nothing is open, or until a moment."""
+        """Wait until no request is open, at most until a clock time."""
         while self._open and self._clock.now() < until:
-            await self._clock.sleep(STEP)
+            await self._clock.sleep(POLL_INTERVAL)
 
 
-def _stopping(ran: Ran) -> Refusal:
-    """Say that this host is stopping."""
+def _stopping_refusal(ran: Ran) -> Refusal:
+    """Return the refusal of a stopping host."""
     return Refusal(
         ResultCode.HOST_STOPPING,
-        'This host is stopping; another one will take the request.',
+        'This host is stopping; another host can take the request.',
         ran,
         retry_after=1,
     )
 
 
 def ended_by_stop() -> Refusal:
-    """Say that a request was still open at the end of a stop."""
+    """Return the refusal of a request that was cancelled by the stop."""
     return Refusal(
         ResultCode.HOST_STOPPING,
-        'This host had to stop before the request had ended.',
+        'This host stopped before the request was complete.',
         Ran.UNKNOWN,
         retry_after=1,
     )
