--- a/src/nutmegroad/__init__.py
+++ b/src/nutmegroad/__init__.py
@@ -1,16 +1,16 @@
-"""A model-aware router for versions and cascades.
+"""A request router that knows the models, versions and cascades it serves.
 
-What a plug-in, an adapter or a test bench needs is here; people import it
-from the package. All else is internal and may change. A name is loaded when
-it is first asked for, so a program that needs a part starts with that part
-alone; ``__init__.pyi`` has the same names for type checkers.
+This package exports the public API: what plug-ins, adapters and tests need.
+Everything else is internal and may change. Names are imported lazily, on
+first access, so that a program loads only the modules it uses. The same names
+are declared for type checkers in ``__init__.pyi``.
 """
 
 from importlib import import_module
 from types import MappingProxyType
 from typing import Final
 
-#: The module of each public name.
+#: The module that defines each public name.
 _HOMES: Final = MappingProxyType(
     {
         'Clock': 'nutmegroad.foundations.clocks',
@@ -74,7 +74,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Load a public name."""
+    """Import a public name on first access."""
     home = _HOMES.get(name)
     if home is None:
         message = f'module {__name__!r} has no attribute {name!r}'
--- a/src/nutmegroad/testing/__init__.py
+++ b/src/nutmegroad/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers for tests that users may want too."""
+"""Test helpers, which plug-in authors may use as well."""
--- a/src/nutmegroad/testing/_memory_mesh.py
+++ b/src/nutmegroad/testing/_memory_mesh.py
@@ -1,4 +1,4 @@
-"""One host's end of the mesh in memory (see ``testing``)."""
+"""The links of one host in an in-memory mesh (see ``testing.virtual``)."""
 
 import random
 from dataclasses import dataclass
@@ -20,17 +20,18 @@
 from nutmegroad.membership._wire import Kinds, as_plain
 
 _NONCE_BITS: Final = 64
-_NOWHERE: Final = Address('127.0.0.1', 0)
+#: Hosts in memory listen on no address.
+_NO_ADDRESS: Final = Address('127.0.0.1', 0)
 
 
 @dataclass(frozen=True, slots=True)
-class PeerNames:
-    """What a host in memory is called.
+class PeerIdentity:
+    """The identity of a host in memory.
 
     Attributes:
-        host: Its id.
+        host: The id of the host.
         domain: Its failure domain.
-        incarnation: This run of it.
+        incarnation: Its current incarnation.
     """
 
     host: HostId
@@ -44,62 +45,62 @@
         domain: DomainId,
         randomness: random.Random,
     ) -> Self:
-        """Return names with an incarnation that was not used before."""
+        """Return an identity with a new random incarnation."""
         nonce = randomness.getrandbits(_NONCE_BITS)
         return cls(host, domain, Incarnation(f'{host}.{nonce:016x}'))
 
 
 @dataclass(frozen=True, slots=True)
 class _Frame:
-    """A message on its way.
+    """A message in transit.
 
     Attributes:
         body: The message as plain data, or a refusal.
-        question: Number of the question that it asks; 0 for none.
-        answers: Number of the question that it answers; 0 for none.
+        request_id: Id of the request that it makes; 0 for none.
+        reply_to: Id of the request that it replies to; 0 for none.
     """
 
     body: dict[str, Any] | Refusal | None
-    question: int = 0
-    answers: int = 0
+    request_id: int = 0
+    reply_to: int = 0
 
 
 class MemoryNetwork(Protocol):
-    """What a host needs of the network in memory."""
+    """The in-memory network that connects the hosts."""
 
     clock: Clock
 
     @property
     def peers(self) -> tuple['MemoryPeer', ...]:
-        """All hosts on it."""
+        """All hosts on the network."""
 
     def is_linked(self, one: HostId, other: HostId) -> bool:
-        """Tell whether a host believes that it has a link to another."""
+        """Return whether a host believes that it has a link to another."""
 
     def post(self, one: HostId, other: HostId, frame: object) -> None:
-        """Let a frame travel."""
+        """Send a frame from one host to another."""
 
 
 class MemoryPeer:
     """A ``Mesh`` whose links are in memory.
 
     Attributes:
-        presence: Live or leaving, as the others see it.
+        presence: Live or leaving, as seen by the other hosts.
 
     Args:
-        names: Its host, domain and incarnation.
-        network: What it stands on.
-        tasks: Where its handlers run.
+        identity: The identity of the host.
+        network: The network that delivers its messages.
+        tasks: Runs its handlers.
     """
 
     def __init__(
         self,
-        names: PeerNames,
+        identity: PeerIdentity,
         network: MemoryNetwork,
         tasks: OwnedTasks,
     ) -> None:
         self.presence = Presence.LIVE
-        self._names = names
+        self._identity = identity
         self._network = network
         self._tasks = tasks
         self._kinds = Kinds()
@@ -108,21 +109,21 @@
 
     @property
     def host(self) -> HostId:
-        """Its id."""
-        return self._names.host
+        """The id of the host."""
+        return self._identity.host
 
     @property
     def domain(self) -> DomainId:
         """Its failure domain."""
-        return self._names.domain
+        return self._identity.domain
 
     @property
     def incarnation(self) -> Incarnation:
-        """This run of it."""
-        return self._names.incarnation
+        """Its current incarnation."""
+        return self._identity.incarnation
 
     def members(self) -> tuple[Member, ...]:
-        """Return the other hosts to which this one has a link."""
+        """Return the other hosts that this host has a link to."""
         return tuple(
             peer.as_member(self._network.clock.now())
             for peer in self._network.peers
@@ -130,30 +131,34 @@
         )
 
     def as_member(self, heard: float) -> Member:
-        """Return this host as others see it."""
+        """Return this host as seen by the others.
+
+        Args:
+            heard: Clock seconds at which it was last seen.
+        """
         return Member(
             host=self.host,
             incarnation=self.incarnation,
             domain=self.domain,
-            address=_NOWHERE,
+            address=_NO_ADDRESS,
             presence=self.presence,
             heard=heard,
         )
 
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
-        """Register what is done with messages of a kind."""
+        """Register the handler for messages of a type."""
         self._kinds.add(kind)
         self._handlers[kind] = handler
 
     def tell(self, host: HostId, message: Message) -> bool:
-        """Send a message; false if the host knows of no link."""
+        """Send a message; return false if there is no link to the host."""
         if not self._is_linked(host):
             return False
         self._network.post(self.host, host, _Frame(as_plain(message)))
         return True
 
     def tell_all(self, message: Message) -> int:
-        """Send a message to all to whom there is a link."""
+        """Send a message on every link; return the number of links."""
         hosts = [member.host for member in self.members()]
         return sum(self.tell(host, message) for host in hosts)
 
@@ -163,40 +168,48 @@
         message: Message,
         timeout: float,
     ) -> Message | Refusal:
-        """Send a message and wait for its reply."""
+        """Send a message and wait for its reply.
+
+        Args:
+            host: The receiver.
+            message: The message.
+            timeout: Seconds to wait for the reply.
+        """
         if not self._is_linked(host):
             reason = f'There is no link to host {host}.'
             return Refusal(ResultCode.PEER_UNREACHABLE, reason)
-        number = self._pending.open(host)
-        frame = _Frame(as_plain(message), question=number)
+        request_id = self._pending.open(host)
+        frame = _Frame(as_plain(message), request_id=request_id)
         self._network.post(self.host, host, frame)
-        return await self._pending.wait(number, timeout)
+        return await self._pending.wait(request_id, timeout)
 
     def receive(self, sender: HostId, frame: object) -> None:
-        """Take in what arrived; the network calls it."""
+        """Process a received frame; called by the network."""
         if not isinstance(frame, _Frame):
             return
-        if not frame.answers:
-            self._tasks.start(self._work(sender, frame))
+        if not frame.reply_to:
+            self._tasks.start(self._handle_frame(sender, frame))
             return
         if isinstance(frame.body, Refusal):
             reply: Message | Refusal = frame.body
         else:
-            unreadable = _refuse('The reply is unreadable.')
+            unreadable = _refuse('The reply could not be decoded.')
             reply = self._kinds.decode(frame.body) or unreadable
-        self._pending.answer(sender, frame.answers, reply)
+        self._pending.answer(sender, frame.reply_to, reply)
 
-    async def _work(self, sender: HostId, frame: _Frame) -> None:
+    async def _handle_frame(self, sender: HostId, frame: _Frame) -> None:
         message = self._kinds.decode(frame.body)
         handler = None if message is None else self._handlers.get(type(message))
         if handler is None:
-            reply: Message | Refusal | None = _refuse('It has no handler.')
+            reply: Message | Refusal | None = _refuse(
+                'The message has no handler.'
+            )
         else:
             reply = await handler(sender, message)
-        if frame.question:
+        if frame.request_id:
             body = reply if isinstance(reply, Refusal) else _plain(reply)
-            answer = _Frame(body, answers=frame.question)
-            self._network.post(self.host, sender, answer)
+            response = _Frame(body, reply_to=frame.request_id)
+            self._network.post(self.host, sender, response)
 
     def _is_linked(self, other: HostId) -> bool:
         return self._network.is_linked(self.host, other)
@@ -204,7 +217,7 @@
 
 def _plain(message: Message | None) -> dict[str, Any] | Refusal:
     if message is None:
-        return _refuse('It has no reply.')
+        return _refuse('The handler returned no reply.')
     plain: dict[str, Any] = as_plain(message)
     return plain
 
--- a/src/nutmegroad/testing/virtual.py
+++ b/src/nutmegroad/testing/virtual.py
@@ -1,7 +1,8 @@
-"""Helpers for tests: a clock that is moved by hand, and a mesh in memory.
+"""Test helpers: a manually advanced clock and an in-memory mesh.
 
-Both are deterministic: time moves only when a test advances it, and each
-drop, delay and duplicate is drawn from the randomness that a test gives.
+Both are deterministic: time advances only when a test says so, and each
+dropped, delayed or duplicated message is decided by the random generator that
+the test passes in.
 """
 
 import asyncio
@@ -16,26 +17,28 @@
 from nutmegroad.foundations._owned_tasks import OwnedTasks
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import DomainId, HostId, Incarnation, Presence
-from nutmegroad.testing._memory_mesh import MemoryPeer, PeerNames
+from nutmegroad.testing._memory_mesh import MemoryPeer, PeerIdentity
 
-#: Turns of the event loop without a new sleeper after which every task
-#: is taken to be waiting for the clock.
-QUIET_TURNS: Final = 25
+#: Iterations of the event loop without a new sleep after which every task is
+#: assumed to be waiting for the clock.
+IDLE_ITERATIONS: Final = 25
 
-#: An arbitrary day, the same for every test.
+#: An arbitrary date, the same for all tests.
 _WALL_START: Final = 1_700_000_000.0
 
+#: The sender and the receiver of messages.
 Pair = tuple[HostId, HostId]
-#: When a sleeper is due, its place among those due then, and its future.
+#: The time at which a sleep ends, a tie-breaker for equal times that keeps
+#: the order of the calls, and the future to resolve.
 _Sleeper = tuple[float, int, asyncio.Future[None]]
 
 
 class ManualClock:
-    """A clock that stands still until a test advances it.
+    """A clock that advances only when a test says so.
 
     Args:
-        start: What ``now`` returns at first, in seconds.
-        wall: What ``wall`` returns at first, in seconds since 1970.
+        start: Initial value of ``now``, in seconds.
+        wall: Initial value of ``wall``, in seconds since 1970.
     """
 
     def __init__(self, start: float = 0, wall: float = _WALL_START) -> None:
@@ -47,19 +50,19 @@
 
     @property
     def sleepers(self) -> int:
-        """How many tasks wait for this clock."""
+        """The number of tasks that sleep on this clock."""
         return sum(1 for entry in self._sleepers if not entry[2].done())
 
     def now(self) -> float:
-        """Return the seconds to which the clock was advanced."""
+        """Return the current clock time in seconds."""
         return self._now
 
     def wall(self) -> float:
-        """Return the same moment as seconds since 1970."""
+        """Return the current time in seconds since 1970."""
         return self._now + self._wall_offset
 
     async def sleep(self, seconds: float) -> None:
-        """Wait until the clock is advanced by so many seconds."""
+        """Wait until the clock has been advanced by a number of seconds."""
         self._sleeps += 1
         if seconds <= 0:
             await asyncio.sleep(0)
@@ -70,7 +73,7 @@
         await waiter
 
     async def advance(self, seconds: float) -> None:
-        """Move on, and wake each sleeper at its own moment in order."""
+        """Advance the clock, waking each sleeper at its own time, in order."""
         end = self._now + seconds
         await self.settle()
         while self._sleepers and self._sleepers[0][0] <= end:
@@ -81,18 +84,18 @@
         await self.settle()
 
     async def jump(self, seconds: float) -> None:
-        """Move on at once, as if the whole process had been paused."""
+        """Advance the clock in one step, as after a pause of the process."""
         self._now += seconds
         self._wake_due()
         await self.settle()
 
     async def settle(self) -> None:
-        """Let tasks run until all of them wait for the clock again."""
-        quiet = 0
-        while quiet < QUIET_TURNS:
+        """Let tasks run until all of them are waiting for the clock."""
+        idle = 0
+        while idle < IDLE_ITERATIONS:
             before = self._sleeps
             await asyncio.sleep(0)
-            quiet = quiet + 1 if before == self._sleeps else 0
+            idle = idle + 1 if before == self._sleeps else 0
 
     def _wake_due(self) -> None:
         while self._sleepers and self._sleepers[0][0] <= self._now:
@@ -102,12 +105,12 @@
 
 
 class PausableClock:
-    """One host's view of a clock, under which the host can be paused.
+    """The clock of one host, which simulates pauses of that host.
 
-    Time goes on during a pause, but no sleep of the host returns.
+    Time advances during a pause, but no sleep of the host returns.
 
     Args:
-        clock: The clock of all hosts.
+        clock: The clock that all hosts share.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -116,24 +119,24 @@
         self._running.set()
 
     def now(self) -> float:
-        """Return the seconds of the clock behind."""
+        """Return the time of the shared clock, in seconds."""
         return self._clock.now()
 
     def wall(self) -> float:
-        """Return the wall seconds of the clock behind."""
+        """Return the wall-clock time of the shared clock, in seconds."""
         return self._clock.wall()
 
     async def sleep(self, seconds: float) -> None:
-        """Wait, and go on waiting while the host is paused."""
+        """Sleep, and then wait until the host is not paused."""
         await self._clock.sleep(seconds)
         await self._running.wait()
 
     def pause(self) -> None:
-        """Let no sleep return from now on."""
+        """Pause the host: no sleep returns until it is resumed."""
         self._running.clear()
 
     def resume(self) -> None:
-        """Let the sleeps return that are due."""
+        """Resume the host: sleeps that are due return."""
         self._running.set()
 
 
@@ -142,11 +145,11 @@
     """How the network of a :class:`MemoryMesh` treats messages.
 
     Attributes:
-        delay: Least and greatest seconds that a message travels.
-        drop: Share of messages that are lost.
-        duplicate: Share of messages that arrive twice.
-        reorder: Share of messages that later ones may overtake.
-        reorder_delay: Seconds that such a message may be late.
+        delay: Minimum and maximum latency of a message, in seconds.
+        drop: Fraction of messages that are lost.
+        duplicate: Fraction of messages that are delivered twice.
+        reorder: Fraction of messages that later ones may overtake.
+        reorder_delay: Maximum additional latency of these, in seconds.
     """
 
     delay: tuple[float, float] = (0.001, 0.001)
@@ -156,17 +159,17 @@
     reorder_delay: float = 0.1
 
 
-class Cuts:
-    """Which pairs of hosts can't talk; the base of :class:`MemoryMesh`."""
+class LinkCuts:
+    """The broken links between hosts; the base of :class:`MemoryMesh`."""
 
     def __init__(self) -> None:
-        self._silent: set[Pair] = set()
-        self._noticed: set[Pair] = set()
+        self._silent_cuts: set[Pair] = set()
+        self._noticed_cuts: set[Pair] = set()
         self._peers: dict[HostId, MemoryPeer] = {}
 
     @property
     def peers(self) -> tuple[MemoryPeer, ...]:
-        """The hosts that have joined and are not gone, in that order."""
+        """The hosts that have joined and were not removed, in that order."""
         return tuple(self._peers.values())
 
     def cut(
@@ -177,60 +180,61 @@
         both: bool = True,
         noticed: bool = False,
     ) -> None:
-        """Lose messages from one host to another.
+        """Cut the link between two hosts, so that messages are lost.
 
         Args:
-            one: Whose messages are lost.
-            other: Whom they were for.
-            both: Whether the other way is cut too.
-            noticed: Whether both ends know it, so that ``tell`` is false.
+            one: The sender whose messages are lost.
+            other: The receiver of those messages.
+            both: Whether messages in the opposite direction are lost too.
+            noticed: Whether the senders know of the cut, so that sending
+                fails; otherwise messages are lost silently.
         """
-        cut = self._noticed if noticed else self._silent
+        cut = self._noticed_cuts if noticed else self._silent_cuts
         pairs = [(one, other), (other, one)]
         cut.update(pairs if both else pairs[:1])
 
     def cut_domain(self, domain: DomainId, *, noticed: bool = False) -> None:
-        """Cut a failure domain off from all hosts of other domains."""
-        for pair in self._borders(domain):
+        """Cut all links between a failure domain and the others."""
+        for pair in self._pairs_across(domain):
             self.cut(*pair, noticed=noticed)
 
     def heal(self, one: HostId, other: HostId) -> None:
-        """Undo cuts between two hosts, both ways."""
+        """Restore the link between two hosts, in both directions."""
         pairs = {(one, other), (other, one)}
-        self._silent -= pairs
-        self._noticed -= pairs
+        self._silent_cuts -= pairs
+        self._noticed_cuts -= pairs
 
     def heal_domain(self, domain: DomainId) -> None:
-        """Undo all cuts between a failure domain and the others."""
-        for pair in self._borders(domain):
+        """Restore all links between a failure domain and the others."""
+        for pair in self._pairs_across(domain):
             self.heal(*pair)
 
     def heal_all(self) -> None:
-        """Undo all cuts."""
-        self._silent.clear()
-        self._noticed.clear()
+        """Restore all links."""
+        self._silent_cuts.clear()
+        self._noticed_cuts.clear()
 
     def is_linked(self, one: HostId, other: HostId) -> bool:
-        """Tell whether a host believes that it has a link to another."""
+        """Return whether a host believes that it has a link to another."""
         both = {one, other} <= self._peers.keys()
-        return both and (one, other) not in self._noticed
+        return both and (one, other) not in self._noticed_cuts
 
     def is_cut(self, one: HostId, other: HostId) -> bool:
-        """Tell whether messages from one host to another are lost."""
-        return (one, other) in self._silent | self._noticed
+        """Return whether messages from one host to another are lost."""
+        return (one, other) in self._silent_cuts | self._noticed_cuts
 
-    def _borders(self, domain: DomainId) -> Iterable[tuple[HostId, HostId]]:
+    def _pairs_across(self, domain: DomainId) -> Iterable[Pair]:
         inside = [peer.host for peer in self.peers if peer.domain == domain]
         outside = [peer.host for peer in self.peers if peer.domain != domain]
         return itertools.product(inside, outside)
 
 
-class MemoryMesh(Cuts):
-    """An in-memory network of hosts, each with a ``Mesh`` of its own.
+class MemoryMesh(LinkCuts):
+    """An in-memory network of hosts, each with its own ``Mesh``.
 
-    A message that is lost is lost without a sign, as on a real network;
-    ``cut(..., noticed=True)`` gives links whose ends know that they are
-    down. Messages pass through the same typed encoding as on a wire.
+    Messages are lost silently, as on a real network; after
+    ``cut(..., noticed=True)`` the senders know that the link is down.
+    Messages are encoded and decoded by type as on real links.
 
     Example::
 
@@ -241,8 +245,9 @@
             mesh.cut_domain(DomainId('petaling'))
 
     Args:
-        clock: Time; usually a :class:`ManualClock`.
-        randomness: From which drops, delays and duplicates are drawn.
+        clock: The clock; usually a :class:`ManualClock`.
+        randomness: Decides which messages are dropped, delayed or
+            duplicated.
         faults: How messages are treated; may be changed at any time.
     """
 
@@ -260,7 +265,7 @@
         self._last_due: dict[Pair, float] = {}
 
     async def __aenter__(self) -> Self:
-        """Start with no host."""
+        """Return the network, without hosts."""
         return self
 
     async def __aexit__(
@@ -269,7 +274,7 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """End what is under way."""
+        """Cancel the messages in transit and the running handlers."""
         await self._tasks.aclose()
 
     def join(
@@ -281,37 +286,37 @@
         """Add a host, or a new incarnation of one, and return its mesh.
 
         Args:
-            host: The host.
+            host: The id of the host.
             domain: Its failure domain.
-            incarnation: What this run of it is called; None makes one up.
+            incarnation: Its incarnation; None for a random one.
         """
-        names = PeerNames.fresh(host, domain, self._randomness)
+        identity = PeerIdentity.fresh(host, domain, self._randomness)
         if incarnation is not None:
-            names = replace(names, incarnation=incarnation)
-        peer = MemoryPeer(names, self, self._tasks)
+            identity = replace(identity, incarnation=incarnation)
+        peer = MemoryPeer(identity, self, self._tasks)
         self._peers[host] = peer
         return peer
 
     def leave(self, host: HostId) -> None:
-        """Mark a host as leaving; it still sends and receives."""
+        """Mark a host as leaving; it can still send and receive."""
         self._peers[host].presence = Presence.LEAVING
 
     def remove(self, host: HostId) -> None:
-        """Take a host away; what is under way to it is lost."""
+        """Remove a host; messages in transit to it are lost."""
         self._peers.pop(host, None)
 
     def peer(self, host: HostId) -> MemoryPeer | None:
-        """Return a host's mesh, or None if it is not there."""
+        """Return the mesh of a host, or None if it has not joined."""
         return self._peers.get(host)
 
     def post(self, one: HostId, other: HostId, frame: object) -> None:
-        """Let a frame travel; the peers call it."""
-        copies = 2 if self._draws(self.faults.duplicate) else 1
+        """Send a frame; called by the peers."""
+        copies = 2 if self._occurs(self.faults.duplicate) else 1
         for _ in range(copies):
-            if not self._draws(self.faults.drop):
-                self._tasks.start(self._carry(one, other, frame))
+            if not self._occurs(self.faults.drop):
+                self._tasks.start(self._deliver(one, other, frame))
 
-    async def _carry(self, one: HostId, other: HostId, frame: object) -> None:
+    async def _deliver(self, one: HostId, other: HostId, frame: object) -> None:
         await self.clock.sleep(self._delay(one, other))
         receiver = self._peers.get(other)
         if receiver is not None and not self.is_cut(one, other):
@@ -319,15 +324,15 @@
 
     def _delay(self, one: HostId, other: HostId) -> float:
         delay = self._randomness.uniform(*self.faults.delay)
-        if self._draws(self.faults.reorder):
-            late = self._randomness.uniform(0, self.faults.reorder_delay)
-            return delay + late
-        # Otherwise a link keeps the order of what is sent on it.
+        if self._occurs(self.faults.reorder):
+            extra = self._randomness.uniform(0, self.faults.reorder_delay)
+            return delay + extra
+        # Otherwise a link preserves the order of its messages.
         now = self.clock.now()
         earliest = self._last_due.get((one, other), now)
         due = max(now + delay, earliest)
         self._last_due[one, other] = due
         return due - now
 
-    def _draws(self, share: float) -> bool:
-        return share > 0 and self._randomness.random() < share
+    def _occurs(self, probability: float) -> bool:
+        return probability > 0 and self._randomness.random() < probability
