--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,8 @@
-"""Runs all tests, holds them to ``KNOWN-RED.txt``, prints a closing line.
+"""Runs all tests and compares the failures with ``KNOWN-RED.txt``.
 
-A line of that file is ``test_id | cause | issue``. Just the tests that it
-lists may fail; they are printed, as is one of them that passes.
+Each line of that file is ``test_id | cause | issue``. Only the tests listed
+there may fail. They are printed, and so are listed tests that pass. The last
+line of the output gives the totals.
 """
 
 import asyncio
@@ -13,23 +14,23 @@
 from tests.workers import ROOT, Outcome, merge, run_modules
 
 KNOWN_RED: Final = ROOT / 'KNOWN-RED.txt'
-#: The house rule: more than this many and they must be mended first.
-MOST_KNOWN: Final = 3
-_FIELDS: Final = 3
+#: Maximum number of known failures; more must be fixed first.
+MAX_KNOWN: Final = 3
+_FIELD_COUNT: Final = 3
 
 
 class KnownRedError(Exception):
-    """The list of known failures is not as it must be."""
+    """The list of known failures is invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A test that may fail.
+    """A test that is known to fail.
 
     Attributes:
-        test: The test's id.
+        test: Id of the test.
         cause: Why it fails.
-        issue: Where that is followed up.
+        issue: The issue that tracks it.
     """
 
     test: str
@@ -39,34 +40,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether a run is good, and why not.
+    """The verdict on a test run.
 
     Attributes:
-        good: Nothing failed but what may.
-        lines: What to print.
+        is_good: Whether only known failures failed and all of them ran.
+        lines: Lines to print.
     """
 
-    good: bool
+    is_good: bool
     lines: tuple[str, ...] = field(default=())
 
 
 def read_known_red(text: str) -> tuple[KnownRed, ...]:
-    """Read the list of known failures.
+    """Parse the list of known failures.
 
     Raises:
         KnownRedError: If it is too long or a line is malformed.
     """
     known = tuple(
-        _known_red_of(line) for line in text.splitlines() if line.strip()
+        _parse_line(line) for line in text.splitlines() if line.strip()
     )
-    if len(known) > MOST_KNOWN:
-        message = f'KNOWN-RED.txt lists {len(known)}, not {MOST_KNOWN} at most.'
+    if len(known) > MAX_KNOWN:
+        message = (
+            f'KNOWN-RED.txt lists {len(known)} tests; at most {MAX_KNOWN} may.'
+        )
         raise KnownRedError(message)
     return known
 
 
 def judge(outcome: Outcome, known: Iterable[KnownRed]) -> Verdict:
-    """Hold a run to the list of known failures."""
+    """Compare the outcome of a run with the list of known failures."""
     listed = {entry.test: entry for entry in known}
     failed = outcome.failed
     ran = outcome.passed | failed
@@ -79,31 +82,31 @@
     lines.extend(_lines('failed', failed - listed.keys()))
     lines.extend(_lines('skipped', outcome.skipped))
     lines.append(f'{len(outcome.passed)} passed, {len(failed)} failed')
-    good = bool(ran) and not absent and failed <= listed.keys()
-    return Verdict(good, tuple(lines))
+    is_good = bool(ran) and not absent and failed <= listed.keys()
+    return Verdict(is_good, tuple(lines))
 
 
 def main() -> int:
-    """Run the tests; return 0 only if none failed but what may."""
+    """Run the tests; return 0 if the verdict is good, otherwise 1."""
     known = read_known_red(KNOWN_RED.read_text() if KNOWN_RED.exists() else '')
     reports = asyncio.run(run_modules(ROOT / 'tests'))
     verdict = judge(merge(report.outcome for report in reports), known)
     sys.stdout.write('\n'.join((*verdict.lines, '')))
-    return 0 if verdict.good else 1
+    return 0 if verdict.is_good else 1
 
 
-def _known_red_of(line: str) -> KnownRed:
-    """Read one line of the list."""
+def _parse_line(line: str) -> KnownRed:
+    """Parse one line of the list."""
     parts = [part.strip() for part in line.split('|')]
-    if len(parts) != _FIELDS or not all(parts):
+    if len(parts) != _FIELD_COUNT or not all(parts):
         message = f'KNOWN-RED.txt: {line!r} is not `test_id | cause | issue`.'
         raise KnownRedError(message)
     return KnownRed(*parts)
 
 
-def _lines(what: str, tests: Iterable[str]) -> list[str]:
-    """Return a line for each test, in order."""
-    return [f'{what}: {test}' for test in sorted(tests)]
+def _lines(label: str, tests: Iterable[str]) -> list[str]:
+    """Return a labelled line for each test, sorted by id."""
+    return [f'{label}: {test}' for test in sorted(tests)]
 
 
 if __name__ == '__main__':
--- a/tests/shared_documents.py
+++ b/tests/shared_documents.py
@@ -1,4 +1,4 @@
-"""A configuration with workspaces and their shares, for tests."""
+"""Sample configurations with workspaces and their capacity shares."""
 
 from typing import Final
 
@@ -20,7 +20,13 @@
     queue_limit: float,
     **shares: float,
 ) -> Configuration:
-    """Return a configuration with workspaces and their shares."""
+    """Return a configuration in force for tests of capacity sharing.
+
+    Args:
+        clock: The clock of the configuration.
+        queue_limit: Requests that may wait, per engine slot.
+        shares: Weight of each workspace, by its name.
+    """
     workspaces = tuple(
         WorkspaceEntry(
             name=name,
--- a/tests/test_graceful_stop.py
+++ b/tests/test_graceful_stop.py
@@ -1,4 +1,4 @@
-"""A stop takes no new work, lets open work end, and ends the rest openly."""
+"""Tests of the graceful stop: refuse new requests, let open ones complete."""
 
 import asyncio
 import unittest
@@ -10,32 +10,32 @@
 
 
 class StopTest(unittest.IsolatedAsyncioTestCase):
-    """The phases of a stop."""
+    """Tests of the phases of a stop."""
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
         self.stop = GracefulStop(self.clock, lame_duck=1, limit=10)
-        self.ended: list[str] = []
+        self.outcomes: list[str] = []
 
     def open_request(self, seconds: float) -> asyncio.Task[None]:
         async def work() -> None:
             with self.stop.request():
                 try:
                     await self.clock.sleep(seconds)
-                    self.ended.append('whole')
+                    self.outcomes.append('completed')
                 except asyncio.CancelledError:
-                    self.ended.append('ended')
+                    self.outcomes.append('cancelled')
 
         return asyncio.create_task(work())
 
-    async def test_readiness_falls_before_work_is_refused(self) -> None:
-        told: list[Phase] = []
-        self.stop.listen(lambda: told.append(self.stop.phase))
+    async def test_host_is_not_ready_before_it_refuses_requests(self) -> None:
+        phases: list[Phase] = []
+        self.stop.listen(lambda: phases.append(self.stop.phase))
         task = asyncio.create_task(self.stop.run())
         await self.clock.settle()
         self.assertFalse(self.stop.is_ready)
         self.assertIsNone(self.stop.refusal())
-        self.assertEqual(told, [Phase.LEAVING])
+        self.assertEqual(phases, [Phase.LEAVING])
         await self.clock.advance(1)
         refusal = self.stop.refusal()
         assert refusal is not None
@@ -44,7 +44,7 @@
         self.assertGreater(refusal.retry_after, 0)
         self.assertEqual(await task, 0)
 
-    async def test_open_requests_end_whole_and_may_still_send(self) -> None:
+    async def test_open_requests_complete_and_may_still_send(self) -> None:
         request = self.open_request(7)
         task = asyncio.create_task(self.stop.run())
         await self.clock.advance(6)
@@ -53,14 +53,14 @@
         await self.clock.advance(2)
         await request
         self.assertEqual(await task, 0)
-        self.assertEqual(self.ended, ['whole'])
+        self.assertEqual(self.outcomes, ['completed'])
 
-    async def test_what_is_open_at_the_limit_is_ended(self) -> None:
+    async def test_requests_open_at_the_limit_are_cancelled(self) -> None:
         request = self.open_request(99)
         task = asyncio.create_task(self.stop.run())
         await self.clock.advance(10.1)
-        # Without this a stop that ends nothing would hang the test.
-        self.assertEqual(self.ended, ['ended'])
+        # Without this check a stop that cancels nothing would hang the test.
+        self.assertEqual(self.outcomes, ['cancelled'])
         await request
         self.assertTrue(task.done())
         self.assertEqual(await task, 1)
@@ -72,7 +72,7 @@
         await self.clock.advance(2)
         second = asyncio.create_task(self.stop.run())
         await self.clock.settle()
-        # Without this a second stop that begins anew would hang the test.
+        # Without this check a second stop that restarts would hang the test.
         self.assertTrue(second.done())
         self.assertEqual(await second, 0)
         self.assertFalse(request.done())
@@ -81,4 +81,4 @@
         await request
         self.assertTrue(task.done())
         self.assertEqual(await task, 0)
-        self.assertEqual(self.ended, ['whole'])
+        self.assertEqual(self.outcomes, ['completed'])
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -1,4 +1,4 @@
-"""Plug-ins: the example of docs/PLUGINS.md runs as it stands there."""
+"""Tests of plug-in registration, including the example in docs/PLUGINS.md."""
 
 import random
 import sys
@@ -40,12 +40,12 @@
 
 
 def example() -> str:
-    """Return the page's Python example."""
+    """Return the Python example of the page."""
     return PAGE.read_text().partition('```python\n')[2].partition('```')[0]
 
 
 def engine(name: str) -> UpstreamInfo:
-    """Return a listed engine."""
+    """Return the host list entry of an engine."""
     return UpstreamInfo(
         UpstreamId(name),
         DomainId('kent-hall'),
@@ -56,12 +56,14 @@
 
 class PluginsTest(unittest.TestCase):
     def import_example(self) -> None:
-        folder = self.enterContext(TemporaryDirectory())
-        (Path(folder) / 'first_listed.py').write_text(example())
-        self.enterContext(patch.object(sys, 'path', [folder, *sys.path]))
+        directory_path = self.enterContext(TemporaryDirectory())
+        (Path(directory_path) / 'first_listed.py').write_text(example())
+        self.enterContext(
+            patch.object(sys, 'path', [directory_path, *sys.path])
+        )
         load_plugins(('first_listed',))
 
-    def test_the_example_registers_a_selector_that_works(self) -> None:
+    def test_the_documented_example_registers_a_working_selector(self) -> None:
         self.import_example()
         settings, _ = read_settings(FLAGS, SECRETS)
         kernel = Kernel(settings, SystemClock(), random.Random(1))
@@ -72,22 +74,22 @@
         for name in ('a', 'b'):
             directory.reported(UpstreamId(name), report)
         selector: Any = lookup('selector', 'first-listed')(kernel)
-        nothing: frozenset[UpstreamId] = frozenset()
-        choice = selector.choose(None, VERSION, nothing)
+        none_excluded: frozenset[UpstreamId] = frozenset()
+        choice = selector.choose(None, VERSION, none_excluded)
         self.assertEqual('a', choice.state.info.upstream)
         both = frozenset((UpstreamId('a'), UpstreamId('b')))
         self.assertIsInstance(selector.choose(None, VERSION, both), Refusal)
 
-    def test_an_unknown_name_is_refused_with_the_choices(self) -> None:
+    def test_error_for_an_unknown_name_lists_the_known_names(self) -> None:
         load_plugins()
         with self.assertRaisesRegex(RegistryError, 'cheapest'):
             lookup('planner', 'dearest-of-all')
 
-    def test_a_name_taken_twice_is_refused(self) -> None:
+    def test_registering_a_name_twice_is_rejected(self) -> None:
         register('test kind', 'taken')(list)
         with self.assertRaisesRegex(RegistryError, 'taken'):
             register('test kind', 'taken')(dict)
 
-    def test_a_module_that_is_not_there_is_refused_by_name(self) -> None:
+    def test_error_for_a_missing_module_names_it(self) -> None:
         with self.assertRaisesRegex(RegistryError, 'no_such_module'):
             load_plugins(('no_such_module',))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings."""
+"""Tests of reading, validating and printing the settings."""
 
 import unittest
 
@@ -36,12 +36,12 @@
 
 
 class ReadTest(unittest.TestCase):
-    def test_defaults_are_those_of_the_dataclass(self) -> None:
+    def test_defaults_match_the_dataclass(self) -> None:
         settings, _ = read_settings(
             _ARGV,
             {'NUTMEGROAD_CLUSTER_KEY': _KEY},
         )
-        plain = Settings(
+        expected = Settings(
             settings.host,
             settings.domain,
             Address('127.0.0.1', 1),
@@ -50,19 +50,19 @@
             Address('127.0.0.1', 4),
             _KEY,
         )
-        self.assertEqual(settings, plain)
+        self.assertEqual(settings, expected)
 
-    def test_flag_wins_over_environment(self) -> None:
+    def test_flag_takes_precedence_over_environment(self) -> None:
         self.assertEqual(_read().lease, 9)
         self.assertEqual(_read('--lease', '7').lease, 7)
 
-    def test_seeds(self) -> None:
+    def test_seeds_are_parsed_as_addresses(self) -> None:
         seeds = _read('--seeds', '10.0.0.1:5, 10.0.0.2:6').seeds
         self.assertEqual(
             seeds, (Address('10.0.0.1', 5), Address('10.0.0.2', 6))
         )
 
-    def test_bad_values_are_each_named(self) -> None:
+    def test_each_invalid_value_is_reported(self) -> None:
         cases = (
             ('--host', 'Kent'),
             ('--callers', 'localhost:80'),
@@ -79,41 +79,41 @@
             ('--poll', '5'),
             ('--operators', '127.0.0.1:1'),
         )
-        for flag, bad in cases:
-            with self.subTest(flag=flag, bad=bad):
-                (problem,) = _problems(f'{flag}={bad}')
+        for flag, value in cases:
+            with self.subTest(flag=flag, value=value):
+                (problem,) = _problems(f'{flag}={value}')
                 self.assertIn(flag[2:].replace('-', '_'), problem)
-                self.assertIn(bad, problem)
+                self.assertIn(value, problem)
                 self.assertIn('expected', problem)
 
-    def test_all_problems_come_together(self) -> None:
+    def test_all_problems_are_reported_together(self) -> None:
         problems = _problems('--lease=x', '--host', 'B', '--no', environ={})
-        told = '\n'.join(problems)
+        message = '\n'.join(problems)
         for name in ('lease', 'host', '--no', 'NUTMEGROAD_CLUSTER_KEY'):
-            self.assertIn(name, told)
+            self.assertIn(name, message)
         self.assertEqual(len(problems), 4)
 
 
 class SecretTest(unittest.TestCase):
-    def test_secret_by_flag_is_refused_unshown(self) -> None:
+    def test_secret_given_as_flag_is_rejected_and_not_shown(self) -> None:
         for argv in (['--cluster-key', _KEY], [f'--cluster-key={_KEY}']):
             with self.subTest(argv=argv):
                 (problem,) = _problems(*argv)
                 self.assertNotIn(_KEY, problem)
 
-    def test_bad_secret_is_unshown(self) -> None:
-        bad = {'NUTMEGROAD_CLUSTER_KEY': 'hunter2'}
-        (problem,) = _problems(environ=bad)
+    def test_invalid_secret_is_not_shown(self) -> None:
+        environ = {'NUTMEGROAD_CLUSTER_KEY': 'hunter2'}
+        (problem,) = _problems(environ=environ)
         self.assertNotIn('hunter2', problem)
 
-    def test_print_shows_sources_but_no_secret(self) -> None:
+    def test_printed_settings_show_sources_but_no_secret(self) -> None:
         argv = [*_ARGV, '--print-settings']
         settings, origins = read_settings(argv, _ENVIRON)
-        shown = format_settings(origins)
+        printed = format_settings(origins)
         sources = {origin.name: origin.source for origin in origins}
         self.assertTrue(settings.print_settings)
         self.assertIs(sources['host'], SettingSource.FLAG)
         self.assertIs(sources['lease'], SettingSource.ENVIRONMENT)
         self.assertIs(sources['poll'], SettingSource.DEFAULT)
-        self.assertNotIn(_KEY, shown)
+        self.assertNotIn(_KEY, printed)
         self.assertNotIn(_KEY, repr(settings))
--- a/tests/test_testing.py
+++ b/tests/test_testing.py
@@ -1,4 +1,4 @@
-"""Tests of the clock and the mesh that other tests are written with."""
+"""Tests of the manual clock and the in-memory mesh, the test helpers."""
 
 import asyncio
 import random
@@ -19,52 +19,54 @@
 
 
 class Ping(Message, frozen=True, tag='test-ping'):
-    """Asks for a number back."""
+    """Requests the next number."""
 
     number: int
 
 
 class Pong(Message, frozen=True, tag='test-pong'):
-    """The number."""
+    """Replies with the next number."""
 
     number: int
 
 
 class ClockTest(unittest.IsolatedAsyncioTestCase):
-    """A clock that is moved by hand."""
+    """Tests of the manual clock and of pausing a host."""
 
-    async def test_sleepers_wake_in_the_order_of_their_time(self) -> None:
+    async def test_sleepers_wake_in_order_of_their_due_time(self) -> None:
         clock = ManualClock()
-        woken: list[tuple[str, float]] = []
+        wakeups: list[tuple[str, float]] = []
 
         async def wake(name: str, seconds: float) -> None:
             await clock.sleep(seconds)
-            woken.append((name, clock.now()))
+            wakeups.append((name, clock.now()))
 
         tasks = [
             asyncio.ensure_future(wake(name, seconds))
             for name, seconds in (('late', 2), ('early', 1), ('never', 9))
         ]
         await clock.advance(3)
-        self.assertEqual(woken, [('early', 1), ('late', 2)])
+        self.assertEqual(wakeups, [('early', 1), ('late', 2)])
         self.assertEqual((clock.now(), clock.sleepers), (3, 1))
         tasks[-1].cancel()
 
-    async def test_a_paused_host_wakes_only_when_it_resumes(self) -> None:
+    async def test_sleeps_of_a_paused_host_return_only_after_it_resumes(
+        self,
+    ) -> None:
         clock = ManualClock()
-        view = PausableClock(clock)
-        sleeping = asyncio.ensure_future(view.sleep(1))
-        view.pause()
+        host_clock = PausableClock(clock)
+        sleeping = asyncio.ensure_future(host_clock.sleep(1))
+        host_clock.pause()
         await clock.advance(5)
         self.assertFalse(sleeping.done())
-        view.resume()
+        host_clock.resume()
         await clock.settle()
         self.assertTrue(sleeping.done())
-        self.assertEqual(view.now(), 5)
+        self.assertEqual(host_clock.now(), 5)
 
 
 class MemoryMeshTest(unittest.IsolatedAsyncioTestCase):
-    """Hosts that talk in memory."""
+    """Tests of messages between two hosts in memory."""
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
@@ -80,14 +82,14 @@
         return Pong(ping.number + 1)
 
     async def ask(self) -> Message | Refusal:
-        asking = asyncio.ensure_future(self.one.ask(TWO, Ping(1), 2))
+        request = asyncio.ensure_future(self.one.ask(TWO, Ping(1), 2))
         await self.clock.advance(3)
-        return await asking
+        return await request
 
-    async def test_a_question_gets_its_reply(self) -> None:
+    async def test_a_request_is_answered(self) -> None:
         self.assertEqual(await self.ask(), Pong(2))
 
-    async def test_a_cut_loses_messages_without_a_sign(self) -> None:
+    async def test_a_cut_link_loses_messages_silently(self) -> None:
         self.mesh.cut_domain(DomainId('west'))
         self.assertTrue(self.one.tell(TWO, Ping(1)))
         reply = await self.ask()
@@ -96,7 +98,7 @@
         self.mesh.heal_domain(DomainId('west'))
         self.assertEqual(await self.ask(), Pong(2))
 
-    async def test_a_noticed_cut_refuses_at_once(self) -> None:
+    async def test_a_noticed_cut_refuses_messages_immediately(self) -> None:
         self.mesh.cut(ONE, TWO, noticed=True)
         self.assertFalse(self.one.tell(TWO, Ping(1)))
         reply = await self.one.ask(TWO, Ping(1), 2)
@@ -104,9 +106,11 @@
         self.assertEqual(reply.ran, Ran.NOT_RUN)
         self.assertEqual(self.one.members(), ())
 
-    async def test_order_is_kept_unless_reordering_is_asked_for(self) -> None:
+    async def test_order_is_preserved_unless_reordering_is_configured(
+        self,
+    ) -> None:
         self.mesh.faults = NetworkFaults(delay=(0.001, 1))
-        for reorder, kept in ((0, True), (1, False)):
+        for reorder, in_order in ((0, True), (1, False)):
             with self.subTest(reorder=reorder):
                 self.numbers.clear()
                 self.mesh.faults.reorder = reorder
@@ -114,15 +118,17 @@
                     self.one.tell(TWO, Ping(number))
                 await self.clock.advance(5)
                 self.assertEqual(sorted(self.numbers), list(range(20)))
-                self.assertEqual(self.numbers == list(range(20)), kept)
+                self.assertEqual(self.numbers == list(range(20)), in_order)
 
-    async def test_messages_are_dropped_and_doubled_by_share(self) -> None:
+    async def test_messages_are_dropped_and_duplicated_as_configured(
+        self,
+    ) -> None:
         cases: dict[str, list[int]] = {'drop': [], 'duplicate': [5, 5]}
-        for name, arrived in cases.items():
+        for name, received in cases.items():
             with self.subTest(name):
                 self.numbers.clear()
                 self.mesh.faults = NetworkFaults()
                 setattr(self.mesh.faults, name, 1)
                 self.one.tell(TWO, Ping(5))
                 await self.clock.advance(1)
-                self.assertEqual(self.numbers, arrived)
+                self.assertEqual(self.numbers, received)
--- a/tests/workers.py
+++ b/tests/workers.py
@@ -1,8 +1,8 @@
-"""Runs test modules, each in a process of its own, a few at once.
+"""Runs test modules, each in its own process, a few concurrently.
 
-``python -m tests.workers MODULE FILE`` is such a process: it runs one module
-and writes its outcome into the file. One that ends without an outcome, or not
-at all, counts as a failed test with the module's name.
+``python -m tests.workers MODULE FILE`` runs one module and writes its outcome
+to the file. A module that exits without an outcome or times out counts as one
+failed test with the name of the module.
 """
 
 import asyncio
@@ -21,14 +21,15 @@
 import msgspec
 
 ROOT: Final = Path(__file__).resolve().parent.parent
-#: Modules that run at once at most.
-MOST_AT_ONCE: Final = 4
-#: Seconds after which a module is taken to hang.
-HANGS: Final = 400.0
-#: Seconds that a module may take to end its processes when it is stopped.
-_CLEAN_UP: Final = 30.0
-#: Those that take longest begin first, so that none of them is the last.
-SLOW: Final = (
+#: Maximum number of modules that run concurrently.
+MAX_CONCURRENT_MODULES: Final = 4
+#: Seconds after which a module is interrupted because it hangs.
+MODULE_TIMEOUT: Final = 400.0
+#: Seconds within which an interrupted module must stop its processes.
+_INTERRUPT_GRACE: Final = 30.0
+#: The slowest modules. They are started first, so that none of them is the
+#: last to finish.
+SLOW_MODULES: Final = (
     'test_rolling_replacement',
     'test_configuration_processes',
     'test_rollout_processes',
@@ -37,11 +38,11 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a run gave, by ids of tests.
+    """The outcome of a test run, by ids of tests.
 
     Attributes:
         passed: Tests that passed.
-        failed: Tests that failed, each once.
+        failed: Tests that failed or had an error.
         skipped: Tests that were skipped.
     """
 
@@ -52,13 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """How a module ended.
+    """The report on one module.
 
     Attributes:
-        module: Its name.
-        outcome: What became of its tests.
-        output: What it printed.
-        seconds: How long it took.
+        module: Name of the module.
+        outcome: The outcome of its tests.
+        output: Its standard output and standard error.
+        seconds: Duration in seconds.
     """
 
     module: str
@@ -67,20 +68,20 @@
     seconds: float
 
 
-class _RememberingResult(unittest.TextTestResult):
-    """A result that also remembers which tests passed."""
+class _RecordingResult(unittest.TextTestResult):
+    """A test result that also records which tests passed."""
 
     def __init__(self, *args: object, **options: object) -> None:
         super().__init__(*args, **options)  # type: ignore[arg-type]
         self.passed: set[str] = set()
 
     def addSuccess(self, test: unittest.TestCase) -> None:  # noqa: N802
-        """Remember a test that passed."""
+        """Record a test that passed."""
         super().addSuccess(test)
         self.passed.add(test.id())
 
     def outcome(self) -> Outcome:
-        """Return the ids; a test that failed in parts counts once."""
+        """Return the outcome; failed subtests count as one failed test."""
         tests = [test for test, _ in (*self.failures, *self.errors)]
         tests.extend(test for test, _ in self.expectedFailures)
         tests.extend(self.unexpectedSuccesses)
@@ -94,12 +95,12 @@
 def find_modules(directory: Path) -> tuple[str, ...]:
     """Return the names of the test modules, the slow ones first."""
     names = sorted(path.stem for path in directory.glob('test_*.py'))
-    first = [name for name in SLOW if name in names]
-    return (*first, *(name for name in names if name not in SLOW))
+    slow = [name for name in SLOW_MODULES if name in names]
+    return (*slow, *(name for name in names if name not in SLOW_MODULES))
 
 
 def merge(outcomes: Iterable[Outcome]) -> Outcome:
-    """Return the outcomes of several modules as one."""
+    """Merge the outcomes of several modules."""
     merged = Outcome(frozenset(), frozenset(), frozenset())
     for outcome in outcomes:
         merged = Outcome(
@@ -112,14 +113,14 @@
 
 async def run_modules(
     directory: Path,
-    hangs: float = HANGS,
+    timeout: float = MODULE_TIMEOUT,
 ) -> tuple[Report, ...]:
-    """Run the modules of a directory and print each when it has ended."""
-    turns = asyncio.Semaphore(MOST_AT_ONCE)
+    """Run the modules of a directory and print each report when it is ready."""
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_MODULES)
 
     async def run(module: str) -> Report:
-        async with turns:
-            report = await run_module(directory, module, hangs)
+        async with semaphore:
+            report = await run_module(directory, module, timeout)
         heading = f'{report.module}: {report.seconds:.1f} s'
         sys.stdout.write(f'{heading}\n{report.output}\n')
         sys.stdout.flush()
@@ -129,75 +130,75 @@
     return tuple(await asyncio.gather(*(run(module) for module in modules)))
 
 
-async def run_module(directory: Path, module: str, hangs: float) -> Report:
-    """Run one module in a process of its own."""
-    began = time.monotonic()
-    with tempfile.TemporaryDirectory() as scratch:
-        written = Path(scratch) / 'outcome.json'
+async def run_module(directory: Path, module: str, timeout: float) -> Report:
+    """Run one module in its own process."""
+    started = time.monotonic()
+    with tempfile.TemporaryDirectory() as directory_name:
+        outcome_file = Path(directory_name) / 'outcome.json'
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             '-m',
             'tests.workers',
             str(directory / f'{module}.py'),
-            str(written),
+            str(outcome_file),
             cwd=ROOT,
             stdout=PIPE,
             stderr=STDOUT,
         )
-        output, ended = await _wait(process, hangs)
-        outcome = _read(written, module, ended=ended)
-    return Report(module, outcome, output, time.monotonic() - began)
+        output, exited = await _wait(process, timeout)
+        outcome = _read(outcome_file, module, exited=exited)
+    return Report(module, outcome, output, time.monotonic() - started)
 
 
-async def _wait(process: Process, hangs: float) -> tuple[str, bool]:
-    """Return what a process printed, and whether it ended by itself."""
-    reading = asyncio.ensure_future(process.communicate())
-    done, _ = await asyncio.wait([reading], timeout=hangs)
+async def _wait(process: Process, timeout: float) -> tuple[str, bool]:
+    """Return the output of a process and whether it exited in time."""
+    communication = asyncio.ensure_future(process.communicate())
+    done, _ = await asyncio.wait([communication], timeout=timeout)
     if not done:
-        # As by Ctrl+C, so that the module ends what it has started.
+        # Like Ctrl+C, so that the module stops the processes it started.
         with suppress(ProcessLookupError):
             process.send_signal(signal.SIGINT)
-        await asyncio.wait([reading], timeout=_CLEAN_UP)
+        await asyncio.wait([communication], timeout=_INTERRUPT_GRACE)
         if process.returncode is None:
             process.kill()
-    printed, _ = await reading
-    return printed.decode(errors='replace'), bool(done)
+    output, _ = await communication
+    return output.decode(errors='replace'), bool(done)
 
 
-def _read(written: Path, module: str, *, ended: bool) -> Outcome:
-    """Return what a module wrote; without that the module has failed."""
-    nothing: frozenset[str] = frozenset()
-    if not ended:
-        failed = frozenset((f'{module} (did not end)',))
-        return Outcome(nothing, failed, nothing)
-    if not written.exists():
-        failed = frozenset((f'{module} (ended without an outcome)',))
-        return Outcome(nothing, failed, nothing)
-    return msgspec.json.decode(written.read_bytes(), type=Outcome)
+def _read(outcome_file: Path, module: str, *, exited: bool) -> Outcome:
+    """Return the outcome that a module wrote, or a failure of the module."""
+    empty: frozenset[str] = frozenset()
+    if not exited:
+        failed = frozenset((f'{module} (timed out)',))
+        return Outcome(empty, failed, empty)
+    if not outcome_file.exists():
+        failed = frozenset((f'{module} (exited without an outcome)',))
+        return Outcome(empty, failed, empty)
+    return msgspec.json.decode(outcome_file.read_bytes(), type=Outcome)
 
 
 def _id_of(test: unittest.TestCase) -> str:
-    """Return a test's id; a part of a test goes under its whole."""
-    whole: unittest.TestCase = getattr(test, 'test_case', test)
-    return whole.id()
+    """Return the id of a test; for a subtest, that of its test."""
+    parent: unittest.TestCase = getattr(test, 'test_case', test)
+    return parent.id()
 
 
 def main() -> int:
-    """Run one module and write its outcome."""
-    module, written = (Path(argument) for argument in sys.argv[1:])
+    """Run one module and write its outcome to a file."""
+    module, outcome_file = (Path(argument) for argument in sys.argv[1:])
     suite = unittest.defaultTestLoader.discover(
         str(module.parent),
         pattern=module.name,
         top_level_dir=str(module.parent.parent),
     )
     runner = unittest.TextTestRunner(
-        resultclass=_RememberingResult,
+        resultclass=_RecordingResult,
         stream=sys.stdout,
     )
-    ended = runner.run(suite)
-    if isinstance(ended, _RememberingResult):
-        written.write_bytes(msgspec.json.encode(ended.outcome()))
-    return 0 if ended.wasSuccessful() else 1
+    result = runner.run(suite)
+    if isinstance(result, _RecordingResult):
+        outcome_file.write_bytes(msgspec.json.encode(result.outcome()))
+    return 0 if result.wasSuccessful() else 1
 
 
 if __name__ == '__main__':
