--- a/src/nutmegroad/contracts/_watch_rows.py
+++ b/src/nutmegroad/contracts/_watch_rows.py
@@ -165,16 +165,16 @@
         self._states = {}
         collisions: set[int] = set()
         for state in known:
-            run = run_of(state.info)
-            if run in self._states:
-                collisions.add(run)
-            self._states[run] = state
-        for run in collisions:
-            self._states.pop(run)
-
-    def find(self, run: int) -> UpstreamState | None:
+            endpoint = run_of(state.info)
+            if endpoint in self._states:
+                collisions.add(endpoint)
+            self._states[endpoint] = state
+        for endpoint in collisions:
+            self._states.pop(endpoint)
+
+    def find(self, endpoint: int) -> UpstreamState | None:
         """Return the engine with a hash; None if unknown or ambiguous."""
-        return self._states.get(run)
+        return self._states.get(endpoint)
 
 
 def run_of(info: UpstreamInfo) -> int:
--- a/src/nutmegroad/contracts/documents.py
+++ b/src/nutmegroad/contracts/documents.py
@@ -29,9 +29,9 @@
     str,
     Meta(pattern='^[a-z0-9][a-z0-9._-]{0,62}@[a-z0-9][a-z0-9._-]{0,62}$'),
 ]
-Share = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 Price = Annotated[float, Meta(ge=0, le=1e6)]
-Positive = Annotated[float, Meta(gt=0, le=1e6)]
+PositiveNumber = Annotated[float, Meta(gt=0, le=1e6)]
 
 
 @unique
@@ -91,7 +91,7 @@
     id: VersionText
     price_in: Price
     price_out: Price
-    quality: dict[str, Share] = {}
+    quality: dict[str, Fraction] = {}
     stage: Stage = Stage.STEADY
     epoch: Annotated[int, Meta(ge=0)] = 0
     replaces: VersionText | None = None
@@ -118,11 +118,11 @@
     """
 
     name: Name
-    target: Share
+    target: Fraction
     output_tokens: Annotated[int, Meta(ge=1)] = 200
     max_tokens: Annotated[int, Meta(ge=1)] = 4096
     repeatable: bool = True
-    deadline: Positive = 60.0
+    deadline: PositiveNumber = 60.0
     priority: Annotated[int, Meta(ge=0, le=9)] = 5
     cascade: bool = True
 
@@ -150,11 +150,11 @@
     versions: tuple[VersionText, ...]
     old_key_hash: SecretHash | None = None
     services: tuple[Name, ...] = ()
-    share: Positive = 1.0
+    share: PositiveNumber = 1.0
     concern: Concern = Concern.COST
     isolation: Isolation = Isolation.SERVE
-    isolation_limit: Positive = 900.0
-    targets: dict[str, Share] = {}
+    isolation_limit: PositiveNumber = 900.0
+    targets: dict[str, Fraction] = {}
 
     @property
     def key_hashes(self) -> tuple[str, ...]:
@@ -181,7 +181,7 @@
 
     task: Name
     versions: tuple[VersionText, ...]
-    target: Share | None = None
+    target: Fraction | None = None
 
 
 class RolloutShare(DocumentPart):
@@ -193,7 +193,7 @@
     """
 
     version: VersionText
-    share: Share
+    share: Fraction
 
 
 class PresetEntry(DocumentPart):
@@ -212,7 +212,7 @@
     tasks: tuple[PresetTask, ...]
     rollouts: tuple[RolloutShare, ...] = ()
     preload: dict[str, Annotated[int, Meta(ge=0)]] = {}
-    queue_limit: Positive = 0.5
+    queue_limit: PositiveNumber = 0.5
 
     @property
     def preset(self) -> PresetName:
@@ -246,7 +246,7 @@
 
     name: Name
     calls: tuple[CallRule, ...] = ()
-    timeout: Positive = 10.0
+    timeout: PositiveNumber = 10.0
 
     @property
     def service(self) -> ServiceName:
--- a/src/nutmegroad/contracts/fences.py
+++ b/src/nutmegroad/contracts/fences.py
@@ -91,7 +91,7 @@
         """Return the fence of a new attempt."""
         return AttemptFence(self)
 
-    def withdraw(self) -> None:
+    def uncount(self) -> None:
         """Subtract an attempt that was sent but proved not to have run."""
         self._passed -= 1
 
@@ -151,7 +151,7 @@
             return
         if not_run:
             self._passed = False
-            self._fence.withdraw()
+            self._fence.uncount()
         else:
             # A later attempt to resume it that fails before it is sent does
             # not change that the attempt may have run.
--- a/src/nutmegroad/contracts/upstreams.py
+++ b/src/nutmegroad/contracts/upstreams.py
@@ -218,7 +218,7 @@
         report: Last report of an engine; None if there is none.
         reported: Clock seconds at which that report was requested.
         in_flight: Requests from this host that it is executing.
-        failures: Failed attempts since the last successful one.
+        failures: Failed polls of its load report since the last success.
         leaving: Whether it gets no new requests because it is reported to
             be draining or refuses connections.
         leaving_since: Clock seconds at which that was last reported or
--- a/src/nutmegroad/kernel/stops.py
+++ b/src/nutmegroad/kernel/stops.py
@@ -1,9 +1,9 @@
 """The graceful stop of a host, which lets open requests complete.
 
-The phases follow one another. In *leaving* the host is no longer ready but
-still accepts requests, since the load balancer learns of this with a delay.
-In *refusing* new requests are refused as not run, and open ones continue. At
-the time limit, requests that are still open are *ended* with an explicit
+The phases follow one another. At first the host is no longer ready but still
+accepts requests, since the load balancer learns of this with a delay (lame
+duck). Then new requests are refused as not run, while open ones continue. At
+the time limit, requests that are still open are cancelled with an explicit
 error.
 """
 
@@ -43,7 +43,8 @@
     Args:
         clock: The host's clock.
         lame_duck: Seconds for which new requests are still accepted.
-        limit: Seconds after which open requests are cancelled.
+        limit: Seconds after which open requests are cancelled, counted from
+            the start of the stop.
     """
 
     def __init__(self, clock: Clock, lame_duck: float, limit: float) -> None:
