--- a/src/nutmegroad/contracts/upstreams.py
+++ b/src/nutmegroad/contracts/upstreams.py
@@ -223,7 +223,8 @@
             be draining or refuses connections.
         leaving_since: Clock seconds at which that was last reported or
             observed.
-        refusals: Connections that it refused since the last successful one.
+        refusals: Connections refused since the last one that was
+            accepted.
         first_seen: Clock seconds at which this host learned of it.
         in_flight_versions: Requests from this host that it is executing, by
             version.
--- a/src/nutmegroad/kernel/core.py
+++ b/src/nutmegroad/kernel/core.py
@@ -1,7 +1,7 @@
-"""The kernel, which starts the parts of a host in dependency order.
+"""The kernel, which starts the parts of a host and closes them at the end.
 
-A part is a plug-in that provides objects to other parts by type. A module
-defines one like this::
+Parts start in the order of their dependencies. A part is a plug-in that
+provides objects to other parts by type. A module defines one like this::
 
     @register('part', 'billing')
     class BillingPart:
@@ -53,7 +53,7 @@
 #: Creates a part.
 MakePart = Callable[[], Part]
 
-_NOTHING: Final[Mapping[str, MakePart]] = MappingProxyType({})
+_NO_REPLACEMENTS: Final[Mapping[str, MakePart]] = MappingProxyType({})
 
 
 class Kernel:
@@ -117,7 +117,7 @@
         return cast(Provided, self._provided[kind])
 
     def nonce(self) -> str:
-        """Return a random token of 96 bits, as hexadecimal digits."""
+        """Return a unique random token: 96 bits as hexadecimal digits."""
         return f'{self.randomness.getrandbits(96):024x}'
 
     def spawn(
@@ -144,7 +144,7 @@
 
     async def start(
         self,
-        replacing: Mapping[str, MakePart] = _NOTHING,
+        replacing: Mapping[str, MakePart] = _NO_REPLACEMENTS,
     ) -> None:
         """Start every registered part, each after the parts it depends on.
 
--- a/src/nutmegroad/kernel/settings.py
+++ b/src/nutmegroad/kernel/settings.py
@@ -168,7 +168,9 @@
     problems.extend(_cross_problems(fields))
     if problems:
         raise SettingsError('\n'.join(problems))
-    return Settings(**fields), tuple(raw.origin() for raw in raw_settings)
+    return Settings(**fields), tuple(
+        setting.origin() for setting in raw_settings
+    )
 
 
 def format_settings(origins: Sequence[SettingOrigin]) -> str:
--- a/src/nutmegroad/kernel/stops.py
+++ b/src/nutmegroad/kernel/stops.py
@@ -34,7 +34,7 @@
     SERVING = 0
     LEAVING = 1
     REFUSING = 2
-    ENDING = 3
+    CANCELLING = 3
 
 
 class GracefulStop:
@@ -92,11 +92,9 @@
 
     def gate_refusal(self) -> Refusal | None:
         """Return why no attempt may be sent any more, or None."""
-        return (
-            _stopping_refusal(Ran.NOT_RUN)
-            if self._phase is Phase.ENDING
-            else None
-        )
+        if self._phase is not Phase.CANCELLING:
+            return None
+        return _stopping_refusal(Ran.NOT_RUN)
 
     @contextmanager
     def request(self) -> Iterator[None]:
@@ -130,7 +128,7 @@
         self._phase = Phase.REFUSING
         await self._wait(started + self._limit)
         cancelled = self.open_requests
-        self._phase = Phase.ENDING
+        self._phase = Phase.CANCELLING
         for task in tuple(self._open):
             task.cancel()
         await self._wait(self._clock.now() + CANCELLATION_GRACE)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -79,11 +79,11 @@
             ('--poll', '5'),
             ('--operators', '127.0.0.1:1'),
         )
-        for flag, value in cases:
-            with self.subTest(flag=flag, value=value):
-                (problem,) = _problems(f'{flag}={value}')
+        for flag, text in cases:
+            with self.subTest(flag=flag, text=text):
+                (problem,) = _problems(f'{flag}={text}')
                 self.assertIn(flag[2:].replace('-', '_'), problem)
-                self.assertIn(value, problem)
+                self.assertIn(text, problem)
                 self.assertIn('expected', problem)
 
     def test_all_problems_are_reported_together(self) -> None:
