--- a/src/nutmegroad/contracts/decisions.py
+++ b/src/nutmegroad/contracts/decisions.py
@@ -26,12 +26,12 @@
     """The event that an attempt is about to send its first byte.
 
     Attributes:
-        attempt: The attempt.
-        request: The request that it belongs to.
+        attempt: Id of the attempt.
+        request: Id of the request that it belongs to.
         workspace: The workspace of the caller.
         task: The task class.
-        version: The model version that is asked.
-        upstream: The upstream that is asked.
+        version: The model version that is to answer.
+        upstream: Id of the upstream that it is sent to.
     """
 
     attempt: AttemptId
@@ -74,7 +74,7 @@
 
 
 class Observer(Protocol):
-    """Receives attempt events; its methods must return fast and never raise."""
+    """Receives attempt events; it must return fast and never raise."""
 
     def started(self, start: AttemptStart) -> None:
         """Process the start of an attempt."""
--- a/src/nutmegroad/contracts/documents.py
+++ b/src/nutmegroad/contracts/documents.py
@@ -36,7 +36,7 @@
 
 @unique
 class Stage(Enum):
-    """Whether a version is fully released or being rolled out."""
+    """Whether a version is in steady use or being rolled out."""
 
     STEADY = 'steady'
     ROLLOUT = 'rollout'
--- a/src/nutmegroad/contracts/peers.py
+++ b/src/nutmegroad/contracts/peers.py
@@ -72,10 +72,10 @@
         """Register the handler for messages of a type."""
 
     def tell(self, host: HostId, message: Message) -> bool:
-        """Queue a message to a host; return false if there is no link to it."""
+        """Queue a message to a host; return false if it has no link."""
 
     def tell_all(self, message: Message) -> int:
-        """Queue a message on every link; return the number of links."""
+        """Queue a message on every link; return on how many it was queued."""
 
     async def ask(
         self,
--- a/src/nutmegroad/kernel/stops.py
+++ b/src/nutmegroad/kernel/stops.py
@@ -85,7 +85,7 @@
             listener()
 
     def refusal(self) -> Refusal | None:
-        """Return why new requests are refused, or None if they are accepted."""
+        """Return why new requests are refused; None if they are accepted."""
         if self._phase < Phase.REFUSING:
             return None
         return _stopping_refusal(Ran.NOT_RUN)
--- a/src/nutmegroad/testing/_memory_mesh.py
+++ b/src/nutmegroad/testing/_memory_mesh.py
@@ -74,10 +74,12 @@
     def peers(self) -> tuple['MemoryPeer', ...]:
         """All hosts on the network."""
 
-    def is_linked(self, one: HostId, other: HostId) -> bool:
+    def is_linked(self, sender: HostId, receiver: HostId) -> bool:
         """Return whether a host believes that it has a link to another."""
 
-    def post(self, one: HostId, other: HostId, frame: object) -> None:
+    def send_frame(
+        self, sender: HostId, receiver: HostId, frame: object
+    ) -> None:
         """Send a frame from one host to another."""
 
 
@@ -130,11 +132,11 @@
             if peer is not self and self._is_linked(peer.host)
         )
 
-    def as_member(self, heard: float) -> Member:
+    def as_member(self, last_seen: float) -> Member:
         """Return this host as seen by the others.
 
         Args:
-            heard: Clock seconds at which it was last seen.
+            last_seen: Clock seconds at which it was last seen.
         """
         return Member(
             host=self.host,
@@ -142,7 +144,7 @@
             domain=self.domain,
             address=_NO_ADDRESS,
             presence=self.presence,
-            heard=heard,
+            heard=last_seen,
         )
 
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
@@ -154,7 +156,7 @@
         """Send a message; return false if there is no link to the host."""
         if not self._is_linked(host):
             return False
-        self._network.post(self.host, host, _Frame(as_plain(message)))
+        self._network.send_frame(self.host, host, _Frame(as_plain(message)))
         return True
 
     def tell_all(self, message: Message) -> int:
@@ -180,7 +182,7 @@
             return Refusal(ResultCode.PEER_UNREACHABLE, reason)
         request_id = self._pending.open(host)
         frame = _Frame(as_plain(message), request_id=request_id)
-        self._network.post(self.host, host, frame)
+        self._network.send_frame(self.host, host, frame)
         return await self._pending.wait(request_id, timeout)
 
     def receive(self, sender: HostId, frame: object) -> None:
@@ -209,7 +211,7 @@
         if frame.request_id:
             body = reply if isinstance(reply, Refusal) else _plain(reply)
             response = _Frame(body, reply_to=frame.request_id)
-            self._network.post(self.host, sender, response)
+            self._network.send_frame(self.host, sender, response)
 
     def _is_linked(self, other: HostId) -> bool:
         return self._network.is_linked(self.host, other)
--- a/src/nutmegroad/testing/virtual.py
+++ b/src/nutmegroad/testing/virtual.py
@@ -189,9 +189,9 @@
             noticed: Whether the senders know of the cut, so that sending
                 fails; otherwise messages are lost silently.
         """
-        cut = self._noticed_cuts if noticed else self._silent_cuts
+        cuts = self._noticed_cuts if noticed else self._silent_cuts
         pairs = [(one, other), (other, one)]
-        cut.update(pairs if both else pairs[:1])
+        cuts.update(pairs if both else pairs[:1])
 
     def cut_domain(self, domain: DomainId, *, noticed: bool = False) -> None:
         """Cut all links between a failure domain and the others."""
@@ -214,14 +214,14 @@
         self._silent_cuts.clear()
         self._noticed_cuts.clear()
 
-    def is_linked(self, one: HostId, other: HostId) -> bool:
+    def is_linked(self, sender: HostId, receiver: HostId) -> bool:
         """Return whether a host believes that it has a link to another."""
-        both = {one, other} <= self._peers.keys()
-        return both and (one, other) not in self._noticed_cuts
+        have_joined = {sender, receiver} <= self._peers.keys()
+        return have_joined and (sender, receiver) not in self._noticed_cuts
 
-    def is_cut(self, one: HostId, other: HostId) -> bool:
+    def is_cut(self, sender: HostId, receiver: HostId) -> bool:
         """Return whether messages from one host to another are lost."""
-        return (one, other) in self._silent_cuts | self._noticed_cuts
+        return (sender, receiver) in self._silent_cuts | self._noticed_cuts
 
     def _pairs_across(self, domain: DomainId) -> Iterable[Pair]:
         inside = [peer.host for peer in self.peers if peer.domain == domain]
@@ -309,29 +309,33 @@
         """Return the mesh of a host, or None if it has not joined."""
         return self._peers.get(host)
 
-    def post(self, one: HostId, other: HostId, frame: object) -> None:
+    def send_frame(
+        self, sender: HostId, receiver: HostId, frame: object
+    ) -> None:
         """Send a frame; called by the peers."""
         copies = 2 if self._occurs(self.faults.duplicate) else 1
         for _ in range(copies):
             if not self._occurs(self.faults.drop):
-                self._tasks.start(self._deliver(one, other, frame))
+                self._tasks.start(self._deliver(sender, receiver, frame))
 
-    async def _deliver(self, one: HostId, other: HostId, frame: object) -> None:
-        await self.clock.sleep(self._delay(one, other))
-        receiver = self._peers.get(other)
-        if receiver is not None and not self.is_cut(one, other):
-            receiver.receive(one, frame)
+    async def _deliver(
+        self, sender: HostId, receiver: HostId, frame: object
+    ) -> None:
+        await self.clock.sleep(self._delay(sender, receiver))
+        peer = self._peers.get(receiver)
+        if peer is not None and not self.is_cut(sender, receiver):
+            peer.receive(sender, frame)
 
-    def _delay(self, one: HostId, other: HostId) -> float:
+    def _delay(self, sender: HostId, receiver: HostId) -> float:
         delay = self._randomness.uniform(*self.faults.delay)
         if self._occurs(self.faults.reorder):
             extra = self._randomness.uniform(0, self.faults.reorder_delay)
             return delay + extra
         # Otherwise a link preserves the order of its messages.
         now = self.clock.now()
-        earliest = self._last_due.get((one, other), now)
+        earliest = self._last_due.get((sender, receiver), now)
         due = max(now + delay, earliest)
-        self._last_due[one, other] = due
+        self._last_due[sender, receiver] = due
         return due - now
 
     def _occurs(self, probability: float) -> bool:
--- a/tests/workers.py
+++ b/tests/workers.py
@@ -115,7 +115,7 @@
     directory: Path,
     timeout: float = MODULE_TIMEOUT,
 ) -> tuple[Report, ...]:
-    """Run the modules of a directory and print each report when it is ready."""
+    """Run the modules of a directory, printing each report when ready."""
     semaphore = asyncio.Semaphore(MAX_CONCURRENT_MODULES)
 
     async def run(module: str) -> Report:
