--- a/src/nutmegroad/daemon/__init__.py
+++ b/src/nutmegroad/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon ``nutmegroadd``: all rooms put together as one process."""
+"""The daemon ``nutmegroadd``, which runs all parts in one process."""
--- a/src/nutmegroad/daemon/__main__.py
+++ b/src/nutmegroad/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the program of this room."""
+"""Runs the daemon, for ``python -m nutmegroad.daemon``."""
 
 import sys
 
--- a/src/nutmegroad/daemon/part.py
+++ b/src/nutmegroad/daemon/part.py
@@ -1,4 +1,4 @@
-"""The parts that keep work away from where it must not go."""
+"""Parts for draining notices, pause detection, graceful stop and sessions."""
 
 from typing import Final
 
@@ -22,29 +22,29 @@
 
 
 @register(_PART, 'departures')
-class DeparturesPart:
-    """Spreads which upstreams are leaving."""
+class DrainingNoticesPart:
+    """Provides the broadcast of notices about draining upstreams."""
 
     needs = (Mesh, Directory)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to listen and to tell."""
-        departures = DrainingNotices(
+        """Start to broadcast and receive notices."""
+        notices = DrainingNotices(
             kernel.need(Mesh),
             kernel.need(Directory),
             kernel.settings.domain,
         )
-        kernel.provide(DrainingNotices, departures)
+        kernel.provide(DrainingNotices, notices)
 
 
 @register(_PART, 'pauses')
-class PausesPart:
-    """Holds dispatch after a pause of the process."""
+class PauseDetectorPart:
+    """Holds back dispatch after a pause of the process."""
 
     needs = (Gatekeeper, Configuration, ConfigurationPoller)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to tick."""
+        """Start the detector, and make it a condition of dispatch."""
         detector = PauseDetector(
             kernel.clock,
             kernel.need(Configuration),
@@ -58,13 +58,13 @@
 
 
 @register(_PART, 'stop')
-class StopPart:
+class GracefulStopPart:
     """Provides the graceful stop."""
 
     needs = (Gatekeeper, Members)
 
     async def open(self, kernel: Kernel) -> None:
-        """Tell the gate and the members of it."""
+        """Connect the stop to the membership and to the dispatch gate."""
         settings = kernel.settings
         stop = GracefulStop(kernel.clock, settings.lame_duck, settings.drain)
         stop.listen(kernel.need(Members).leave)
@@ -73,17 +73,17 @@
 
 
 @register(_PART, 'session names')
-class SessionNamesPart:
-    """Provides the sessions that callers name."""
+class NamedSessionsPart:
+    """Provides the sessions to which callers give names."""
 
     needs = (Table, Mesh, Duties, Invariants)
 
     async def open(self, kernel: Kernel) -> None:
-        """Begin to answer other hosts."""
-        names = SessionNames(
+        """Start to answer other hosts' questions about sessions."""
+        sessions = SessionNames(
             kernel.need(Table),
             kernel.need(Mesh),
             kernel.need(Duties),
             kernel.need(Invariants),
         )
-        kernel.provide(SessionNames, names)
+        kernel.provide(SessionNames, sessions)
--- a/src/nutmegroad/daemon/pauses.py
+++ b/src/nutmegroad/daemon/pauses.py
@@ -1,10 +1,11 @@
-"""Notices that this host was paused, and holds dispatch until it has asked.
+"""Detects pauses of this process, and holds back dispatch after them.
 
-A process that was stopped for a while goes on with what it had queued, on
-knowledge as old as the pause. The detector ticks on the host's clock; a gap
-between ticks is a pause. From then on nothing is sent until a read of the
-configuration, begun after the pause, has confirmed it. Where none succeeds
-within a lease, the host is isolated and the rules of isolation hold.
+A process that was suspended for a while continues with its queued work and
+with a configuration as old as the pause. The detector ticks on the host's
+clock; a long gap between two ticks is a pause. After a pause nothing is
+dispatched until a read of the configuration that began after it has confirmed
+the configuration. If no read succeeds within a lease, the host is isolated,
+and the rules for isolated hosts apply.
 """
 
 import asyncio
@@ -19,21 +20,22 @@
 _LOG: Final = part_logger('pauses')
 
 #: Seconds between ticks.
-TICK: Final = 0.1
+TICK_INTERVAL: Final = 0.1
 
-#: Seconds without a tick that count as a pause; a busy event loop comes
-#: late by less.
-GAP: Final = 1.0
+#: Seconds without a tick that count as a pause. A busy event loop delays
+#: ticks by less.
+MIN_PAUSE: Final = 1.0
 
 
 class PauseDetector:
-    """Finds pauses of its own process.
+    """Detects pauses of its own process.
 
     Args:
         clock: The host's clock.
-        configuration: Tells when it was last confirmed.
-        lease: Seconds after which unconfirmed means isolated.
-        gap: Seconds without a tick that count as a pause.
+        configuration: The host's configuration; has the time of its last
+            confirmation.
+        lease: Seconds without a confirmation after which the host is isolated.
+        min_pause: Seconds without a tick that count as a pause.
     """
 
     def __init__(
@@ -41,54 +43,63 @@
         clock: Clock,
         configuration: Configuration,
         lease: float,
-        gap: float = GAP,
+        min_pause: float = MIN_PAUSE,
     ) -> None:
-        #: Pauses found since the start.
+        #: Number of pauses detected since the start.
         self.pauses = 0
         self._clock = clock
         self._configuration = configuration
         self._lease = lease
-        self._gap = gap
-        self._ticked = clock.now()
-        self._resumed: float | None = None
-        self._found = asyncio.Event()
+        self._min_pause = min_pause
+        self._last_tick_at = clock.now()
+        #: End of the last pause; None once the configuration is confirmed.
+        self._resumed_at: float | None = None
+        self._pause_detected = asyncio.Event()
 
     async def run(self) -> None:
         """Tick until cancelled."""
         while True:
             self.tick()
-            await self._clock.sleep(TICK)
+            await self._clock.sleep(TICK_INTERVAL)
 
-    async def confirm_after(self, ask: Callable[[], Awaitable[object]]) -> None:
-        """Ask for a confirmation at once after each pause."""
+    async def confirm_after(
+        self, poll: Callable[[], Awaitable[object]]
+    ) -> None:
+        """After each pause, poll until dispatch is allowed again.
+
+        Args:
+            poll: Reads the configuration anew.
+        """
         while True:
-            await self._found.wait()
-            self._found.clear()
+            await self._pause_detected.wait()
+            self._pause_detected.clear()
             while self.refusal() is not None:
-                await ask()
-                await self._clock.sleep(TICK)
+                await poll()
+                await self._clock.sleep(TICK_INTERVAL)
 
     def tick(self) -> None:
-        """Note that the process runs, and whether it had been paused."""
+        """Record that the process runs, and detect a pause before now."""
         now = self._clock.now()
-        quiet = now - self._ticked
-        self._ticked = now
-        if quiet >= self._gap:
+        gap = now - self._last_tick_at
+        self._last_tick_at = now
+        if gap >= self._min_pause:
             self.pauses += 1
-            self._resumed = now
-            self._found.set()
-            _LOG.warning('this host was paused for %.2f s', quiet)
+            self._resumed_at = now
+            self._pause_detected.set()
+            _LOG.warning('this process was paused for %.2f s', gap)
 
     def refusal(self) -> Refusal | None:
-        """Return why nothing may be sent now, or None."""
-        # The look comes first: queued work may run before the next tick.
+        """Return why nothing may be dispatched now, or None."""
+        # Queued work may run before the next regular tick.
         self.tick()
-        if self._resumed is None:
+        if self._resumed_at is None:
             return None
         now = self._clock.now()
-        confirmed = now - self._configuration.confirmation_age
-        if confirmed >= self._resumed or now - self._resumed >= self._lease:
-            self._resumed = None
+        confirmed_at = now - self._configuration.confirmation_age
+        is_confirmed = confirmed_at >= self._resumed_at
+        # After a lease without a confirmation the host counts as isolated.
+        if is_confirmed or now - self._resumed_at >= self._lease:
+            self._resumed_at = None
             return None
         return Refusal(
             ResultCode.HOST_PAUSED,
--- a/src/nutmegroad/daemon/plugins.py
+++ b/src/nutmegroad/daemon/plugins.py
@@ -1,10 +1,11 @@
-"""The plug-in modules that every host imports; each registers itself."""
+"""Imports the plug-in modules, which register themselves when imported."""
 
 from importlib import import_module
 from typing import Final
 
 from nutmegroad.foundations.exceptions import RegistryError
 
+#: Plug-in modules that every host imports, in this order.
 PLUGINS: Final = (
     'nutmegroad.kernel.part',
     'nutmegroad.adapters.part',
@@ -39,26 +40,29 @@
 )
 
 
-def load_plugins(more: tuple[str, ...] = ()) -> None:
-    """Import every plug-in, and more that the settings name.
+def load_plugins(extra: tuple[str, ...] = ()) -> None:
+    """Import the plug-ins of the project, then extra ones.
+
+    Args:
+        extra: Names of further modules, from the settings.
 
     Raises:
-        RegistryError: If one of those can not be imported.
+        RegistryError: If an extra module cannot be imported.
     """
     for name in PLUGINS:
         import_module(name)
-    for extra in more:
-        _load_extra(extra)
+    for extra_name in extra:
+        _load_extra(extra_name)
 
 
 def _load_extra(name: str) -> None:
-    """Import a module that is not ours.
+    """Import a plug-in that is not part of the project.
 
     Raises:
-        RegistryError: If it can not be imported.
+        RegistryError: If it cannot be imported.
     """
     try:
         import_module(name)
-    except ImportError as problem:
-        message = f'The plug-in {name!r} can not be imported: {problem}.'
-        raise RegistryError(message) from problem
+    except ImportError as error:
+        message = f'The plug-in {name!r} cannot be imported: {error}.'
+        raise RegistryError(message) from error
--- a/src/nutmegroad/daemon/program.py
+++ b/src/nutmegroad/daemon/program.py
@@ -1,4 +1,4 @@
-"""The daemon ``nutmegroadd``: one process is one entry host."""
+"""The program ``nutmegroadd``; each process of it is one host."""
 
 import asyncio
 import os
@@ -19,61 +19,62 @@
 
 _LOG: Final = part_logger('daemon')
 
-#: Exit code for settings that are wrong.
-BAD_SETTINGS: Final = 2
+#: Exit code for invalid settings.
+EXIT_BAD_SETTINGS: Final = 2
 
 #: Seconds that the parts may take to close after the graceful stop.
-STOP_MARGIN: Final = 5
+CLOSE_TIMEOUT: Final = 5
 
 
-class StopOnce:
-    """Ends the loop's run at the first signal or order, and at no other.
+class StopTrigger:
+    """Stops the event loop at the first stop request, and ignores later ones.
 
-    aiomisc's own handlers put the default back as soon as a stop begins,
-    so that a second signal would cut what is still open.
+    aiomisc's own signal handlers restore the default handlers as soon as a
+    stop begins, so a second signal would kill the process and cut off requests
+    that are still open.
     """
 
     def __init__(self) -> None:
         self._loop: asyncio.AbstractEventLoop | None = None
-        self._asked = False
+        self._requested = False
 
     def __call__(self) -> None:
-        """End the loop's run, if it has not been done."""
-        if self._asked:
-            _LOG.info('told to stop again')
+        """Stop the loop, unless that was requested before."""
+        if self._requested:
+            _LOG.info('repeated stop request ignored')
             return
-        self._asked = True
+        self._requested = True
         if self._loop is not None:
             self._loop.stop()
 
-    def watch(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Heed signals; one that comes at the start counts as well."""
+    def handle_signals(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Treat SIGTERM and SIGINT as stop requests, also during start-up."""
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self)
 
     def run(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Run a loop until it is told to stop."""
-        if not self._asked:
+        """Run a loop until a stop is requested."""
+        if not self._requested:
             self._loop = loop
             loop.run_forever()
 
 
 class HostService(Service):
-    """Runs one host inside aiomisc's entry point.
+    """Runs one host as a service of aiomisc's entry point.
 
     Args:
-        settings: Checked settings.
-        stop: Ends the daemon's run.
+        settings: Validated settings.
+        stop_trigger: Stops the event loop of the daemon.
     """
 
     def __init__(
         self,
         settings: Settings,
-        stop: StopOnce,
+        stop_trigger: StopTrigger,
         **kwargs: Any,
     ) -> None:
         super().__init__(**kwargs)
-        self._stop = stop
+        self._stop_trigger = stop_trigger
         self._kernel = Kernel(
             settings,
             SystemClock(),
@@ -81,44 +82,44 @@
         )
 
     async def start(self) -> None:
-        """Open all parts, and say where they listen."""
-        self._stop.watch(asyncio.get_running_loop())
+        """Open all parts, and print their addresses and ``ready``."""
+        self._stop_trigger.handle_signals(asyncio.get_running_loop())
         await self._kernel.start()
-        self._kernel.need(GracefulStop).when_asked(self._stop)
+        self._kernel.need(GracefulStop).when_asked(self._stop_trigger)
         for name, address in self._kernel.listening.items():
             sys.stdout.write(f'listening {name} {address}\n')
         sys.stdout.write('ready\n')
         sys.stdout.flush()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Let open requests end, and close all parts."""
+        """Run the graceful stop, then close all parts."""
         _LOG.info('stopping')
         await self._kernel.need(GracefulStop).run()
-        async with asyncio.timeout(STOP_MARGIN):
+        async with asyncio.timeout(CLOSE_TIMEOUT):
             await self._kernel.stack.aclose()
         _LOG.info('stopped')
 
 
 def main() -> int:
-    """Run the daemon until it is told to stop."""
+    """Run the daemon until a stop is requested; return its exit code."""
     try:
         settings, origins = read_settings(sys.argv[1:], os.environ)
-    except SettingsError as problem:
-        sys.stderr.write(f'{problem}\n')
-        return BAD_SETTINGS
+    except SettingsError as settings_error:
+        sys.stderr.write(f'{settings_error}\n')
+        return EXIT_BAD_SETTINGS
     if settings.print_settings:
         sys.stdout.write(f'{format_settings(origins)}\n')
         return 0
     set_up_logs(LogFormat(settings.log_format), sys.stderr)
     try:
         load_plugins(settings.plugins)
-    except RegistryError as trouble:
-        sys.stderr.write(f'{trouble}\n')
-        return BAD_SETTINGS
-    stop = StopOnce()
-    service = HostService(settings, stop)
+    except RegistryError as registry_error:
+        sys.stderr.write(f'{registry_error}\n')
+        return EXIT_BAD_SETTINGS
+    stop_trigger = StopTrigger()
+    service = HostService(settings, stop_trigger)
     with entrypoint(service, log_config=False, catch_signals=()) as loop:
-        stop.run(loop)
+        stop_trigger.run(loop)
     return 0
 
 
