--- a/tests/fuzz_inputs.py
+++ b/tests/fuzz_inputs.py
@@ -1,4 +1,7 @@
-"""What a fuzzer sends: bodies, whole requests, and frames of our peers."""
+"""Hypothesis strategies for the fuzz tests.
+
+They give HTTP bodies, complete HTTP requests, and frames between linked hosts.
+"""
 
 import json
 from typing import Any, Final
@@ -18,7 +21,9 @@
     ),
     max_leaves=12,
 )
+#: Field names of callers' chat requests.
 CHAT: Final = ('model', 'messages', 'stream', 'max_tokens', 'stop', 'user')
+#: Field names of operators' requests.
 ORDER: Final = ('preset', 'expected', 'text', 'version', 'action', 'fields')
 LATIN: Final = st.text(
     st.characters(max_codepoint=255, exclude_characters='\r\n\0'),
@@ -65,10 +70,10 @@
 
 
 def bodies(names: tuple[str, ...]) -> st.SearchStrategy[bytes]:
-    """Return bodies that are nearly what a route wants, or nothing like."""
+    """Return bodies: objects with expected names, other JSON, or any bytes."""
     keys = st.sampled_from(names) | st.text()
-    near = st.dictionaries(keys, JSON, max_size=4)
-    return (near | JSON).map(lambda body: json.dumps(body).encode()) | (
+    objects = st.dictionaries(keys, JSON, max_size=4)
+    return (objects | JSON).map(lambda body: json.dumps(body).encode()) | (
         st.binary(max_size=200)
     )
 
@@ -80,7 +85,7 @@
     names: tuple[str, ...],
     secret: str,
 ) -> bytes:
-    """Return bytes that are more or less an HTTP request."""
+    """Return an HTTP request, possibly invalid or cut off, or any bytes."""
     if draw(st.integers(0, 4)) == 0:
         return bytes(draw(st.binary(max_size=300)))
     body = draw(bodies(names))
@@ -91,37 +96,39 @@
     lines.extend(f'{name}: {text}' for name, text in draw(HEADERS).items())
     length = draw(st.just(len(body)) | st.integers(-1, 10**9))
     lines.append(f'Content-Length: {length}')
-    sent = '\r\n'.join((*lines, '', '')).encode('latin-1') + body
-    cut = draw(st.just(len(sent)) | st.integers(0, len(sent)))
-    return bytes(sent[:cut])
+    request = '\r\n'.join((*lines, '', '')).encode('latin-1') + body
+    cut = draw(st.just(len(request)) | st.integers(0, len(request)))
+    return bytes(request[:cut])
 
 
-def _kinds(kind: type[Message]) -> list[type[Message]]:
-    found = [kind]
-    for inner in kind.__subclasses__():
-        found.extend(_kinds(inner))
-    return found
+def _with_subclasses(message_type: type[Message]) -> list[type[Message]]:
+    """Return a message type and all its subclasses."""
+    types = [message_type]
+    for subclass in message_type.__subclasses__():
+        types.extend(_with_subclasses(subclass))
+    return types
 
 
 @st.composite
 def frames(draw: Any) -> bytes:
-    """Return bytes that are more or less a frame of a linked host."""
+    """Return a frame of a linked host, possibly invalid, or any bytes."""
     choice = draw(st.integers(0, 4))
     if choice == 0:
         return bytes(draw(st.binary(max_size=200)))
     if choice == 1:
-        # An array, map, text or binary that announces far too much.
-        kind = draw(st.sampled_from((b'\xdd', b'\xdf', b'\xdb', b'\xc6')))
-        return bytes(kind + b'\xff\xff\xff\xff' + draw(st.binary(max_size=9)))
-    kinds = _kinds(Message)
-    kind = draw(st.sampled_from(sorted(kinds, key=lambda one: one.__name__)))
-    body = draw(content_of(inspect.type_info(kind)) | WIRE)
-    frame = draw(st.sampled_from(list(FrameKind)))
-    sent = pack_frame(frame, draw(st.integers(0, 2**40)), body)
-    cut = draw(st.just(len(sent)) | st.integers(0, len(sent)))
-    return bytes(sent[:cut])
-
-
+        # An array, map, text or binary whose length field is far too large.
+        marker = draw(st.sampled_from((b'\xdd', b'\xdf', b'\xdb', b'\xc6')))
+        return bytes(marker + b'\xff\xff\xff\xff' + draw(st.binary(max_size=9)))
+    types = sorted(_with_subclasses(Message), key=lambda one: one.__name__)
+    message_type = draw(st.sampled_from(types))
+    body = draw(content_of(inspect.type_info(message_type)) | WIRE)
+    kind = draw(st.sampled_from(list(FrameKind)))
+    frame = pack_frame(kind, draw(st.integers(0, 2**40)), body)
+    cut = draw(st.just(len(frame)) | st.integers(0, len(frame)))
+    return bytes(frame[:cut])
+
+
+#: Any plain data that MessagePack can encode.
 WIRE: Final = st.recursive(
     st.none()
     | st.booleans()
@@ -138,13 +145,13 @@
 
 
 def content_of(kind: inspect.Type) -> st.SearchStrategy[Any]:
-    """Return plain data of a type, now and then with something wrong."""
+    """Return plain data of a type; now and then any other plain data."""
     plain = _plain(kind)
     return st.integers(0, 30).flatmap(lambda one: plain if one else WIRE)
 
 
 def _plain(kind: inspect.Type) -> st.SearchStrategy[Any]:
-    """Return plain data that a type takes."""
+    """Return plain data that decodes to a type, except for nested errors."""
     match kind:
         case inspect.StructType(fields=fields):
             return _struct(kind, [content_of(one.type) for one in fields])
@@ -168,16 +175,17 @@
     kind: inspect.StructType,
     fields: list[st.SearchStrategy[Any]],
 ) -> st.SearchStrategy[Any]:
-    """Return a struct as it travels: as an array, or as a map."""
+    """Return the plain form of a struct: an array or a map."""
     if kind.array_like:
         return st.tuples(*fields)
-    names = [one.encode_name for one in kind.fields]
+    names = [field.encode_name for field in kind.fields]
     plain = st.fixed_dictionaries(dict(zip(names, fields, strict=True)))
     if kind.tag is None:
         return plain
     return plain.map(lambda body: {kind.tag_field: kind.tag, **body})
 
 
+#: Texts, some of which are ids that occur in a deployment.
 TEXTS: Final = st.text(max_size=5) | st.sampled_from(
     ('h1', 'h9', 'shah-alam', 'petaling', 'brief-small@2', 'checklist-tag'),
 )
--- a/tests/recorders.py
+++ b/tests/recorders.py
@@ -1,4 +1,4 @@
-"""Servers that tests put in the way of links."""
+"""TCP proxies that tests put between two linked hosts, and an echo server."""
 
 import asyncio
 from asyncio import StreamReader, StreamWriter
@@ -9,15 +9,23 @@
 
 
 class Recorder:
-    """Stands between two hosts and remembers what the first says."""
+    """A proxy that records what the connecting host sends.
 
-    def __init__(self, behind: Address) -> None:
+    Args:
+        target: Address to which connections are forwarded.
+
+    Attributes:
+        heard: All bytes that were received from connecting hosts.
+        address: Address at which the proxy listens.
+    """
+
+    def __init__(self, target: Address) -> None:
         self.heard = bytearray()
-        self._behind = behind
+        self._target = target
         self._server: asyncio.Server | None = None
 
     async def __aenter__(self) -> Self:
-        """Listen."""
+        """Start to listen on a free port."""
         self._server = await asyncio.start_server(
             self._relay,
             '127.0.0.1',
@@ -38,40 +46,58 @@
             self._server.close()
 
     async def _relay(self, reader: StreamReader, writer: StreamWriter) -> None:
-        behind = self._behind
-        other = await asyncio.open_connection(behind.ip, behind.port)
-        replies = asyncio.ensure_future(self._reply(other[0], writer))
-        await _copy(reader, other[1], self.heard)
+        """Forward one connection in both directions."""
+        target = self._target
+        target_reader, target_writer = await asyncio.open_connection(
+            target.ip, target.port
+        )
+        replies = asyncio.ensure_future(
+            self._forward_replies(target_reader, writer)
+        )
+        await _copy(reader, target_writer, self.heard)
         await replies
 
-    async def _reply(self, reader: StreamReader, writer: StreamWriter) -> None:
+    async def _forward_replies(
+        self, reader: StreamReader, writer: StreamWriter
+    ) -> None:
+        """Forward what the target sends to the connecting host."""
         await _copy(reader, writer, bytearray())
 
 
 class Holder(Recorder):
-    """Passes on the first reply, and the others when it is told to."""
+    """A proxy that holds back all but the first chunk of the replies.
+
+    Args:
+        target: Address to which connections are forwarded.
 
-    def __init__(self, behind: Address) -> None:
-        super().__init__(behind)
+    Attributes:
+        released: Set by the test to forward the remaining replies.
+    """
+
+    def __init__(self, target: Address) -> None:
+        super().__init__(target)
         self.released = asyncio.Event()
 
-    async def _reply(self, reader: StreamReader, writer: StreamWriter) -> None:
+    async def _forward_replies(
+        self, reader: StreamReader, writer: StreamWriter
+    ) -> None:
         writer.write(await reader.read(4096))
         await self.released.wait()
-        await super()._reply(reader, writer)
+        await super()._forward_replies(reader, writer)
 
 
 async def _copy(
     reader: StreamReader,
     writer: StreamWriter,
-    heard: bytearray,
+    copied: bytearray,
 ) -> None:
+    """Copy a stream to its end, and add its bytes to ``copied``."""
     while chunk := await reader.read(4096):
-        heard.extend(chunk)
+        copied.extend(chunk)
         writer.write(chunk)
     writer.close()
 
 
 async def echo_back(reader: StreamReader, writer: StreamWriter) -> None:
-    """Say again whatever is heard."""
+    """Send all received bytes back to the sender."""
     await _copy(reader, writer, bytearray())
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,8 @@
-"""The page for newcomers names the rooms, and imports keep to its order."""
+"""Tests that the architecture page matches the packages and their imports.
+
+The page lists the packages below ``nutmegroad`` under the heading "Rooms". A
+package may import only from itself and from packages above it in that list.
+"""
 
 import ast
 import re
@@ -11,18 +15,18 @@
 _EXPERIMENTS = _ROOT / 'experiments'
 _PACKAGE = _ROOT / 'src' / 'nutmegroad'
 _PREFIX = 'nutmegroad.'
-#: The house rule: more modules than this, and a room has to be divided.
-_MOST_MODULES = 41
+#: A package with this many modules or more has to be divided.
+_TOO_MANY_MODULES = 41
 
 
-def listed_rooms(page: Path = _PAGE) -> list[str]:
-    """Return the rooms of a page, in its order."""
+def listed_packages(page: Path = _PAGE) -> list[str]:
+    """Return the packages that a page lists, in its order."""
     listing = page.read_text().partition('## Rooms')[2]
     return re.findall('^- `([a-z_]+)`:', listing, re.MULTILINE)
 
 
-def imported_rooms(path: Path, prefix: str = _PREFIX) -> Iterator[str]:
-    """Yield the rooms that a module imports from."""
+def imported_packages(path: Path, prefix: str = _PREFIX) -> Iterator[str]:
+    """Yield the packages that a module imports from."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom):
             module = node.module or ''
@@ -31,49 +35,49 @@
 
 
 class ArchitectureTest(unittest.TestCase):
-    """The page against the sources."""
+    """Compares the pages with the sources."""
 
-    def test_the_page_lists_each_room_once(self) -> None:
-        """No room is missing, and none is invented."""
+    def test_the_page_lists_each_package_once(self) -> None:
+        """The list has every package and no other names."""
         folders = {path.parent.name for path in _PACKAGE.glob('*/__init__.py')}
-        self.assertEqual(sorted(listed_rooms()), sorted(folders))
+        self.assertEqual(sorted(listed_packages()), sorted(folders))
 
-    def test_rooms_import_only_from_rooms_above(self) -> None:
-        """So there are no cycles between rooms."""
-        order = {room: place for place, room in enumerate(listed_rooms())}
+    def test_packages_import_only_from_packages_above(self) -> None:
+        """Import cycles between packages are impossible with this order."""
+        order = {name: index for index, name in enumerate(listed_packages())}
         for path in sorted(_PACKAGE.glob('*/*.py')):
             own = path.parent.name
-            for room in imported_rooms(path):
+            for name in imported_packages(path):
                 with self.subTest(module=str(path.relative_to(_PACKAGE))):
-                    self.assertLessEqual(order[room], order[own], room)
+                    self.assertLessEqual(order[name], order[own], name)
 
-    def test_rooms_of_experiments_import_only_from_rooms_above(self) -> None:
-        """The same for the programs that ask something."""
-        rooms = listed_rooms(_EXPERIMENTS / 'README.md')
+    def test_experiments_import_only_from_packages_above(self) -> None:
+        """The same for the packages of experiments and their own page."""
+        packages = listed_packages(_EXPERIMENTS / 'README.md')
         folders = {path.parent.name for path in _EXPERIMENTS.glob('*/*.py')}
-        self.assertEqual(sorted(rooms), sorted(folders))
-        order = {room: place for place, room in enumerate(rooms)}
+        self.assertEqual(sorted(packages), sorted(folders))
+        order = {name: index for index, name in enumerate(packages)}
         for path in sorted(_EXPERIMENTS.glob('*/*.py')):
             own = path.parent.name
-            for room in imported_rooms(path, 'experiments.'):
+            for name in imported_packages(path, 'experiments.'):
                 with self.subTest(module=str(path.relative_to(_ROOT))):
-                    self.assertLessEqual(order.get(room, -1), order[own], room)
+                    self.assertLessEqual(order.get(name, -1), order[own], name)
 
-    def test_rooms_stay_small(self) -> None:
-        """A listing shows a room at a glance."""
-        for room in listed_rooms():
-            with self.subTest(room=room):
-                modules = list((_PACKAGE / room).glob('*.py'))
-                self.assertLess(len(modules), _MOST_MODULES)
+    def test_packages_stay_small(self) -> None:
+        """The modules of a package can be taken in at a glance."""
+        for package in listed_packages():
+            with self.subTest(package=package):
+                modules = list((_PACKAGE / package).glob('*.py'))
+                self.assertLess(len(modules), _TOO_MANY_MODULES)
 
-    def test_the_ways_of_requests_name_modules_that_exist(self) -> None:
-        """Every module in the tables is where they say."""
+    def test_request_paths_name_modules_that_exist(self) -> None:
+        """The tables of request paths on the page name existing modules."""
         page = _PAGE.read_text()
-        named = re.findall(
+        module_names = re.findall(
             '`([a-z]+/_?[a-z_]+)`', page.partition('## Rooms')[0]
         )
-        self.assertGreater(len(named), 30)
-        for name in named:
+        self.assertGreater(len(module_names), 30)
+        for name in module_names:
             if name.startswith('platform/'):
                 continue
             with self.subTest(module=name):
--- a/tests/test_codes.py
+++ b/tests/test_codes.py
@@ -1,4 +1,4 @@
-"""Tests of the result codes' meanings and their page."""
+"""Tests of the descriptions of result codes and of their page."""
 
 import unittest
 from pathlib import Path
@@ -14,5 +14,5 @@
         codes = [entry.code for entry in MEANINGS]
         self.assertEqual(codes, list(ResultCode))
 
-    def test_page_is_what_the_code_says(self) -> None:
+    def test_page_is_up_to_date(self) -> None:
         self.assertEqual(_PAGE.read_text(), render_page())
--- a/tests/test_cost_metrics.py
+++ b/tests/test_cost_metrics.py
@@ -1,4 +1,8 @@
-"""What control costs, from where it is spent to the metrics."""
+"""Tests of control-plane costs: their metrics, and two ways to save them.
+
+Lazy frames wait until another frame is sent, and recent readings of the host
+list are reused.
+"""
 
 import asyncio
 import unittest
@@ -17,7 +21,7 @@
 
 
 class CostPublisherTest(unittest.TestCase):
-    def test_what_was_spent_is_added_once(self) -> None:
+    def test_each_cost_is_added_once(self) -> None:
         ledger, metrics = Ledger(float), Metrics(float)
         publisher = CostPublisher(ledger, metrics)
         ledger.sent('watch', 10)
@@ -41,40 +45,40 @@
         self.assertGreater(resident_bytes(), 0)
 
 
-class LazyTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_lazy_message_waits_for_another(self) -> None:
+class LazyFrameTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_lazy_frame_waits_for_another(self) -> None:
         queue = SendQueue(4, 100)
         taking = asyncio.create_task(queue.take_all())
         lazy = QueuedFrame(b'rows', 'watch', lazy=True)
-        beat = QueuedFrame(b'beat', 'members')
+        heartbeat = QueuedFrame(b'beat', 'members')
         queue.put(lazy)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         self.assertFalse(taking.done())
-        queue.put(beat)
-        self.assertEqual(await taking, (lazy, beat))
+        queue.put(heartbeat)
+        self.assertEqual(await taking, (lazy, heartbeat))
 
 
-class CountedList:
-    """A host list that counts its readings."""
+class CountingHostList:
+    """An empty host list that counts how often it is read."""
 
     def __init__(self) -> None:
         self.reads = 0
 
     async def listing(self) -> Listing:
-        """Return an empty list."""
+        """Count the reading, and return an empty list."""
         self.reads += 1
         return Listing((), ())
 
 
 class RememberedListTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_recent_reading_is_used_again(self) -> None:
-        clock, counted = ManualClock(), CountedList()
-        remembered = RememberedList(counted, clock)
+    async def test_a_recent_reading_is_reused(self) -> None:
+        clock, host_list = ManualClock(), CountingHostList()
+        remembered = RememberedList(host_list, clock)
         recent = recent_list(remembered)
         await remembered.listing()
         await recent.listing()
-        self.assertEqual(counted.reads, 1)
+        self.assertEqual(host_list.reads, 1)
         await clock.advance(RECENT)
         await recent.listing()
-        self.assertEqual(counted.reads, 2)
+        self.assertEqual(host_list.reads, 2)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,7 +1,8 @@
-"""The pages' examples run, and its tables say what the code does.
+"""Tests that the pages' examples run and that their tables are up to date.
 
-An example runs if its first line is ``# runs beside `make serve```: it then
-has a deployment of stand-ins, and the variables that ``make serve`` prints.
+An example is run if its first line is ``# runs beside `make serve```. It gets a
+deployment of stand-ins, and the environment variables that ``make serve``
+prints.
 """
 
 import asyncio
@@ -27,12 +28,12 @@
 PAGES = (ROOT / 'README.md', *sorted(DOCS.glob('*.md')))
 MARK = '# runs beside `make serve`\n'
 EXAMPLE = re.compile('^```(sh|python)\n(.*?)^```', re.DOTALL | re.MULTILINE)
-#: Programs that an example may call, by the module that is run.
+#: Programs that examples may call, and the modules that implement them.
 PROGRAMS = {'nutmegroad': 'nutmegroad.cli', 'nutmegroadd': 'nutmegroad.daemon'}
 
 
 def examples() -> list[tuple[str, str]]:
-    """Return the examples that run, with their languages, page by page."""
+    """Return language and text of the examples to run, page by page."""
     return [
         (language, example)
         for page in PAGES
@@ -42,34 +43,34 @@
 
 
 class TablesTest(unittest.TestCase):
-    def test_the_settings_page_is_what_the_code_says(self) -> None:
+    def test_the_settings_page_is_up_to_date(self) -> None:
         self.assertEqual((DOCS / 'SETTINGS.md').read_text(), render_page())
 
     def test_every_metric_is_in_the_operators_page(self) -> None:
         page = (DOCS / 'OPERATING.md').read_text()
-        shown = Metrics(float).render().decode()
-        names = re.findall(r'^# TYPE (\w+)', shown, re.MULTILINE)
+        rendered = Metrics(float).render().decode()
+        names = re.findall(r'^# TYPE (\w+)', rendered, re.MULTILINE)
         for name in names:
             with self.subTest(metric=name):
                 self.assertIn(f'`{name}`', page)
 
-    def test_links_between_pages_lead_somewhere(self) -> None:
+    def test_links_between_pages_have_targets(self) -> None:
         for page in (*PAGES, *sorted((DOCS / 'design').glob('*.md'))):
             for target in re.findall(r'\]\(([^)#:]+)\)', page.read_text()):
                 with self.subTest(page=page.name, target=target):
                     self.assertTrue((page.parent / target).exists())
 
-    def test_the_version_is_the_packages(self) -> None:
+    def test_the_version_matches_the_project_file(self) -> None:
         project = tomllib.loads((ROOT / 'pyproject.toml').read_text())
         self.assertEqual(project['project']['version'], nutmegroad.__version__)
 
 
 class ExamplesTest(unittest.IsolatedAsyncioTestCase):
-    """All examples, one after another, on one deployment."""
+    """Runs all examples, one after another, on one deployment."""
 
     async def test_examples_run(self) -> None:
         processes = await self.enterAsyncContext(Processes())
-        running = await start(processes, RIG)
+        deployment = await start(processes, RIG)
         folder = self.enterContext(TemporaryDirectory())
         for name, module in PROGRAMS.items():
             program = Path(folder) / name
@@ -79,13 +80,13 @@
             program.chmod(0o755)
         environ = {
             **os.environ,
-            **variables(running),
+            **variables(deployment),
             'PATH': f'{folder}{os.pathsep}{os.environ["PATH"]}',
             'PYTHONPATH': f'{ROOT / "src"}{os.pathsep}{ROOT}',
         }
-        found = examples()
-        self.assertGreaterEqual(len(found), 6)
-        for language, example in found:
+        runnable = examples()
+        self.assertGreaterEqual(len(runnable), 6)
+        for language, example in runnable:
             with self.subTest(example=example):
                 await self.run_example(language, example, environ)
 
@@ -95,7 +96,7 @@
         example: str,
         environ: dict[str, str],
     ) -> None:
-        """Demand that an example ends well."""
+        """Run an example; it must exit with 0 within 60 seconds."""
         command = (sys.executable, '-c', example)
         if language == 'sh':
             command = ('bash', '-euc', example)
@@ -107,5 +108,5 @@
             stderr=STDOUT,
         )
         async with asyncio.timeout(60):
-            shown, _ = await process.communicate()
-        self.assertEqual(process.returncode, 0, shown.decode())
+            output, _ = await process.communicate()
+        self.assertEqual(process.returncode, 0, output.decode())
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,11 @@
-"""Whatever comes in, a listener goes on serving, and nothing is unhandled."""
+"""Fuzz tests of a host's listeners.
+
+After any input a listener must still serve a good request, and no error may
+be logged or left to the event loop's exception handler.
+
+Hypothesis derives the seed of each fuzz test from the source of its method, so
+a change to one of these methods also changes its inputs.
+"""
 
 import asyncio
 import logging
@@ -41,7 +48,8 @@
 )
 from tests.hosts import KEY, WholeHost, fast_engine
 
-LIMIT: Final = 20
+#: Seconds within which the host must answer.
+TIMEOUT: Final = 20
 FUZZ: Final = settings(
     derandomize=True,
     max_examples=150,
@@ -52,8 +60,8 @@
 CLUSTER_KEY: Final = b'a-cluster-key-for-tests'
 
 
-class Unhandled(logging.Handler):
-    """Collects errors that are logged, and what the loop did not handle."""
+class ErrorCollector(logging.Handler):
+    """Collects logged errors, and exceptions that no task handled."""
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
@@ -62,52 +70,55 @@
     def emit(self, record: logging.LogRecord) -> None:
         self.found.append(logging.Formatter().format(record))
 
-    def by_loop(self, loop: object, context: dict[str, Any]) -> None:
+    def handle_loop_error(self, loop: object, context: dict[str, Any]) -> None:
         self.found.append(repr(context))
 
 
-class NoRoster:
-    """Finds no incarnation too old."""
+class EmptyRoster:
+    """A roster that knows no newer incarnation of any host."""
 
     def newer_generation(self, identity: Identity) -> int:
         return 0
 
 
 class FuzzTest(unittest.TestCase):
-    """One host, whose loop runs while a test waits for something."""
+    """Runs one host, on an event loop that runs only inside ``run_in``."""
 
     def setUp(self) -> None:
         self.runner = self.enterContext(asyncio.Runner())
-        self.unhandled = Unhandled()
+        self.unhandled = ErrorCollector()
         logging.getLogger().addHandler(self.unhandled)
         self.addCleanup(logging.getLogger().removeHandler, self.unhandled)
         self.host = WholeHost(fast_engine())
         self.stack = AsyncExitStack()
         self.run_in(self.host.open(self.stack, body_timeout=0.2))
         loop = self.runner.get_loop()
-        loop.set_exception_handler(self.unhandled.by_loop)
+        loop.set_exception_handler(self.unhandled.handle_loop_error)
         self.links = 0
 
     def tearDown(self) -> None:
         self.run_in(self.stack.aclose())
 
     def run_in(self, work: Coroutine[Any, Any, Any]) -> Any:
+        """Run a coroutine on the host's event loop."""
         return self.runner.run(work)
 
     def address(self, listener: str) -> Address:
+        """Return the address of a listener of the host."""
         return self.host.kernel.listening[listener]
 
     async def open(self, listener: str) -> tuple[StreamReader, StreamWriter]:
+        """Connect to a listener of the host."""
         address = self.address(listener)
         return await asyncio.open_connection(address.ip, address.port)
 
     async def send(self, listener: str, sent: bytes) -> bytes:
-        """Send bytes, say that no more come, and return the reply."""
+        """Send bytes and end of file, and return the complete reply."""
         reader, writer = await self.open(listener)
         writer.write(sent)
         writer.write_eof()
         try:
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(TIMEOUT):
                 return await reader.read()
         except ConnectionError:
             return b''
@@ -115,7 +126,7 @@
             writer.close()
 
     async def get(self, listener: str, path: str, secret: str) -> None:
-        """Demand that a good request is served."""
+        """Assert that a valid request is answered with status 200."""
         url = f'http://{self.address(listener)}{path}'
         headers = {'Authorization': f'Bearer {secret}'}
         async with self.host.session.get(url, headers=headers) as response:
@@ -157,27 +168,31 @@
         self.assertEqual(self.unhandled.found, [])
 
     async def link(self, sent: bytes) -> None:
-        """Link as a host, send bytes, and get a reply if none were sent."""
+        """Complete the handshake as a new host, then send bytes.
+
+        If there are none to send, ask a valid question and assert that the
+        host replies.
+        """
         reader, writer = await self.open('peers')
         stream = HandshakeStream(reader, writer)
         try:
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(TIMEOUT):
                 await greet(stream, self.credentials())
                 writer.write(sent or self.question())
                 if sent:
                     writer.write_eof()
                     await reader.read()
                 else:
-                    await self.reply(stream, reader)
+                    await self.assert_reply(stream, reader)
         except ConnectionError:
             self.assertTrue(sent)
         finally:
             writer.close()
 
-    async def reply(
+    async def assert_reply(
         self, stream: HandshakeStream, reader: StreamReader
     ) -> None:
-        """Demand a reply to the question among what the host sends."""
+        """Read frames until the reply to the question comes."""
         unpacker = msgpack.Unpacker()
         unpacker.feed(stream.rest())
         while True:
@@ -190,11 +205,12 @@
             unpacker.feed(chunk)
 
     def question(self) -> bytes:
+        """Return the frame of a valid question, with the number 1."""
         question = ExplainQuestion(host=HostId('h1'), request=RequestId('r'))
         return pack_frame(FrameKind.ASK, 1, as_plain(question))
 
     def credentials(self) -> Credentials:
-        """Return those of a host that was not there before."""
+        """Return the credentials of a new host."""
         self.links += 1
         number = self.links
         identity = Identity(
@@ -209,29 +225,29 @@
             CLUSTER_KEY,
             identity,
             random.Random(number),
-            NoRoster(),
+            EmptyRoster(),
         )
 
     def test_a_replayed_handshake_is_refused(self) -> None:
         recorded: list[bytes] = []
 
         async def record() -> None:
-            """Do a handshake, and note what our side sent."""
+            """Complete a handshake, and record what this side sends."""
             reader, writer = await self.open('peers')
-            noted = HandshakeStream(reader, writer)
-            original = noted.send
+            stream = HandshakeStream(reader, writer)
+            original_send = stream.send
 
-            async def send(thing: Any) -> None:
-                recorded.append(msgpack.packb(as_plain(thing)))
-                await original(thing)
+            async def send(message: Any) -> None:
+                recorded.append(msgpack.packb(as_plain(message)))
+                await original_send(message)
 
-            noted.send = send  # type: ignore[method-assign]
-            await greet(noted, self.credentials())
+            stream.send = send  # type: ignore[method-assign]
+            await greet(stream, self.credentials())
             writer.close()
 
         self.run_in(record())
         reply = self.run_in(self.send('peers', b''.join(recorded)))
-        # The host's hello comes, and no proof after it.
+        # The host sends its hello, but no proof after it.
         unpacker = msgpack.Unpacker()
         unpacker.feed(reply)
         self.assertEqual(len(list(unpacker)), 1)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the logs."""
+"""Tests of logging: text and JSON formats, and the request of a line."""
 
 import io
 import json
@@ -19,7 +19,8 @@
 SOURCES = Path(__file__).resolve().parent.parent / 'src' / 'nutmegroad'
 
 
-def _logged(log_format: LogFormat) -> str:
+def _log_two_lines(log_format: LogFormat) -> str:
+    """Return the text of two log lines, of which one has a request."""
     stream = io.StringIO()
     set_up_logs(log_format, stream)
     log = part_logger('dispatch')
@@ -30,19 +31,20 @@
 
 class LogsTest(unittest.TestCase):
     def test_text_has_prefix_and_request(self) -> None:
-        first, second = _logged(LogFormat.TEXT).splitlines()
+        first, second = _log_two_lines(LogFormat.TEXT).splitlines()
         self.assertTrue(first.endswith('INFO dispatch r%s1: took 2 steps'))
         self.assertTrue(second.endswith('ERROR dispatch: has no upstream'))
 
     def test_json_lines_have_fields(self) -> None:
-        first, second = map(json.loads, _logged(LogFormat.JSON).splitlines())
+        text = _log_two_lines(LogFormat.JSON)
+        first, second = map(json.loads, text.splitlines())
         self.assertEqual(first['part'], 'dispatch')
         self.assertEqual(first['request'], 'r%s1')
         self.assertEqual(first['message'], 'dispatch r%s1: took 2 steps')
         self.assertNotIn('request', second)
         self.assertEqual(second['level'], 'error')
 
-    def test_a_task_about_a_request_names_it_in_each_line(self) -> None:
+    def test_lines_in_a_request_context_name_the_request(self) -> None:
         stream = io.StringIO()
         set_up_logs(LogFormat.TEXT, stream)
         log = part_logger('dispatch')
@@ -50,13 +52,13 @@
             log.info('inside')
             log.exception('failed', cause=ZeroDivisionError('z'))
         log.info('outside')
-        shown = stream.getvalue()
-        self.assertIn('dispatch r1: inside', shown)
-        self.assertIn('dispatch r1: failed', shown)
-        self.assertIn('ZeroDivisionError: z', shown)
-        self.assertIn('dispatch: outside', shown)
+        text = stream.getvalue()
+        self.assertIn('dispatch r1: inside', text)
+        self.assertIn('dispatch r1: failed', text)
+        self.assertIn('ZeroDivisionError: z', text)
+        self.assertIn('dispatch: outside', text)
 
-    def test_every_module_logs_by_its_part(self) -> None:
+    def test_only_the_logging_module_imports_absl(self) -> None:
         for path in sorted(SOURCES.glob('*.py')):
             with self.subTest(module=path.name):
                 uses = 'from absl' in path.read_text()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -14,7 +14,7 @@
 
 _WORKSPACE = WorkspaceId('w')
 _TASK = TaskName('t')
-_EXPECTED = (
+_EXPECTED_LINES = (
     'nutmegroad_refusals_total{code="OVERLOADED"} 1.0',
     'nutmegroad_retries_total{code="ANSWER_CUT"} 1.0',
     'nutmegroad_requests_total{outcome="OK",task="t",workspace="w"} 1.0',
@@ -37,7 +37,8 @@
 )
 
 
-def _count(metrics: Metrics) -> None:
+def _increment_counters(metrics: Metrics) -> None:
+    """Increment the counters to the values of the expected lines."""
     metrics.refused(ResultCode.OVERLOADED)
     metrics.retried(ResultCode.ANSWER_CUT)
     metrics.request_ended(_WORKSPACE, _TASK, ResultCode.OK)
@@ -48,13 +49,15 @@
     metrics.control_message('mesh', Direction.SENT, 90)
 
 
-def _observe(metrics: Metrics) -> None:
+def _observe_latencies(metrics: Metrics) -> None:
+    """Observe each latency of the expected lines once."""
     metrics.latency.first_token(_TASK, 0.3)
     metrics.latency.between_tokens(_TASK, 0.04)
     metrics.latency.whole_time(_TASK, 2)
 
 
-def _set(metrics: Metrics) -> None:
+def _set_gauges(metrics: Metrics) -> None:
+    """Set the gauges to the values of the expected lines."""
     metrics.state.revision(Revision(7))
     metrics.state.isolated(isolated=True)
     metrics.state.lease_age(3)
@@ -67,17 +70,17 @@
     def test_every_metric_is_rendered(self) -> None:
         times = iter((1.0, 1.5))
         metrics = Metrics(lambda: next(times))
-        _count(metrics)
-        _observe(metrics)
-        _set(metrics)
+        _increment_counters(metrics)
+        _observe_latencies(metrics)
+        _set_gauges(metrics)
         with metrics.control_time('mesh'):
             metrics.state.queued(5)
         lines = metrics.render().decode().splitlines()
-        for line in _EXPECTED:
+        for line in _EXPECTED_LINES:
             with self.subTest(line=line):
                 self.assertIn(line, lines)
 
-    def test_two_hosts_share_nothing(self) -> None:
+    def test_instances_are_independent(self) -> None:
         one, other = Metrics(float), Metrics(float)
         one.refused(ResultCode.OVERLOADED)
         self.assertNotIn(b'OVERLOADED', other.render())
