--- a/tests/fuzz_inputs.py
+++ b/tests/fuzz_inputs.py
@@ -118,7 +118,8 @@
     if choice == 1:
         # An array, map, text or binary whose length field is far too large.
         marker = draw(st.sampled_from((b'\xdd', b'\xdf', b'\xdb', b'\xc6')))
-        return bytes(marker + b'\xff\xff\xff\xff' + draw(st.binary(max_size=9)))
+        header = marker + b'\xff\xff\xff\xff'
+        return bytes(header + draw(st.binary(max_size=9)))
     types = sorted(_with_subclasses(Message), key=lambda one: one.__name__)
     message_type = draw(st.sampled_from(types))
     body = draw(content_of(inspect.type_info(message_type)) | WIRE)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,7 +1,7 @@
 """Tests that the pages' examples run and that their tables are up to date.
 
-An example is run if its first line is ``# runs beside `make serve```. It gets a
-deployment of stand-ins, and the environment variables that ``make serve``
+An example is run if its first line is ``# runs beside `make serve```. It gets
+a deployment of stand-ins, and the environment variables that ``make serve``
 prints.
 """
 
