--- a/src/nutmegroad/foundations/metrics.py
+++ b/src/nutmegroad/foundations/metrics.py
@@ -144,33 +144,35 @@
     """
 
     def __init__(self, registry: CollectorRegistry) -> None:
-        self._revision = _gauge('revision', 'Revision in force', registry)
-        self._revision_heard = _gauge(
+        self._revision_gauge = _gauge('revision', 'Revision in force', registry)
+        self._revision_heard_gauge = _gauge(
             'revision_heard',
             'Highest revision of which the host has heard',
             registry,
         )
-        self._isolated = _gauge('isolated', '1 while isolated', registry)
-        self._lease_age = _gauge(
+        self._isolated_gauge = _gauge('isolated', '1 while isolated', registry)
+        self._lease_age_gauge = _gauge(
             'lease_age_seconds',
             'Seconds since the configuration was confirmed',
             registry,
         )
-        self._in_flight = _gauge('in_flight', 'Requests that run', registry)
-        self._resident = _gauge(
+        self._in_flight_gauge = _gauge(
+            'in_flight', 'Requests that run', registry
+        )
+        self._resident_gauge = _gauge(
             'resident_bytes',
             'Memory that the process holds',
             registry,
         )
-        self._queued = _gauge('queued', 'Requests that wait', registry)
-        self._unstored = Gauge(
+        self._queued_gauge = _gauge('queued', 'Requests that wait', registry)
+        self._unstored_gauge = Gauge(
             'unstored_records',
             'Records that wait to be stored',
             ('kind',),
             namespace=_NAMESPACE,
             registry=registry,
         )
-        self._members = Gauge(
+        self._members_gauge = Gauge(
             'members',
             'Hosts that this one knows',
             ('presence',),
@@ -180,42 +182,42 @@
 
     def revision(self, revision: Revision) -> None:
         """Set the configuration revision in force."""
-        self._revision.set(revision)
+        self._revision_gauge.set(revision)
 
     def heard(self, revision: Revision) -> None:
         """Set the highest configuration revision known to the host."""
-        self._revision_heard.set(revision)
+        self._revision_heard_gauge.set(revision)
 
     def isolated(self, isolated: bool) -> None:
         """Set whether the host is isolated.
 
         It is isolated while nothing confirms its configuration.
         """
-        self._isolated.set(isolated)
+        self._isolated_gauge.set(isolated)
 
     def lease_age(self, seconds: float) -> None:
         """Set the seconds since the configuration was last confirmed."""
-        self._lease_age.set(seconds)
+        self._lease_age_gauge.set(seconds)
 
     def in_flight(self, requests: int) -> None:
         """Set the number of requests that are being executed."""
-        self._in_flight.set(requests)
+        self._in_flight_gauge.set(requests)
 
     def queued(self, requests: int) -> None:
         """Set the number of queued requests."""
-        self._queued.set(requests)
+        self._queued_gauge.set(requests)
 
     def resident(self, size: int) -> None:
         """Set the resident memory of the process, in bytes."""
-        self._resident.set(size)
+        self._resident_gauge.set(size)
 
     def unstored(self, kind: str, records: int) -> None:
         """Set the number of records of a kind that wait to be stored."""
-        self._unstored.labels(kind).set(records)
+        self._unstored_gauge.labels(kind).set(records)
 
     def members(self, presence: Presence, hosts: int) -> None:
         """Set the number of known hosts in a lifecycle state."""
-        self._members.labels(presence.value).set(hosts)
+        self._members_gauge.labels(presence.value).set(hosts)
 
 
 class Metrics:
