--- a/src/nutmegroad/foundations/metrics.py
+++ b/src/nutmegroad/foundations/metrics.py
@@ -144,7 +144,11 @@
     """
 
     def __init__(self, registry: CollectorRegistry) -> None:
-        self._revision_gauge = _gauge('revision', 'Revision in force', registry)
+        self._revision_gauge = _gauge(
+            'revision',
+            'Revision in force',
+            registry,
+        )
         self._revision_heard_gauge = _gauge(
             'revision_heard',
             'Highest revision of which the host has heard',
