--- a/src/nutmegroad/foundations/_code_meaning.py
+++ b/src/nutmegroad/foundations/_code_meaning.py
@@ -7,16 +7,18 @@
 from nutmegroad.foundations.results import ResultCode
 
 # Advice to callers that several codes share.
-FIX_REQUEST: Final = 'Mend the request; the same one is refused again.'
-RETRY_LATER: Final = 'Try again after `retry_after_ms`.'
+FIX_REQUEST: Final = 'Correct the request; the same one is refused again.'
+RETRY_LATER: Final = 'Retry after `retry_after_ms`.'
 RETRY_IF_NOT_RUN: Final = (
-    'Try again after `retry_after_ms` if `not_run` is true or the request '
-    'may be repeated.'
+    'Retry after `retry_after_ms` if `not_run` is true or the request may be '
+    'repeated.'
+)
+CHECK_OUTCOME: Final = (
+    'Find out by other means whether it ran; do not repeat it blindly.'
 )
-CHECK_OUTCOME: Final = 'Find out by other means; do not repeat it blindly.'
 ASK_OPERATORS: Final = "Ask the deployment's operators."
 INTERNAL_ONLY: Final = (
-    'Nothing: the program deals with it, and operators see it.'
+    'Nothing: the program handles it, and operators can see it.'
 )
 
 
--- a/src/nutmegroad/foundations/_system_codes.py
+++ b/src/nutmegroad/foundations/_system_codes.py
@@ -14,31 +14,32 @@
 SYSTEM_CODES: Final = (
     CodeMeaning(
         ResultCode.OUTCOME_UNKNOWN,
-        'The request went out, and whether it ran cannot be told.',
+        'The request was dispatched, and it is unknown whether it ran.',
         CHECK_OUTCOME,
         NotRun.NEVER,
     ),
     CodeMeaning(
         ResultCode.STILL_RUNNING,
-        'A request with the same key is running.',
-        'Wait for the first one, or ask again after `retry_after_ms`.',
+        'A request with the same idempotency key is running.',
+        'Wait for the first one, or retry after `retry_after_ms`.',
         NotRun.NEVER,
     ),
     CodeMeaning(
         ResultCode.INTENT_UNAVAILABLE,
-        'That the request runs at most once cannot be recorded now.',
+        'The record that makes the request run at most once cannot be '
+        'written now.',
         RETRY_LATER,
         NotRun.ALWAYS,
     ),
     CodeMeaning(
         ResultCode.TICKET_INVALID,
-        'The ticket is not one that this deployment signed for the workspace.',
-        'Take a new ticket.',
+        'The ticket was not signed by this deployment for the workspace.',
+        'Request a new ticket.',
         NotRun.ALWAYS,
     ),
     CodeMeaning(
         ResultCode.TICKET_SPENT,
-        'The ticket was used already.',
+        'The ticket has already been used.',
         CHECK_OUTCOME,
         NotRun.NEVER,
     ),
@@ -51,14 +52,14 @@
     ),
     CodeMeaning(
         ResultCode.CONFIGURATION_INVALID,
-        'The document is wrong; nothing changed.',
-        'Mend the fields that the problems name.',
+        'The document is invalid; nothing was changed.',
+        'Correct the fields that the problems name.',
         NotRun.NONE,
     ),
     CodeMeaning(
         ResultCode.CONFIGURATION_CONFLICT,
-        'Another change came first; nothing of this one is in force.',
-        'Look at the other change, then decide anew.',
+        'Another change came first; no part of this one was applied.',
+        'Review the other change, then decide again.',
         NotRun.NONE,
     ),
     CodeMeaning(
@@ -69,7 +70,7 @@
     ),
     CodeMeaning(
         ResultCode.PRESET_UNKNOWN,
-        'There is no such preset.',
+        'No such preset exists.',
         'Name a preset of the document in force.',
         NotRun.NONE,
     ),
@@ -77,54 +78,54 @@
         ResultCode.CONFIGURATION_UNCONFIRMED,
         'The change is accepted but not yet confirmed to be in force '
         'everywhere.',
-        'Ask for its status.',
+        'Query its status.',
         NotRun.NONE,
     ),
     CodeMeaning(
         ResultCode.TABLE_UNAVAILABLE,
-        'The table service gave no answer.',
+        'The table service did not answer.',
         INTERNAL_ONLY,
         NotRun.NONE,
     ),
     CodeMeaning(
         ResultCode.TABLE_CONFLICT,
-        'A row was changed by somebody else first.',
+        'A row was changed by another writer first.',
         INTERNAL_ONLY,
         NotRun.NONE,
     ),
     CodeMeaning(
         ResultCode.OBJECT_UNAVAILABLE,
-        'The object store gave no answer.',
+        'The object store did not answer.',
         INTERNAL_ONLY,
         NotRun.NONE,
     ),
     CodeMeaning(
         ResultCode.OBJECT_MISSING,
-        'The object store has no such object.',
+        'The object store does not have the object.',
         INTERNAL_ONLY,
         NotRun.NONE,
     ),
     CodeMeaning(
         ResultCode.HOST_LIST_UNAVAILABLE,
-        'The host list gave no answer.',
+        'The host list service did not answer.',
         INTERNAL_ONLY,
         NotRun.NONE,
     ),
     CodeMeaning(
         ResultCode.RATINGS_UNAVAILABLE,
-        'The rating service gave no answer.',
+        'The rating service did not answer.',
         INTERNAL_ONLY,
         NotRun.NONE,
     ),
     CodeMeaning(
         ResultCode.WEIGHTS_UNAVAILABLE,
-        'The weight store gave no answer, or is at its limit.',
+        'The weight store did not answer, or is at its limit.',
         INTERNAL_ONLY,
         NotRun.NONE,
     ),
     CodeMeaning(
         ResultCode.PEER_UNREACHABLE,
-        'Another host gave no answer.',
+        'Another host did not answer.',
         INTERNAL_ONLY,
         NotRun.EITHER,
     ),
@@ -136,8 +137,8 @@
     ),
     CodeMeaning(
         ResultCode.HOST_STOPPING,
-        'The host is stopping and takes no new work.',
-        'Try again at once: another host takes it.',
+        'The host is stopping and accepts no new requests.',
+        'Retry immediately; another host will accept it.',
         NotRun.ALWAYS,
     ),
     CodeMeaning(
@@ -148,7 +149,7 @@
     ),
     CodeMeaning(
         ResultCode.LEASE_LOST,
-        'The lease lapsed before the order went out.',
+        'The lease expired before the order was sent.',
         INTERNAL_ONLY,
         NotRun.NONE,
     ),
@@ -160,27 +161,27 @@
     ),
     CodeMeaning(
         ResultCode.OPERATOR_NOT_PERMITTED,
-        'The operator may read but not change.',
+        'The operator may read but not make changes.',
         'Ask an operator who may.',
         NotRun.NONE,
     ),
     CodeMeaning(
         ResultCode.OPERATOR_REQUEST_INVALID,
-        "The operator's request has a bad value; the sentence names it.",
-        'Mend the request.',
+        "The operator's request has an invalid value; the message names it.",
+        'Correct the request.',
         NotRun.NONE,
     ),
     CodeMeaning(
         ResultCode.NOT_FOUND,
-        'There is no such thing to show.',
-        'Check its name; hosts keep explanations for a while only.',
+        'The requested item does not exist.',
+        'Check its name; hosts retain explanations only for a while.',
         NotRun.NONE,
     ),
     CodeMeaning(
         ResultCode.INTERNAL,
-        'The program itself failed.',
-        'Tell the operators the request id; repeat it only if it may '
-        'be repeated.',
+        'The program failed unexpectedly.',
+        'Report the request id to the operators; repeat the request only if '
+        'it may be repeated.',
         NotRun.EITHER,
     ),
 )
--- a/src/nutmegroad/foundations/codes.py
+++ b/src/nutmegroad/foundations/codes.py
@@ -14,16 +14,16 @@
 # Result codes
 
 Generated from `src/nutmegroad/foundations/codes.py` by
-`python -m nutmegroad.foundations.codes > docs/CODES.md`; a test holds the page
-to it.
+`python -m nutmegroad.foundations.codes > docs/CODES.md`; a test checks that
+the page is up to date.
 
-A refusal carries its code and name, a sentence, `not_run` and
-`retry_after_ms`. `not_run` is true only where no byte of the request went to
-any upstream, or where the upstream proved that it did not start. In the table
-`either` means that the refusal itself tells, since the code may come before
-a first attempt or after one, and `none` that the code concerns no request.
+A refusal has a code and its name, a message, `not_run` and `retry_after_ms`.
+`not_run` is true only if no byte of the request was sent to any upstream, or
+if the upstream proved that it did not start. In the table, `either` means that
+the refusal itself says which, since the code may occur before the first
+attempt or after one; `none` means that the code does not concern a request.
 
-The first digit names the area: 1 the caller's request, 2 rights and limits,
+The first digit is the area: 1 the caller's request, 2 rights and limits,
 3 routing, 4 upstreams, 5 records, 6 configuration, 7 the platform, 8 hosts,
 9 operators.
 
