--- a/src/nutmegroad/daemon/pauses.py
+++ b/src/nutmegroad/daemon/pauses.py
@@ -52,7 +52,7 @@
         self._lease = lease
         self._min_pause = min_pause
         self._last_tick_at = clock.now()
-        #: End of the last pause; None once the configuration is confirmed.
+        #: End of the last pause; None while dispatch is not held back.
         self._resumed_at: float | None = None
         self._pause_detected = asyncio.Event()
 
--- a/src/nutmegroad/daemon/program.py
+++ b/src/nutmegroad/daemon/program.py
@@ -30,8 +30,7 @@
     """Stops the event loop at the first stop request, and ignores later ones.
 
     aiomisc's own signal handlers restore the default handlers as soon as a
-    stop begins, so a second signal would kill the process and cut off requests
-    that are still open.
+    stop begins, so a second signal would cut off requests that are still open.
     """
 
     def __init__(self) -> None:
--- a/tests/fuzz_inputs.py
+++ b/tests/fuzz_inputs.py
@@ -152,7 +152,7 @@
 
 
 def _plain(kind: inspect.Type) -> st.SearchStrategy[Any]:
-    """Return plain data that decodes to a type, except for nested errors."""
+    """Return plain data of a type; nested data may be of another type."""
     match kind:
         case inspect.StructType(fields=fields):
             return _struct(kind, [content_of(one.type) for one in fields])
