--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: the platform's names, formats and calls."""
+"""Adapter to the users' platform: names, formats and calls."""
 
 import io
 import json
@@ -56,10 +56,10 @@
 
 
 class RowsTest(unittest.TestCase):
-    """The platform's documents become types of ours."""
+    """Conversion of the platform's rows into nutmegroad's types."""
 
     def test_configuration_is_decoded(self) -> None:
-        """Times in seconds, unknown fields ignored."""
+        """Times are converted to seconds; unknown fields are ignored."""
         row = StoredRow('config', json.dumps(configuration()).encode(), 1)
         table = Rows().operator_row(row)
         assert isinstance(table, RoutingTable)
@@ -69,8 +69,8 @@
         self.assertEqual(route.timeout, 5)
         self.assertEqual(table.keys['the-key'].name, 'clerks')
 
-    def test_what_cannot_be_read_is_said_so(self) -> None:
-        """A missing field, a wrong kind, no JSON at all."""
+    def test_invalid_configuration_is_unreadable(self) -> None:
+        """A missing field, an unknown kind of route, malformed JSON."""
         no_kind = {'version': 1, 'routes': [{'name': 'r', 'host': 'h'}]}
         wrong = configuration()
         wrong['routes'][0]['kind'] = 'magic'
@@ -79,12 +79,12 @@
                 row = StoredRow('config', content.encode(), 1)
                 self.assertIsInstance(Rows().operator_row(row), Unreadable)
 
-    def test_rows_of_the_future_are_ignored(self) -> None:
-        """A key that is not known is not an error."""
+    def test_rows_with_unknown_keys_are_ignored(self) -> None:
+        """An unknown key is not an error."""
         self.assertIsNone(Rows().operator_row(StoredRow('new', b'', 1)))
 
-    def test_roll_out_goes_both_ways(self) -> None:
-        """The order is read, and its state written in the operator's words."""
+    def test_rollout_order_is_read_and_status_is_written(self) -> None:
+        """The status uses the names of states that the operator knows."""
         content = b'{"service":"s","to":"v2","durationS":12}'
         order = Rows().operator_row(StoredRow('rollout/s', content, 7))
         assert isinstance(order, RolloutOrder)
@@ -96,8 +96,8 @@
             {'state': 'rolled_back', 'to': 'v2'},
         )
 
-    def test_entry_is_decoded(self) -> None:
-        """An address that is none is unreadable."""
+    def test_upstream_entry_is_decoded(self) -> None:
+        """An entry with an invalid address is unreadable."""
         entry = Rows().upstream_row(entry_row('w', address='10.0.0.1:1'))
         assert isinstance(entry, UpstreamEntry)
         self.assertEqual(entry.address, Address('10.0.0.1', 1))
@@ -106,17 +106,17 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """The platform's settings file."""
+    """Decoding of the platform's settings file."""
 
-    def test_file_is_decoded(self) -> None:
-        """Fields of the future are ignored."""
+    def test_settings_are_decoded(self) -> None:
+        """Unknown fields are ignored."""
         settings = read_settings(SETTINGS)
         self.assertEqual(settings.store, Address('10.0.0.9', 82))
         self.assertEqual(settings.host.peers, Address('10.0.0.1', 70))
         self.assertEqual(settings.host.key_validity, 5)
 
-    def test_settings_are_shown_with_their_origin(self) -> None:
-        """What the file has, what is a default, and nothing of the future."""
+    def test_print_settings_shows_their_origin(self) -> None:
+        """Values from the file and defaults, but no unknown fields."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'settings.conf'
             path.write_text(SETTINGS, encoding='utf-8')
@@ -132,8 +132,8 @@
         self.assertIn('bounds.graceS=8  # default', lines)
         self.assertNotIn('future', shown.getvalue())
 
-    def test_bad_file_is_refused_with_the_bad_value(self) -> None:
-        """The message names the field and what it holds."""
+    def test_invalid_field_is_named_in_the_error(self) -> None:
+        """The message contains the missing field or the invalid value."""
         cases = (
             ('nodeName=front-1\n', '', 'nodeName'),
             ('10.0.0.1:80', 'nowhere', "'nowhere'"),
@@ -150,30 +150,30 @@
 
 
 class SettingsFileTest(unittest.TestCase):
-    """The file is read again when it changes."""
+    """Rereading of the settings file."""
 
-    def test_change_is_noticed_once_and_nonsense_is_kept_out(self) -> None:
-        """Pattern: settings change, with a signal or without."""
+    def test_change_is_returned_once_and_invalid_file_is_rejected(self) -> None:
+        """Guards against reloads without a change, or of an invalid file."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'settings'
             path.write_text(SETTINGS)
             settings_file = SettingsFile(path)
             self.assertEqual(settings_file.read().host.key_validity, 5)
-            self.assertIsNone(settings_file.changed())
+            self.assertIsNone(settings_file.read_if_changed())
             path.write_text('nonsense')
-            self.assertIsNone(settings_file.changed())
+            self.assertIsNone(settings_file.read_if_changed())
             path.write_text(SETTINGS.replace('5000', '3000'))
-            changed = settings_file.changed()
+            changed = settings_file.read_if_changed()
             assert changed is not None
             self.assertEqual(changed.host.key_validity, 3)
-            self.assertIsNone(settings_file.changed())
+            self.assertIsNone(settings_file.read_if_changed())
 
 
 class StoreClientTest(unittest.IsolatedAsyncioTestCase):
-    """The one client for the platform's store."""
+    """Client of the platform's store."""
 
     async def asyncSetUp(self) -> None:
-        """Start a store and a client."""
+        """Start a simulated store and a client."""
         stack = await self.enterAsyncContext(AsyncExitStack())
         self.rows = RowStore()
         runner = AppRunner(self.rows.app(), shutdown_timeout=0.1)
@@ -186,15 +186,15 @@
         )
 
     async def test_snapshot_reads_all_pages(self) -> None:
-        """More rows than one answer holds."""
+        """The table has more rows than fit into two answers."""
         for number in range(1203):
             self.rows.put('t', f'k{number:05}', b'x')
         read = await self.store.snapshot('t')
         assert isinstance(read, RowsRead)
         self.assertEqual(len({row.key for row in read.rows}), 1203)
 
-    async def test_feed_tells_changes_and_removals(self) -> None:
-        """Only of its table, and only what is newer."""
+    async def test_feed_returns_newer_changes_and_removals(self) -> None:
+        """Changes of other tables, and older ones, are not returned."""
         version = self.rows.put('t', 'a', b'1')
         self.rows.put('other', 'b', b'2')
         self.rows.remove('t', 'a')
@@ -205,8 +205,8 @@
         lost = await self.store.changes('t', version, 0.01)
         self.assertIsInstance(lost, HistoryLost)
 
-    async def test_transaction_needs_its_rows_as_expected(self) -> None:
-        """The second of two writers changes nothing."""
+    async def test_transaction_fails_if_a_row_has_changed(self) -> None:
+        """The second of two writers that expect the same version fails."""
         expected = (RowCondition('t', 'k', 0),)
         first = await self.store.commit(expected, (RowPut('t', 'k', b'1'),))
         second = await self.store.commit(expected, (RowPut('t', 'k', b'2'),))
@@ -214,8 +214,8 @@
         self.assertIsInstance(second, VersionConflict)
         self.assertEqual(self.rows.content('t', 'k'), b'1')
 
-    async def test_failures_say_what_is_known(self) -> None:
-        """503 and 429 did nothing; a lost reply may hide a write."""
+    async def test_refusal_tells_whether_the_call_ran(self) -> None:
+        """Status 503 and 429 mean not run; a lost reply may hide a write."""
         cases = (
             (StoreFault.BUSY, Ran.NOT_RUN),
             (StoreFault.THROTTLED, Ran.NOT_RUN),
