--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Tests of the example deployments."""
+"""Configurations of the example deployments."""
 
 import hashlib
 import unittest
@@ -9,8 +9,11 @@
 
 _EXAMPLES = Path(__file__).resolve().parent.parent / 'examples'
 _CONCERNS = {'lesen': Concern.LATENCY, 'cascade': Concern.EXPOSURE}
-#: What the brief says may not be repeated, as method and path.
-_ONCE = {'lesen': ('POST', 'receipts'), 'cascade': ('POST', 'manifests')}
+#: Calls that the requirements forbid to repeat, as method and path.
+_UNREPEATABLE = {
+    'lesen': ('POST', 'receipts'),
+    'cascade': ('POST', 'manifests'),
+}
 
 
 def _read(name: str) -> Document:
@@ -25,7 +28,7 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    def test_they_pass_the_checks(self) -> None:
+    def test_configurations_are_valid(self) -> None:
         for name in _CONCERNS:
             with self.subTest(name=name):
                 document = _read(name)
@@ -36,13 +39,15 @@
                     ['ordinary', 'peak', 'maintenance'],
                 )
 
-    def test_most_workspaces_weigh_what_the_deployment_does(self) -> None:
+    def test_most_workspaces_have_the_concern_of_the_deployment(self) -> None:
         for name, concern in _CONCERNS.items():
             with self.subTest(name=name):
-                weighed = [ent.concern for ent in _read(name).workspaces]
-                self.assertGreater(weighed.count(concern), 5)
+                concerns = [
+                    workspace.concern for workspace in _read(name).workspaces
+                ]
+                self.assertGreater(concerns.count(concern), 5)
 
-    def test_keys_and_tokens_are_those_for_demos(self) -> None:
+    def test_keys_and_tokens_are_the_demo_ones(self) -> None:
         for name in _CONCERNS:
             document = _read(name)
             for workspace in document.workspaces:
@@ -54,8 +59,8 @@
                     token_hash = _hash(f'token-{operator.name}')
                     self.assertEqual(operator.token_hash, token_hash)
 
-    def test_what_may_run_once_only_says_so(self) -> None:
-        for name, (method, path) in _ONCE.items():
+    def test_unrepeatable_calls_are_declared(self) -> None:
+        for name, (method, path) in _UNREPEATABLE.items():
             with self.subTest(name=name):
                 rules = {
                     (rule.method, rule.path): rule.repeatable
@@ -68,7 +73,7 @@
         )
         self.assertIs(manifest.repeatable, False)
 
-    def test_isolated_hosts_use_no_version_in_rollout(self) -> None:
+    def test_isolated_hosts_use_only_steady_versions(self) -> None:
         for name in _CONCERNS:
             for entry in _read(name).versions:
                 with self.subTest(name=name, version=entry.id):
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -1,4 +1,4 @@
-"""The HTTP adapters say truthfully what ran."""
+"""HTTP clients for upstreams: gates, answers, and whether a request ran."""
 
 import asyncio
 import unittest
@@ -50,16 +50,16 @@
 
 
 def open_gate() -> None:
-    """Let everything through."""
+    """Allow the request."""
 
 
 def closed_gate() -> Refusal:
-    """Let nothing through."""
+    """Refuse the request."""
     return CLOSED
 
 
 def upstream_at(address: Address) -> UpstreamInfo:
-    """Return an upstream that listens there."""
+    """Return an upstream that listens at an address."""
     return UpstreamInfo(
         UpstreamId('u'),
         DomainId('d'),
@@ -69,8 +69,8 @@
 
 
 def attempt_at(address: Address, **changes: Any) -> Attempt:
-    """Return an attempt at having eight words written."""
-    usual: dict[str, Any] = {
+    """Return an attempt that requests an answer of eight tokens."""
+    defaults: dict[str, Any] = {
         'attempt': AttemptId('at'),
         'upstream': upstream_at(address),
         'version': VersionId('a@1'),
@@ -78,12 +78,12 @@
         'gate': open_gate,
         'timeout': 10,
     }
-    return Attempt(**{**usual, **changes})
+    return Attempt(**{**defaults, **changes})
 
 
 def call_at(address: Address, **changes: Any) -> ServiceCall:
     """Return a call to a service."""
-    usual: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         'attempt': AttemptId('at'),
         'upstream': upstream_at(address),
         'method': 'POST',
@@ -94,23 +94,26 @@
         'timeout': 10,
         'key': 'k1',
     }
-    return ServiceCall(**{**usual, **changes})
+    return ServiceCall(**{**defaults, **changes})
 
 
 class ByteCounter:
-    """A server that counts bytes and closes each connection unanswered."""
+    """A server that counts received bytes and requests, and never answers.
+
+    It closes each connection after the first block.
+    """
 
     def __init__(self) -> None:
         self.received = 0
         self.requests = 0
 
     async def open(self, stack: AsyncExitStack) -> Address:
-        """Begin to listen."""
-        server = await asyncio.start_server(self._take, '127.0.0.1', 0)
+        """Start to listen."""
+        server = await asyncio.start_server(self._handle, '127.0.0.1', 0)
         stack.callback(server.close)
         return Address(*server.sockets[0].getsockname())
 
-    async def _take(
+    async def _handle(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -122,7 +125,7 @@
 
 
 class UpstreamCase(unittest.IsolatedAsyncioTestCase):
-    """Opens the clients."""
+    """Test case with a client for engines and one for services."""
 
     async def asyncSetUp(self) -> None:
         """Open both clients."""
@@ -133,12 +136,12 @@
         self.services = await enter(HttpServiceClient())
 
     async def engine(self, **changes: Any) -> FakeEngine:
-        """Open an engine."""
+        """Start a simulated engine."""
         engine = FakeEngine(quick_settings(**changes))
         return await self.stack.enter_async_context(engine)
 
     async def answer(self, attempt: Attempt) -> list[AnswerEvent]:
-        """Return all events of an answer."""
+        """Request an answer and return all of its events."""
         async with self.engines.answer(attempt) as events:
             return [event async for event in events]
 
@@ -148,16 +151,16 @@
         code: ResultCode,
         ran: Ran,
     ) -> None:
-        """Check a refusal's code and what is known."""
+        """Check the code of a refusal and whether the request ran."""
         self.assertIsInstance(refusal, Refusal)
         if isinstance(refusal, Refusal):
             self.assertEqual((code, ran), (refusal.code, refusal.ran))
 
 
 class GateTest(UpstreamCase):
-    """The gate is asked with the first byte, and only then."""
+    """The gate is checked immediately before the first byte."""
 
-    async def test_a_closed_gate_sends_nothing(self) -> None:
+    async def test_nothing_is_sent_if_the_gate_is_closed(self) -> None:
         counter = ByteCounter()
         address = await counter.open(self.stack)
         events = await self.answer(attempt_at(address, gate=closed_gate))
@@ -175,34 +178,32 @@
         self.assertEqual(CLOSED, reply)
         self.assertEqual(0, counter.received)
 
-    async def test_the_gate_is_asked_in_the_step_of_the_first_byte(
-        self,
-    ) -> None:
+    async def test_gate_is_checked_in_same_step_as_first_byte(self) -> None:
         counter = ByteCounter()
         address = await counter.open(self.stack)
         write = StreamWriter._write
-        write_all = StreamWriter._writelines
+        writelines = StreamWriter._writelines
         steps: list[str] = []
 
         def gate() -> None:
-            """Note the call, and which step of the loop comes next."""
+            """Record the check, and when the next loop step begins."""
             steps.append('gate')
             asyncio.get_running_loop().call_soon(steps.append, 'next step')
 
-        def note_write(writer: StreamWriter, chunk: Any) -> None:
-            """Note the first byte of a request without a body."""
+        def record_write(writer: StreamWriter, chunk: Any) -> None:
+            """Record the first write of a request without a body."""
             steps.append('write')
             write(writer, chunk)
 
-        def note_all(writer: StreamWriter, chunks: Any) -> None:
-            """Note the first byte of a request with a body."""
+        def record_writelines(writer: StreamWriter, chunks: Any) -> None:
+            """Record the first write of a request with a body."""
             steps.append('write')
-            write_all(writer, chunks)
+            writelines(writer, chunks)
 
         with patch.multiple(
             StreamWriter,
-            _write=note_write,
-            _writelines=note_all,
+            _write=record_write,
+            _writelines=record_writelines,
         ):
             for body in (b'', b'{}'):
                 steps.clear()
@@ -210,7 +211,7 @@
                 await self.services.call(call)
                 self.assertEqual(['gate', 'write', 'next step'], steps)
 
-    async def test_nothing_is_sent_twice(self) -> None:
+    async def test_no_request_is_sent_twice(self) -> None:
         counter = ByteCounter()
         address = await counter.open(self.stack)
         for method in ('GET', 'PUT', 'POST'):
@@ -225,9 +226,9 @@
 
 
 class AnswerTest(UpstreamCase):
-    """Answers, and each way in which they go wrong."""
+    """Complete answers and each kind of failure."""
 
-    async def test_a_whole_answer(self) -> None:
+    async def test_complete_and_resumed_answers(self) -> None:
         engine = await self.engine()
         events = await self.answer(attempt_at(engine.address))
         pieces = [event for event in events if isinstance(event, Piece)]
@@ -250,7 +251,8 @@
             with self.subTest(kind):
                 engine.faults.clear()
                 engine.faults.add(FaultOrder(kind, delay=600, scope='answers'))
-                # A name of its own: the last case's cancel may be on its way.
+                # Each case has its own attempt id, since the cancellation of
+                # the previous one may still be pending.
                 attempt = attempt_at(
                     engine.address,
                     attempt=AttemptId(kind.value),
@@ -266,7 +268,7 @@
         self.assertEqual(9, len(events))
         self.assertEqual(8, self.engines.duplicates)
 
-    async def test_what_is_proved_not_to_have_run(self) -> None:
+    async def test_unloaded_version_and_full_queue_mean_not_run(self) -> None:
         engine = await self.engine(speed=ENDLESS)
         unloaded = attempt_at(engine.address, version=VersionId('a@9'))
         events = await self.answer(unloaded)
@@ -284,7 +286,7 @@
         code = ResultCode.UPSTREAM_BUSY
         self.assert_refused(events[0], code, Ran.NOT_RUN)
 
-    async def test_a_reply_that_it_leaves_proves_that_nothing_ran(self) -> None:
+    async def test_error_of_a_draining_engine_means_not_run(self) -> None:
         async def refuse(http: Request) -> Response:
             await http.read()
             return error_reply(HTTPStatus.SERVICE_UNAVAILABLE, 'leaving')
@@ -296,7 +298,7 @@
         code = ResultCode.UPSTREAM_LEAVING
         self.assert_refused(events[0], code, Ran.NOT_RUN)
 
-    async def test_an_upstream_that_is_not_there(self) -> None:
+    async def test_unreachable_upstream_means_not_run(self) -> None:
         async with FakeEngine(quick_settings()) as engine:
             address = engine.address
         events = await self.answer(attempt_at(address))
@@ -305,7 +307,7 @@
         reply = await self.services.call(call_at(address))
         self.assert_refused(reply, code, Ran.NOT_RUN)
 
-    async def test_leaving_early_cancels(self) -> None:
+    async def test_leaving_the_context_early_cancels_the_answer(self) -> None:
         engine = await self.engine()
         engine.faults.add(FaultOrder(FaultKind.FREEZE))
         async with self.engines.answer(attempt_at(engine.address)) as events:
@@ -316,9 +318,9 @@
 
 
 class ReaderTest(unittest.TestCase):
-    """The stream's parser."""
+    """Parsing of an answer's stream."""
 
-    def test_bytes_may_be_split_anywhere(self) -> None:
+    def test_stream_may_be_split_at_any_byte(self) -> None:
         stream = ': hello\r\n\r\ndata: {"é":1}\r\n\r\ndata: x\n\n'.encode()
         for size in range(1, len(stream)):
             splitter = EventSplitter()
@@ -329,7 +331,7 @@
             ]
             self.assertEqual(['{"é":1}'.encode(), b'x'], lines)
 
-    def test_a_gap_is_a_cut(self) -> None:
+    def test_missing_chunk_ends_the_answer(self) -> None:
         reader = AnswerReader(AttemptId('at'))
         event = reader.read(b'{"id":"at","index":1}')
         self.assertEqual(Refusal, type(event))
@@ -337,9 +339,9 @@
 
 
 class OtherCallTest(UpstreamCase):
-    """Reports, orders and plain calls."""
+    """Reports and orders of engines, and calls of services."""
 
-    async def test_reports_and_orders(self) -> None:
+    async def test_report_and_fenced_order(self) -> None:
         engine = await self.engine()
         info = upstream_at(engine.address)
         report = await self.engines.report(info)
@@ -354,7 +356,7 @@
             refusal = await self.engines.order(info, order)
             self.assertEqual(code, None if refusal is None else refusal.code)
 
-    async def test_a_service_call(self) -> None:
+    async def test_service_call_and_lost_reply(self) -> None:
         service = await self.stack.enter_async_context(FakeService())
         reply = await self.services.call(call_at(service.address))
         self.assertIsInstance(reply, ServiceReply)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's adapters against its stand-in."""
+"""HTTP clients for the platform's services, tested with its stand-in."""
 
 import random
 import socket
@@ -59,33 +59,33 @@
 
 
 class ManualClock:
-    """Time that goes on only when told to, or when somebody sleeps."""
+    """A clock that advances only when it is told to, or by sleeping."""
 
     def __init__(self) -> None:
         self.seconds = 100.0
 
     def now(self) -> float:
-        """Return the seconds so far."""
+        """Return the current time in seconds."""
         return self.seconds
 
     def wall(self) -> float:
-        """Return the same."""
+        """Return the same time as ``now``."""
         return self.seconds
 
     async def sleep(self, seconds: float) -> None:
-        """Go on at once."""
+        """Advance the time without waiting."""
         self.seconds += seconds
 
 
 class FaultsTest(unittest.TestCase):
-    """Which calls a fault hits."""
+    """Selection of the calls that an injected fault affects."""
 
     def setUp(self) -> None:
-        """Switch nothing on."""
+        """Create a fault list without faults."""
         self.clock = ManualClock()
         self.faults = Faults(self.clock, random.Random(1))
 
-    def test_fault_hits_only_its_target(self) -> None:
+    def test_fault_affects_only_its_target(self) -> None:
         order = FaultOrder(FaultKind.SLOW, 'all', version='m@1', task='tag')
         self.faults.add(order)
         cases = {
@@ -99,26 +99,27 @@
                 hit = self.faults.hit(FaultKind.SLOW, target)
                 self.assertEqual(hit, expected)
 
-    def test_fault_ends_with_its_time(self) -> None:
+    def test_fault_ends_after_its_seconds(self) -> None:
         self.faults.add(FaultOrder(FaultKind.DOWN, seconds=2))
         self.faults.add(FaultOrder(FaultKind.BAD, seconds=2))
         self.assertIsNotNone(self.faults.hit(FaultKind.DOWN))
         self.clock.seconds += 2
         self.assertIsNone(self.faults.hit(FaultKind.DOWN))
-        # Here the time is how long the fall takes, not how long it lasts.
+        # Of this kind, the seconds are the time in which the quality falls,
+        # not the duration of the fault.
         self.assertIsNotNone(self.faults.find(FaultKind.BAD))
 
-    def test_fault_hits_its_share(self) -> None:
+    def test_fault_affects_its_share_of_calls(self) -> None:
         self.faults.add(FaultOrder(FaultKind.DOWN, share=0.25))
         hits = [self.faults.hit(FaultKind.DOWN) for _ in range(400)]
         self.assertAlmostEqual(hits.count(None) / 400, 0.75, delta=0.1)
 
 
 class PlatformCase(unittest.IsolatedAsyncioTestCase):
-    """A platform that is open, and a session."""
+    """Test case with a running platform stand-in and a client session."""
 
     async def asyncSetUp(self) -> None:
-        """Open both."""
+        """Start the platform and open the session."""
         stack = AsyncExitStack()
         self.addAsyncCleanup(stack.aclose)
         self.clock = ManualClock()
@@ -128,7 +129,7 @@
         self.table = HttpTable(self.session, self.platform.address)
 
     def fault(self, kind: FaultKind, scope: str, count: int = 1) -> None:
-        """Switch a fault on for some calls."""
+        """Inject a fault into the next ``count`` calls."""
         self.platform.faults.add(FaultOrder(kind, scope, count=count))
 
     def write(
@@ -137,14 +138,14 @@
         expected: int,
         key: RowKey = KEY,
     ) -> RowWrite:
-        """Return a write."""
+        """Return a write of one row."""
         return RowWrite(key, text, RowVersion(expected))
 
 
 class TableTest(PlatformCase):
-    """The table and its faults."""
+    """The table client, with and without faults."""
 
-    async def test_write_takes_effect_on_expected_version(self) -> None:
+    async def test_write_is_applied_at_expected_version(self) -> None:
         absent = await self.table.read(KEY)
         self.assertEqual(absent, Row(KEY, '', ABSENT))
         rows = await self.table.commit((self.write('a', 0),))
@@ -152,7 +153,7 @@
         self.assertEqual(await self.table.scan('presets/'), rows)
         self.assertEqual(await self.table.scan('leases/'), ())
 
-    async def test_conflict_leaves_all_rows_alone(self) -> None:
+    async def test_conflict_changes_no_row(self) -> None:
         await self.table.commit((self.write('a', 0),))
         other = RowKey('presets/other')
         writes = (self.write('b', 0, other), self.write('b', 0))
@@ -161,20 +162,20 @@
         self.assertEqual(outcome, Conflict(current))
         self.assertEqual(await self.table.scan(''), (current,))
 
-    async def test_lost_reply_hides_a_done_write(self) -> None:
+    async def test_lost_reply_may_hide_an_applied_write(self) -> None:
         self.fault(FaultKind.LOSE_REPLY, 'table')
         refusal = await self.table.commit((self.write('a', 0),))
         self.assert_refused(refusal, ResultCode.TABLE_UNAVAILABLE, Ran.UNKNOWN)
         row = await self.table.read(KEY)
         self.assertEqual(row, Row(KEY, 'a', RowVersion(1)))
 
-    async def test_table_that_is_down_writes_nothing(self) -> None:
+    async def test_unavailable_table_writes_nothing(self) -> None:
         self.fault(FaultKind.DOWN, 'table')
         refusal = await self.table.commit((self.write('a', 0),))
         self.assert_refused(refusal, ResultCode.TABLE_UNAVAILABLE, Ran.UNKNOWN)
         self.assertEqual(self.platform.table.row(KEY).version, ABSENT)
 
-    async def test_stale_read_shows_the_earlier_row(self) -> None:
+    async def test_stale_read_returns_the_previous_row(self) -> None:
         await self.table.commit((self.write('a', 0),))
         await self.table.commit((self.write('b', 1),))
         self.fault(FaultKind.STALE, 'table')
@@ -183,7 +184,7 @@
         fresh = await self.table.read(KEY)
         self.assertEqual(fresh, Row(KEY, 'b', RowVersion(2)))
 
-    async def test_writes_beyond_the_bound_are_refused(self) -> None:
+    async def test_writes_above_the_rate_limit_are_refused(self) -> None:
         for version in range(OPTIONS.writes_per_second):
             write = self.write('a', version)
             self.assertTrue(await self.table.commit((write,)))
@@ -193,19 +194,19 @@
         self.clock.seconds += 1
         self.assertTrue(await self.table.commit((write,)))
 
-    async def test_refused_connection_proves_not_run(self) -> None:
+    async def test_refused_connection_means_not_run(self) -> None:
         with socket.socket() as closed:
-            # Bound without listening, the port refuses connections.
+            # A port that is bound but not listening refuses connections.
             closed.bind(('127.0.0.1', 0))
             table = HttpTable(self.session, Address(*closed.getsockname()))
             refusal = await table.commit((self.write('a', 0),))
         self.assert_refused(refusal, ResultCode.TABLE_UNAVAILABLE, Ran.NOT_RUN)
 
-    async def test_no_reply_in_time_leaves_it_open(self) -> None:
-        with socket.socket() as silent:
-            silent.bind(('127.0.0.1', 0))
-            silent.listen()
-            address = Address(*silent.getsockname())
+    async def test_timeout_means_unknown_outcome(self) -> None:
+        with socket.socket() as unresponsive:
+            unresponsive.bind(('127.0.0.1', 0))
+            unresponsive.listen()
+            address = Address(*unresponsive.getsockname())
             table = HttpTable(self.session, address, timeout=0.05)
             refusal = await table.commit((self.write('a', 0),))
         self.assert_refused(refusal, ResultCode.TABLE_UNAVAILABLE, Ran.UNKNOWN)
@@ -216,15 +217,15 @@
         code: ResultCode,
         ran: Ran,
     ) -> None:
-        """Check that an outcome is a certain refusal."""
+        """Check the code of a refusal and whether the call ran."""
         assert isinstance(outcome, Refusal)
         self.assertEqual((outcome.code, outcome.ran), (code, ran))
 
 
 class ServicesTest(PlatformCase):
-    """The other services."""
+    """Clients of the services other than the table."""
 
-    async def test_object_never_changes(self) -> None:
+    async def test_stored_object_is_immutable(self) -> None:
         store = HttpObjects(self.session, self.platform.address)
         self.assertIsNone(await store.put('d/é?1', b'one'))
         self.assertIsNone(await store.put('d/é?1', b'one'))
@@ -236,7 +237,7 @@
         assert isinstance(missing, Refusal)
         self.assertEqual(missing.code, ResultCode.OBJECT_MISSING)
 
-    async def test_host_list_lags(self) -> None:
+    async def test_host_list_shows_changes_after_its_lag(self) -> None:
         hosts = HttpHostList(self.session, self.platform.address)
         self.platform.hosts.tell(ListingBody.from_listing(LISTING))
         self.clock.seconds += OPTIONS.lag - 1
@@ -244,7 +245,7 @@
         self.clock.seconds += 1
         self.assertEqual(await hosts.listing(), LISTING)
 
-    async def test_ratings_come_late_and_may_be_wrong(self) -> None:
+    async def test_ratings_are_delayed_and_may_be_wrong(self) -> None:
         ratings = HttpRatings(self.session, self.platform.address)
         answer = RatedAnswer(
             RequestId('r1'),
@@ -264,7 +265,7 @@
         self.assertNotEqual(feed[1].score, 0.83)
         self.assertEqual(await ratings.feed(1), feed[1:])
 
-    async def test_weight_loads_wait_for_their_turn(self) -> None:
+    async def test_weight_loads_are_limited_in_rate(self) -> None:
         weights = HttpWeights(self.session, self.platform.address)
         self.assertEqual(await weights.loads_per_minute(), 60)
         before = self.clock.now()
@@ -274,7 +275,7 @@
         self.assertEqual(self.clock.now() - before, 2)
 
     async def load_weights(self) -> None:
-        """Fetch a version's weights, as an engine does."""
+        """Fetch the weights of a version, as an engine does."""
         address = self.platform.address
         url = f'http://{address}/weights/fetch'
         async with self.session.post(url, data=b'{"version": "m@1"}') as reply:
