--- a/src/nutmegroad/adapters/_remembered_list.py
+++ b/src/nutmegroad/adapters/_remembered_list.py
@@ -45,7 +45,7 @@
 
 
 class RecentList:
-    """A ``HostList`` that returns cached results of up to ``RECENT`` seconds.
+    """A ``HostList`` that returns a cached result unless it is too old.
 
     Args:
         cached_list: The list with its cache.
