--- a/src/nutmegroad/adapters/_event_streams.py
+++ b/src/nutmegroad/adapters/_event_streams.py
@@ -10,7 +10,7 @@
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import AttemptId, Ran
 
-#: Maximum size of one event in bytes; engines send none that is longer.
+#: Maximum size of one event in bytes; a longer one is not an engine's answer.
 MAX_EVENT_BYTES: Final = 1_048_576
 
 _FIELD: Final = b'data:'
@@ -100,7 +100,7 @@
         attempt: Id of the attempt that each chunk must carry.
         expected: Index of the next chunk.
         ending: The ending, once its chunk has been read.
-        is_over: Whether the answer has ended, completely or with a refusal.
+        is_over: Whether the answer has ended, complete or with a refusal.
         duplicates: Number of chunks that were dropped because a chunk with
             their index had been read before.
     """
--- a/src/nutmegroad/adapters/_http_platform.py
+++ b/src/nutmegroad/adapters/_http_platform.py
@@ -165,6 +165,7 @@
         return self._refusal(f'{problem} ({call.method} {call.path})', ran)
 
     def _refusal(self, problem: str, ran: Ran) -> Refusal:
+        """Return a refusal that names the platform's address."""
         reason = f'The platform at {self._address} {problem}.'
         return Refusal(self._code, reason, ran, RETRY_AFTER)
 
@@ -176,6 +177,7 @@
             self._account.count(f'platform_{service}_{kind}')
 
     async def _exchange(self, call: _Call) -> _Reply:
+        """Send a call, receive its reply and record the traffic."""
         url = URL.build(
             scheme='http',
             host=self._address.ip,
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -153,7 +153,10 @@
     """Rereading of the settings file."""
 
     def test_change_is_returned_once_and_invalid_file_is_rejected(self) -> None:
-        """Guards against reloads without a change, or of an invalid file."""
+        """The settings may change with or without a signal.
+
+        Guards against reloads without a change, or of an invalid file.
+        """
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'settings'
             path.write_text(SETTINGS)
