--- a/src/nutmegroad/adapters/_platform_bodies.py
+++ b/src/nutmegroad/adapters/_platform_bodies.py
@@ -76,12 +76,13 @@
     @classmethod
     def from_host(cls, host: HostInfo) -> Self:
         """Return the entry for a host."""
+        address = host.address
         return cls(
-            host=host.host,
-            domain=host.domain,
-            ip=host.address.ip,
-            port=host.address.port,
-            presence=host.presence,
+            host.host,
+            host.domain,
+            address.ip,
+            address.port,
+            host.presence,
         )
 
     def to_host(self) -> HostInfo:
