--- a/models/__init__.py
+++ b/models/__init__.py
@@ -1,1 +1,1 @@
-"""Small specifications of the core protocols, for the model checker."""
+"""Small models of the core protocols, for exhaustive model checking."""
--- a/models/at_most_once.py
+++ b/models/at_most_once.py
@@ -1,8 +1,8 @@
-"""At most once: intent rows and tickets under crashes, pauses, lost replies.
+"""Checks at-most-once execution under crashes, pauses and lost replies.
 
-Two models, each with switches that take one mechanism out. Hosts take
-their steps in any order, so a pause is a host that takes none while time
-goes on. Run it as ``python -m models.at_most_once``.
+There are two models: intent rows and tickets. Each mechanism can be disabled
+by a switch. Hosts take their steps in any order, so a paused host is one that
+takes no step while time advances. Run it as ``python -m models.at_most_once``.
 """
 
 import sys
@@ -12,15 +12,13 @@
 from minicheck import Protocol, check_safety
 
 from models.intents import IntentModel
-from models.switches import (
-    Switches,
-)
+from models.switches import Switches
 from models.tickets import TicketModel
 
-#: States that one exploration may have.
-MOST_STATES: Final = 900_000
-#: States among which a mutant's counterexample must be.
-MUTANT_STATES: Final = 60_000
+#: Maximum number of states of an exhaustive search.
+MAX_STATES: Final = 900_000
+#: Number of states within which a mutant's counterexample must be found.
+MAX_MUTANT_STATES: Final = 60_000
 Mutant = Callable[[], Protocol]
 MUTANTS: Final[dict[str, Mutant]] = {
     'put_if_absent': lambda: IntentModel(
@@ -41,19 +39,19 @@
 
 def explore(
     protocol: Protocol,
-    most_states: int = MOST_STATES,
+    max_states: int = MAX_STATES,
 ) -> dict[str, Any]:
-    """Return what the checker found among so many states."""
-    found: dict[str, Any] = check_safety(protocol, most_states)
-    return found
+    """Return the checker's report on at most ``max_states`` states."""
+    report: dict[str, Any] = check_safety(protocol, max_states)
+    return report
 
 
 def main() -> None:
-    """Print the size of each model and the mutants' counterexamples."""
+    """Print the report on each model and on each mutant."""
     for model in (IntentModel(), TicketModel()):
         sys.stdout.write(f'{explore(model.protocol())}\n')
     for name, mutant in MUTANTS.items():
-        sys.stdout.write(f'{name}: {explore(mutant(), MUTANT_STATES)}\n')
+        sys.stdout.write(f'{name}: {explore(mutant(), MAX_MUTANT_STATES)}\n')
 
 
 if __name__ == '__main__':
--- a/models/intents.py
+++ b/models/intents.py
@@ -1,4 +1,4 @@
-"""A model of intent rows: two hosts, a table, an upstream, lost replies."""
+"""Model of intent rows: two hosts, a table, an upstream and lost replies."""
 
 from collections.abc import Callable, Iterator
 from enum import IntEnum, unique
@@ -7,37 +7,37 @@
 from minicheck import Protocol
 
 from models.switches import (
-    ALL_IN,
+    ALL_ENABLED,
     HOSTS,
-    LAST_RUN,
+    LAST_INCARNATION,
     LAST_TICK,
     LEASE,
-    MOST_TRIES,
+    MAX_ATTEMPTS,
     Step,
     Switches,
-    one_more,
+    count_execution,
 )
 
 
 @unique
-class At(IntEnum):
-    """Where a host stands with its request."""
+class Phase(IntEnum):
+    """Phase of a host's request."""
 
     IDLE = 0
     WRITING = 1
     WRITTEN = 2
-    UNSURE = 3
+    WRITE_UNKNOWN = 3
     CLAIMED = 4
     NOT_SENT = 5
     SENT = 6
     ANSWERED = 7
     REFUSED = 8
-    DEAD = 9
+    CRASHED = 9
 
 
 @unique
 class RowState(IntEnum):
-    """Where the intent row stands."""
+    """State of the intent row."""
 
     ABSENT = 0
     OPEN = 1
@@ -45,256 +45,349 @@
     NOT_RUN = 3
 
 
-_QUIET: Final = frozenset((At.IDLE, At.REFUSED, At.DEAD))
+#: Phases in which a host does not work on an attempt.
+_INACTIVE: Final = frozenset((Phase.IDLE, Phase.REFUSED, Phase.CRASHED))
 
 
 class IntentHost(NamedTuple):
-    """One host.
+    """State of one host.
 
     Attributes:
-        at: Where it stands.
-        began: Tick before its claim was written.
-        run: Which run of the host it is.
-        tries: Tries that the caller has left here.
-        late: A write that it gave up may still take effect.
-        flying: Its request is on the way to the upstream.
-        ran: Its present try has run.
-        lied: It said "not run" of a try that had run or ran later.
-        denied: It said "not run" of its present try.
+        phase: Phase of its request.
+        claim_started: Tick at which it started to write its claim.
+        incarnation: Number of its incarnation.
+        attempts_left: Attempts that the caller may still make at this host.
+        late_write: Whether a write that it gave up may still take effect.
+        in_flight: Whether its request is on the way to the upstream.
+        executed: Whether its current attempt was executed.
+        denied_falsely: Whether it reported "not run" for an attempt that was
+            executed before or after the report.
+        denied: Whether it reported "not run" for its current attempt.
     """
 
-    at: At = At.IDLE
-    began: int = 0
-    run: int = 0
-    tries: int = MOST_TRIES
-    late: bool = False
-    flying: bool = False
-    ran: bool = False
-    lied: bool = False
+    phase: Phase = Phase.IDLE
+    claim_started: int = 0
+    incarnation: int = 0
+    attempts_left: int = MAX_ATTEMPTS
+    late_write: bool = False
+    in_flight: bool = False
+    executed: bool = False
+    denied_falsely: bool = False
     denied: bool = False
 
 
-class IntentWorld(NamedTuple):
-    """Everything.
+class IntentState(NamedTuple):
+    """State of the whole model.
 
     Attributes:
-        tick: Time.
+        tick: Current time.
         row: State of the intent row.
-        owner: Host and run and try that wrote it.
-        since: Tick before the row was written.
-        runs: How often the request ran.
+        owner: Nonce in the row: host, incarnation and attempt that wrote it.
+        lease_start: Tick at which the owner started to write the row.
+        runs: Number of times that the request was executed.
         hosts: Both hosts.
     """
 
     tick: int = 0
     row: RowState = RowState.ABSENT
     owner: tuple[int, int, int] = (-1, 0, 0)
-    since: int = 0
+    lease_start: int = 0
     runs: int = 0
-    hosts: tuple[IntentHost, ...] = (IntentHost(), IntentHost(tries=1))
+    hosts: tuple[IntentHost, ...] = (IntentHost(), IntentHost(attempts_left=1))
 
 
 class IntentModel:
-    """Two hosts that get the same key.
+    """Two hosts that receive requests with the same idempotency key.
 
     Args:
-        switches: Which mechanisms are in.
+        switches: Which mechanisms are enabled.
     """
 
-    def __init__(self, switches: Switches = ALL_IN) -> None:
-        self._in = switches
+    def __init__(self, switches: Switches = ALL_ENABLED) -> None:
+        self._enabled = switches
 
     def protocol(self) -> Protocol:
-        """Return the model for the checker."""
+        """Return the model in the checker's form."""
         return Protocol(
             name='intents',
             candidate=False,
-            fields=IntentWorld._fields,
-            initial=IntentWorld(),
-            transitions=lambda state: list(self.steps(IntentWorld(*state))),
+            fields=IntentState._fields,
+            initial=IntentState(),
+            transitions=lambda state: list(self.steps(IntentState(*state))),
             invariants={
-                'at_most_once': lambda world: world['runs'] <= 1,
-                'true_not_run': lambda world: (
-                    not any(host.lied for host in world['hosts'])
+                'at_most_once': lambda state: state['runs'] <= 1,
+                'true_not_run': lambda state: (
+                    not any(host.denied_falsely for host in state['hosts'])
                 ),
             },
         )
 
-    def steps(self, world: IntentWorld) -> Iterator[Step]:
-        """Yield what may happen next."""
-        if world.tick < LAST_TICK:
-            yield 'tick', world._replace(tick=world.tick + 1)
-        if self._may_run_by_hand(world):
-            hosts = tuple(host._replace(tries=0) for host in world.hosts)
+    def steps(self, state: IntentState) -> Iterator[Step]:
+        """Yield the transitions that are possible in a state."""
+        if state.tick < LAST_TICK:
+            yield 'tick', state._replace(tick=state.tick + 1)
+        if self._may_execute_manually(state):
+            hosts = tuple(
+                host._replace(attempts_left=0) for host in state.hosts
+            )
             yield (
-                'by hand',
-                world._replace(runs=world.runs + 1, hosts=hosts),
+                'manual execution',
+                state._replace(runs=state.runs + 1, hosts=hosts),
             )
-        for name in HOSTS:
-            yield from self._upstream(world, name)
-            yield from self._crash(world, name)
-            step = _HOST_STEPS.get(world.hosts[name].at)
-            if step is not None:
-                yield from step(self, world, name)
-
-    def _may_run_by_hand(self, world: IntentWorld) -> bool:
-        """Tell whether an operator who looks sees that nothing will run.
-
-        The lease of an open intent is over, nothing is on its way, and the
-        service has run nothing. The caller has heard of all its tries but
-        the owner's, and will make no more.
+        for number in HOSTS:
+            yield from self._upstream_steps(state, number)
+            yield from self._crash_steps(state, number)
+            phase_steps = _PHASE_STEPS.get(state.hosts[number].phase)
+            if phase_steps is not None:
+                yield from phase_steps(self, state, number)
+
+    def _may_execute_manually(self, state: IntentState) -> bool:
+        """Return whether an operator can see that nothing will be executed.
+
+        The lease of the open intent has expired, no request is in flight, and
+        the upstream has executed none. The caller knows the outcome of all its
+        attempts but the owner's, and will make no more.
         """
         others = [
-            host.at
-            for name, host in enumerate(world.hosts)
-            if name != world.owner[0]
+            host.phase
+            for number, host in enumerate(state.hosts)
+            if number != state.owner[0]
         ]
-        quiet = all(at in _QUIET for at in others)
-        lapsed = world.tick >= world.since + LEASE
-        nothing = not any(host.flying for host in world.hosts)
-        is_open = world.row is RowState.OPEN
-        return all((is_open, lapsed, nothing, quiet, not world.runs))
-
-    def _upstream(self, world: IntentWorld, name: int) -> Iterator[Step]:
-        host = world.hosts[name]
-        if host.late and world.row is RowState.ABSENT:
-            late = _put(world, name, late=False)
-            yield f'{name} late write', _own(late, name, host)
-        if not host.flying:
+        others_inactive = all(phase in _INACTIVE for phase in others)
+        is_expired = state.tick >= state.lease_start + LEASE
+        none_in_flight = not any(host.in_flight for host in state.hosts)
+        is_open = state.row is RowState.OPEN
+        return all(
+            (
+                is_open,
+                is_expired,
+                none_in_flight,
+                others_inactive,
+                not state.runs,
+            )
+        )
+
+    def _upstream_steps(
+        self, state: IntentState, number: int
+    ) -> Iterator[Step]:
+        host = state.hosts[number]
+        if host.late_write and state.row is RowState.ABSENT:
+            written = _update_host(state, number, late_write=False)
+            yield f'{number} delayed write', _write_claim(written, number, host)
+        if not host.in_flight:
             return
-        yield f'{name} lost', _put(world, name, flying=False)
-        ran = _put(
-            world,
-            name,
-            flying=False,
-            ran=True,
-            lied=host.lied or host.denied,
+        yield (
+            f'{number} request lost',
+            _update_host(state, number, in_flight=False),
+        )
+        executed = _update_host(
+            state,
+            number,
+            in_flight=False,
+            executed=True,
+            denied_falsely=host.denied_falsely or host.denied,
+        )
+        yield (
+            f'{number} runs',
+            executed._replace(runs=count_execution(state.runs)),
         )
-        yield f'{name} runs', ran._replace(runs=one_more(world.runs))
-
-    def _crash(self, world: IntentWorld, name: int) -> Iterator[Step]:
-        host = world.hosts[name]
-        if host.at is At.DEAD:
-            fresh = IntentHost(run=host.run, tries=host.tries)
-            yield f'{name} restarts', _put(world, name, **fresh._asdict())
-        elif host.run < LAST_RUN and host.at is not At.IDLE:
-            dead = _put(world, name, at=At.DEAD, run=host.run + 1)
-            # What is on its way stays so, though its host has forgotten it.
-            yield f'{name} crashes', dead
-
-    def _idle(self, world: IntentWorld, name: int) -> Iterator[Step]:
-        host = world.hosts[name]
-        if host.tries and not host.flying:
+
+    def _crash_steps(self, state: IntentState, number: int) -> Iterator[Step]:
+        host = state.hosts[number]
+        if host.phase is Phase.CRASHED:
+            restarted = IntentHost(
+                incarnation=host.incarnation, attempts_left=host.attempts_left
+            )
             yield (
-                f'{name} asked',
-                _put(
-                    world,
-                    name,
-                    at=At.WRITING,
-                    began=world.tick,
-                    tries=host.tries - 1,
-                    ran=False,
+                f'{number} restarts',
+                _update_host(state, number, **restarted._asdict()),
+            )
+        elif (
+            host.incarnation < LAST_INCARNATION and host.phase is not Phase.IDLE
+        ):
+            crashed = _update_host(
+                state,
+                number,
+                phase=Phase.CRASHED,
+                incarnation=host.incarnation + 1,
+            )
+            # A request in flight stays so although its host has forgotten it.
+            yield f'{number} crashes', crashed
+
+    def _idle(self, state: IntentState, number: int) -> Iterator[Step]:
+        host = state.hosts[number]
+        if host.attempts_left and not host.in_flight:
+            yield (
+                f'{number} receives request',
+                _update_host(
+                    state,
+                    number,
+                    phase=Phase.WRITING,
+                    claim_started=state.tick,
+                    attempts_left=host.attempts_left - 1,
+                    executed=False,
                     denied=False,
                 ),
             )
 
-    def _writing(self, world: IntentWorld, name: int) -> Iterator[Step]:
-        host = world.hosts[name]
-        free = world.row in {RowState.ABSENT, RowState.NOT_RUN}
-        if free or not self._in.put_if_absent or self._takes_over(world):
-            written = _put(world, name, at=At.WRITTEN)
-            yield f'{name} write', _own(written, name, host)
+    def _writing(self, state: IntentState, number: int) -> Iterator[Step]:
+        host = state.hosts[number]
+        is_free = state.row in {RowState.ABSENT, RowState.NOT_RUN}
+        if (
+            is_free
+            or not self._enabled.put_if_absent
+            or self._takes_over(state)
+        ):
+            written = _update_host(state, number, phase=Phase.WRITTEN)
+            yield f'{number} writes', _write_claim(written, number, host)
         else:
-            yield f'{name} conflict', _put(world, name, at=At.IDLE)
-        yield f'{name} write late', _put(world, name, at=At.UNSURE, late=True)
+            yield (
+                f'{number} conflict',
+                _update_host(state, number, phase=Phase.IDLE),
+            )
+        yield (
+            f'{number} write delayed',
+            _update_host(
+                state, number, phase=Phase.WRITE_UNKNOWN, late_write=True
+            ),
+        )
 
-    def _takes_over(self, world: IntentWorld) -> bool:
-        owner = world.owner[0]
-        is_dead = owner >= 0 and world.hosts[owner].run > world.owner[1]
+    def _takes_over(self, state: IntentState) -> bool:
+        owner = state.owner[0]
+        owner_crashed = (
+            owner >= 0 and state.hosts[owner].incarnation > state.owner[1]
+        )
         return (
-            not self._in.no_takeover and is_dead and world.row is RowState.OPEN
+            not self._enabled.no_takeover
+            and owner_crashed
+            and state.row is RowState.OPEN
         )
 
-    def _written(self, world: IntentWorld, name: int) -> Iterator[Step]:
-        yield f'{name} reply', _put(world, name, at=At.CLAIMED)
-        yield f'{name} reply lost', _put(world, name, at=At.UNSURE)
+    def _written(self, state: IntentState, number: int) -> Iterator[Step]:
+        yield (
+            f'{number} write acknowledged',
+            _update_host(state, number, phase=Phase.CLAIMED),
+        )
+        yield (
+            f'{number} write reply lost',
+            _update_host(state, number, phase=Phase.WRITE_UNKNOWN),
+        )
 
-    def _unsure(self, world: IntentWorld, name: int) -> Iterator[Step]:
-        host = world.hosts[name]
-        if world.row is RowState.ABSENT:
-            yield f'{name} not written', _deny(world, name, at=At.REFUSED)
-        elif world.row is RowState.OPEN and (
-            world.owner == _mark(name, host) or not self._in.nonce
+    def _write_unknown(self, state: IntentState, number: int) -> Iterator[Step]:
+        host = state.hosts[number]
+        if state.row is RowState.ABSENT:
+            yield (
+                f'{number} finds no claim',
+                _deny(state, number, phase=Phase.REFUSED),
+            )
+        elif state.row is RowState.OPEN and (
+            state.owner == _nonce_of(number, host) or not self._enabled.nonce
         ):
-            yield f'{name} own', _put(world, name, at=At.CLAIMED, late=False)
+            yield (
+                f'{number} finds own claim',
+                _update_host(
+                    state, number, phase=Phase.CLAIMED, late_write=False
+                ),
+            )
         else:
-            yield f'{name} another', _put(world, name, at=At.IDLE, late=False)
-
-    def _claimed(self, world: IntentWorld, name: int) -> Iterator[Step]:
-        host = world.hosts[name]
-        if not self._in.fence or world.tick < host.began + LEASE:
-            yield f'{name} sends', _put(world, name, at=At.SENT, flying=True)
-        yield f'{name} no upstream', _deny(world, name, at=At.NOT_SENT)
-
-    def _not_sent(self, world: IntentWorld, name: int) -> Iterator[Step]:
-        freed = world
-        if world.owner == _mark(name, world.hosts[name]):
-            freed = world._replace(row=RowState.NOT_RUN)
-        yield f'{name} frees', _put(freed, name, at=At.IDLE)
-
-    def _sent(self, world: IntentWorld, name: int) -> Iterator[Step]:
-        host = world.hosts[name]
-        if host.ran:
-            yield f'{name} answer', _put(world, name, at=At.ANSWERED)
-        if not self._in.truth:
-            yield f'{name} denies', _deny(world, name, at=At.REFUSED)
-        if not self._in.no_resend and not host.flying:
-            yield f'{name} resends', _put(world, name, flying=True)
-        yield f'{name} unknown', _put(world, name, at=At.REFUSED)
-
-    def _answered(self, world: IntentWorld, name: int) -> Iterator[Step]:
-        done = world
-        if world.owner == _mark(name, world.hosts[name]):
-            done = world._replace(row=RowState.DONE)
-        yield f'{name} stores', _put(done, name, at=At.IDLE)
-
-
-HostStep = Callable[[IntentModel, IntentWorld, int], Iterator[Step]]
-_HOST_STEPS: Final[dict[At, HostStep]] = {
-    At.IDLE: IntentModel._idle,
-    At.WRITING: IntentModel._writing,
-    At.WRITTEN: IntentModel._written,
-    At.UNSURE: IntentModel._unsure,
-    At.CLAIMED: IntentModel._claimed,
-    At.NOT_SENT: IntentModel._not_sent,
-    At.SENT: IntentModel._sent,
-    At.ANSWERED: IntentModel._answered,
-    At.REFUSED: IntentModel._idle,
+            yield (
+                f'{number} finds other claim',
+                _update_host(state, number, phase=Phase.IDLE, late_write=False),
+            )
+
+    def _claimed(self, state: IntentState, number: int) -> Iterator[Step]:
+        host = state.hosts[number]
+        if not self._enabled.fence or state.tick < host.claim_started + LEASE:
+            yield (
+                f'{number} sends',
+                _update_host(state, number, phase=Phase.SENT, in_flight=True),
+            )
+        yield (
+            f'{number} no upstream',
+            _deny(state, number, phase=Phase.NOT_SENT),
+        )
+
+    def _not_sent(self, state: IntentState, number: int) -> Iterator[Step]:
+        released = state
+        if state.owner == _nonce_of(number, state.hosts[number]):
+            released = state._replace(row=RowState.NOT_RUN)
+        yield (
+            f'{number} frees',
+            _update_host(released, number, phase=Phase.IDLE),
+        )
+
+    def _sent(self, state: IntentState, number: int) -> Iterator[Step]:
+        host = state.hosts[number]
+        if host.executed:
+            yield (
+                f'{number} receives answer',
+                _update_host(state, number, phase=Phase.ANSWERED),
+            )
+        if not self._enabled.truth:
+            yield f'{number} denies', _deny(state, number, phase=Phase.REFUSED)
+        if not self._enabled.no_resend and not host.in_flight:
+            yield (
+                f'{number} resends',
+                _update_host(state, number, in_flight=True),
+            )
+        yield (
+            f'{number} reports unknown',
+            _update_host(state, number, phase=Phase.REFUSED),
+        )
+
+    def _answered(self, state: IntentState, number: int) -> Iterator[Step]:
+        done = state
+        if state.owner == _nonce_of(number, state.hosts[number]):
+            done = state._replace(row=RowState.DONE)
+        yield f'{number} stores', _update_host(done, number, phase=Phase.IDLE)
+
+
+PhaseSteps = Callable[[IntentModel, IntentState, int], Iterator[Step]]
+_PHASE_STEPS: Final[dict[Phase, PhaseSteps]] = {
+    Phase.IDLE: IntentModel._idle,
+    Phase.WRITING: IntentModel._writing,
+    Phase.WRITTEN: IntentModel._written,
+    Phase.WRITE_UNKNOWN: IntentModel._write_unknown,
+    Phase.CLAIMED: IntentModel._claimed,
+    Phase.NOT_SENT: IntentModel._not_sent,
+    Phase.SENT: IntentModel._sent,
+    Phase.ANSWERED: IntentModel._answered,
+    Phase.REFUSED: IntentModel._idle,
 }
 
 
-def _put(world: IntentWorld, name: int, **changes: Any) -> IntentWorld:
-    """Return the world with one host changed."""
-    hosts = list(world.hosts)
-    hosts[name] = hosts[name]._replace(**changes)
-    return world._replace(hosts=tuple(hosts))
+def _update_host(
+    state: IntentState, number: int, **changes: Any
+) -> IntentState:
+    """Return the state with one host changed."""
+    hosts = list(state.hosts)
+    hosts[number] = hosts[number]._replace(**changes)
+    return state._replace(hosts=tuple(hosts))
 
 
-def _mark(name: int, host: IntentHost) -> tuple[int, int, int]:
-    """Return the nonce of a host's present try."""
-    return name, host.run, host.tries
+def _nonce_of(number: int, host: IntentHost) -> tuple[int, int, int]:
+    """Return the nonce of a host's current attempt."""
+    return number, host.incarnation, host.attempts_left
 
 
-def _own(world: IntentWorld, name: int, host: IntentHost) -> IntentWorld:
-    """Return the world with the row written by a host."""
-    return world._replace(
+def _write_claim(
+    state: IntentState, number: int, host: IntentHost
+) -> IntentState:
+    """Return the state after a host has written its claim to the row."""
+    return state._replace(
         row=RowState.OPEN,
-        owner=_mark(name, host),
-        since=host.began,
+        owner=_nonce_of(number, host),
+        lease_start=host.claim_started,
     )
 
 
-def _deny(world: IntentWorld, name: int, at: At) -> IntentWorld:
-    """Let a host say that its present try did not run."""
-    host = world.hosts[name]
-    return _put(world, name, at=at, denied=True, lied=host.lied or host.ran)
+def _deny(state: IntentState, number: int, phase: Phase) -> IntentState:
+    """Let a host report that its current attempt was not executed."""
+    host = state.hosts[number]
+    return _update_host(
+        state,
+        number,
+        phase=phase,
+        denied=True,
+        denied_falsely=host.denied_falsely or host.executed,
+    )
--- a/models/tickets.py
+++ b/models/tickets.py
@@ -1,111 +1,124 @@
-"""A model of tickets: only the run that issued one may run its request."""
+"""Model of tickets: only the issuing incarnation may execute the request."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
 
 from minicheck import Protocol
 
-from models.switches import ALL_IN, LAST_RUN, Step, Switches, one_more
+from models.switches import (
+    ALL_ENABLED,
+    LAST_INCARNATION,
+    Step,
+    Switches,
+    count_execution,
+)
 
 
-class TicketWorld(NamedTuple):
-    """The issuer of a ticket, another host, and the caller's tries.
+class TicketState(NamedTuple):
+    """State of a ticket's issuer, of the caller and of the upstream.
 
     Attributes:
-        run: Which run of the issuer lives.
-        up: Whether it runs now.
-        waiting: Tries that have reached the issuer and wait for their turn.
-        between: Tries that have passed the look at the spent tickets.
-        spent: The issuer remembers that the ticket is spent.
-        flying: Requests on the way to the upstream.
-        runs: How often the request ran.
-        tries: Tries that the caller has left.
-        denied: Some host said "not run" of the ticket's request.
+        incarnation: Number of the issuer's current or last incarnation.
+        alive: Whether the issuer is running.
+        waiting: Attempts that have reached the issuer and are queued there.
+        admitted: Attempts that have passed the check for a spent ticket and
+            have not been sent yet.
+        spent: Whether the issuer has the ticket recorded as spent.
+        in_flight: Requests on the way to the upstream.
+        runs: Number of times that the request was executed.
+        attempts_left: Attempts that the caller may still make.
+        denied: Whether a host reported "not run" for the ticket's request.
     """
 
-    run: int = 0
-    up: bool = True
+    incarnation: int = 0
+    alive: bool = True
     waiting: int = 0
-    between: int = 0
+    admitted: int = 0
     spent: bool = False
-    flying: int = 0
+    in_flight: int = 0
     runs: int = 0
-    tries: int = 4
+    attempts_left: int = 4
     denied: bool = False
 
 
 class TicketModel:
-    """One ticket, tried at its issuer and through another host.
+    """One ticket that is presented at its issuer and through another host.
 
     Args:
-        switches: Which mechanisms are in.
+        switches: Which mechanisms are enabled.
     """
 
-    def __init__(self, switches: Switches = ALL_IN) -> None:
-        self._in = switches
+    def __init__(self, switches: Switches = ALL_ENABLED) -> None:
+        self._enabled = switches
 
     def protocol(self) -> Protocol:
-        """Return the model for the checker."""
+        """Return the model in the checker's form."""
         return Protocol(
             name='tickets',
             candidate=False,
-            fields=TicketWorld._fields,
-            initial=TicketWorld(),
-            transitions=lambda state: list(self.steps(TicketWorld(*state))),
+            fields=TicketState._fields,
+            initial=TicketState(),
+            transitions=lambda state: list(self.steps(TicketState(*state))),
             invariants={
-                'at_most_once': lambda world: world['runs'] <= 1,
-                'true_not_run': lambda world: (
-                    not (world['denied'] and world['runs'])
+                'at_most_once': lambda state: state['runs'] <= 1,
+                'true_not_run': lambda state: (
+                    not (state['denied'] and state['runs'])
                 ),
             },
         )
 
-    def steps(self, world: TicketWorld) -> Iterator[Step]:
-        """Yield what may happen next."""
-        if world.tries:
-            yield from self._try(world)
-        if world.flying:
-            landed = world._replace(flying=world.flying - 1)
+    def steps(self, state: TicketState) -> Iterator[Step]:
+        """Yield the transitions that are possible in a state."""
+        if state.attempts_left:
+            yield from self._attempt_steps(state)
+        if state.in_flight:
+            landed = state._replace(in_flight=state.in_flight - 1)
             yield 'lost', landed
-            yield 'runs', landed._replace(runs=one_more(world.runs))
-        if world.up:
-            yield from self._issuer(world)
-        elif world.run < LAST_RUN:
-            yield 'restarts', world._replace(up=True, run=world.run + 1)
+            yield 'runs', landed._replace(runs=count_execution(state.runs))
+        if state.alive:
+            yield from self._issuer_steps(state)
+        elif state.incarnation < LAST_INCARNATION:
+            yield (
+                'restarts',
+                state._replace(alive=True, incarnation=state.incarnation + 1),
+            )
 
-    def _try(self, world: TicketWorld) -> Iterator[Step]:
-        """Let the caller try; a message may arrive twice, or not at all."""
-        tried = world._replace(tries=world.tries - 1)
-        yield 'arrives', tried._replace(waiting=world.waiting + 1)
-        yield 'arrives twice', tried._replace(waiting=world.waiting + 2)
-        denied = not self._in.gone_unknown
-        yield 'not reached', tried._replace(denied=world.denied or denied)
+    def _attempt_steps(self, state: TicketState) -> Iterator[Step]:
+        """Make an attempt; its message may be duplicated or not arrive."""
+        attempted = state._replace(attempts_left=state.attempts_left - 1)
+        yield 'arrives', attempted._replace(waiting=state.waiting + 1)
+        yield 'arrives twice', attempted._replace(waiting=state.waiting + 2)
+        denied = not self._enabled.gone_unknown
+        yield (
+            'issuer unreachable',
+            attempted._replace(denied=state.denied or denied),
+        )
 
-    def _issuer(self, world: TicketWorld) -> Iterator[Step]:
-        """Let the issuer work, or die and forget everything."""
+    def _issuer_steps(self, state: TicketState) -> Iterator[Step]:
+        """Let the issuer process attempts, or crash and lose its memory."""
         yield (
             'crashes',
-            world._replace(up=False, waiting=0, between=0, spent=False),
+            state._replace(alive=False, waiting=0, admitted=0, spent=False),
         )
-        issued = world.run == 0 or not self._in.incarnation
-        if world.waiting:
-            taken = world._replace(waiting=world.waiting - 1)
-            if world.spent or not issued:
+        is_issuer = state.incarnation == 0 or not self._enabled.incarnation
+        if state.waiting:
+            taken = state._replace(waiting=state.waiting - 1)
+            if state.spent or not is_issuer:
                 yield 'refused', taken
             else:
                 yield (
                     'spent',
                     taken._replace(
-                        between=world.between + 1,
-                        spent=self._in.spent_first,
+                        admitted=state.admitted + 1,
+                        spent=self._enabled.spent_first,
                     ),
                 )
-        if world.between:
+        if state.admitted:
             yield (
                 'sends',
-                world._replace(
-                    between=world.between - 1,
+                state._replace(
+                    admitted=state.admitted - 1,
                     spent=True,
-                    flying=world.flying + 1,
+                    in_flight=state.in_flight + 1,
                 ),
             )
