--- a/models/heads.py
+++ b/models/heads.py
@@ -1,11 +1,11 @@
-"""A model of the head row: operators change it by compare-and-set."""
+"""Model of the head row, which operators change by compare-and-set."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
 
 from minicheck import Protocol
 
-from models.omissions import NOTHING, Without
+from models.omissions import NONE_DISABLED, DisabledMechanisms
 
 
 class Operator(NamedTuple):
@@ -13,80 +13,83 @@
 
     Attributes:
         expected: Revision that its write expects; -1 before it has read.
-        flying: Copies of its write that may still arrive.
-        tries: Times that it was sent.
-        reply: What came back: '', 'made' or 'conflict'.
-        told: What the operator was told.
+        in_flight: Copies of its write that may still arrive.
+        sent_count: Number of times that the write was sent.
+        reply: The table's reply: 'made', 'conflict', or '' for none yet.
+        outcome: What was reported to the operator: 'made', 'conflict',
+            'unknown', or '' for nothing yet.
     """
 
     expected: int = -1
-    flying: int = 0
-    tries: int = 0
+    in_flight: int = 0
+    sent_count: int = 0
     reply: str = ''
-    told: str = ''
+    outcome: str = ''
 
 
 class HeadState(NamedTuple):
-    """The head's history, and two operators.
+    """The head's history and two operators.
 
     Attributes:
-        history: Who made each revision.
-        others: Moves of others that may still come.
-        one: An operator.
-        other: Another one.
+        history: Author of each revision: 0 and 1 for the two operators, 2 for
+            anybody else.
+        other_moves: Moves that others may still make.
+        one: The first operator.
+        other: The second operator.
     """
 
     history: tuple[int, ...] = ()
-    others: int = 2
+    other_moves: int = 2
     one: Operator = Operator()
     other: Operator = Operator()
 
 
-def head_model(without: Without = NOTHING) -> Protocol:
-    """Return the model of compare-and-set and lost replies."""
+def head_model(disabled: DisabledMechanisms = NONE_DISABLED) -> Protocol:
+    """Return the model of compare-and-set with lost replies."""
     return Protocol(
         name='head',
         candidate=False,
         fields=HeadState._fields,
         initial=HeadState(),
-        transitions=lambda state: list(_head_steps(state, without)),
-        invariants={'operators are told the truth': _truth},
+        transitions=lambda state: list(_head_steps(state, disabled)),
+        invariants={'operators get true outcomes': _has_true_outcomes},
     )
 
 
-def _truth(fields: dict[str, object]) -> bool:
+def _has_true_outcomes(fields: dict[str, object]) -> bool:
     state = HeadState(**fields)  # type: ignore[arg-type]
     for number, operator in enumerate((state.one, state.other)):
         made = state.history.count(number)
-        if made > 1 or (operator.told == 'made' and made != 1):
+        if made > 1 or (operator.outcome == 'made' and made != 1):
             return False
-        if operator.told == 'conflict' and made:
+        if operator.outcome == 'conflict' and made:
             return False
     return True
 
 
 def _head_steps(
     state: HeadState,
-    without: Without,
+    disabled: DisabledMechanisms,
 ) -> Iterator[tuple[str, HeadState]]:
-    """Yield all that can happen next."""
-    if state.others:
+    """Yield the transitions that are possible in a state."""
+    if state.other_moves:
         yield (
-            'another moves',
+            'somebody else moves',
             state._replace(
                 history=(*state.history, 2),
-                others=state.others - 1,
+                other_moves=state.other_moves - 1,
             ),
         )
     for number, name in enumerate(('one', 'other')):
         operator: Operator = getattr(state, name)
         for label, history, after in _operator_steps(
-            state.history, operator, number, without
+            state.history, operator, number, disabled
         ):
             changed = {'history': history, name: after}
             yield f'{name} {label}', state._replace(**changed)  # type: ignore[arg-type]
 
 
+#: Label of a transition, and the history and the operator after it.
 _Step = tuple[str, tuple[int, ...], Operator]
 
 
@@ -94,28 +97,28 @@
     history: tuple[int, ...],
     operator: Operator,
     number: int,
-    without: Without,
+    disabled: DisabledMechanisms,
 ) -> Iterator[_Step]:
-    """Yield what one operator's move can do next."""
-    if operator.flying:
+    """Yield the next transitions of one operator's move."""
+    if operator.in_flight:
         yield from _arrivals(history, operator, number)
-    if operator.told:
+    if operator.outcome:
         return
     if operator.expected < 0:
         yield 'reads', history, operator._replace(expected=len(history))
     elif operator.reply:
-        told = _settled(history, operator, number, without)
-        yield 'is told', history, operator._replace(told=told)
-    elif operator.tries < 2:
-        # The first time, or again as no reply has come.
+        outcome = _outcome_after_reply(history, operator, number, disabled)
+        yield 'gets outcome', history, operator._replace(outcome=outcome)
+    elif operator.sent_count < 2:
+        # The first time, or again because no reply has arrived.
         sent = operator._replace(
-            flying=operator.flying + 1,
-            tries=operator.tries + 1,
+            in_flight=operator.in_flight + 1,
+            sent_count=operator.sent_count + 1,
         )
         yield 'sends', history, sent
-    if operator.tries and not operator.reply:
-        told = _given_up(history, operator, number, without)
-        yield 'gives up', history, operator._replace(told=told)
+    if operator.sent_count and not operator.reply:
+        outcome = _outcome_without_reply(history, operator, number, disabled)
+        yield 'gives up', history, operator._replace(outcome=outcome)
 
 
 def _arrivals(
@@ -123,41 +126,41 @@
     operator: Operator,
     number: int,
 ) -> Iterator[_Step]:
-    """Yield what becomes of a write that is under way."""
-    landed = operator._replace(flying=operator.flying - 1)
+    """Yield what can happen to a write in flight."""
+    landed = operator._replace(in_flight=operator.in_flight - 1)
     yield 'write is lost', history, landed
-    fits = len(history) == operator.expected
-    after = (*history, number) if fits else history
-    reply = 'made' if fits else 'conflict'
+    matches = len(history) == operator.expected
+    after = (*history, number) if matches else history
+    reply = 'made' if matches else 'conflict'
     yield 'write arrives, reply is lost', after, landed
     if not operator.reply:
         yield 'write arrives', after, landed._replace(reply=reply)
 
 
-def _settled(
+def _outcome_after_reply(
     history: tuple[int, ...],
     operator: Operator,
     number: int,
-    without: Without,
+    disabled: DisabledMechanisms,
 ) -> str:
-    """Return what is told after a reply."""
+    """Return the outcome to report after a reply."""
     if operator.reply == 'made':
         return 'made'
-    if 'nonce' in without:
+    if 'nonce' in disabled:
         return 'conflict'
-    if 'history' in without:
+    if 'history' in disabled:
         return 'made' if history[-1] == number else 'conflict'
     return 'made' if history[operator.expected] == number else 'conflict'
 
 
-def _given_up(
+def _outcome_without_reply(
     history: tuple[int, ...],
     operator: Operator,
     number: int,
-    without: Without,
+    disabled: DisabledMechanisms,
 ) -> str:
-    """Return what is told if no reply ever came."""
+    """Return the outcome to report if no reply has arrived."""
     made = history[operator.expected : operator.expected + 1] == (number,)
     if made:
         return 'made'
-    return 'conflict' if 'sending once more' in without else 'unknown'
+    return 'conflict' if 'late writes expected' in disabled else 'unknown'
--- a/models/omissions.py
+++ b/models/omissions.py
@@ -1,6 +1,7 @@
-"""What a model of the configuration is told to leave out."""
+"""The set of mechanisms that a configuration model runs without."""
 
 from typing import Final
 
-Without = frozenset[str]
-NOTHING: Final[Without] = frozenset()
+#: Names of mechanisms; each one turns the model into a mutant.
+DisabledMechanisms = frozenset[str]
+NONE_DISABLED: Final[DisabledMechanisms] = frozenset()
--- a/models/withdrawals.py
+++ b/models/withdrawals.py
@@ -1,19 +1,19 @@
-"""A model of withdrawals: known on a host, they stay known."""
+"""Model of withdrawals: once a host knows one, it stays known."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
 
 from minicheck import Protocol
 
-from models.omissions import NOTHING, Without
+from models.omissions import NONE_DISABLED, DisabledMechanisms
 
 
-class WithdrawalHost(NamedTuple):
-    """One host's withdrawals of one version.
+class KnownWithdrawal(NamedTuple):
+    """What a host or the table knows of the withdrawals of one version.
 
     Attributes:
-        epoch: The greatest withdrawn epoch that it knows; -1 for none.
-        highest: The greatest that this incarnation ever knew.
+        epoch: Highest withdrawn epoch that it knows; -1 for none.
+        highest: Highest epoch that this incarnation has ever known.
     """
 
     epoch: int = -1
@@ -21,72 +21,75 @@
 
 
 class WithdrawalState(NamedTuple):
-    """The table, two hosts, and all messages that were ever sent.
+    """The table, two hosts and all messages that were ever sent.
 
     Attributes:
-        table: What the table has.
-        sent: Epochs in messages, each of which may arrive again.
-        one: A host.
-        other: Another one.
-        given: Withdrawals that operators have given.
-        restarts: Restarts that may still come.
+        table: What the table knows.
+        sent: Epochs in messages; each may arrive any number of times.
+        one: The first host.
+        other: The second host.
+        given: Number of withdrawals that operators have ordered.
+        restarts: Number of host restarts that may still occur.
     """
 
-    table: WithdrawalHost = WithdrawalHost()
+    table: KnownWithdrawal = KnownWithdrawal()
     sent: tuple[int, ...] = ()
-    one: WithdrawalHost = WithdrawalHost()
-    other: WithdrawalHost = WithdrawalHost()
+    one: KnownWithdrawal = KnownWithdrawal()
+    other: KnownWithdrawal = KnownWithdrawal()
     given: int = 0
     restarts: int = 2
 
 
-def withdrawal_model(without: Without = NOTHING) -> Protocol:
-    """Return the model of withdrawals without the table."""
+def withdrawal_model(disabled: DisabledMechanisms = NONE_DISABLED) -> Protocol:
+    """Return the model of how withdrawals spread by messages and table."""
     return Protocol(
         name='withdrawals',
         candidate=False,
         fields=WithdrawalState._fields,
         initial=WithdrawalState(),
-        transitions=lambda state: list(_withdrawal_steps(state, without)),
-        invariants={'a withdrawal stays': _stays},
+        transitions=lambda state: list(_withdrawal_steps(state, disabled)),
+        invariants={'withdrawals persist': _withdrawals_persist},
     )
 
 
-def _stays(fields: dict[str, object]) -> bool:
+def _withdrawals_persist(fields: dict[str, object]) -> bool:
     state = WithdrawalState(**fields)  # type: ignore[arg-type]
-    holders = (state.table, state.one, state.other)
-    return all(holder.epoch == holder.highest for holder in holders)
+    all_known = (state.table, state.one, state.other)
+    return all(known.epoch == known.highest for known in all_known)
 
 
 def _withdrawal_steps(
     state: WithdrawalState,
-    without: Without,
+    disabled: DisabledMechanisms,
 ) -> Iterator[tuple[str, WithdrawalState]]:
-    """Yield all that can happen next."""
+    """Yield the transitions that are possible in a state."""
     for name in ('one', 'other'):
-        host: WithdrawalHost = getattr(state, name)
+        host: KnownWithdrawal = getattr(state, name)
         if state.given < 2:
-            told = _learn(host, state.given, without)
-            given = {name: told, 'given': state.given + 1}
-            yield f'{name} is told', state._replace(**given)  # type: ignore[arg-type]
+            ordered = _merge(host, state.given, disabled)
+            changes = {name: ordered, 'given': state.given + 1}
+            yield f'{name} receives order', state._replace(**changes)  # type: ignore[arg-type]
         if state.restarts:
-            gone = {name: WithdrawalHost(), 'restarts': state.restarts - 1}
-            yield f'{name} restarts', state._replace(**gone)  # type: ignore[arg-type]
+            restarted = {
+                name: KnownWithdrawal(),
+                'restarts': state.restarts - 1,
+            }
+            yield f'{name} restarts', state._replace(**restarted)  # type: ignore[arg-type]
         sent = tuple(sorted({*state.sent, host.epoch}))
         yield f'{name} sends', state._replace(sent=sent)
         for epoch in state.sent:
-            heard = {name: _learn(host, epoch, without)}
-            yield f'{name} hears {epoch}', state._replace(**heard)  # type: ignore[arg-type]
-        read = {name: _learn(host, state.table.epoch, without)}
-        yield f'{name} reads', state._replace(**read)  # type: ignore[arg-type]
-        merged = _learn(state.table, host.epoch, without)
-        yield f'{name} merges', state._replace(table=merged)
-
-
-def _learn(
-    holder: WithdrawalHost, epoch: int, without: Without
-) -> WithdrawalHost:
-    """Join what is known with what is told."""
-    if 'union' in without:
-        return WithdrawalHost(epoch, max(holder.highest, epoch))
-    return WithdrawalHost(max(holder.epoch, epoch), max(holder.highest, epoch))
+            received = {name: _merge(host, epoch, disabled)}
+            yield f'{name} receives {epoch}', state._replace(**received)  # type: ignore[arg-type]
+        read = {name: _merge(host, state.table.epoch, disabled)}
+        yield f'{name} reads table', state._replace(**read)  # type: ignore[arg-type]
+        merged = _merge(state.table, host.epoch, disabled)
+        yield f'{name} updates table', state._replace(table=merged)
+
+
+def _merge(
+    known: KnownWithdrawal, epoch: int, disabled: DisabledMechanisms
+) -> KnownWithdrawal:
+    """Return the known withdrawals after an epoch was received."""
+    if 'union' in disabled:
+        return KnownWithdrawal(epoch, max(known.highest, epoch))
+    return KnownWithdrawal(max(known.epoch, epoch), max(known.highest, epoch))
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,4 +1,7 @@
-"""Mechanisms of the configuration taken out, to see that tests need them."""
+"""Mutants of the configuration code, each with one mechanism disabled.
+
+Tests run with a mutant to show that they detect the missing mechanism.
+"""
 
 from collections.abc import Callable
 from typing import Any, Final
@@ -20,8 +23,8 @@
 from nutmegroad.foundations.types import HostId
 
 
-async def take_any_head(self: Any, head: Any, host: Any) -> Any:
-    """Take what is told, older or newer."""
+async def accept_any_head(self: Any, head: Any, host: Any) -> Any:
+    """Accept any received head, older or newer than the current one."""
     accepted = await self._accepted(head, host)
     if isinstance(accepted, Accepted):
         self._configuration._accepted = accepted
@@ -29,14 +32,14 @@
     return accepted
 
 
-def confirm_any(self: Any, revision: Any, asked: float) -> bool:
-    """Let any read confirm whatever is here."""
+def confirm_any_revision(self: Any, revision: Any, asked: float) -> bool:
+    """Let a read of any revision confirm the configuration in force."""
     self._confirmed = max(self._confirmed, asked)
     return True
 
 
-async def poll_from_reply(self: Any) -> Any:
-    """Count a confirmation from the reply of the read."""
+async def poll_dated_by_reply(self: Any) -> Any:
+    """Poll, but date the confirmation by the reply instead of the request."""
     asked = self._timing.clock.now()
     head = await self._store.read()
     if isinstance(head, heads.Head):
@@ -49,11 +52,19 @@
     return refusal
 
 
-def _peer_count(count: Callable[[float, float, float], float]) -> Any:
-    """Return a way to ask a peer that counts its confirmation otherwise."""
+def _ask_dated_by(
+    date_confirmation: Callable[[float, float, float], float],
+) -> Any:
+    """Return an ``_ask_one`` that dates the peer's confirmation otherwise.
+
+    Args:
+        date_confirmation: Returns the time from which a confirmation counts,
+            given the times of the question and of the reply and the age that
+            the peer reports.
+    """
 
     async def ask_one(self: Any, hosts: Any) -> PeerHead | None:
-        """Ask the first host."""
+        """Ask the first host for its head."""
         host: HostId = next(hosts, HostId(''))
         asked = self._clock.now()
         reply = await self._mesh.ask(host, HeadQuestion(), REPLY_TIMEOUT)
@@ -62,14 +73,14 @@
         age = reply.age
         if age is None:
             return PeerHead(host, reply.notice, None)
-        confirmed = count(asked, self._clock.now(), age)
+        confirmed = date_confirmation(asked, self._clock.now(), age)
         return PeerHead(host, reply.notice, confirmed)
 
     return ask_one
 
 
-def forget_withdrawals(self: Any, withdrawals: Any) -> bool:
-    """Let the newest message say what is withdrawn."""
+def replace_withdrawals(self: Any, withdrawals: Any) -> bool:
+    """Replace the known withdrawals by those of the newest message."""
     known = {withdrawal.version: withdrawal.epoch for withdrawal in withdrawals}
     changed = bool(known != self._epochs)
     self._epochs = known
@@ -77,21 +88,21 @@
 
 
 def mutant(name: str) -> '_patch[Any]':
-    """Return the patch that takes a mechanism out."""
+    """Return the patch that disables a mechanism."""
     owner, attribute, new = _MUTANTS[name]
     return patch.object(owner, attribute, new)
 
 
-_ASK: Final = (Confirmations, '_ask_one')
+_ASK_ONE: Final = (Confirmations, '_ask_one')
 _MUTANTS: Final = {
-    'not forward only': (ConfigurationPoller, '_take', take_any_head),
-    'any revision confirms': (Configuration, 'confirm', confirm_any),
-    'count from reply': (ConfigurationPoller, 'poll', poll_from_reply),
-    'forget the age': (*_ASK, _peer_count(lambda asked, now, age: asked)),
+    'not forward only': (ConfigurationPoller, '_take', accept_any_head),
+    'any revision confirms': (Configuration, 'confirm', confirm_any_revision),
+    'count from reply': (ConfigurationPoller, 'poll', poll_dated_by_reply),
+    'forget the age': (*_ASK_ONE, _ask_dated_by(lambda asked, now, age: asked)),
     'subtract from reply': (
-        *_ASK,
-        _peer_count(lambda asked, now, age: now - age),
+        *_ASK_ONE,
+        _ask_dated_by(lambda asked, now, age: now - age),
     ),
     'no nonce': (heads, '_made', lambda history, wanted: False),
-    'no union': (WithdrawalSet, 'add', forget_withdrawals),
+    'no union': (WithdrawalSet, 'add', replace_withdrawals),
 }
--- a/tests/test_model_configuration.py
+++ b/tests/test_model_configuration.py
@@ -1,4 +1,4 @@
-"""The models of the configuration hold, and need each mechanism."""
+"""The configuration models hold, and each mechanism in them is needed."""
 
 import sys
 import unittest
@@ -8,46 +8,50 @@
 from models.heads import head_model
 from models.withdrawals import withdrawal_model
 
-MOST_STATES = 1_000_000
-#: A witness is sound even if the search ends here.
-ENOUGH_STATES = 60_000
+#: Maximum number of states of an exhaustive search.
+MAX_STATES = 1_000_000
+#: Size of the search for a counterexample, which is valid even if the search
+#: ends before all states have been visited.
+MUTANT_STATES = 60_000
 MODELS = {
     'lease': lease_model,
     'head': head_model,
     'withdrawals': withdrawal_model,
 }
+#: Model that each mechanism belongs to.
 MUTANTS = {
-    'count before sending': 'lease',
-    'age of the peer': 'lease',
-    'moment of asking': 'lease',
+    'read dated at sending': 'lease',
+    'peer age subtracted': 'lease',
+    'question dated at sending': 'lease',
     'forward only': 'lease',
-    'own revision': 'lease',
+    'only own revision confirmed': 'lease',
     'nonce': 'head',
     'history': 'head',
-    'sending once more': 'head',
+    'late writes expected': 'head',
     'union': 'withdrawals',
 }
 
 
 class ConfigurationModelTest(unittest.TestCase):
-    """Three models, and what each is without one of its mechanisms."""
+    """Searches three models, with all mechanisms and with one disabled."""
 
     def test_the_models_hold_in_all_their_states(self) -> None:
         for name, model in MODELS.items():
             with self.subTest(name):
-                found = check_safety(model(), MOST_STATES)
-                states = found['reachable_states']
+                report = check_safety(model(), MAX_STATES)
+                states = report['reachable_states']
                 sys.stdout.write(f'model {name}: {states} states\n')
-                self.assertIs(found['exhaustive'], True)
-                for verdict in found['properties'].values():
+                self.assertIs(report['exhaustive'], True)
+                for verdict in report['properties'].values():
                     self.assertIs(verdict['holds'], True, verdict)
 
     def test_each_mechanism_is_needed(self) -> None:
         for mechanism, name in MUTANTS.items():
             with self.subTest(mechanism):
                 model = MODELS[name](frozenset((mechanism,)))
-                found = check_safety(model, ENOUGH_STATES)
+                report = check_safety(model, MUTANT_STATES)
                 verdicts = [
-                    verdict['holds'] for verdict in found['properties'].values()
+                    verdict['holds']
+                    for verdict in report['properties'].values()
                 ]
                 self.assertIn(False, verdicts)
