--- a/models/exploring.py
+++ b/models/exploring.py
@@ -1,45 +1,45 @@
-"""Exploring all states of a model whose states are small numbers."""
+"""Exhaustive search of models whose states are tuples of small integers."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
 from minicheck import Protocol, check_safety
 
-#: The values of a state's fields.
+#: Values of a state's fields, in the order of the tuple.
 Fields = tuple[int, ...]
-#: The same by the fields' names.
-Named = dict[str, int]
-#: Tells whether a state is as it must be.
-Demand = Callable[[Named], bool]
-#: A step's name and the state after it.
+#: Values of a state's fields, by field name.
+NamedFields = dict[str, int]
+#: Returns whether a property holds in a state.
+Invariant = Callable[[NamedFields], bool]
+#: Label of a transition and the state after it.
 Step = tuple[str, NamedTuple]
 
 
 def explore(
     name: str,
-    start: NamedTuple,
+    initial: NamedTuple,
     steps: Callable[[Fields], Iterable[Step]],
-    demands: dict[str, Demand],
-    most: int,
+    invariants: dict[str, Invariant],
+    max_states: int,
 ) -> dict[str, Any]:
-    """Explore all states, and return the checker's report.
+    """Explore all reachable states and return the checker's report.
 
     Args:
-        name: The model's name.
-        start: The first state.
-        steps: Returns each step's name and the state after it.
-        demands: What must hold in every state, by name.
-        most: States after which it gives up.
+        name: Name of the model in the report.
+        initial: The initial state.
+        steps: Returns the transitions that are possible in a state.
+        invariants: Properties that must hold in every state, by name.
+        max_states: Number of states after which the search gives up.
     """
     protocol = Protocol(
         name=name,
         candidate=False,
-        fields=start._fields,
-        initial=tuple(start),
+        fields=initial._fields,
+        initial=tuple(initial),
         transitions=lambda fields: [
-            (step, tuple(after)) for step, after in steps(fields)
+            (label, tuple(after)) for label, after in steps(fields)
         ],
-        invariants=demands,
+        invariants=invariants,
     )
-    report: dict[str, Any] = check_safety(protocol, max_states=most)
+    report: dict[str, Any] = check_safety(protocol, max_states=max_states)
     return report
--- a/models/reading.py
+++ b/models/reading.py
@@ -1,10 +1,11 @@
-"""Model of a host that hears of the store's changes through another one.
-
-The reader asks the store, which may fall silent to it for good at any moment;
-what it was told it tells on, and that is under way for any time. Its link to
-the follower never breaks, so nothing but the age of the news shows the silence.
-The follower asks the store itself once the news are too old; the store answers
-it within a bound. One change is made, at any tick.
+"""Model of a host that receives the store's changes through another host.
+
+The reader polls the store, which may stop answering it for good at any time.
+It sends each answer on to the follower as an update, which may be delayed
+without bound. Its link to the follower never breaks, so only the age of the
+updates reveals that the store does not answer the reader. The follower asks
+the store itself once its last update is too old; the store answers it within a
+bound. One change is made, at any tick.
 """
 
 from collections.abc import Iterator
@@ -13,157 +14,185 @@
 
 from models.exploring import explore
 
-#: Ticks for which news are relied on, and that a call on the store takes.
-RELIANCE: Final = 3
-CALL: Final = 1
-#: Ticks that are explored.
+#: Age at which an update is too old, and longest duration of a call to the
+#: store, in ticks.
+MAX_UPDATE_AGE: Final = 3
+MAX_CALL_TICKS: Final = 1
+#: Last tick of the model.
 HORIZON: Final = 10
+#: Number of states after which the search gives up.
 MAX_STATES: Final = 400_000
 
+#: Tick of an event that has not happened.
 _NEVER: Final = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Mechanisms:
-    """What is there; a mutant lacks one of these.
+    """Mechanisms that are enabled; a mutant lacks one of them.
 
     Attributes:
-        reliance: The follower asks the store once the news are too old.
-        dated: News count from the store's answer, not from when they come.
-        own_news: An answer of the store to the follower is as good as news.
+        age_limit: The follower asks the store once its last update is too old.
+        dated_by_answer: The age of an update counts from the store's answer to
+            the reader, not from the update's arrival.
+        answers_applied: The follower applies the store's answers to its own
+            calls as it applies updates.
     """
 
-    reliance: bool = True
-    dated: bool = True
-    own_news: bool = True
+    age_limit: bool = True
+    dated_by_answer: bool = True
+    answers_applied: bool = True
 
 
 class State(NamedTuple):
-    """Everything, as small numbers.
+    """State of the whole model, as small integers.
 
     Attributes:
-        now: The tick.
+        now: Current tick.
         changed: Tick at which the change was confirmed.
-        silent: Whether the store answers the reader no more.
-        reading: Whether the reader waits for an answer.
-        told: Whether news are under way that hold the change.
-        told_at: Tick of the answer that these news are of.
+        silent: Whether the store has stopped answering the reader.
+        reader_waiting: Whether the reader waits for an answer.
+        update_has_change: Whether the update in flight contains the change.
+        update_read_at: Tick of the store's answer that the update in flight
+            passes on; ``_NEVER`` if none is in flight.
         known: Whether the follower has the change.
-        known_at: Tick up to which the follower takes itself to know.
-        asked: Tick at which the follower asked the store.
+        known_until: Tick up to which the follower considers itself up to date.
+        call_sent: Tick at which the follower sent its pending call to the
+            store; ``_NEVER`` if none is pending.
     """
 
     now: int = 0
     changed: int = _NEVER
     silent: int = 0
-    reading: int = 0
-    told: int = 0
-    told_at: int = _NEVER
+    reader_waiting: int = 0
+    update_has_change: int = 0
+    update_read_at: int = _NEVER
     known: int = 0
-    known_at: int = 0
-    asked: int = _NEVER
+    known_until: int = 0
+    call_sent: int = _NEVER
 
 
 Step = tuple[str, State]
 
 
 class ReadingModel:
-    """The steps that are possible in a state.
+    """Transitions of the model.
 
     Args:
-        mechanisms: What is there.
+        mechanisms: Mechanisms that are enabled.
     """
 
     def __init__(self, mechanisms: Mechanisms) -> None:
-        self._has = mechanisms
+        self._mechanisms = mechanisms
 
     def steps(self, fields: tuple[int, ...]) -> list[Step]:
-        """Return each step's name and the state after it."""
+        """Return the transitions that are possible in a state."""
         state = State(*fields)
         return [
-            *self._time(state),
-            *self._faults(state),
-            *self._reader(state),
-            *self._news(state),
-            *self._follower(state),
+            *self._tick_steps(state),
+            *self._fault_steps(state),
+            *self._reader_steps(state),
+            *self._update_steps(state),
+            *self._follower_steps(state),
         ]
 
-    def _time(self, state: State) -> Iterator[Step]:
-        """Let a tick pass, unless something must happen before."""
-        answer_is_due = state.asked >= 0 and state.now - state.asked >= CALL
-        if state.now < HORIZON and not answer_is_due and not self._due(state):
+    def _tick_steps(self, state: State) -> Iterator[Step]:
+        """Let a tick pass, unless a call of the follower is due before."""
+        answer_is_due = (
+            state.call_sent >= 0
+            and state.now - state.call_sent >= MAX_CALL_TICKS
+        )
+        if (
+            state.now < HORIZON
+            and not answer_is_due
+            and not self._is_call_due(state)
+        ):
             yield 'tick', state._replace(now=state.now + 1)
 
-    def _faults(self, state: State) -> Iterator[Step]:
-        """A change is confirmed; the store falls silent to the reader."""
+    def _fault_steps(self, state: State) -> Iterator[Step]:
+        """Confirm the change, or let the store stop answering the reader."""
         if state.changed == _NEVER:
             yield 'change', state._replace(changed=state.now)
         if not state.silent:
             yield 'silence', state._replace(silent=1)
 
-    def _reader(self, state: State) -> Iterator[Step]:
-        """The reader asks, and tells what it is answered."""
-        if not state.reading:
-            yield 'reader asks', state._replace(reading=1)
+    def _reader_steps(self, state: State) -> Iterator[Step]:
+        """Let the reader poll the store and send its answer on."""
+        if not state.reader_waiting:
+            yield 'reader asks', state._replace(reader_waiting=1)
         elif not state.silent:
-            told = int(state.changed != _NEVER)
+            has_change = int(state.changed != _NEVER)
             yield (
                 'reader is answered',
-                state._replace(reading=0, told=told, told_at=state.now),
+                state._replace(
+                    reader_waiting=0,
+                    update_has_change=has_change,
+                    update_read_at=state.now,
+                ),
             )
 
-    def _news(self, state: State) -> Iterator[Step]:
-        """News come, at any later moment."""
-        if state.told_at == _NEVER:
+    def _update_steps(self, state: State) -> Iterator[Step]:
+        """Let an update arrive, at any later time."""
+        if state.update_read_at == _NEVER:
             return
-        moment = state.told_at if self._has.dated else state.now
+        read_at = (
+            state.update_read_at
+            if self._mechanisms.dated_by_answer
+            else state.now
+        )
         yield (
-            'news come',
+            'update arrives',
             state._replace(
-                told_at=_NEVER,
-                known=max(state.known, state.told),
-                known_at=max(state.known_at, moment),
+                update_read_at=_NEVER,
+                known=max(state.known, state.update_has_change),
+                known_until=max(state.known_until, read_at),
             ),
         )
 
-    def _follower(self, state: State) -> Iterator[Step]:
-        """The follower asks the store, and is answered."""
-        if self._due(state):
-            yield 'follower asks', state._replace(asked=state.now)
-        if state.asked == _NEVER:
+    def _follower_steps(self, state: State) -> Iterator[Step]:
+        """Let the follower ask the store, or receive its answer."""
+        if self._is_call_due(state):
+            yield 'follower asks', state._replace(call_sent=state.now)
+        if state.call_sent == _NEVER:
             return
         known = state.known
-        if self._has.own_news:
+        if self._mechanisms.answers_applied:
             known = int(state.changed != _NEVER)
         yield (
             'follower is answered',
-            state._replace(asked=_NEVER, known=known, known_at=state.now),
+            state._replace(
+                call_sent=_NEVER, known=known, known_until=state.now
+            ),
         )
 
-    def _due(self, state: State) -> bool:
-        """Tell whether the follower has to ask now."""
-        too_old = state.now - state.known_at >= RELIANCE
-        return self._has.reliance and too_old and state.asked == _NEVER
+    def _is_call_due(self, state: State) -> bool:
+        """Return whether the follower must ask the store now."""
+        too_old = state.now - state.known_until >= MAX_UPDATE_AGE
+        return (
+            self._mechanisms.age_limit and too_old and state.call_sent == _NEVER
+        )
 
 
 def is_in_force(state: dict[str, int]) -> bool:
-    """Tell whether the follower has a change that is older than the bound."""
+    """Return whether the follower has any change older than the bound."""
     if state['changed'] == _NEVER:
         return True
-    late = state['now'] - state['changed'] > RELIANCE + CALL
-    return bool(state['known']) or not late
+    is_overdue = (
+        state['now'] - state['changed'] > MAX_UPDATE_AGE + MAX_CALL_TICKS
+    )
+    return bool(state['known']) or not is_overdue
 
 
-#: What must be found when a mechanism is taken out.
+#: Mutants, each of which must violate the invariant.
 MUTANTS: Final = (
-    ('relies for ever', replace(Mechanisms(), reliance=False)),
-    ('counts from when news come', replace(Mechanisms(), dated=False)),
-    ('only looks at the time', replace(Mechanisms(), own_news=False)),
+    ('no age limit', replace(Mechanisms(), age_limit=False)),
+    ('dated by arrival', replace(Mechanisms(), dated_by_answer=False)),
+    ('answers not applied', replace(Mechanisms(), answers_applied=False)),
 )
 
 
 def check(name: str, mechanisms: Mechanisms) -> dict[str, Any]:
-    """Explore all states, and return the checker's report."""
+    """Explore all reachable states and return the checker's report."""
     model = ReadingModel(mechanisms)
     return explore(
         name,
--- a/models/returns.py
+++ b/models/returns.py
@@ -1,10 +1,10 @@
-"""Model of a host that follows a table of a store that comes back from a copy.
+"""Model of a host that follows a store's table across restores from a backup.
 
-The operator writes configurations, others write rows between them, and each
-write takes the next version. The store keeps a copy at any moment and comes
-back from it at any later one, in its next era; the operator writes again what
-it lost. A host asks for changes after a version or reads the table whole;
-answers are under way for any time.
+The operator writes configurations, others write rows in between, and each
+write takes the next version. The store makes a backup at any time and is
+restored from it at any later time, which begins its next era; the operator
+writes a lost configuration again. A host requests the changes since a version,
+or a snapshot of the table. Answers may be delayed without bound.
 """
 
 from collections.abc import Callable, Iterator
@@ -13,54 +13,61 @@
 
 from models.exploring import explore
 
-#: Configurations, versions and returns that are explored.
-CONFIGURATIONS: Final = 2
-VERSIONS: Final = 4
-RETURNS: Final = 2
+#: Configurations, versions and restores that are explored.
+MAX_CONFIGURATIONS: Final = 2
+MAX_VERSIONS: Final = 4
+MAX_RESTORES: Final = 2
+#: Number of states after which the search gives up.
 MAX_STATES: Final = 2_000_000
 
+#: No configuration, or no backup.
 _NOTHING: Final = -1
-#: What is under way.
-_IDLE, _CHANGES, _WHOLE = range(3)
+#: The host's pending call.
+_IDLE, _READING_CHANGES, _READING_SNAPSHOT = range(3)
 
 
 @dataclass(frozen=True, slots=True)
 class Mechanisms:
-    """What is there; a mutant lacks one of these.
+    """Mechanisms that are enabled; a mutant lacks one of them.
 
     Attributes:
-        eras: Answers of another era are no changes; the table is read whole.
-        forward: What is in force gives way to newer configurations only.
-        confirming: Only a store that shows what is in force confirms it.
+        eras: Answers of an earlier era are dropped. Changes of a later era are
+            not applied: the host reads a snapshot instead.
+        forward_only: Only a newer configuration replaces the one in force.
+        checked_confirmation: Only a store that has the configuration in force
+            confirms it.
     """
 
     eras: bool = True
-    forward: bool = True
-    confirming: bool = True
+    forward_only: bool = True
+    checked_confirmation: bool = True
 
 
 class State(NamedTuple):
-    """Everything, as small numbers.
+    """State of the whole model, as small integers.
 
     Attributes:
         era: The store's era.
-        version: Its newest version.
-        shown: The configuration that it has.
-        shown_at: The version at which that was written.
+        version: The store's newest version.
+        shown: The configuration that the store has.
+        shown_at: Version at which that configuration was written.
         written: The last configuration that the operator has written.
-        copy_version: The copy's newest version; none if there is none.
-        copy_shown: The configuration that the copy has.
-        copy_at: The version at which that was written.
+        backup_version: The backup's newest version; ``_NOTHING`` if there is
+            no backup.
+        backup_shown: The configuration in the backup.
+        backup_shown_at: Version at which that configuration was written.
         known_era: The era that the host knows.
-        known: The version up to which it knows the table.
-        held: The configuration that it has in force.
-        peak: The newest one that it has ever had in force.
-        unsure: Whether an older copy has confirmed what it has in force.
-        whole: Whether it has to read the table whole.
-        call: What is under way.
-        told_era: The era of the answer that is under way.
-        told: Its version.
-        told_shown: The configuration in it, if there is one.
+        known: Version up to which the host knows the table.
+        held: The configuration that the host has in force.
+        peak: The newest configuration that the host has ever had in force.
+        unsure: Whether a store with an older configuration has confirmed the
+            one in force.
+        whole: Whether the host must read a snapshot.
+        call: The host's pending call.
+        answer_era: The era of the answer in flight.
+        answer_version: The version of the answer in flight.
+        answer_shown: The configuration in the answer in flight; ``_NOTHING``
+            if it contains none.
     """
 
     era: int = 1
@@ -68,9 +75,9 @@
     shown: int = 0
     shown_at: int = 0
     written: int = 0
-    copy_version: int = _NOTHING
-    copy_shown: int = 0
-    copy_at: int = 0
+    backup_version: int = _NOTHING
+    backup_shown: int = 0
+    backup_shown_at: int = 0
     known_era: int = 1
     known: int = 0
     held: int = 0
@@ -78,195 +85,207 @@
     unsure: int = 0
     whole: int = 0
     call: int = _IDLE
-    told_era: int = 0
-    told: int = 0
-    told_shown: int = _NOTHING
+    answer_era: int = 0
+    answer_version: int = 0
+    answer_shown: int = _NOTHING
 
 
 Step = tuple[str, State]
 Property = Callable[[dict[str, int]], bool]
 
 
-class ReturnModel:
-    """The steps that are possible in a state.
+class RestoreModel:
+    """Transitions of the model.
 
     Args:
-        mechanisms: What is there.
+        mechanisms: Mechanisms that are enabled.
     """
 
     def __init__(self, mechanisms: Mechanisms) -> None:
-        self._has = mechanisms
+        self._mechanisms = mechanisms
 
     def steps(self, fields: tuple[int, ...]) -> list[Step]:
-        """Return each step's name and the state after it."""
+        """Return the transitions that are possible in a state."""
         state = State(*fields)
         return [
-            *self._writes(state),
-            *self._returns(state),
-            *self._asks(state),
-            *self._takes(state),
+            *self._write_steps(state),
+            *self._restore_steps(state),
+            *self._request_steps(state),
+            *self._answer_steps(state),
         ]
 
-    def _writes(self, state: State) -> Iterator[Step]:
-        """The operator or somebody else writes."""
-        following = state.version + 1
-        if following > VERSIONS:
+    def _write_steps(self, state: State) -> Iterator[Step]:
+        """Let the operator write a configuration, or somebody else a row."""
+        next_version = state.version + 1
+        if next_version > MAX_VERSIONS:
             return
-        yield 'row written', state._replace(version=following)
+        yield 'row written', state._replace(version=next_version)
         if state.shown < state.written:
-            yield 'written again', _write(state, state.written)
-        elif state.written < CONFIGURATIONS:
+            yield 'configuration rewritten', _write(state, state.written)
+        elif state.written < MAX_CONFIGURATIONS:
             yield 'configured', _write(state, state.written + 1)
 
-    def _returns(self, state: State) -> Iterator[Step]:
-        """The store keeps a copy, or comes back from it."""
-        if state.copy_version == _NOTHING:
+    def _restore_steps(self, state: State) -> Iterator[Step]:
+        """Make a backup of the store, or restore the store from it."""
+        if state.backup_version == _NOTHING:
             yield (
                 'copied',
                 state._replace(
-                    copy_version=state.version,
-                    copy_shown=state.shown,
-                    copy_at=state.shown_at,
+                    backup_version=state.version,
+                    backup_shown=state.shown,
+                    backup_shown_at=state.shown_at,
                 ),
             )
-        elif state.era <= RETURNS:
+        elif state.era <= MAX_RESTORES:
             yield (
-                'came back',
+                'restored',
                 state._replace(
                     era=state.era + 1,
-                    version=state.copy_version,
-                    shown=state.copy_shown,
-                    shown_at=state.copy_at,
-                    copy_version=_NOTHING,
+                    version=state.backup_version,
+                    shown=state.backup_shown,
+                    shown_at=state.backup_shown_at,
+                    backup_version=_NOTHING,
                 ),
             )
 
-    def _asks(self, state: State) -> Iterator[Step]:
-        """The host asks, and the store makes its answer."""
+    def _request_steps(self, state: State) -> Iterator[Step]:
+        """Let the host send a request, and the store make its answer."""
         if state.call != _IDLE:
             return
-        answer = state._replace(told_era=state.era, told=state.version)
+        answer = state._replace(
+            answer_era=state.era, answer_version=state.version
+        )
         if state.whole:
             yield (
-                'whole read',
-                answer._replace(call=_WHOLE, told_shown=state.shown),
+                'snapshot requested',
+                answer._replace(
+                    call=_READING_SNAPSHOT, answer_shown=state.shown
+                ),
             )
         elif state.known > state.version:
-            # The store says that it does not know the version.
+            # The store reports that it does not know the version.
             yield 'version unknown', state._replace(whole=1)
         else:
-            is_news = state.shown_at > state.known
-            found = state.shown if is_news else _NOTHING
+            has_changed = state.shown_at > state.known
+            shown = state.shown if has_changed else _NOTHING
             yield (
-                'changes read',
-                answer._replace(call=_CHANGES, told_shown=found),
+                'changes requested',
+                answer._replace(call=_READING_CHANGES, answer_shown=shown),
             )
 
-    def _takes(self, state: State) -> Iterator[Step]:
-        """An answer comes."""
+    def _answer_steps(self, state: State) -> Iterator[Step]:
+        """Let an answer arrive."""
         if state.call == _IDLE:
             return
-        idle = state._replace(call=_IDLE, told_era=0, told=0)
-        if self._has.eras and state.told_era < state.known_era:
-            yield 'answer dropped', idle._replace(told_shown=_NOTHING)
+        idle = state._replace(call=_IDLE, answer_era=0, answer_version=0)
+        if self._mechanisms.eras and state.answer_era < state.known_era:
+            yield 'answer dropped', idle._replace(answer_shown=_NOTHING)
             return
-        risen = state.told_era > state.known_era
-        if self._has.eras and risen and state.call == _CHANGES:
+        is_later_era = state.answer_era > state.known_era
+        if (
+            self._mechanisms.eras
+            and is_later_era
+            and state.call == _READING_CHANGES
+        ):
             yield (
-                'era risen',
+                'later era detected',
                 idle._replace(
-                    known_era=state.told_era,
+                    known_era=state.answer_era,
                     whole=1,
-                    told_shown=_NOTHING,
+                    answer_shown=_NOTHING,
                 ),
             )
             return
-        yield 'answer taken', self._taken(state, idle)
+        yield 'answer applied', self._apply_answer(state, idle)
 
-    def _taken(self, state: State, idle: State) -> State:
-        """Return the state in which an answer was taken in."""
+    def _apply_answer(self, state: State, idle: State) -> State:
+        """Return the state after the host has applied an answer."""
         held = state.held
-        told = state.told_shown
-        if told != _NOTHING:
-            held = max(held, told) if self._has.forward else told
-        confirms = told == held or (told == _NOTHING and not state.unsure)
-        unsure = 0 if confirms else int(not self._has.confirming)
+        shown = state.answer_shown
+        if shown != _NOTHING:
+            held = max(held, shown) if self._mechanisms.forward_only else shown
+        confirms = shown == held or (shown == _NOTHING and not state.unsure)
+        unsure = (
+            0 if confirms else int(not self._mechanisms.checked_confirmation)
+        )
         return idle._replace(
-            known_era=max(state.known_era, state.told_era),
-            known=state.told,
+            known_era=max(state.known_era, state.answer_era),
+            known=state.answer_version,
             held=held,
             peak=max(state.peak, held),
             unsure=unsure,
             whole=0,
-            told_shown=_NOTHING,
+            answer_shown=_NOTHING,
         )
 
 
 def _write(state: State, configuration: int) -> State:
-    """Return the state after a configuration was written."""
-    following = state.version + 1
+    """Return the state after the operator has written a configuration."""
+    next_version = state.version + 1
     return state._replace(
-        version=following,
+        version=next_version,
         shown=configuration,
-        shown_at=following,
+        shown_at=next_version,
         written=configuration,
     )
 
 
 def misses_nothing(state: dict[str, int]) -> bool:
-    """Tell whether a host that is up to date has what the store shows.
+    """Return whether a host that is up to date has the store's configuration.
 
-    The store gives it nothing more from there, so it would never learn of it.
+    The store has no more changes for such a host, so it would never receive a
+    configuration that it lacks.
     """
-    waits = state['call'] == _IDLE and not state['whole']
-    is_there = waits and state['known'] == state['version']
-    if not is_there or state['known_era'] != state['era']:
+    is_waiting = state['call'] == _IDLE and not state['whole']
+    is_up_to_date = is_waiting and state['known'] == state['version']
+    if not is_up_to_date or state['known_era'] != state['era']:
         return True
     return state['held'] >= state['shown']
 
 
 def goes_forward(state: dict[str, int]) -> bool:
-    """Tell whether what is in force never went back."""
+    """Return whether no older configuration has replaced the one in force."""
     return state['held'] == state['peak']
 
 
 def is_confirmed_truly(state: dict[str, int]) -> bool:
-    """Tell whether no older copy has confirmed what is in force."""
+    """Return whether only stores that have the one in force confirmed it."""
     return not state['unsure']
 
 
+#: Properties that must hold in every state, by name.
 PROPERTIES: Final[dict[str, Property]] = {
     'misses_nothing': misses_nothing,
     'goes_forward': goes_forward,
     'is_confirmed_truly': is_confirmed_truly,
 }
 
-#: What must be found when a mechanism is taken out, by which property.
+#: Mutants: name, mechanisms and the property that each must violate.
 MUTANTS: Final = (
     (
-        'compares versions without eras',
+        'versions compared without eras',
         replace(Mechanisms(), eras=False),
         'misses_nothing',
     ),
     (
-        'takes what the copy shows',
-        replace(Mechanisms(), forward=False),
+        'older configurations accepted',
+        replace(Mechanisms(), forward_only=False),
         'goes_forward',
     ),
     (
-        'confirms by an older copy',
-        replace(Mechanisms(), confirming=False),
+        'older configurations confirm',
+        replace(Mechanisms(), checked_confirmation=False),
         'is_confirmed_truly',
     ),
 )
 
 
 def check(name: str, mechanisms: Mechanisms) -> dict[str, Any]:
-    """Explore all states, and return the checker's report."""
+    """Explore all reachable states and return the checker's report."""
     return explore(
         name,
         State(),
-        ReturnModel(mechanisms).steps,
+        RestoreModel(mechanisms).steps,
         PROPERTIES,
         MAX_STATES,
     )
--- a/tests/model_case.py
+++ b/tests/model_case.py
@@ -1,4 +1,4 @@
-"""What is asked of each model: it holds, and each mechanism is needed."""
+"""Base class of model tests: a model holds and needs each mechanism."""
 
 import sys
 import unittest
@@ -7,7 +7,7 @@
 
 
 class ModelCase(unittest.TestCase):
-    """Reads the reports of a checker."""
+    """Checks and prints the reports of the model checker."""
 
     def check_holds(
         self,
@@ -15,7 +15,7 @@
         report: dict[str, Any],
         properties: Iterable[str],
     ) -> None:
-        """Check that properties hold in all states, and say how many."""
+        """Check that properties hold in all states, and print their number."""
         states = report['reachable_states']
         sys.stdout.write(f'{title}: {states} states\n')
         self.assertIs(report['exhaustive'], True)
@@ -29,8 +29,8 @@
         report: dict[str, Any],
         broken: str,
     ) -> None:
-        """Check that a counterexample was found, and say how long it is."""
-        found = report['properties'][broken]
-        steps = len(found['counterexample'] or ())
+        """Check that a counterexample was found, and print its length."""
+        verdict = report['properties'][broken]
+        steps = len(verdict['counterexample'] or ())
         sys.stdout.write(f'{title}: {steps} steps\n')
-        self.assertIs(found['holds'], False)
+        self.assertIs(verdict['holds'], False)
--- a/tests/test_model_reading.py
+++ b/tests/test_model_reading.py
@@ -1,4 +1,4 @@
-"""The model of reading for others holds, and each mechanism is needed."""
+"""The model of reading for other hosts holds and needs each mechanism."""
 
 import unittest
 
@@ -8,16 +8,16 @@
 
 
 class ReadingModelTest(ModelCase):
-    """A change comes to a host whose reader may lose the store unseen."""
+    """A host receives a change though its reader may lose the store."""
 
     def test_change_is_in_force_in_every_state(self) -> None:
-        """Whenever the store falls silent, and however long news take."""
+        """Whenever the store stops answering, however late updates arrive."""
         self.check_holds(
             'reading', check('reading', Mechanisms()), ('is_in_force',)
         )
 
     def test_without_a_mechanism_a_counterexample_is_found(self) -> None:
-        """Pattern of the first: the host that read for others was cut off."""
+        """The first is the case of a reader that is cut off from the store."""
         for name, mechanisms in MUTANTS:
             with self.subTest(mutant=name):
                 report = check(name, mechanisms)
--- a/tests/test_model_sessions.py
+++ b/tests/test_model_sessions.py
@@ -5,31 +5,31 @@
 
 from models.sessions import Mechanisms, check
 
-#: Which mechanism's absence breaks which promise.
+#: The invariant that is violated without each mechanism.
 MUTANTS = {
     'put_if_absent': 'one_version',
-    'winner': 'one_version',
+    'adopt_winner': 'one_version',
     'read_back': 'one_version',
-    'stays': 'one_version',
+    'keep_version': 'one_version',
     'gate': 'nothing_known_withdrawn',
 }
 
 
 class SessionModelTest(unittest.TestCase):
-    """Searches all states."""
+    """Searches the model exhaustively."""
 
     def test_it_holds_in_all_states(self) -> None:
-        verdict = check(Mechanisms())
-        states = verdict['reachable_states']
+        report = check(Mechanisms())
+        states = report['reachable_states']
         sys.stdout.write(f'sessions: {states} states\n')
-        self.assertTrue(verdict['exhaustive'])
-        for name, found in verdict['properties'].items():
-            self.assertIs(found['holds'], True, name)
+        self.assertTrue(report['exhaustive'])
+        for name, verdict in report['properties'].items():
+            self.assertIs(verdict['holds'], True, name)
 
     def test_each_mechanism_is_needed(self) -> None:
-        for mechanism, promise in MUTANTS.items():
+        for mechanism, invariant in MUTANTS.items():
             with self.subTest(mechanism):
-                verdict = check(Mechanisms(**{mechanism: False}))
-                found = verdict['properties'][promise]
-                self.assertIs(found['holds'], False)
-                self.assertTrue(found['counterexample'])
+                report = check(Mechanisms(**{mechanism: False}))
+                verdict = report['properties'][invariant]
+                self.assertIs(verdict['holds'], False)
+                self.assertTrue(verdict['counterexample'])
