--- a/fakes/__init__.py
+++ b/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems; docs/design/stand-ins.md lists them."""
+"""Stand-ins for external systems; docs/design/stand-ins.md lists them."""
--- a/fakes/answers.py
+++ b/fakes/answers.py
@@ -1,22 +1,23 @@
-"""What the engine stand-in writes: words, and the quality of an answer.
+"""Generates the engine stand-in's answers: words and a quality.
 
-An answer depends only on the seed, the version and the name of the draw, so
-that it can be resumed on another engine that was started with the same seed.
+An answer is drawn from the engine's seed, the version and the request's seed
+or attempt id, so another engine that was started with the same seed can
+resume it.
 """
 
 import random
 from dataclasses import dataclass, field
 from typing import Any, Final
 
-#: Quality of a version that nothing was said of.
+#: Mean quality of a version without an entry.
 DEFAULT_QUALITY: Final = 0.9
 
-#: Standard deviation of the quality of single answers.
+#: Standard deviation of the quality of individual answers.
 QUALITY_SPREAD: Final = 0.05
 
-#: Bounds of an answer's length in words where a request states none.
-SHORTEST: Final = 20
-LONGEST: Final = 120
+#: Bounds of an answer's length in words if a request states none.
+MIN_LENGTH: Final = 20
+MAX_LENGTH: Final = 120
 
 _WORDS: Final = (
     'the council permit outlet applies trolley galley licence manifest of',
@@ -28,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerPlan:
-    """A whole answer, known before its first word is sent.
+    """A complete answer, determined before its first word is sent.
 
     Attributes:
-        words: The words; the last states the quality.
-        quality: From 0 to 1.
-        reason: Why it ends, ``stop`` or ``length``.
+        words: Words of the answer; the last one states the quality.
+        quality: Quality from 0 to 1.
+        reason: Finish reason, ``stop`` or ``length``.
     """
 
     words: tuple[str, ...]
@@ -43,25 +44,25 @@
 
 @dataclass(slots=True)
 class QualityTable:
-    """Mean quality by version, and by version and task.
+    """Mean answer quality by version and task.
 
     Attributes:
-        means: Mean by ``version`` or ``version:task``.
+        means: Mean quality by ``version`` or ``version:task``.
     """
 
     means: dict[str, float] = field(default_factory=dict)
 
     def mean(self, version: str, task: str) -> float:
-        """Return the most exact entry that there is."""
+        """Return the mean for the task, or else that for the version."""
         for_version = self.means.get(version, DEFAULT_QUALITY)
         return self.means.get(f'{version}:{task}', for_version)
 
 
 def parse_qualities(settings: list[str]) -> QualityTable:
-    """Read ``version:task=mean`` and ``version=mean`` settings.
+    """Parse ``version:task=mean`` and ``version=mean`` settings.
 
     Raises:
-        ValueError: If a setting has no number behind an equals sign.
+        ValueError: If a setting has no number after the equals sign.
     """
     table = QualityTable()
     for setting in settings:
@@ -78,64 +79,64 @@
         version: Model and version.
         task: Task class; empty if it states none.
         words: Words of all messages.
-        tokens: Words that the answer is to have; None to draw.
-        limit: Words that it may have; None for no limit.
+        exact_length: Length of the answer in words; None for a random length.
+        max_length: Maximum length in words; None for no limit.
         streams: Whether the answer is to be streamed.
-        draw: Seed that the request states; None for the attempt's id.
+        seed: Seed that the request states; None to use the attempt id.
     """
 
     version: str
     task: str
     words: tuple[str, ...]
-    tokens: int | None
-    limit: int | None
+    exact_length: int | None
+    max_length: int | None
     streams: bool
-    draw: str | None = None
+    seed: str | None = None
 
 
 def read_prompt(body: dict[str, Any]) -> Prompt:
-    """Read a completion request in the model API's usual shape."""
+    """Parse the body of a chat completion request."""
     texts = [str(part.get('content', '')) for part in body.get('messages', [])]
-    draw = body.get('seed')
+    seed = body.get('seed')
     return Prompt(
         version=str(body.get('model', '')),
         task=str(body.get('nutmegroad_task', '')),
         words=tuple(' '.join(texts).split()),
-        tokens=body.get('nutmegroad_tokens'),
-        limit=body.get('max_tokens'),
+        exact_length=body.get('nutmegroad_tokens'),
+        max_length=body.get('max_tokens'),
         streams=bool(body.get('stream', False)),
-        draw=None if draw is None else str(draw),
+        seed=None if seed is None else str(seed),
     )
 
 
 def plan_answer(
     prompt: Prompt,
     mean: float,
-    seed: int,
+    engine_seed: int,
     attempt: str,
 ) -> AnswerPlan:
-    """Draw an answer.
+    """Generate an answer.
 
     Args:
-        prompt: The request.
+        prompt: Content of the request.
         mean: Mean quality of the version for the task.
-        seed: The engine's seed.
-        attempt: Names the draw where the request states no seed.
+        engine_seed: Seed of the engine.
+        attempt: Attempt id; replaces the request's seed if it states none.
     """
-    draw = attempt if prompt.draw is None else prompt.draw
-    # A generator of its own for each answer: nothing else can shift it.
-    randomness = random.Random(f'{seed}:{prompt.version}:{draw}')
-    length = randomness.randint(SHORTEST, LONGEST)
-    if prompt.tokens is not None:
-        length = max(1, prompt.tokens)
+    seed = attempt if prompt.seed is None else prompt.seed
+    # Each answer has its own generator, so other draws can't affect it.
+    randomness = random.Random(f'{engine_seed}:{prompt.version}:{seed}')
+    length = randomness.randint(MIN_LENGTH, MAX_LENGTH)
+    if prompt.exact_length is not None:
+        length = max(1, prompt.exact_length)
     reason = 'stop'
-    if prompt.limit is not None and prompt.limit < length:
-        length = max(1, prompt.limit)
+    if prompt.max_length is not None and prompt.max_length < length:
+        length = max(1, prompt.max_length)
         reason = 'length'
     quality = min(1, max(0, randomness.gauss(mean, QUALITY_SPREAD)))
-    written = randomness.choices(VOCABULARY, k=length - 1)
+    words = randomness.choices(VOCABULARY, k=length - 1)
     return AnswerPlan(
-        words=(*written, f'q={quality:.2f}'),
+        words=(*words, f'q={quality:.2f}'),
         quality=quality,
         reason=reason,
     )
--- a/fakes/batching.py
+++ b/fakes/batching.py
@@ -1,7 +1,7 @@
-"""The engine stand-in's batch: what runs, how long it takes, and its cache.
+"""Continuous batching and prefix caching of the engine stand-in.
 
-One task steps the whole batch. A step's length grows with the number of
-requests that run; where steps are short, several are taken in one wake-up.
+One task steps the whole batch. A step takes longer the more requests run;
+short steps are combined, several per wake-up of the task.
 """
 
 import asyncio
@@ -15,35 +15,35 @@
 
 from nutmegroad.foundations.clocks import Clock
 
-#: Shortest wait of the stepping task, seconds; it bounds the processor time.
-SHORTEST_WAIT: Final = 0.01
+#: Minimum sleep of the stepping task in seconds; limits its CPU time.
+MIN_SLEEP: Final = 0.01
 
-#: Longest wait of the stepping task, seconds; callers who have gone are
-#: noticed within it.
-LONGEST_WAIT: Final = 0.05
+#: Maximum sleep of the stepping task in seconds; disconnected callers are
+#: detected within it.
+MAX_SLEEP: Final = 0.05
 
-#: Words of a prompt that name its prefix.
+#: Number of words at the start of a prompt that form its prefix.
 PREFIX_WORDS: Final = 64
 
-#: Hexadecimal digits of a prefix's name.
-NAME_LENGTH: Final = 16
+#: Length of a prefix id in hexadecimal digits.
+PREFIX_ID_LENGTH: Final = 16
 
-#: Share of the cache's events that are never published.
-EVENT_GAP: Final = 0.1
+#: Fraction of the cache events that are never published.
+EVENT_LOSS: Final = 0.1
 
-#: Events that are kept for readers.
-EVENTS_KEPT: Final = 10_000
+#: Maximum number of events retained for readers.
+MAX_EVENTS: Final = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class BatchSpeed:
-    """How fast a batch is.
+    """Speed and capacity of a batch.
 
     Attributes:
-        slots: Requests that run at once.
-        queue_limit: Requests that may wait.
-        prefill_rate: Prompt tokens read a second, for each request.
-        step_base: Seconds that a decode step takes at least.
+        slots: Number of requests that can run concurrently.
+        queue_limit: Number of requests that can wait for a slot.
+        prefill_rate: Prompt tokens processed per second and request.
+        step_base: Seconds that every decode step takes.
         step_per_request: Seconds that each running request adds to a step.
     """
 
@@ -56,143 +56,152 @@
 
 @dataclass(eq=False, slots=True)
 class Run:
-    """A request in the batch.
+    """A request that runs in the batch or waits for it.
 
     Attributes:
-        total: Words that it is to write.
-        is_abandoned: Tells whether its caller has gone.
-        prefill: Seconds of reading the prompt that are left.
-        slowness: Factor on all its times.
-        written: Words written so far, those skipped included.
-        progress: Set whenever there is more to send.
-        ended: It left the batch, for whatever reason.
-        is_cancelled: It left the batch before its last word.
-        credit: Part of a word that is written already.
+        total: Number of words in the complete answer.
+        prefill: Remaining seconds of prompt processing.
+        is_abandoned: Returns whether the caller has disconnected.
+        slowdown: Factor by which the request is slowed down.
+        written: Number of words generated so far, including skipped ones.
+        progress: Set when more words are available, and at the end.
+        ended: Whether the request has left the batch, for any reason.
+        is_cancelled: Whether it was cancelled.
+        partial_word: Generated fraction of the next word.
     """
 
     total: int
     prefill: float
     is_abandoned: Callable[[], bool] = bool
-    slowness: float = 1
+    slowdown: float = 1
     written: int = 0
     progress: asyncio.Event = field(default_factory=asyncio.Event)
     ended: bool = False
     is_cancelled: bool = False
-    credit: float = 0
+    partial_word: float = 0
 
-    async def finished(self) -> None:
-        """Wait until the last word is written, or the run cancelled."""
+    async def wait_finished(self) -> None:
+        """Wait until the run has completed or was cancelled."""
         while not self.ended:
             await self.progress.wait()
             self.progress.clear()
 
     def advance(self, seconds: float, step: float) -> None:
-        """Let time pass: first the prompt is read, then words are written."""
-        seconds /= self.slowness
-        reading = min(self.prefill, seconds)
-        self.prefill -= reading
-        self.credit += (seconds - reading) / step
-        words = int(self.credit)
+        """Advance the run: process the prompt first, then generate words.
+
+        Args:
+            seconds: Time that has passed.
+            step: Seconds per decode step.
+        """
+        seconds /= self.slowdown
+        prefill_time = min(self.prefill, seconds)
+        self.prefill -= prefill_time
+        self.partial_word += (seconds - prefill_time) / step
+        words = int(self.partial_word)
         if not words:
             return
-        self.credit -= words
+        self.partial_word -= words
         self.written = min(self.total, self.written + words)
         self.progress.set()
 
 
 class Batch:
-    """Requests that run together, and those that wait.
+    """A batch of requests with a priority queue.
 
     Args:
-        speed: How fast it is.
-        clock: Time.
+        speed: Speed and capacity.
+        clock: Source of times.
+
+    Attributes:
+        running: Requests that occupy a slot.
     """
 
     def __init__(self, speed: BatchSpeed, clock: Clock) -> None:
         self.speed = speed
         self.running: set[Run] = set()
         self._clock = clock
-        self._waiting: list[tuple[int, int, Run]] = []
+        self._queue: list[tuple[int, int, Run]] = []
         self._arrivals = 0
-        self._wanted = asyncio.Event()
+        self._has_requests = asyncio.Event()
 
     @property
     def queued(self) -> int:
-        """Return how many requests wait."""
-        return sum(not run.ended for _, _, run in self._waiting)
+        """Number of requests that wait for a slot."""
+        return sum(not run.ended for _, _, run in self._queue)
 
     @property
-    def full(self) -> bool:
-        """Tell whether one more request would have to be refused."""
-        room = self.speed.slots + self.speed.queue_limit
-        return len(self.running) + self.queued >= room
+    def is_full(self) -> bool:
+        """Whether both the slots and the queue are full."""
+        capacity = self.speed.slots + self.speed.queue_limit
+        return len(self.running) + self.queued >= capacity
 
     def add(self, run: Run, priority: int) -> None:
-        """Put a request in the queue; smaller priorities go first."""
+        """Add a request to the queue; lower priority numbers run first."""
         self._arrivals += 1
-        heappush(self._waiting, (priority, self._arrivals, run))
+        heappush(self._queue, (priority, self._arrivals, run))
         self._admit()
-        self._wanted.set()
+        self._has_requests.set()
 
     def cancel(self, run: Run) -> None:
-        """Stop a request, wherever it is."""
+        """Cancel a running or waiting request."""
         run.is_cancelled = True
         self.remove(run)
 
     def remove(self, run: Run) -> None:
-        """Take a request out, wherever it is."""
+        """Remove a running or waiting request."""
         run.ended = True
         run.progress.set()
         self.running.discard(run)
         self._admit()
 
     async def step_forever(self) -> None:
-        """Step the batch; the owner cancels it."""
+        """Step the batch until this task is cancelled."""
         while True:
             if not self.running:
-                self._wanted.clear()
-                await self._wanted.wait()
+                self._has_requests.clear()
+                await self._has_requests.wait()
             await self._step()
-            self._drop_abandoned()
+            self._cancel_abandoned()
 
     def _admit(self) -> None:
-        """Fill free slots from the queue."""
-        while self._waiting and len(self.running) < self.speed.slots:
-            _, _, run = heappop(self._waiting)
+        """Move requests from the queue into free slots."""
+        while self._queue and len(self.running) < self.speed.slots:
+            _, _, run = heappop(self._queue)
             if not run.ended:
                 self.running.add(run)
 
-    def _drop_abandoned(self) -> None:
-        """Take out the requests whose callers have gone."""
-        queued = [run for _, _, run in self._waiting if not run.ended]
+    def _cancel_abandoned(self) -> None:
+        """Cancel the requests whose callers have disconnected."""
+        queued = [run for _, _, run in self._queue if not run.ended]
         for run in (*self.running, *queued):
             if run.is_abandoned():
                 self.cancel(run)
 
     async def _step(self) -> None:
-        """Take as many decode steps as fill the shortest wait."""
+        """Sleep for about a decode step, then advance the running requests."""
         step = self.speed.step_base
         step += self.speed.step_per_request * len(self.running)
         start = self._clock.now()
-        wait = min(max(step, SHORTEST_WAIT), LONGEST_WAIT)
-        await self._clock.sleep(wait)
-        # Time that passed, not time asked for: a busy machine then writes
-        # more words in a wake-up rather than fewer a second.
-        passed = self._clock.now() - start
+        sleep_time = min(max(step, MIN_SLEEP), MAX_SLEEP)
+        await self._clock.sleep(sleep_time)
+        # Uses the time that has passed, not the requested sleep: if the
+        # machine is busy, a wake-up generates more words and the rate stays
+        # the same.
+        elapsed = self._clock.now() - start
         for run in tuple(self.running):
-            run.advance(passed, step)
+            run.advance(elapsed, step)
             if run.written >= run.total:
                 self.remove(run)
 
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A change of the prefix cache.
+    """A change to the prefix cache.
 
     Attributes:
-        position: Place among all events; gaps are events that were lost.
-        prefix: Name of the prefix.
-        version: The version whose cache it is.
+        position: Sequence number, from 1; lost events leave gaps.
+        prefix: Id of the prefix.
+        version: Version that has processed the prefix.
         kind: ``stored`` or ``evicted``.
     """
 
@@ -202,79 +211,79 @@
     kind: str
 
 
-def name_prefix(words: tuple[str, ...]) -> str:
-    """Return the name of a prompt's prefix."""
+def prefix_id(words: tuple[str, ...]) -> str:
+    """Return the id of a prompt's prefix, a hash of its words."""
     text = ' '.join(words[:PREFIX_WORDS])
-    return hashlib.sha256(text.encode()).hexdigest()[:NAME_LENGTH]
+    return hashlib.sha256(text.encode()).hexdigest()[:PREFIX_ID_LENGTH]
 
 
 class PrefixCache:
-    """The last prefixes that the engine has read.
+    """LRU cache of the prompt prefixes that the engine has processed.
 
     Args:
-        entries: How many it keeps.
-        lag: Seconds until an event is shown.
-        clock: Time.
-        randomness: Decides which events are lost.
+        max_entries: Maximum number of prefixes.
+        lag: Seconds after which an event becomes visible.
+        clock: Source of times.
+        randomness: Selects the events that are lost.
     """
 
     def __init__(
         self,
-        entries: int,
+        max_entries: int,
         lag: float,
         clock: Clock,
         randomness: Random,
     ) -> None:
-        self._entries = entries
+        self._max_entries = max_entries
         self._lag = lag
         self._clock = clock
         self._randomness = randomness
-        self._kept: OrderedDict[tuple[str, str], None] = OrderedDict()
-        # Each with the clock seconds from which on it is shown.
+        self._cached: OrderedDict[tuple[str, str], None] = OrderedDict()
+        # Events, each with the clock time from which it is visible.
         self._events: list[tuple[float, CacheEvent]] = []
         self._position = 0
 
     def read(self, version: str, words: tuple[str, ...]) -> int:
-        """Look a prompt up and keep its prefix.
+        """Look up a prompt and cache its prefix.
 
         Returns:
-            Words of the prompt that were found in the cache.
+            Number of words at the start of the prompt that were cached.
         """
-        key = (version, name_prefix(words))
-        found = key in self._kept
-        self._kept[key] = None
-        self._kept.move_to_end(key)
+        key = (version, prefix_id(words))
+        found = key in self._cached
+        self._cached[key] = None
+        self._cached.move_to_end(key)
         if found:
             return min(PREFIX_WORDS, len(words))
-        self._publish(key, 'stored')
-        while len(self._kept) > self._entries:
-            evicted, _ = self._kept.popitem(last=False)
-            self._publish(evicted, 'evicted')
+        self._record_event(key, 'stored')
+        while len(self._cached) > self._max_entries:
+            evicted, _ = self._cached.popitem(last=False)
+            self._record_event(evicted, 'evicted')
         return 0
 
     def drop(self, version: str) -> None:
-        """Forget what a version that is unloaded had cached."""
-        for key in tuple(self._kept):
+        """Evict all prefixes of a version, when it is unloaded."""
+        for key in tuple(self._cached):
             if key[0] == version:
-                self._kept.pop(key)
-                self._publish(key, 'evicted')
+                self._cached.pop(key)
+                self._record_event(key, 'evicted')
 
     def events(self, after: int) -> list[CacheEvent]:
-        """Return the events behind a position that are shown by now."""
+        """Return the visible events after a position."""
         now = self._clock.now()
         return [
             event
-            for published, event in self._events
-            if event.position > after and published <= now
+            for visible_at, event in self._events
+            if event.position > after and visible_at <= now
         ]
 
-    def _publish(self, key: tuple[str, str], kind: str) -> None:
-        """Note an event, unless it is lost."""
+    def _record_event(self, key: tuple[str, str], kind: str) -> None:
+        """Record an event, unless it is drawn to be lost."""
         self._position += 1
-        if self._randomness.random() < EVENT_GAP:
+        if self._randomness.random() < EVENT_LOSS:
             return
         version, prefix = key
-        published = self._clock.now() + self._lag
+        visible_at = self._clock.now() + self._lag
         event = CacheEvent(self._position, prefix, version, kind)
-        self._events.append((published, event))
-        self._events = self._events[-EVENTS_KEPT:]
+        self._events.append((visible_at, event))
+        self._events = self._events[-MAX_EVENTS:]
--- a/fakes/chunks.py
+++ b/fakes/chunks.py
@@ -1,4 +1,4 @@
-"""The messages of the model API, as the engine stand-in sends them."""
+"""Messages of the chat completion API that the engine stand-in sends."""
 
 from typing import Final
 
@@ -7,17 +7,18 @@
 
 from fakes.answers import AnswerPlan, Prompt
 
+#: Event that ends a stream.
 DONE: Final = b'data: [DONE]\n\n'
 
 
 class Delta(Struct, frozen=True, omit_defaults=True):
-    """What a chunk adds."""
+    """Text that a chunk adds to the answer."""
 
     content: str = ''
 
 
 class ChunkChoice(Struct, frozen=True):
-    """The one choice of a chunk."""
+    """The only choice of a chunk."""
 
     delta: Delta
     finish_reason: str | None = None
@@ -25,13 +26,13 @@
 
 
 class CachedTokens(Struct, frozen=True):
-    """Where the prompt's tokens came from."""
+    """Number of prompt tokens that were found in the prefix cache."""
 
     cached_tokens: int
 
 
 class Usage(Struct, frozen=True):
-    """What an answer has cost, in tokens."""
+    """Token usage of a completion."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -39,7 +40,7 @@
 
 
 class Chunk(Struct, frozen=True, omit_defaults=True):
-    """One event of a streamed answer."""
+    """One event of a streamed completion."""
 
     id: str
     index: int
@@ -48,58 +49,58 @@
 
 
 class Message(Struct, frozen=True):
-    """A whole answer's text."""
+    """The message of a completion that is not streamed."""
 
     content: str
     role: str = 'assistant'
 
 
-class WholeChoice(Struct, frozen=True):
-    """The one choice of an answer that is not streamed."""
+class CompletionChoice(Struct, frozen=True):
+    """The only choice of a completion that is not streamed."""
 
     message: Message
     finish_reason: str
     index: int = 0
 
 
-class WholeAnswer(Struct, frozen=True):
-    """An answer that is not streamed."""
+class CompletionReply(Struct, frozen=True):
+    """A completion that is not streamed."""
 
     id: str
     model: str
-    choices: tuple[WholeChoice, ...]
+    choices: tuple[CompletionChoice, ...]
     usage: Usage
 
 
-def event_of(chunk: Chunk) -> bytes:
-    """Return a chunk as a server-sent event."""
+def encode_event(chunk: Chunk) -> bytes:
+    """Encode a chunk as a server-sent event."""
     return b'data: %b\n\n' % encode(chunk)
 
 
-def piece_chunk(attempt: str, index: int, word: str) -> Chunk:
-    """Return the chunk that carries a word."""
+def word_chunk(attempt: str, index: int, word: str) -> Chunk:
+    """Return the chunk for one word."""
     choice = ChunkChoice(Delta(f'{word} '))
     return Chunk(attempt, index, (choice,))
 
 
-def usage_of(prompt: Prompt, plan: AnswerPlan, cached: int) -> Usage:
-    """Return what a whole answer has cost; a word is a token."""
+def make_usage(prompt: Prompt, plan: AnswerPlan, cached: int) -> Usage:
+    """Return the usage of a complete answer; a word counts as one token."""
     return Usage(len(prompt.words), len(plan.words), CachedTokens(cached))
 
 
-def last_chunk(attempt: str, plan: AnswerPlan, usage: Usage) -> Chunk:
-    """Return the chunk that ends an answer."""
+def final_chunk(attempt: str, plan: AnswerPlan, usage: Usage) -> Chunk:
+    """Return the last chunk, with the finish reason and the usage."""
     choice = ChunkChoice(Delta(), plan.reason)
     return Chunk(attempt, len(plan.words), (choice,), usage)
 
 
-def whole_answer(
+def completion_reply(
     attempt: str,
     version: str,
     plan: AnswerPlan,
     usage: Usage,
-) -> WholeAnswer:
-    """Return an answer that is not streamed."""
+) -> CompletionReply:
+    """Return a completion that is not streamed."""
     message = Message(' '.join(plan.words))
-    choice = WholeChoice(message, plan.reason)
-    return WholeAnswer(attempt, version, (choice,), usage)
+    choice = CompletionChoice(message, plan.reason)
+    return CompletionReply(attempt, version, (choice,), usage)
--- a/fakes/engine.py
+++ b/fakes/engine.py
@@ -1,8 +1,8 @@
-"""The stand-in for a model engine: ``python -m fakes.engine --port 0``.
+"""Stand-in for a model engine: ``python -m fakes.engine --port 0``.
 
 It batches continuously, caches prompt prefixes, honours priorities, resumes
-and cancels streams, takes orders, and goes wrong where it is told to. The
-page ``docs/design/stand-ins.md`` has its calls and faults.
+and cancels streams, loads and unloads versions, and injects faults on request.
+``docs/design/stand-ins.md`` documents its calls and faults.
 """
 
 import asyncio
@@ -15,10 +15,10 @@
 import msgspec
 from aiohttp import web
 
-from fakes.answering import Answering, Delivery, attempt_of
 from fakes.answers import Prompt, read_prompt
 from fakes.batching import Batch, PrefixCache
-from fakes.chunks import whole_answer
+from fakes.chunks import completion_reply
+from fakes.completions import CompletionStarter, CompletionStream, attempt_id
 from fakes.engine_control import EngineControl
 from fakes.engine_settings import EngineSettings, engine_parser, read_settings
 from fakes.faults import (
@@ -34,23 +34,28 @@
 from nutmegroad.foundations.clocks import Clock, SystemClock
 from nutmegroad.foundations.types import Address
 
-#: Scope of faults that strike answers only.
-ANSWERS_SCOPE: Final = 'answers'
+#: Scope of faults that affect completion requests only.
+COMPLETIONS_SCOPE: Final = 'answers'
 
 
 class FakeEngine:
-    """A model engine that a test, a demo or an experiment owns.
+    """A model engine for tests, demos and experiments.
 
     Args:
-        settings: What it is like.
-        clock: All its times come from here.
-        port: TCP port; 0 takes a free one.
+        settings: Versions, speed, quality and other properties.
+        clock: Source of all times; None for the system clock.
+        port: TCP port; 0 selects a free one.
+
+    Attributes:
+        app: The web application, for callers that serve it themselves.
+        runs: Completions that the engine has started.
+        faults: Active faults, which can be changed without an HTTP call.
     """
 
     @property
     def address(self) -> Address:
-        """Return where it listens; it must be open."""
-        return self._served.address
+        """Listening address; available only while the engine is open."""
+        return self._server.address
 
     def __init__(
         self,
@@ -72,7 +77,7 @@
             clock,
             randomness,
         )
-        self._answering = Answering(
+        self._completions = CompletionStarter(
             settings,
             self._batch,
             self._cache,
@@ -87,44 +92,46 @@
             self.faults,
             clock,
         )
-        self._served = Served(self.app, port)
+        self._server = Served(self.app, port)
         self._add_routes()
 
     async def __aenter__(self) -> Self:
-        """Begin to listen."""
-        await self._served.__aenter__()
+        """Start listening."""
+        await self._server.__aenter__()
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Stop, cutting what runs."""
-        await self._served.__aexit__(*exc_info)
+        """Stop listening and abort the completions in progress."""
+        await self._server.__aexit__(*exc_info)
 
     def _add_routes(self) -> None:
-        """Tell the application which handler takes which call."""
-        self.app.cleanup_ctx.append(self._live)
+        """Register the handlers of all routes."""
+        self.app.cleanup_ctx.append(self._run_batch)
         add_fault_routes(self.app, self.faults)
         self.app.add_routes(
             [
-                web.post('/v1/chat/completions', self._complete),
+                web.post('/v1/chat/completions', self._handle_completion),
                 web.post('/engine/cancel', self._control.cancel),
-                web.get('/engine/report', self._control.show_report),
-                web.get('/engine/cache', self._control.show_cache),
-                web.post('/engine/orders', self._control.order),
+                web.get('/engine/report', self._control.serve_report),
+                web.get('/engine/cache', self._control.serve_cache_events),
+                web.post('/engine/orders', self._control.submit_order),
                 web.post('/admin/leave', self._control.leave),
-                web.get('/admin/runs', self._control.show_runs),
+                web.get('/admin/runs', self._control.serve_runs),
             ]
         )
 
-    async def _live(self, app: web.Application) -> AsyncIterator[None]:
-        """Run the batch while the application runs."""
+    async def _run_batch(self, app: web.Application) -> AsyncIterator[None]:
+        """Run the batch and the version loader while the application runs."""
         async with AsyncExitStack() as stack:
-            await stack.enter_async_context(self._control.shelf)
-            stepping = asyncio.create_task(self._batch.step_forever())
-            stack.callback(stepping.cancel)
+            await stack.enter_async_context(self._control.loader)
+            batch_task = asyncio.create_task(self._batch.step_forever())
+            stack.callback(batch_task.cancel)
             yield
 
-    async def _complete(self, request: web.Request) -> web.StreamResponse:
-        """Answer a completion request."""
+    async def _handle_completion(
+        self, request: web.Request
+    ) -> web.StreamResponse:
+        """Handle ``POST /v1/chat/completions``."""
         try:
             body = msgspec.json.decode(
                 await request.read(),
@@ -133,56 +140,63 @@
         except msgspec.DecodeError:
             return error_reply(HTTPStatus.BAD_REQUEST, 'body_malformed')
         prompt = read_prompt(body)
-        target = FaultTarget(ANSWERS_SCOPE, prompt.version, prompt.task)
+        target = FaultTarget(COMPLETIONS_SCOPE, prompt.version, prompt.task)
         if self.faults.hit(FaultKind.DOWN, target):
             return drop_connection(request)
         if self.faults.hit(FaultKind.ERROR, target):
             return error_reply(HTTPStatus.INTERNAL_SERVER_ERROR, 'internal')
-        if prompt.version not in self._control.shelf.loaded:
+        if prompt.version not in self._control.loader.loaded:
             return error_reply(HTTPStatus.NOT_FOUND, 'version_not_loaded')
-        if self._batch.full:
+        if self._batch.is_full:
             return error_reply(HTTPStatus.SERVICE_UNAVAILABLE, 'busy')
-        return await self._run(request, prompt, target)
+        return await self._execute(request, prompt, target)
 
-    async def _run(
+    async def _execute(
         self,
         request: web.Request,
         prompt: Prompt,
         target: FaultTarget,
     ) -> web.StreamResponse:
-        """Take a request into the batch and see it through."""
-        stranger = self.runs.another(attempt_of(request))
-        job = self._answering.start(request, prompt, target, stranger)
-        record = self.runs.start(job.attempt, prompt, job.run)
-        self._control.note()
+        """Run a request in the batch and send its completion."""
+        foreign_id = self.runs.other_attempt(attempt_id(request))
+        completion = self._completions.start(
+            request, prompt, target, foreign_id
+        )
+        record = self.runs.start(completion.attempt, prompt, completion.run)
+        self._control.update_report()
         ended = End.CANCELLED
         try:
             if not prompt.streams:
-                await job.run.finished()
-                ended = End.CANCELLED if job.run.is_cancelled else End.WHOLE
+                await completion.run.wait_finished()
+                ended = (
+                    End.CANCELLED if completion.run.is_cancelled else End.WHOLE
+                )
                 return json_reply(
-                    whole_answer(
-                        job.attempt, prompt.version, job.plan, job.usage
+                    completion_reply(
+                        completion.attempt,
+                        prompt.version,
+                        completion.plan,
+                        completion.usage,
                     )
                 )
-            delivery = Delivery(job, request, self._clock)
-            ended = await delivery.send()
-            return delivery.response
+            stream = CompletionStream(completion, request, self._clock)
+            ended = await stream.send()
+            return stream.response
         finally:
-            self._batch.remove(job.run)
-            self.runs.end(record, job.run, ended)
-            self._control.note()
+            self._batch.remove(completion.run)
+            self.runs.end(record, completion.run, ended)
+            self._control.update_report()
 
 
 def main() -> None:
-    """Run an engine until SIGTERM."""
+    """Run an engine until SIGTERM or SIGINT."""
     parser = engine_parser()
-    flags = parser.parse_args()
+    arguments = parser.parse_args()
     try:
-        settings = read_settings(flags)
+        settings = read_settings(arguments)
     except ValueError as error:
-        parser.error(f'A quality is no number: {error}.')
-    run(FakeEngine(settings).app, flags.port)
+        parser.error(f'invalid --quality: {error}')
+    run(FakeEngine(settings).app, arguments.port)
 
 
 if __name__ == '__main__':
--- a/fakes/engine_control.py
+++ b/fakes/engine_control.py
@@ -1,4 +1,7 @@
-"""The engine stand-in's calls beside answers: reports, orders, leaving."""
+"""Control calls of the engine stand-in.
+
+They cover reports, cache events, version orders, cancellation and draining.
+"""
 
 from http import HTTPStatus
 from typing import Final
@@ -15,23 +18,33 @@
     FaultTarget,
     drop_connection,
 )
-from fakes.loading import (
-    Lagged,
+from fakes.replies import error_reply, json_reply
+from fakes.run_records import RunList
+from fakes.version_loading import (
+    DelayedValue,
     Order,
     OrderRecord,
-    VersionShelf,
+    VersionLoader,
     record_order,
 )
-from fakes.replies import error_reply, json_reply
-from fakes.run_records import RunList
 from nutmegroad.foundations.clocks import Clock
 
-#: What faults of the engine's other calls strike.
-CONTROL: Final = FaultTarget('control')
+#: Fault target of all calls other than completions.
+CONTROL_TARGET: Final = FaultTarget('control')
 
 
 class EngineReply(msgspec.Struct, frozen=True):
-    """The reply to ``GET /engine/report``."""
+    """Reply to ``GET /engine/report``.
+
+    Attributes:
+        versions: Loaded versions, sorted.
+        running: Number of requests that run in the batch.
+        queued: Number of requests that wait for a slot.
+        slots: Number of requests that can run concurrently.
+        leaving: Whether the engine is draining.
+        checks_fencing: Whether it rejects orders with an old fencing number.
+        fencing: Highest fencing number among the accepted orders.
+    """
 
     versions: tuple[str, ...]
     running: int
@@ -42,18 +55,23 @@
     fencing: int
 
 
-class CancelOrder(msgspec.Struct, frozen=True):
-    """The body of ``POST /engine/cancel``."""
+class CancelRequest(msgspec.Struct, frozen=True):
+    """Body of ``POST /engine/cancel``.
+
+    Attributes:
+        attempt: Attempt id whose runs are to be cancelled.
+    """
 
     attempt: str
 
 
-class LeaveOrder(msgspec.Struct, frozen=True):
-    """The body of ``POST /admin/leave``.
+class LeaveRequest(msgspec.Struct, frozen=True):
+    """Body of ``POST /admin/leave``.
 
     Attributes:
-        leaving: Whether it leaves.
-        reports: In how many reports it says so; None for all.
+        leaving: Whether the engine is to be draining.
+        reports: Number of subsequent reports that show the draining state; None
+            for all.
     """
 
     leaving: bool = True
@@ -61,15 +79,18 @@
 
 
 class EngineControl:
-    """What others can ask of an engine, and tell it.
+    """HTTP handlers of the engine's control calls.
 
     Args:
-        settings: What the engine is like.
-        batch: What runs.
-        cache: Prefixes that were read.
-        runs: What was run.
-        faults: What goes wrong.
-        clock: Time.
+        settings: Settings of the engine.
+        batch: Requests that run or wait.
+        cache: Cache of prompt prefixes.
+        runs: Completions that the engine has started.
+        faults: Active faults.
+        clock: Source of times.
+
+    Attributes:
+        loader: Loads and unloads versions.
     """
 
     def __init__(
@@ -81,7 +102,9 @@
         faults: Faults,
         clock: Clock,
     ) -> None:
-        self.shelf = VersionShelf(settings.shelf, clock, self._change)
+        self.loader = VersionLoader(
+            settings.versions, clock, self._handle_version_change
+        )
         self._settings = settings
         self._batch = batch
         self._cache = cache
@@ -89,88 +112,90 @@
         self._faults = faults
         self._clock = clock
         self._orders: list[OrderRecord] = []
-        self._leave = LeaveOrder(leaving=False)
+        self._leave_request = LeaveRequest(leaving=False)
         self._fencing = 0
-        self._reports = Lagged(self._report(), settings.report_lag, clock)
+        self._reports = DelayedValue(
+            self._current_report(), settings.report_lag, clock
+        )
 
     async def cancel(self, request: web.Request) -> web.Response:
-        """Stop all that runs under an attempt's name."""
-        if self._faults.hit(FaultKind.DOWN, CONTROL):
+        """Cancel all runs of an attempt."""
+        if self._faults.hit(FaultKind.DOWN, CONTROL_TARGET):
             return drop_connection(request)
-        order = msgspec.json.decode(await request.read(), type=CancelOrder)
-        for run in self._runs.running(order.attempt):
+        body = msgspec.json.decode(await request.read(), type=CancelRequest)
+        for run in self._runs.running(body.attempt):
             self._batch.cancel(run)
         return web.Response(status=HTTPStatus.NO_CONTENT)
 
-    async def show_report(self, request: web.Request) -> web.Response:
-        """Say how things were a while ago."""
-        if self._faults.hit(FaultKind.DOWN, CONTROL):
+    async def serve_report(self, request: web.Request) -> web.Response:
+        """Return the engine's state as it was before the report lag."""
+        if self._faults.hit(FaultKind.DOWN, CONTROL_TARGET):
             return drop_connection(request)
         report = self._reports.read()
-        # That it leaves, an engine says at once.
-        return json_reply(replace(report, leaving=self._says_leaving()))
+        # Only the draining state is reported without a lag.
+        return json_reply(replace(report, leaving=self._next_leaving()))
 
-    async def show_cache(self, request: web.Request) -> web.Response:
-        """Show changes of the prefix cache."""
-        if self._faults.hit(FaultKind.DOWN, CONTROL):
+    async def serve_cache_events(self, request: web.Request) -> web.Response:
+        """Return the prefix cache events after a position."""
+        if self._faults.hit(FaultKind.DOWN, CONTROL_TARGET):
             return drop_connection(request)
         after = int(request.query.get('after', '0'))
         return json_reply({'events': self._cache.events(after)})
 
-    async def order(self, request: web.Request) -> web.Response:
-        """Take an order to load or unload a version."""
-        if self._faults.hit(FaultKind.DOWN, CONTROL):
+    async def submit_order(self, request: web.Request) -> web.Response:
+        """Accept or reject an order to load or unload a version."""
+        if self._faults.hit(FaultKind.DOWN, CONTROL_TARGET):
             return drop_connection(request)
         order = msgspec.json.decode(await request.read(), type=Order)
-        is_old = order.fencing < self._fencing
-        accepted = not (is_old and self._settings.checks_fencing)
-        accepted = accepted and order.version in self.shelf.loadable
+        is_outdated = order.fencing < self._fencing
+        accepted = not (is_outdated and self._settings.checks_fencing)
+        accepted = accepted and order.version in self.loader.loadable
         self._orders.append(record_order(order, accepted, self._clock.wall()))
-        if is_old and self._settings.checks_fencing:
+        if is_outdated and self._settings.checks_fencing:
             return json_reply({'fencing': self._fencing}, HTTPStatus.CONFLICT)
         if not accepted:
             return error_reply(HTTPStatus.NOT_FOUND, 'version_unknown')
         self._fencing = max(self._fencing, order.fencing)
-        self.shelf.obey(order.action, order.version)
-        self.note()
+        self.loader.apply(order.action, order.version)
+        self.update_report()
         return web.Response(status=HTTPStatus.ACCEPTED)
 
     async def leave(self, request: web.Request) -> web.Response:
-        """Begin to leave, or stay after all."""
+        """Start or stop draining."""
         content = await request.read()
-        self._leave = msgspec.json.decode(content, type=LeaveOrder)
+        self._leave_request = msgspec.json.decode(content, type=LeaveRequest)
         return web.Response(status=HTTPStatus.NO_CONTENT)
 
-    async def show_runs(self, request: web.Request) -> web.Response:
-        """Show what was run and what was ordered."""
+    async def serve_runs(self, request: web.Request) -> web.Response:
+        """Return the records of all completions and orders."""
         return json_reply({'runs': self._runs.records, 'orders': self._orders})
 
-    def note(self) -> None:
-        """Note how things are, for later reports."""
-        self._reports.note(self._report())
+    def update_report(self) -> None:
+        """Record the current state for later reports."""
+        self._reports.update(self._current_report())
 
-    def _says_leaving(self) -> bool:
-        """Tell what the next report says, and count it."""
-        left = self._leave.reports
-        if left is None or not self._leave.leaving:
-            return self._leave.leaving
-        self._leave = LeaveOrder(reports=max(0, left - 1))
-        return left > 0
+    def _next_leaving(self) -> bool:
+        """Return the draining state for one report, and count the report."""
+        remaining = self._leave_request.reports
+        if remaining is None or not self._leave_request.leaving:
+            return self._leave_request.leaving
+        self._leave_request = LeaveRequest(reports=max(0, remaining - 1))
+        return remaining > 0
 
-    def _report(self) -> EngineReply:
-        """Return how things are now."""
+    def _current_report(self) -> EngineReply:
+        """Return the current state, with no lag."""
         return EngineReply(
-            versions=tuple(sorted(self.shelf.loaded)),
+            versions=tuple(sorted(self.loader.loaded)),
             running=len(self._batch.running),
             queued=self._batch.queued,
             slots=self._settings.speed.slots,
-            leaving=self._leave.leaving,
+            leaving=self._leave_request.leaving,
             checks_fencing=self._settings.checks_fencing,
             fencing=self._fencing,
         )
 
-    def _change(self, version: str) -> None:
-        """Note that a version came or went."""
-        if version not in self.shelf.loaded:
+    def _handle_version_change(self, version: str) -> None:
+        """Update the cache and the report after a version change."""
+        if version not in self.loader.loaded:
             self._cache.drop(version)
-        self.note()
+        self.update_report()
--- a/fakes/engine_settings.py
+++ b/fakes/engine_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the engine stand-in, and the flags that state them."""
+"""Settings of the engine stand-in and its command line."""
 
 from argparse import ArgumentParser, Namespace
 from dataclasses import dataclass, field
@@ -8,19 +8,19 @@
 from fakes.batching import BatchSpeed
 from fakes.serving import port_parser
 
-#: Prefixes that a cache holds where nothing else is said.
-CACHE_ENTRIES: Final = 64
+#: Default capacity of the prefix cache, in prefixes.
+DEFAULT_CACHE_ENTRIES: Final = 64
 
 
 @dataclass(frozen=True, slots=True)
-class ShelfSettings:
-    """Versions of an engine.
+class VersionSettings:
+    """Versions of an engine, and how it loads them.
 
     Attributes:
-        loaded: Versions at the start.
-        loadable: Versions that it may load besides.
-        weights: Address of the weight store; empty for none.
-        load_seconds: Seconds that a load takes beside the fetch.
+        loaded: Versions that are loaded at the start.
+        loadable: Further versions that can be loaded.
+        weights: Address of the weight store; if empty, none is used.
+        load_seconds: Seconds that a load takes after the weights are fetched.
     """
 
     loaded: tuple[str, ...] = ()
@@ -31,23 +31,24 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSettings:
-    """What an engine is like.
+    """Settings of an engine.
 
     Attributes:
-        engine: Its id.
-        shelf: Its versions.
-        speed: Its batch.
-        cache_entries: Prefixes that its cache holds.
-        report_lag: Seconds by which reports and cache events are late.
-        seed: Fixes answers and draws; engines with one seed write alike.
-        checks_fencing: It refuses orders with an old fencing number.
-        quality: Quality of its versions.
+        engine: Id of the engine.
+        versions: Versions that it has loaded or can load.
+        speed: Speed and capacity of its batch.
+        cache_entries: Capacity of its cache, in prefixes.
+        report_lag: Delay of reports and cache events, in seconds.
+        seed: Seed of all random choices; engines with the same seed generate
+            the same answers.
+        checks_fencing: Whether it rejects orders with an old fencing number.
+        quality: Mean answer quality of its versions.
     """
 
     engine: str = 'engine'
-    shelf: ShelfSettings = field(default_factory=ShelfSettings)
+    versions: VersionSettings = field(default_factory=VersionSettings)
     speed: BatchSpeed = field(default_factory=BatchSpeed)
-    cache_entries: int = CACHE_ENTRIES
+    cache_entries: int = DEFAULT_CACHE_ENTRIES
     report_lag: float = 0.5
     seed: int = 0
     checks_fencing: bool = True
@@ -55,59 +56,61 @@
 
 
 def engine_parser() -> ArgumentParser:
-    """Return the parser of the engine's command line."""
-    parser = port_parser('A stand-in for a model engine.')
-    _add_identity(parser)
-    _add_speed(parser)
-    parser.add_argument('--cache-entries', type=int, default=CACHE_ENTRIES)
+    """Return the engine's command line parser."""
+    parser = port_parser('Stand-in for a model engine.')
+    _add_version_arguments(parser)
+    _add_speed_arguments(parser)
+    parser.add_argument(
+        '--cache-entries', type=int, default=DEFAULT_CACHE_ENTRIES
+    )
     parser.add_argument('--report-lag', type=float, default=0.5)
     parser.add_argument('--seed', type=int, default=0)
     parser.add_argument(
         '--checks-fencing',
         choices=('yes', 'no'),
         default='yes',
-        help='whether orders with an old fencing number are refused',
+        help='whether orders with an old fencing number are rejected',
     )
     parser.add_argument(
         '--quality',
         action='append',
         default=[],
-        help='VERSION:TASK=MEAN or VERSION=MEAN; may be given again',
+        help='VERSION:TASK=MEAN or VERSION=MEAN; can be repeated',
     )
     return parser
 
 
-def read_settings(flags: Namespace) -> EngineSettings:
-    """Turn parsed flags into settings.
+def read_settings(arguments: Namespace) -> EngineSettings:
+    """Return the settings for parsed command line arguments.
 
     Raises:
-        ValueError: If a quality is no number.
+        ValueError: If a quality is not a number.
     """
     return EngineSettings(
-        engine=flags.id,
-        shelf=ShelfSettings(
-            loaded=tuple(flags.versions),
-            loadable=tuple(flags.loadable),
-            weights=flags.weights,
-            load_seconds=flags.load_seconds,
+        engine=arguments.id,
+        versions=VersionSettings(
+            loaded=tuple(arguments.versions),
+            loadable=tuple(arguments.loadable),
+            weights=arguments.weights,
+            load_seconds=arguments.load_seconds,
         ),
         speed=BatchSpeed(
-            slots=flags.slots,
-            queue_limit=flags.queue_limit,
-            prefill_rate=flags.prefill_rate,
-            step_base=flags.step_base,
-            step_per_request=flags.step_per_request,
+            slots=arguments.slots,
+            queue_limit=arguments.queue_limit,
+            prefill_rate=arguments.prefill_rate,
+            step_base=arguments.step_base,
+            step_per_request=arguments.step_per_request,
         ),
-        cache_entries=flags.cache_entries,
-        report_lag=flags.report_lag,
-        seed=flags.seed,
-        checks_fencing=flags.checks_fencing == 'yes',
-        quality=parse_qualities(flags.quality),
+        cache_entries=arguments.cache_entries,
+        report_lag=arguments.report_lag,
+        seed=arguments.seed,
+        checks_fencing=arguments.checks_fencing == 'yes',
+        quality=parse_qualities(arguments.quality),
     )
 
 
-def _add_identity(parser: ArgumentParser) -> None:
-    """Add who it is and what it has."""
+def _add_version_arguments(parser: ArgumentParser) -> None:
+    """Add the arguments for the engine's id and versions."""
     parser.add_argument('--id', default='engine')
     parser.add_argument('--versions', nargs='*', default=[])
     parser.add_argument('--loadable', nargs='*', default=[])
@@ -115,19 +118,19 @@
     parser.add_argument('--load-seconds', type=float, default=0.5)
 
 
-def _add_speed(parser: ArgumentParser) -> None:
-    """Add the numbers of the batch."""
-    usual = BatchSpeed()
-    parser.add_argument('--slots', type=int, default=usual.slots)
-    parser.add_argument('--queue-limit', type=int, default=usual.queue_limit)
+def _add_speed_arguments(parser: ArgumentParser) -> None:
+    """Add the arguments for the batch."""
+    defaults = BatchSpeed()
+    parser.add_argument('--slots', type=int, default=defaults.slots)
+    parser.add_argument('--queue-limit', type=int, default=defaults.queue_limit)
     parser.add_argument(
         '--prefill-rate',
         type=float,
-        default=usual.prefill_rate,
+        default=defaults.prefill_rate,
     )
-    parser.add_argument('--step-base', type=float, default=usual.step_base)
+    parser.add_argument('--step-base', type=float, default=defaults.step_base)
     parser.add_argument(
         '--step-per-request',
         type=float,
-        default=usual.step_per_request,
+        default=defaults.step_per_request,
     )
--- a/fakes/faults.py
+++ b/fakes/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a test or a demo switches on inside a stand-in."""
+"""Fault injection for the stand-ins, over HTTP or from within a test."""
 
 import random
 from dataclasses import dataclass
@@ -12,14 +12,18 @@
 
 from nutmegroad.foundations.clocks import Clock
 
-#: The scope that every call falls under.
+#: Scope that includes all calls of a stand-in.
 ALL_SCOPES: Final = 'all'
+#: Path of the calls that add and clear faults.
 FAULTS_PATH: Final = '/admin/faults'
 
 
 @unique
 class FaultKind(Enum):
-    """What goes wrong; each stand-in honours the kinds on its own page."""
+    """Kinds of faults.
+
+    Each stand-in supports a subset, listed in ``docs/design/stand-ins.md``.
+    """
 
     DOWN = 'down'
     SLOW = 'slow'
@@ -36,20 +40,21 @@
 
 
 class FaultOrder(Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of ``POST /admin/faults``.
+    """Body of ``POST /admin/faults``.
 
     Attributes:
-        kind: What goes wrong.
-        scope: The part of the stand-in that it strikes.
-        share: Share of the calls that it hits, from 0 to 1.
-        seconds: How long it lasts; for ``bad``, how long the fall takes.
-            None is for ever, and at once for ``bad``.
-        delay: Seconds that it adds, or the factor of an engine's ``slow``.
-        count: How many calls it hits before it is over; None is no bound.
-        version: The only version that it strikes; empty for all.
-        task: The only task class that it strikes; empty for all. Where replies
-            to written rows are lost: the first word of their keys.
-        quality: What the quality falls to, for ``bad``.
+        kind: Kind of the fault.
+        scope: Part of the stand-in that is affected.
+        share: Fraction of the calls that are affected, from 0 to 1.
+        seconds: Duration of the fault, None for no end; for ``bad``, the time
+            in which the quality falls, None for immediately.
+        delay: Added delay in seconds; for an engine's ``slow``, the factor by
+            which it is slowed down.
+        count: Maximum number of affected calls; None for no limit.
+        version: Only this version is affected; empty for all.
+        task: Only this task class is affected; empty for all. For lost replies
+            to row writes, the part of the rows' keys before the first slash.
+        quality: Quality that a ``bad`` version falls to.
     """
 
     kind: FaultKind
@@ -65,12 +70,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTarget:
-    """What a call touches, to find the faults that strike it.
+    """Properties of a call that decide which faults affect it.
 
     Attributes:
-        scope: The part of the stand-in that is called.
-        version: The version that is called; empty if none is.
-        task: The task class of the call; empty if it has none.
+        scope: Part of the stand-in that is called.
+        version: Requested version; empty if none.
+        task: Task class of the call; empty if it has none.
     """
 
     scope: str = ALL_SCOPES
@@ -78,50 +83,51 @@
     task: str = ''
 
 
+#: Target of calls that have no scope, version or task.
 ANY_TARGET: Final = FaultTarget()
 
 
 @dataclass(slots=True)
 class ActiveFault:
-    """A fault that is switched on.
+    """A fault that is in effect.
 
     Attributes:
-        order: What was asked for.
-        since: When it was switched on, in seconds of the clock.
-        hits: How many calls it has hit.
+        spec: Description of the fault.
+        since: Clock time in seconds at which it was added.
+        hits: Number of calls that it has affected.
     """
 
-    order: FaultOrder
+    spec: FaultOrder
     since: float
     hits: int = 0
 
-    def is_over(self, now: float) -> bool:
-        """Tell whether its time or its count is used up."""
-        order = self.order
-        if order.count is not None and self.hits >= order.count:
+    def has_expired(self, now: float) -> bool:
+        """Return whether its duration or its number of calls is exhausted."""
+        spec = self.spec
+        if spec.count is not None and self.hits >= spec.count:
             return True
-        # A version that has turned bad stays bad once it has fallen.
-        if order.seconds is None or order.kind is FaultKind.BAD:
+        # A version stays bad after its quality has fallen.
+        if spec.seconds is None or spec.kind is FaultKind.BAD:
             return False
-        return now >= self.since + order.seconds
+        return now >= self.since + spec.seconds
 
-    def strikes(self, kind: FaultKind, target: FaultTarget) -> bool:
-        """Tell whether it concerns such a call."""
-        order = self.order
+    def matches(self, kind: FaultKind, target: FaultTarget) -> bool:
+        """Return whether it affects calls with such a target."""
+        spec = self.spec
         return (
-            order.kind is kind
-            and order.scope in {ALL_SCOPES, target.scope}
-            and order.version in {'', target.version}
-            and order.task in {'', target.task}
+            spec.kind is kind
+            and spec.scope in {ALL_SCOPES, target.scope}
+            and spec.version in {'', target.version}
+            and spec.task in {'', target.task}
         )
 
 
 class Faults:
-    """The faults that are on in one stand-in.
+    """Active faults of one stand-in.
 
     Args:
-        clock: Tells when a fault is over.
-        randomness: Draws which calls are hit.
+        clock: Source of times, for the expiry of faults.
+        randomness: Selects the calls that are affected.
     """
 
     def __init__(self, clock: Clock, randomness: random.Random) -> None:
@@ -129,12 +135,12 @@
         self._randomness = randomness
         self._active: list[ActiveFault] = []
 
-    def add(self, order: FaultOrder) -> None:
-        """Switch a fault on."""
-        self._active.append(ActiveFault(order, self._clock.now()))
+    def add(self, spec: FaultOrder) -> None:
+        """Activate a fault."""
+        self._active.append(ActiveFault(spec, self._clock.now()))
 
     def clear(self) -> None:
-        """Switch all faults off."""
+        """Deactivate all faults."""
         self._active.clear()
 
     def find(
@@ -142,13 +148,13 @@
         kind: FaultKind,
         target: FaultTarget = ANY_TARGET,
     ) -> ActiveFault | None:
-        """Return the newest such fault, without drawing or counting a hit."""
+        """Return the newest matching fault; neither draws nor counts a hit."""
         now = self._clock.now()
         self._active = [
-            fault for fault in self._active if not fault.is_over(now)
+            fault for fault in self._active if not fault.has_expired(now)
         ]
         for fault in reversed(self._active):
-            if fault.strikes(kind, target):
+            if fault.matches(kind, target):
                 return fault
         return None
 
@@ -157,42 +163,41 @@
         kind: FaultKind,
         target: FaultTarget = ANY_TARGET,
     ) -> FaultOrder | None:
-        """Return the fault that hits this call, and count the hit."""
+        """Return the fault that affects a call, if any, and count the hit."""
         fault = self.find(kind, target)
-        if fault is None or self._randomness.random() >= fault.order.share:
+        if fault is None or self._randomness.random() >= fault.spec.share:
             return None
         fault.hits += 1
-        return fault.order
+        return fault.spec
 
 
+#: Application key of the faults.
 FAULTS: Final = web.AppKey('faults', Faults)
 
 
 def add_fault_routes(app: web.Application, faults: Faults) -> None:
-    """Let callers switch an application's faults."""
+    """Add routes that activate and deactivate faults."""
     app[FAULTS] = faults
-    app.router.add_post(FAULTS_PATH, _switch_on)
-    app.router.add_delete(FAULTS_PATH, _switch_off)
+    app.router.add_post(FAULTS_PATH, _add_fault)
+    app.router.add_delete(FAULTS_PATH, _clear_faults)
 
 
 def drop_connection(request: web.Request) -> web.Response:
-    """Close a caller's connection at once; the response is never sent."""
+    """Abort the caller's connection; the returned response is never sent."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
 
 
-async def _switch_on(request: web.Request) -> web.Response:
+async def _add_fault(request: web.Request) -> web.Response:
     try:
-        order = decode(await request.read(), type=FaultOrder)
+        spec = decode(await request.read(), type=FaultOrder)
     except DecodeError as error:
-        raise web.HTTPBadRequest(
-            text=f'The fault is wrong: {error}.'
-        ) from error
-    request.app[FAULTS].add(order)
+        raise web.HTTPBadRequest(text=f'invalid fault: {error}') from error
+    request.app[FAULTS].add(spec)
     return web.Response(status=HTTPStatus.NO_CONTENT)
 
 
-async def _switch_off(request: web.Request) -> web.Response:
+async def _clear_faults(request: web.Request) -> web.Response:
     request.app[FAULTS].clear()
     return web.Response(status=HTTPStatus.NO_CONTENT)
--- a/fakes/run_records.py
+++ b/fakes/run_records.py
@@ -1,4 +1,4 @@
-"""What the engine stand-in notes of each answer that it began."""
+"""Records of the completions that the engine stand-in has started."""
 
 from enum import Enum, unique
 
@@ -11,7 +11,7 @@
 
 @unique
 class End(Enum):
-    """How an answer ended."""
+    """State of a completion, and how it ended."""
 
     RUNNING = 'running'
     WHOLE = 'whole'
@@ -20,14 +20,14 @@
 
 
 class RunRecord(Struct):
-    """One answer that was begun.
+    """Record of one completion.
 
     Attributes:
-        attempt: The caller's name for it.
-        version: Which version wrote it.
-        task: The task class that it stated.
-        ended: How it ended.
-        at: Wall clock seconds at which it was accepted.
+        attempt: Attempt id that the caller has given.
+        version: Version that generates the answer.
+        task: Task class of the request; empty if it states none.
+        ended: Current state.
+        at: Wall clock time of the start, in seconds.
     """
 
     attempt: str
@@ -38,19 +38,22 @@
 
 
 class RunList:
-    """All answers that an engine began, and those that run.
+    """Tracks all completions of an engine and those that are running.
 
     Args:
-        clock: Time.
+        clock: Source of times.
+
+    Attributes:
+        records: All completions, in the order of their start.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.records: list[RunRecord] = []
         self._clock = clock
-        self._open: dict[str, list[Run]] = {}
+        self._running: dict[str, list[Run]] = {}
 
     def start(self, attempt: str, prompt: Prompt, run: Run) -> RunRecord:
-        """Note that an answer begins."""
+        """Record the start of a completion."""
         record = RunRecord(
             attempt,
             prompt.version,
@@ -59,22 +62,22 @@
             self._clock.wall(),
         )
         self.records.append(record)
-        self._open.setdefault(attempt, []).append(run)
+        self._running.setdefault(attempt, []).append(run)
         return record
 
     def end(self, record: RunRecord, run: Run, ended: End) -> None:
-        """Note how an answer ended."""
+        """Record the end of a completion."""
         record.ended = ended
-        runs = self._open.get(record.attempt, [])
+        runs = self._running.get(record.attempt, [])
         runs.remove(run)
         if not runs:
-            self._open.pop(record.attempt)
+            self._running.pop(record.attempt)
 
     def running(self, attempt: str) -> tuple[Run, ...]:
-        """Return what runs under an attempt's name."""
-        return tuple(self._open.get(attempt, ()))
+        """Return the running completions of an attempt."""
+        return tuple(self._running.get(attempt, ()))
 
-    def another(self, attempt: str) -> str:
-        """Return the name of another attempt, one that runs if there is."""
-        others = (name for name in self._open if name != attempt)
+    def other_attempt(self, attempt: str) -> str:
+        """Return another attempt's id, that of a running one if possible."""
+        others = (name for name in self._running if name != attempt)
         return next(others, f'{attempt}-other')
--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -1,4 +1,4 @@
-"""A whole host in this process, on stand-ins that tests switch faults of."""
+"""A complete host in the test process, with stand-ins around it."""
 
 import random
 from contextlib import AsyncExitStack
@@ -8,7 +8,7 @@
 from aiohttp import ClientSession
 from experiments.deployment import operate, read_example, workspace_key
 from fakes.engine import FakeEngine
-from fakes.engine_settings import EngineSettings, ShelfSettings
+from fakes.engine_settings import EngineSettings, VersionSettings
 from fakes.faults import FaultKind, FaultOrder
 from fakes.platform import FakePlatform, PlatformOptions
 
@@ -23,24 +23,25 @@
 VERSIONS: Final = ('brief-small@2', 'brief-medium@4')
 TOKEN: Final = 'a-bootstrap-token-for-tests'
 KEY: Final = workspace_key('head-office')
-NOWHERE: Final = Address('127.0.0.1', 0)
+#: Loopback address with any free port.
+ANY_PORT: Final = Address('127.0.0.1', 0)
 
 
 def fast_engine(**changes: Any) -> EngineSettings:
-    """Return the settings of an engine that has two versions loaded."""
-    shelf = ShelfSettings(loaded=VERSIONS, loadable=(), load_seconds=0)
-    usual = {'shelf': shelf, 'speed': QUICK_SPEED}
-    return quick_settings(**{**usual, **changes})
+    """Return the settings of a fast engine with two versions loaded."""
+    versions = VersionSettings(loaded=VERSIONS, loadable=(), load_seconds=0)
+    defaults = {'versions': versions, 'speed': QUICK_SPEED}
+    return quick_settings(**{**defaults, **changes})
 
 
 class WholeHost:
     """A platform, two engines and one host, opened together.
 
     Attributes:
-        platform: The platform.
-        engines: Both engines.
-        kernel: The host.
-        session: Calls it as a caller would.
+        platform: Stand-in for the platform.
+        engines: Stand-ins for both engines.
+        kernel: Kernel of the host.
+        session: HTTP client, for calls to the host.
     """
 
     def __init__(self, engine_settings: EngineSettings) -> None:
@@ -51,13 +52,15 @@
         self.session: ClientSession
 
     async def open(self, stack: AsyncExitStack, **changes: Any) -> None:
-        """Open everything and put the configuration into force."""
+        """Start everything and submit the configuration."""
         load_plugins()
         await stack.enter_async_context(self.platform)
         for engine in self.engines:
             await stack.enter_async_context(engine)
         self.platform.hosts.tell(
-            msgspec.convert({'upstreams': self._listed()}, ListingBody),
+            msgspec.convert(
+                {'upstreams': self._upstream_entries()}, ListingBody
+            ),
         )
         self.kernel = Kernel(
             self._settings(changes),
@@ -72,31 +75,31 @@
         self.session = await stack.enter_async_context(ClientSession())
 
     def fault(self, kind: FaultKind, **changes: Any) -> None:
-        """Switch a fault of both engines on."""
+        """Activate a fault of both engines."""
         for engine in self.engines:
             engine.faults.add(FaultOrder(kind, scope='answers', **changes))
 
     def body(self, tokens: int = 8, **changes: Any) -> dict[str, Any]:
         """Return the body of a model request."""
-        usual = {
+        defaults = {
             'model': 'checklist-tag',
             'messages': [{'role': 'user', 'content': 'a form'}],
             'nutmegroad_tokens': tokens,
         }
-        return {**usual, **changes}
+        return {**defaults, **changes}
 
     def url(self, path: str = 'chat/completions') -> str:
-        """Return the address of a caller's call."""
+        """Return the URL of a path of the callers' API."""
         return f'http://{self.kernel.listening["callers"]}/v1/{path}'
 
     def headers(self, session: str = '') -> dict[str, str]:
-        """Return the headers of a workspace, in a session or in none."""
+        """Return the headers of a request, optionally in a session."""
         headers = {'Authorization': f'Bearer {KEY}'}
         if session:
             headers['Nutmegroad-Session'] = session
         return headers
 
-    def _listed(self) -> list[dict[str, Any]]:
+    def _upstream_entries(self) -> list[dict[str, Any]]:
         return [
             {
                 'upstream': f'engine-{number}',
@@ -111,16 +114,16 @@
         ]
 
     def _settings(self, changes: dict[str, Any]) -> Settings:
-        usual: dict[str, Any] = {
+        defaults: dict[str, Any] = {
             'host': HostId('h1'),
             'domain': DomainId('shah-alam'),
-            'callers': NOWHERE,
-            'operators': NOWHERE,
-            'peers': NOWHERE,
+            'callers': ANY_PORT,
+            'operators': ANY_PORT,
+            'peers': ANY_PORT,
             'platform': self.platform.address,
             'cluster_key': 'a-cluster-key-for-tests',
             'bootstrap_token': TOKEN,
             'lame_duck': 0.05,
             'drain': 5,
         }
-        return Settings(**{**usual, **changes})
+        return Settings(**{**defaults, **changes})
--- a/tests/quick.py
+++ b/tests/quick.py
@@ -1,4 +1,4 @@
-"""What tests of the stand-ins and of their clients share."""
+"""Fast engine settings and a manual clock for tests of the stand-ins."""
 
 import asyncio
 from dataclasses import replace
@@ -6,7 +6,7 @@
 
 from fakes.answers import QualityTable
 from fakes.batching import BatchSpeed
-from fakes.engine_settings import EngineSettings, ShelfSettings
+from fakes.engine_settings import EngineSettings, VersionSettings
 
 QUICK_SPEED: Final = BatchSpeed(
     slots=4,
@@ -15,34 +15,34 @@
     step_base=1e-4,
     step_per_request=0,
 )
-#: An answer takes minutes, so that a test can look at it while it runs.
+#: Answers take minutes, so that tests can observe them while they run.
 ENDLESS: Final = replace(QUICK_SPEED, step_base=10)
 
 
 class ManualClock:
-    """A clock that moves only when somebody sleeps."""
+    """A clock that advances only by sleeping."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
 
     def now(self) -> float:
-        """Return the seconds that were slept."""
+        """Return the total of the seconds slept."""
         return self.seconds
 
     def wall(self) -> float:
-        """Return the same."""
+        """Return the same time as ``now``."""
         return self.seconds
 
     async def sleep(self, seconds: float) -> None:
-        """Move on, and let others run once."""
+        """Advance the clock and let other tasks run once."""
         self.seconds += seconds
         await asyncio.sleep(0)
 
 
 def quick_settings(**changes: Any) -> EngineSettings:
-    """Return the settings of an engine that is quick."""
-    usual = EngineSettings(
-        shelf=ShelfSettings(
+    """Return the settings of a fast engine, with some of them changed."""
+    defaults = EngineSettings(
+        versions=VersionSettings(
             loaded=('a@1',),
             loadable=('a@2',),
             load_seconds=0,
@@ -51,4 +51,4 @@
         report_lag=0,
         quality=QualityTable({'a@1': 0.5, 'a@1:tag': 0.9}),
     )
-    return replace(usual, **changes)
+    return replace(defaults, **changes)
