--- a/fakes/bodies.py
+++ b/fakes/bodies.py
@@ -1,4 +1,4 @@
-"""JSON bodies in and out of the stand-ins' handlers."""
+"""Helpers for JSON bodies and queries in the stand-ins' handlers."""
 
 from http import HTTPStatus
 from typing import Any, TypeVar
@@ -10,23 +10,23 @@
 _Body = TypeVar('_Body')
 
 
-async def read_body(request: web.Request, kind: type[_Body]) -> _Body:
-    """Return a request's body.
+async def read_body(request: web.Request, body_type: type[_Body]) -> _Body:
+    """Return a request's JSON body as an instance of a type.
 
     Raises:
-        HTTPBadRequest: If it is not of that kind.
+        HTTPBadRequest: If the body can't be decoded as that type.
     """
     try:
-        return decode(await request.read(), type=kind)
+        return decode(await request.read(), type=body_type)
     except (DecodeError, UnicodeDecodeError) as error:
-        raise web.HTTPBadRequest(text=f'The body is wrong: {error}.') from error
+        raise web.HTTPBadRequest(text=f'invalid body: {error}') from error
 
 
 def json_reply(
     body: Any,
     status: HTTPStatus = HTTPStatus.OK,
 ) -> web.Response:
-    """Return a reply whose body is JSON."""
+    """Return a response with a JSON body."""
     return web.Response(
         body=encode(body),
         status=status,
@@ -35,16 +35,16 @@
 
 
 def no_content() -> web.Response:
-    """Return the reply of a call that has nothing to say."""
+    """Return an empty response with status 204."""
     return web.Response(status=HTTPStatus.NO_CONTENT)
 
 
 def query_text(request: web.Request, name: str) -> str:
-    """Return a parameter of the query.
+    """Return a query parameter.
 
     Raises:
-        HTTPBadRequest: If it is missing.
+        HTTPBadRequest: If the parameter is missing.
     """
     if name not in request.query:
-        raise web.HTTPBadRequest(text=f'The parameter {name!r} is missing.')
+        raise web.HTTPBadRequest(text=f'query parameter {name!r} is missing')
     return request.query[name]
--- a/fakes/hosts.py
+++ b/fakes/hosts.py
@@ -1,4 +1,4 @@
-"""The host list's stand-in: it shows the truth late."""
+"""Stand-in for the host list, which shows changes after a delay."""
 
 from dataclasses import dataclass
 
@@ -10,47 +10,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Coming:
-    """A list and the clock's second from which it is shown."""
+class _PendingListing:
+    """A list and the clock time in seconds from which it is visible."""
 
-    due: float
+    visible_at: float
     listing: ListingBody
 
 
 class FakeHostList:
-    """A list that lags behind what it was told.
+    """A list of hosts and upstreams that shows updates after a delay.
 
     Args:
-        lag: Seconds until the list shows what it was told.
-        clock: Tells when that is.
+        lag: Seconds until an update is visible.
+        clock: Source of times.
     """
 
     def __init__(self, lag: float, clock: Clock) -> None:
         self._lag = lag
         self._clock = clock
-        self._shown = ListingBody()
-        self._coming: list[_Coming] = []
+        self._visible = ListingBody()
+        self._pending: list[_PendingListing] = []
 
     def add_routes(self, app: web.Application) -> None:
-        """Answer the host list's calls in an application."""
-        app.router.add_get('/hosts', self._answer_get)
-        app.router.add_post('/hosts', self._answer_post)
+        """Add the routes of the host list to an application."""
+        app.router.add_get('/hosts', self._handle_get)
+        app.router.add_post('/hosts', self._handle_post)
 
-    def tell(self, truth: ListingBody) -> None:
-        """Set the truth, which the list shows after its lag."""
-        due = self._clock.now() + self._lag
-        self._coming.append(_Coming(due, truth))
+    def tell(self, listing: ListingBody) -> None:
+        """Set the list, which becomes visible after the lag."""
+        visible_at = self._clock.now() + self._lag
+        self._pending.append(_PendingListing(visible_at, listing))
 
-    def shown(self) -> ListingBody:
-        """Return what the list says now."""
+    def visible(self) -> ListingBody:
+        """Return the list that is visible now."""
         now = self._clock.now()
-        while self._coming and self._coming[0].due <= now:
-            self._shown = self._coming.pop(0).listing
-        return self._shown
+        while self._pending and self._pending[0].visible_at <= now:
+            self._visible = self._pending.pop(0).listing
+        return self._visible
 
-    async def _answer_get(self, _request: web.Request) -> web.Response:
-        return json_reply(self.shown())
+    async def _handle_get(self, _request: web.Request) -> web.Response:
+        return json_reply(self.visible())
 
-    async def _answer_post(self, request: web.Request) -> web.Response:
+    async def _handle_post(self, request: web.Request) -> web.Response:
         self.tell(await read_body(request, ListingBody))
         return no_content()
--- a/fakes/platform.py
+++ b/fakes/platform.py
@@ -1,7 +1,7 @@
-"""The platform's stand-in: table, objects, host list, ratings, weights.
+"""Stand-in for the platform: table, objects, host list, ratings, weights.
 
 Run it as ``python -m fakes.platform``, or open ``FakePlatform`` in a test.
-For its bounds, a commit is one write however many rows it changes.
+Its rate limits count a commit as one write, regardless of the number of rows.
 """
 
 import random
@@ -13,8 +13,8 @@
 from aiohttp import web
 
 from fakes.faults import Faults, add_fault_routes
-from fakes.gates import CallBound, CallGate
 from fakes.hosts import FakeHostList
+from fakes.middleware import CallMiddleware, RateLimit
 from fakes.objects import FakeObjects
 from fakes.ratings import FakeRatings
 from fakes.serving import Served, port_parser, run
@@ -23,22 +23,24 @@
 from nutmegroad.foundations.clocks import Clock, SystemClock
 from nutmegroad.foundations.types import Address
 
-#: Bytes that a body may have: 64 MiB, since objects may be larger than the
-#: 1 MiB that aiohttp allows by itself.
-MAX_BODY: Final = 67108864
+#: Maximum body size in bytes, 64 MiB: objects may be larger than aiohttp's
+#: default limit of 1 MiB.
+MAX_BODY_BYTES: Final = 67108864
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformOptions:
-    """How a stand-in platform behaves.
+    """Behaviour of the platform stand-in.
 
     Attributes:
-        lag: Seconds by which the host list is late.
-        rating_delay: Seconds until an answer is rated.
-        loads_per_minute: Weight loads that the store serves.
-        writes_per_second: Bound on writes to the stores; 0 for none.
-        reads_per_second: Bound on reads from the stores; 0 for none.
-        seed: Of all that is drawn.
+        lag: Seconds until an update of the host list is visible.
+        rating_delay: Seconds until an answer's rating is visible.
+        loads_per_minute: Rate of weight loads.
+        writes_per_second: Limit on writes to the table and the object store;
+            0 for none.
+        reads_per_second: Limit on reads from the table and the object store;
+            0 for none.
+        seed: Seed of all random choices.
     """
 
     lag: float = 2
@@ -50,24 +52,24 @@
 
 
 class FakePlatform:
-    """The whole platform, on loopback while it is open.
+    """All services of the platform, on a loopback port while it is open.
 
     Args:
-        options: How it behaves.
-        clock: Time.
-        port: TCP port; 0 takes a free one.
+        options: Behaviour of the platform.
+        clock: Source of times.
+        port: TCP port; 0 selects a free one.
 
     Attributes:
-        app: The application, to be served otherwise.
-        faults: Its faults, to be switched without a call.
-        table: Its rows, to be looked at without a call.
-        hosts: Its host list, to be told the truth without a call.
+        app: The web application, for callers that serve it themselves.
+        faults: Active faults, which can be changed without an HTTP call.
+        table: The table, which can be read without an HTTP call.
+        hosts: The host list, which can be updated without an HTTP call.
     """
 
     @property
     def address(self) -> Address:
-        """Return where it listens; it must be open."""
-        return self._served.address
+        """Listening address; available only while the platform is open."""
+        return self._server.address
 
     def __init__(
         self,
@@ -79,40 +81,42 @@
         self.faults = Faults(clock, randomness)
         self.table = FakeTable(self.faults)
         self.hosts = FakeHostList(options.lag, clock)
-        gate = CallGate(
+        middleware = CallMiddleware(
             self.faults,
             clock,
-            CallBound(options.reads_per_second, clock),
-            CallBound(options.writes_per_second, clock),
+            RateLimit(options.reads_per_second, clock),
+            RateLimit(options.writes_per_second, clock),
         )
         self.app = web.Application(
-            middlewares=[gate.pass_call],
-            client_max_size=MAX_BODY,
+            middlewares=[middleware.handle_call],
+            client_max_size=MAX_BODY_BYTES,
         )
-        self.app.router.add_get('/admin/counts', gate.answer_counts)
+        self.app.router.add_get('/admin/counts', middleware.serve_counts)
         add_fault_routes(self.app, self.faults)
-        delay = options.rating_delay
-        FakeRatings(delay, self.faults, clock, randomness).add_routes(self.app)
+        rating_delay = options.rating_delay
+        FakeRatings(rating_delay, self.faults, clock, randomness).add_routes(
+            self.app
+        )
         FakeWeights(options.loads_per_minute, clock).add_routes(self.app)
         FakeObjects().add_routes(self.app)
         self.table.add_routes(self.app)
         self.hosts.add_routes(self.app)
-        self._served = Served(self.app, port)
+        self._server = Served(self.app, port)
         self._stack = AsyncExitStack()
 
     async def __aenter__(self) -> Self:
-        """Begin to listen."""
-        await self._stack.enter_async_context(self._served)
+        """Start listening."""
+        await self._stack.enter_async_context(self._server)
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Stop listening; what it held is gone."""
+        """Stop listening."""
         await self._stack.aclose()
 
 
 def main() -> None:
-    """Serve a platform until SIGTERM."""
-    arguments = _parse()
+    """Run a platform until SIGTERM or SIGINT."""
+    arguments = _parse_arguments()
     options = PlatformOptions(
         lag=arguments.lag,
         rating_delay=arguments.rating_delay,
@@ -124,19 +128,19 @@
     run(FakePlatform(options, SystemClock()).app, arguments.port)
 
 
-def _parse() -> Namespace:
-    parser = port_parser('A stand-in for the platform.')
-    usual = PlatformOptions()
-    parser.add_argument('--lag', type=float, default=usual.lag)
+def _parse_arguments() -> Namespace:
+    parser = port_parser('Stand-in for the platform.')
+    defaults = PlatformOptions()
+    parser.add_argument('--lag', type=float, default=defaults.lag)
     parser.add_argument(
-        '--rating-delay', type=float, default=usual.rating_delay
+        '--rating-delay', type=float, default=defaults.rating_delay
     )
     parser.add_argument(
-        '--loads-per-minute', type=float, default=usual.loads_per_minute
+        '--loads-per-minute', type=float, default=defaults.loads_per_minute
     )
     parser.add_argument('--writes-per-second', type=int, default=0)
     parser.add_argument('--reads-per-second', type=int, default=0)
-    parser.add_argument('--seed', type=int, default=usual.seed)
+    parser.add_argument('--seed', type=int, default=defaults.seed)
     return parser.parse_args()
 
 
