--- a/fakes/opaque_worker.py
+++ b/fakes/opaque_worker.py
@@ -1,6 +1,7 @@
-"""A stand-in for a worker of the platform: opaque requests, plain or streamed.
+"""Stand-in for a worker of the platform, which handles opaque requests.
 
-It answers as it is told to, so that a test can have each way of failing.
+It answers by scripts, plainly or as a stream, so that tests can produce every
+kind of failure.
 """
 
 import asyncio
@@ -11,7 +12,7 @@
 REQUEST_ID = 'Nutmegroad-Request-Id'
 SIGNATURE = 'Nutmegroad-Response-Signature'
 
-#: Events of a stream, as most tests want them.
+#: Default events of a stream.
 EVENTS = tuple(
     f'id: {number}\ndata: piece {number}\n\n'.encode() for number in range(1, 4)
 )
@@ -24,8 +25,8 @@
     Attributes:
         method: HTTP method.
         target: Path and query.
-        headers: All headers, names in lower case.
-        body: The whole body.
+        headers: All headers, by lower-case name.
+        body: The complete body.
     """
 
     method: str
@@ -35,7 +36,7 @@
 
     @property
     def request(self) -> str:
-        """Return its id."""
+        """Id of the request; empty if it has none."""
         return self.headers.get(REQUEST_ID.lower(), '')
 
 
@@ -44,13 +45,14 @@
     """How a worker answers one request.
 
     Attributes:
-        pieces: Bytes that it writes, one after the other.
+        pieces: Byte strings that it writes, one after the other.
         gap: Seconds before each piece.
-        hold: What it waits for before the last; None for nothing.
-        close: Whether it then closes the connection.
-        reset: Whether it then resets the connection.
-        crash: Whether the worker then ends, with all that runs there.
-        again: Starts it once more right after that; None for nobody.
+        hold: Event to wait for before the last piece; None not to wait.
+        close: Whether it closes the connection afterwards.
+        reset: Whether it resets the connection afterwards.
+        crash: Whether the worker crashes afterwards, with all its requests.
+        restart: Restarts the worker immediately after the crash; None for no
+            restart.
     """
 
     pieces: tuple[bytes, ...]
@@ -59,44 +61,44 @@
     close: bool = False
     reset: bool = False
     crash: bool = False
-    again: Callable[[], Awaitable[None]] | None = None
+    restart: Callable[[], Awaitable[None]] | None = None
 
 
-#: Makes the script for a request.
-MakeScript = Callable[[Seen], Script]
+#: Returns the script for a request.
+ScriptFactory = Callable[[Seen], Script]
 
 
-def signed(seen: Seen, **more: str) -> dict[str, str]:
-    """Return the headers of a worker's own answer."""
-    return {REQUEST_ID: seen.request, SIGNATURE: 'signed', **more}
+def signed(request: Seen, **more: str) -> dict[str, str]:
+    """Return headers that mark a response as the worker's own."""
+    return {REQUEST_ID: request.request, SIGNATURE: 'signed', **more}
 
 
 def head(status: str, headers: dict[str, str]) -> bytes:
-    """Return the beginning of an answer."""
+    """Return the status line and the headers of a response."""
     lines = [f'HTTP/1.1 {status}']
     lines.extend(f'{name}: {text}' for name, text in headers.items())
     return ('\r\n'.join(lines) + '\r\n\r\n').encode()
 
 
-def plain(body: bytes = b'fine', status: str = '200 OK') -> MakeScript:
-    """Return scripts that answer whole."""
+def plain(body: bytes = b'fine', status: str = '200 OK') -> ScriptFactory:
+    """Return a factory of scripts with a complete response."""
 
-    def make(seen: Seen) -> Script:
-        """Answer a request."""
+    def make(request: Seen) -> Script:
+        """Return a complete response."""
         length = str(len(body))
-        headers = signed(seen, **{'Content-Length': length})
+        headers = signed(request, **{'Content-Length': length})
         return Script((head(status, headers) + body,))
 
     return make
 
 
-def rejecting(status: str = '503 Service Unavailable') -> MakeScript:
-    """Return scripts that prove that the request did not run."""
+def rejecting(status: str = '503 Service Unavailable') -> ScriptFactory:
+    """Return a factory of scripts that declare the request not executed."""
 
-    def make(seen: Seen) -> Script:
-        """Reject a request."""
+    def make(request: Seen) -> Script:
+        """Return a rejection."""
         headers = {
-            REQUEST_ID: seen.request,
+            REQUEST_ID: request.request,
             'Nutmegroad-Not-Executed': '1',
             'Content-Length': '0',
         }
@@ -106,7 +108,7 @@
 
 
 def chunk(text: bytes) -> bytes:
-    """Return one chunk of a body."""
+    """Encode one chunk of a chunked body."""
     return b'%x\r\n%s\r\n' % (len(text), text)
 
 
@@ -116,13 +118,20 @@
     cut: bool = False,
     gap: float = 0,
     confidence: int | None = None,
-) -> MakeScript:
-    """Return scripts that stream events, whole or cut before the end."""
+) -> ScriptFactory:
+    """Return a factory of scripts that stream events.
+
+    Args:
+        events: Encoded events.
+        cut: Whether the connection is closed before the end of the stream.
+        gap: Seconds before each event.
+        confidence: Value of the confidence header; None for no header.
+    """
 
-    def make(seen: Seen) -> Script:
-        """Stream events, those that the caller has left out."""
-        after = int(seen.headers.get('last-event-id') or 0)
-        headers = signed(seen, **{'Transfer-Encoding': 'chunked'})
+    def make(request: Seen) -> Script:
+        """Return a stream of the events after ``Last-Event-Id``."""
+        after = int(request.headers.get('last-event-id') or 0)
+        headers = signed(request, **{'Transfer-Encoding': 'chunked'})
         if confidence is not None:
             headers['Nutmegroad-Confidence'] = str(confidence)
         pieces = [head('200 OK', headers)]
@@ -140,20 +149,26 @@
 
 def crashing(
     body: bytes,
-    otherwise: MakeScript,
-    again: Callable[[], Awaitable[None]] | None = None,
-) -> MakeScript:
-    """Return scripts by which requests with some body end the worker.
-
-    They end it as such requests do: after the head of an answer.
+    default: ScriptFactory,
+    restart: Callable[[], Awaitable[None]] | None = None,
+) -> ScriptFactory:
+    """Return a factory of scripts that crash the worker for one request body.
+
+    The worker crashes after the head of the response, as it does with real
+    requests of this kind.
+
+    Args:
+        body: Body of the requests that crash the worker.
+        default: Factory for all other requests.
+        restart: Restarts the worker after a crash; None for no restart.
     """
 
-    def make(seen: Seen) -> Script:
-        """Answer a request, or end."""
-        if seen.body != body:
-            return otherwise(seen)
-        headers = signed(seen, **{'Transfer-Encoding': 'chunked'})
-        return Script((head('200 OK', headers),), crash=True, again=again)
+    def make(request: Seen) -> Script:
+        """Return a crash, or the script for another request."""
+        if request.body != body:
+            return default(request)
+        headers = signed(request, **{'Transfer-Encoding': 'chunked'})
+        return Script((head('200 OK', headers),), crash=True, restart=restart)
 
     return make
 
@@ -163,16 +178,16 @@
     """A worker on a loopback port.
 
     Attributes:
-        usual: Scripts for all requests but those that ``once`` is for.
-        once: Scripts for the next requests, in order.
-        seen: Requests received whole.
-        port: Where it listens.
-        dropped: Requests whose connection closed before the script's end.
-        crashes: How often it has ended by a request.
+        usual: Script factory for requests when ``once`` is empty.
+        once: Script factories for the next requests, in order.
+        seen: Requests that were received completely.
+        port: TCP port; 0 until the first start.
+        dropped: Requests whose connection ended before their script did.
+        crashes: Number of crashes, each caused by a request.
     """
 
-    usual: MakeScript = field(default_factory=plain)
-    once: deque[MakeScript] = field(default_factory=deque)
+    usual: ScriptFactory = field(default_factory=plain)
+    once: deque[ScriptFactory] = field(default_factory=deque)
     seen: list[Seen] = field(default_factory=list)
     port: int = 0
     dropped: int = 0
@@ -182,80 +197,80 @@
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def start(self) -> None:
-        """Listen on a free port, or on its own once more."""
+        """Listen on a free port, or on the previous one after a restart."""
         self._server = await asyncio.start_server(
-            self._take,
+            self._handle_connection,
             '127.0.0.1',
             self.port,
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and cancel all connections."""
         if self._server is not None:
             self._server.close()
         for task in tuple(self._tasks):
             task.cancel()
 
     async def crash(self) -> None:
-        """End as a process does: nothing listens, all connections break."""
+        """Stop listening and abort all connections, like a process crash."""
         self.crashes += 1
         if self._server is not None:
             self._server.close()
         for writer in tuple(self._writers):
             writer.transport.abort()
 
-    async def _end(self, script: Script) -> None:
-        """End, and start again if the script says so."""
+    async def _crash_and_restart(self, script: Script) -> None:
+        """Crash, and restart if the script requires it."""
         await self.crash()
-        if script.again is not None:
-            await script.again()
+        if script.restart is not None:
+            await script.restart()
 
-    async def _take(
+    async def _handle_connection(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Serve one connection."""
+        """Serve one connection until it ends."""
         task = asyncio.current_task()
         if task is not None:
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         self._writers.add(writer)
         try:
-            await self._serve(reader, writer)
+            await self._serve_requests(reader, writer)
         except (ConnectionError, asyncio.CancelledError):
             self.dropped += 1
         finally:
             self._writers.discard(writer)
             writer.close()
 
-    async def _serve(
+    async def _serve_requests(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Answer the requests of one connection."""
+        """Answer the requests of one connection, one after the other."""
         while True:
-            seen = await _read(reader)
-            if seen is None:
+            request = await _read_request(reader)
+            if request is None:
                 return
-            self.seen.append(seen)
+            self.seen.append(request)
             make = self.once.popleft() if self.once else self.usual
-            script = make(seen)
-            if not await _play(script, writer):
+            script = make(request)
+            if not await _write_script(script, writer):
                 self.dropped += 1
                 return
             if script.crash:
-                await self._end(script)
+                await self._crash_and_restart(script)
             if script.reset:
                 writer.transport.abort()
             if script.close or script.reset or script.crash:
                 return
 
 
-async def _play(script: Script, writer: asyncio.StreamWriter) -> bool:
-    """Write a script's pieces; tell whether somebody took all of them."""
+async def _write_script(script: Script, writer: asyncio.StreamWriter) -> bool:
+    """Write a script's pieces; return whether the connection stayed open."""
     for number, piece in enumerate(script.pieces, 1):
         await asyncio.sleep(script.gap)
         if script.hold is not None and number == len(script.pieces):
@@ -267,17 +282,17 @@
     return True
 
 
-async def _read(reader: asyncio.StreamReader) -> Seen | None:
-    """Return the next request, or None at the end."""
+async def _read_request(reader: asyncio.StreamReader) -> Seen | None:
+    """Return the next request, or None at the end of the connection."""
     try:
         text = (await reader.readuntil(b'\r\n\r\n')).decode('latin-1')
     except asyncio.IncompleteReadError:
         return None
-    first, *lines = text.strip().split('\r\n')
-    method, target, _ = first.split(' ')
+    request_line, *lines = text.strip().split('\r\n')
+    method, target, _ = request_line.split(' ')
     headers = {}
     for line in lines:
-        name, _, content = line.partition(':')
-        headers[name.lower()] = content.strip()
+        name, _, value = line.partition(':')
+        headers[name.lower()] = value.strip()
     length = int(headers.get('content-length', 0))
     return Seen(method, target, headers, await reader.readexactly(length))
--- a/fakes/row_store.py
+++ b/fakes/row_store.py
@@ -1,7 +1,7 @@
-"""A stand-in for the platform's store of rows, with faults to switch on.
+"""Stand-in for the platform's row store, with fault injection.
 
-It speaks what the users' pages say of tables: conditional transactions,
-ranges, and a feed that answers 410 once its history is dropped.
+It implements the documented interface of tables: conditional transactions,
+range reads, and a feed that returns 410 after its history has been dropped.
 """
 
 import asyncio
@@ -12,14 +12,18 @@
 
 from aiohttp import web
 
-_GONE = 410
-_MOVED = 412
-_MOST_ROWS = 500
+_HTTP_GONE = 410
+_HTTP_PRECONDITION_FAILED = 412
+_MAX_ROWS = 500
 
 
 @unique
 class StoreFault(Enum):
-    """What is wrong with the store."""
+    """Faults of the store.
+
+    A busy store returns 503, a throttled one 429, and a silent one does not
+    answer. One that loses replies drops the connection after a commit.
+    """
 
     NONE = 'none'
     BUSY = 'busy'
@@ -30,7 +34,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Row:
-    """A row as it is kept."""
+    """A row, or its removal.
+
+    Attributes:
+        table: Name of the table.
+        part: Component of the row's identity besides table and key; empty for
+            rows that are written by ``put``.
+        key: Key within the table.
+        value: Content of the row.
+        ver: Version of the store that the row was written in.
+        removed: Whether the row was removed.
+    """
 
     table: str
     part: str
@@ -39,9 +53,9 @@
     ver: int
     removed: bool = False
 
-    def shown(self) -> dict[str, object]:
-        """Return it as JSON."""
-        found: dict[str, object] = {
+    def to_json(self) -> dict[str, object]:
+        """Return the row as a JSON object."""
+        document: dict[str, object] = {
             'table': self.table,
             'part': self.part,
             'key': self.key,
@@ -49,17 +63,17 @@
             'ver': self.ver,
         }
         if self.removed:
-            found['removed'] = True
-        return found
+            document['removed'] = True
+        return document
 
 
 @dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """What a store held at one moment.
+    """Snapshot of a store.
 
     Attributes:
         rows: All rows by table, part and key.
-        ver: The newest version.
+        ver: Newest version.
     """
 
     rows: dict[tuple[str, str, str], _Row]
@@ -68,14 +82,14 @@
 
 @dataclass(slots=True)
 class RowStore:
-    """Tables of rows behind HTTP.
+    """A row store with an HTTP interface.
 
     Attributes:
-        fault: What is wrong with it now.
-        calls: How often each call was made.
-        era: How often it has come back from a copy, and one more; None for a
-            store that names no era.
-        writes: Table, key and content of each row as it was written.
+        fault: Current fault.
+        calls: Number of calls by kind: ``get``, ``feed`` and ``tx``.
+        era: Number of restores from a snapshot, plus one; None for a store
+            that reports no era.
+        writes: Table, key and content of all writes, in order.
     """
 
     fault: StoreFault = StoreFault.NONE
@@ -84,79 +98,83 @@
     writes: list[tuple[str, str, bytes]] = field(default_factory=list)
     _rows: dict[tuple[str, str, str], _Row] = field(default_factory=dict)
     _history: list[_Row] = field(default_factory=list)
-    _forgotten: int = 0
+    _history_start: int = 0
     _ver: int = 0
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def ver(self) -> int:
-        """Return the newest version."""
+        """Newest version."""
         return self._ver
 
     def app(self) -> web.Application:
-        """Return the web application."""
+        """Return a web application that serves the store."""
         app = web.Application()
-        app.router.add_get('/v1/rows-get', self._get)
-        app.router.add_get('/v1/rows-feed', self._feed)
-        app.router.add_post('/v1/rows-tx', self._commit)
+        app.router.add_get('/v1/rows-get', self._handle_get)
+        app.router.add_get('/v1/rows-feed', self._handle_feed)
+        app.router.add_post('/v1/rows-tx', self._handle_commit)
         return app
 
     def put(self, table: str, key: str, content: bytes) -> int:
-        """Write a row as the operator or an upstream does."""
+        """Write a row, as an operator or an upstream does.
+
+        Returns:
+            The new version.
+        """
         self._ver += 1
-        self._keep(_Row(table, '', key, content, self._ver))
-        self._wake()
+        self._apply_write(_Row(table, '', key, content, self._ver))
+        self._notify_feeds()
         return self._ver
 
     def remove(self, table: str, key: str) -> None:
         """Remove a row."""
         self._ver += 1
-        self._keep(_Row(table, '', key, b'', self._ver, removed=True))
-        self._wake()
+        self._apply_write(_Row(table, '', key, b'', self._ver, removed=True))
+        self._notify_feeds()
 
     def content(self, table: str, key: str) -> bytes | None:
-        """Return what a row holds, or None."""
+        """Return the content of a row, or None if there is no such row."""
         row = self._rows.get((table, '', key))
         return None if row is None else row.value
 
     def forget(self) -> None:
-        """Drop the history: feeds from before now get 410."""
+        """Drop the history: feeds from versions before the newest get 410."""
         self._history.clear()
-        self._forgotten = self._ver
+        self._history_start = self._ver
 
     def copy(self) -> 'StoreCopy':
-        """Return what the store holds now."""
+        """Return a snapshot of the store."""
         return StoreCopy(dict(self._rows), self._ver)
 
     def come_back(self, copy: 'StoreCopy') -> None:
-        """Come back from a copy, in the next era.
+        """Restore the store from a snapshot and start the next era.
 
-        Its versions are given out again. Feeds from versions that it does not
-        have get 410, until they are given out once more.
+        Versions after the snapshot are assigned again. Feeds from such a
+        version get 410 until it has been assigned again.
         """
         self._rows = dict(copy.rows)
         self._history = [row for row in self._history if row.ver <= copy.ver]
         self._ver = copy.ver
         self.era = (self.era or 0) + 1
-        self._wake()
+        self._notify_feeds()
 
-    def _keep(self, row: _Row) -> None:
-        """Put a row in place and note the change."""
-        name = (row.table, row.part, row.key)
+    def _apply_write(self, row: _Row) -> None:
+        """Apply a write or a removal and add it to the history."""
+        row_key = (row.table, row.part, row.key)
         if row.removed:
-            self._rows.pop(name, None)
+            self._rows.pop(row_key, None)
         else:
-            self._rows[name] = row
+            self._rows[row_key] = row
         self._history.append(row)
         self.writes.append((row.table, row.key, row.value))
 
-    def _wake(self) -> None:
-        """Let feeds that wait look again."""
+    def _notify_feeds(self) -> None:
+        """Wake the feeds that wait for a change."""
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def _troubled(self, call: str) -> web.Response | None:
-        """Count a call, and let it fail as the fault has it."""
+    async def _fault_response(self, call: str) -> web.Response | None:
+        """Count a call; return an error response if the fault requires one."""
         self.calls[call] = self.calls.get(call, 0) + 1
         if self.fault is StoreFault.BUSY:
             return web.Response(status=503)
@@ -166,66 +184,66 @@
             await asyncio.sleep(3600)
         return None
 
-    def _answer(
+    def _rows_response(
         self,
         rows: list[_Row],
         *,
         status: int = 200,
         more: bool = False,
     ) -> web.Response:
-        """Return rows as JSON."""
+        """Return a JSON response with rows."""
         content = {
             'ver': self._ver,
             'nowMs': time.monotonic() * 1000,
-            'rows': [row.shown() for row in rows],
+            'rows': [row.to_json() for row in rows],
             'hasMore': more,
         }
         headers = {} if self.era is None else {'Store-Era': str(self.era)}
         return web.json_response(content, status=status, headers=headers)
 
-    async def _get(self, request: web.Request) -> web.Response:
-        """Return a range of a table."""
-        trouble = await self._troubled('get')
-        if trouble is not None:
-            return trouble
+    async def _handle_get(self, request: web.Request) -> web.Response:
+        """Handle a range read of a table."""
+        error = await self._fault_response('get')
+        if error is not None:
+            return error
         query = request.query
-        begin = query.get('from', '')
-        limit = min(int(query.get('limit', _MOST_ROWS)), _MOST_ROWS)
+        start = query.get('from', '')
+        limit = min(int(query.get('limit', _MAX_ROWS)), _MAX_ROWS)
         found = sorted(
             (
                 row
                 for row in self._rows.values()
-                if row.table == query['table'] and row.key >= begin
+                if row.table == query['table'] and row.key >= start
             ),
             key=lambda row: row.key,
         )
-        return self._answer(found[:limit], more=len(found) > limit)
+        return self._rows_response(found[:limit], more=len(found) > limit)
 
-    async def _feed(self, request: web.Request) -> web.Response:
-        """Return what has changed, at once or when something does."""
-        trouble = await self._troubled('feed')
-        if trouble is not None:
-            return trouble
+    async def _handle_feed(self, request: web.Request) -> web.Response:
+        """Return the changes after a version, waiting for one if necessary."""
+        error = await self._fault_response('feed')
+        if error is not None:
+            return error
         after = int(request.query['afterRevision'])
-        if after < self._forgotten or after > self._ver:
-            return self._answer([], status=_GONE)
+        if after < self._history_start or after > self._ver:
+            return self._rows_response([], status=_HTTP_GONE)
         table = request.query['table']
-        until = time.monotonic() + int(request.query['waitMs']) / 1000
+        deadline = time.monotonic() + int(request.query['waitMs']) / 1000
         while True:
             if after > self._ver:
-                return self._answer([], status=_GONE)
+                return self._rows_response([], status=_HTTP_GONE)
             rows = [
                 row
                 for row in self._history
                 if row.ver > after and row.table == table
             ]
-            left = until - time.monotonic()
-            if rows or left <= 0:
-                return self._answer(rows)
-            await self._pause(left)
+            remaining = deadline - time.monotonic()
+            if rows or remaining <= 0:
+                return self._rows_response(rows)
+            await self._wait_for_change(remaining)
 
-    async def _pause(self, seconds: float) -> None:
-        """Wait for a change, or for the time to be over."""
+    async def _wait_for_change(self, seconds: float) -> None:
+        """Wait for a change, or until the time is over."""
         changed = self._changed
         try:
             async with asyncio.timeout(seconds):
@@ -233,26 +251,28 @@
         except TimeoutError:
             return
 
-    async def _commit(self, request: web.Request) -> web.StreamResponse:
-        """Do all of a transaction or none of it."""
-        trouble = await self._troubled('tx')
-        if trouble is not None:
-            return trouble
+    async def _handle_commit(self, request: web.Request) -> web.StreamResponse:
+        """Apply all writes of a transaction, or none."""
+        error = await self._fault_response('tx')
+        if error is not None:
+            return error
         body = await request.json()
         for row in body['expectedRevision']:
-            name = (row['table'], row['part'], row['key'])
-            kept = self._rows.get(name)
-            rows = [] if kept is None else [kept]
-            present = sum(each.ver for each in rows)
-            if present != row['ver']:
-                return self._answer(rows, status=_MOVED)
+            row_key = (row['table'], row['part'], row['key'])
+            current = self._rows.get(row_key)
+            rows = [] if current is None else [current]
+            current_version = sum(each.ver for each in rows)
+            if current_version != row['ver']:
+                return self._rows_response(
+                    rows, status=_HTTP_PRECONDITION_FAILED
+                )
         self._ver += 1
         for row in body['puts']:
             content = base64.b64decode(row['value'])
-            self._keep(
+            self._apply_write(
                 _Row(row['table'], row['part'], row['key'], content, self._ver),
             )
-        self._wake()
+        self._notify_feeds()
         if self.fault is StoreFault.LOSES_REPLIES and request.transport:
             request.transport.abort()
-        return self._answer([])
+        return self._rows_response([])
--- a/fakes/service.py
+++ b/fakes/service.py
@@ -1,7 +1,7 @@
-"""The stand-in for a plain service: ``python -m fakes.service --port 0``.
+"""Stand-in for a plain service: ``python -m fakes.service --port 0``.
 
-It runs every call that reaches it, each time, and counts. It does not
-deduplicate: whether a call ran twice is then there to be seen.
+It executes and records every call that reaches it. It does not deduplicate
+calls, so that tests can detect a call that was executed twice.
 """
 
 import random
@@ -24,13 +24,13 @@
 
 
 class CallRecord(msgspec.Struct, frozen=True):
-    """A call that ran.
+    """A call that was executed.
 
     Attributes:
         method: HTTP method.
         path: Path, with its leading slash.
-        key: The caller's idempotency key; empty for none.
-        at: Wall clock seconds.
+        key: Idempotency key of the caller; empty for none.
+        at: Wall clock time of the call, in seconds.
     """
 
     method: str
@@ -40,7 +40,13 @@
 
 
 class CallReply(msgspec.Struct, frozen=True):
-    """The reply to a call: how many calls have run by now."""
+    """Reply to a call.
+
+    Attributes:
+        ran: Number of calls executed so far.
+        path: Path of the call.
+        method: HTTP method of the call.
+    """
 
     ran: int
     path: str
@@ -48,18 +54,24 @@
 
 
 class FakeService:
-    """A plain service that a test, a demo or an experiment owns.
+    """A plain service for tests, demos and experiments.
 
     Args:
-        clock: Time.
-        seed: Fixes which calls faults hit.
-        port: TCP port; 0 takes a free one.
+        clock: Source of times; None for the system clock.
+        seed: Seed of the choice of calls that faults affect.
+        port: TCP port; 0 selects a free one.
+
+    Attributes:
+        app: The web application, for callers that serve it themselves.
+        runs: All executed calls, in order.
+        leaving: Whether the service is draining.
+        faults: Active faults, which can be changed without an HTTP call.
     """
 
     @property
     def address(self) -> Address:
-        """Return where it listens; it must be open."""
-        return self._served.address
+        """Listening address; available only while the service is open."""
+        return self._server.address
 
     def __init__(
         self,
@@ -72,29 +84,29 @@
         self.runs: list[CallRecord] = []
         self.leaving = False
         self.faults = Faults(self._clock, random.Random(seed))
-        self._served = Served(self.app, port)
+        self._server = Served(self.app, port)
         add_fault_routes(self.app, self.faults)
-        self.app.router.add_get('/admin/runs', self._show_runs)
+        self.app.router.add_get('/admin/runs', self._serve_runs)
         self.app.router.add_post('/admin/leave', self._leave)
-        self.app.router.add_route('*', '/{path:.*}', self._call)
+        self.app.router.add_route('*', '/{path:.*}', self._handle_call)
 
     async def __aenter__(self) -> Self:
-        """Begin to listen."""
-        await self._served.__aenter__()
+        """Start listening."""
+        await self._server.__aenter__()
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Stop, closing all connections."""
-        await self._served.__aexit__(*exc_info)
+        """Stop listening and close all connections."""
+        await self._server.__aexit__(*exc_info)
 
-    async def _call(self, request: web.Request) -> web.Response:
-        """Run a call, unless a fault comes first."""
+    async def _handle_call(self, request: web.Request) -> web.Response:
+        """Handle a call, subject to faults before and after its execution."""
         if self.faults.hit(FaultKind.DOWN):
             return drop_connection(request)
         slow = self.faults.hit(FaultKind.SLOW)
         if slow is not None:
             await self._clock.sleep(slow.delay)
-        reply = self._run(request)
+        reply = self._execute(request)
         if self.faults.hit(FaultKind.LOSE_REPLY):
             return drop_connection(request)
         if self.faults.hit(FaultKind.ERROR):
@@ -104,8 +116,8 @@
             await self._clock.sleep(late.delay)
         return json_reply(reply)
 
-    def _run(self, request: web.Request) -> CallReply:
-        """Do the call's work, which is to be counted."""
+    def _execute(self, request: web.Request) -> CallReply:
+        """Execute a call: record it and return the number of calls."""
         key = request.headers.get('Idempotency-Key', '')
         record = CallRecord(
             request.method,
@@ -116,26 +128,26 @@
         self.runs.append(record)
         return CallReply(len(self.runs), request.path, request.method)
 
-    async def _show_runs(self, request: web.Request) -> web.Response:
-        """Show the calls that ran."""
+    async def _serve_runs(self, request: web.Request) -> web.Response:
+        """Return the records of all executed calls."""
         return json_reply({'runs': self.runs})
 
     async def _leave(self, request: web.Request) -> web.Response:
-        """Note that the service is leaving; it goes on answering."""
+        """Start or stop draining; the service continues to answer calls."""
         body = msgspec.json.decode(await request.read(), type=dict[str, bool])
         self.leaving = body.get('leaving', True)
         return web.Response(status=HTTPStatus.NO_CONTENT)
 
 
-DESCRIPTION: Final = 'A stand-in for a plain service.'
+DESCRIPTION: Final = 'Stand-in for a plain service.'
 
 
 def main() -> None:
-    """Run a service until SIGTERM."""
+    """Run a service until SIGTERM or SIGINT."""
     parser = port_parser(DESCRIPTION)
     parser.add_argument('--seed', type=int, default=0)
-    flags = parser.parse_args()
-    run(FakeService(seed=flags.seed).app, flags.port)
+    arguments = parser.parse_args()
+    run(FakeService(seed=arguments.seed).app, arguments.port)
 
 
 if __name__ == '__main__':
--- a/fakes/serving.py
+++ b/fakes/serving.py
@@ -1,4 +1,4 @@
-"""How a stand-in listens: as a program of its own, or inside a test."""
+"""Serves a stand-in's application, as a program or inside a test."""
 
 import asyncio
 import signal
@@ -13,22 +13,22 @@
 from nutmegroad.foundations.types import Address
 
 LOOPBACK: Final = '127.0.0.1'
-#: Seconds that calls in progress get when a stand-in stops: little, since
-#: a stand-in that goes away is one of the faults that it stands for.
+#: Seconds that calls in progress get to finish when a stand-in stops. It is
+#: short because a disappearing system is one of the faults to simulate.
 SHUTDOWN_TIMEOUT: Final = 0.1
 
 
 class Served:
-    """An application that listens on loopback while it is open.
+    """Serves an application on a loopback port while it is open.
 
     Args:
-        app: What answers.
-        port: TCP port; 0 takes a free one.
+        app: The web application.
+        port: TCP port; 0 selects a free one.
     """
 
     @property
     def address(self) -> Address:
-        """Return where it listens; it must be open."""
+        """Listening address; available only while the server is open."""
         ip, port = self._runner.addresses[0]
         return Address(ip, port)
 
@@ -42,7 +42,7 @@
         self._stack = AsyncExitStack()
 
     async def __aenter__(self) -> Self:
-        """Begin to listen."""
+        """Start listening."""
         async with AsyncExitStack() as stack:
             stack.push_async_callback(self._runner.cleanup)
             await self._runner.setup()
@@ -56,13 +56,13 @@
 
 
 def port_parser(description: str) -> ArgumentParser:
-    """Return a parser that knows ``--port``, for more arguments."""
+    """Return a command line parser with ``--port``, to be extended."""
     parser = ArgumentParser(description=description)
     parser.add_argument(
         '--port',
         type=int,
         default=0,
-        help='TCP port on 127.0.0.1; 0, as it is if left out, takes a free one',
+        help='TCP port on 127.0.0.1; 0 selects a free one (default: 0)',
     )
     return parser
 
@@ -75,9 +75,9 @@
 async def _serve(app: web.Application, port: int) -> None:
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    async with Served(app, port) as served:
-        sys.stdout.write(f'listening {served.address}\n')
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
+    async with Served(app, port) as server:
+        sys.stdout.write(f'listening {server.address}\n')
         sys.stdout.flush()
         await stopping.wait()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The plain service runs what reaches it, and counts."""
+"""Tests of the service stand-in: it executes and records every call."""
 
 import unittest
 from contextlib import AsyncExitStack
@@ -9,10 +9,10 @@
 
 
 class ServiceTest(unittest.IsolatedAsyncioTestCase):
-    """Calls and faults."""
+    """Calls with and without faults."""
 
     async def asyncSetUp(self) -> None:
-        """Open a service and a client."""
+        """Start a service and open an HTTP client."""
         stack = AsyncExitStack()
         self.addAsyncCleanup(stack.aclose)
         self.service = await stack.enter_async_context(FakeService())
@@ -20,20 +20,20 @@
         self.url = f'http://{self.service.address}'
 
     async def fault(self, **order: Any) -> None:
-        """Switch a fault on for one call."""
+        """Activate a fault for one call."""
         url = f'{self.url}/admin/faults'
         async with self.session.post(url, json={'count': 1, **order}) as reply:
             self.assertEqual(204, reply.status)
 
     async def call(self) -> int:
-        """Make a call; return its status."""
+        """Make a call; return its HTTP status."""
         async with self.session.post(
             f'{self.url}/fees/receipt',
             headers={'Idempotency-Key': 'k1'},
         ) as response:
             return response.status
 
-    async def test_the_same_call_runs_each_time(self) -> None:
+    async def test_repeated_call_is_executed_each_time(self) -> None:
         await self.call()
         await self.call()
         async with self.session.get(f'{self.url}/admin/runs') as response:
@@ -41,7 +41,7 @@
         self.assertEqual(['k1', 'k1'], [entry['key'] for entry in runs])
         self.assertEqual('/fees/receipt', runs[0]['path'])
 
-    async def test_faults_run_or_do_not(self) -> None:
+    async def test_faults_before_and_after_execution(self) -> None:
         cases = (('down', 0), ('lose_reply', 1))
         for kind, ran in cases:
             with self.subTest(kind):
@@ -51,7 +51,7 @@
                     await self.call()
                 self.assertEqual(ran, len(self.service.runs))
 
-    async def test_an_error_and_a_late_reply_ran(self) -> None:
+    async def test_calls_with_error_or_late_reply_are_executed(self) -> None:
         await self.fault(kind='error')
         self.assertEqual(500, await self.call())
         await self.fault(kind='late', delay=0.01)
