--- a/fakes/opaque_worker.py
+++ b/fakes/opaque_worker.py
@@ -178,7 +178,7 @@
     """A worker on a loopback port.
 
     Attributes:
-        usual: Script factory for requests when ``once`` is empty.
+        usual: Factory that is used when ``once`` is empty.
         once: Script factories for the next requests, in order.
         seen: Requests that were received completely.
         port: TCP port; 0 until the first start.
