--- a/fakes/engine_control.py
+++ b/fakes/engine_control.py
@@ -70,8 +70,8 @@
 
     Attributes:
         leaving: Whether the engine is to be draining.
-        reports: Number of subsequent reports that show the draining state; None
-            for all.
+        reports: Number of subsequent reports that show the draining state;
+            None for all.
     """
 
     leaving: bool = True
