--- a/experiments/load/__init__.py
+++ b/experiments/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load on our own daemon as processes, and all its measures."""
+"""Load tests of the daemon, run as processes, and their measurements."""
--- a/experiments/load/arms.py
+++ b/experiments/load/arms.py
@@ -1,4 +1,4 @@
-"""Arms: the sets of policies that a measurement compares."""
+"""Arms: the alternative sets of policies that a measurement compares."""
 
 import re
 from dataclasses import dataclass
@@ -7,24 +7,30 @@
 from nutmegroad.daemon.plugins import load_plugins
 from nutmegroad.kernel.registry import registered
 
-#: Settings that name a policy; each is also the policy's kind.
-KINDS: Final = ('planner', 'selector', 'admitter', 'retries', 'quarantine')
+#: Kinds of policy; the setting that selects a policy has the name of its kind.
+POLICY_KINDS: Final = (
+    'planner',
+    'selector',
+    'admitter',
+    'retries',
+    'quarantine',
+)
 
-_CUSTOM: Final = re.compile('([a-z0-9-]+):(.*)')
+_CUSTOM_ARM: Final = re.compile('([a-z0-9-]+):(.*)')
 
 
 class ArmError(ValueError):
-    """An arm that does not exist, or one with a policy that does not."""
+    """Raised for an unknown arm, or an arm with an unknown policy."""
 
 
 @dataclass(frozen=True, slots=True)
 class Arm:
-    """One set of policies.
+    """A set of policies under comparison.
 
     Attributes:
-        name: What it is called in reports.
-        policies: Names of policies by kind; those left out are the
-            daemon's own defaults.
+        name: Its name in reports.
+        policies: Pairs of a kind and the name of a policy; the daemon's
+            default applies to kinds that are left out.
     """
 
     name: str
@@ -32,38 +38,42 @@
 
     @property
     def flags(self) -> tuple[str, ...]:
-        """Return the daemon's flags."""
+        """Command-line flags that select the policies in the daemon."""
         return tuple(f'--{kind}={name}' for kind, name in self.policies)
 
-    def missing(self) -> str:
-        """Say which policy is not registered; empty if all are."""
+    def explain_missing_policy(self) -> str:
+        """Describe a policy that is not registered; empty if all are."""
         for kind, name in self.policies:
-            named = registered(kind)
-            if name not in named:
-                choices = ', '.join(sorted(named)) or 'none'
+            policies = registered(kind)
+            if name not in policies:
+                choices = ', '.join(sorted(policies)) or 'none'
                 return (
                     f'The arm {self.name!r} needs the {kind} {name!r}, which '
-                    f'is not registered; there are: {choices}.'
+                    f'is not registered; available: {choices}.'
                 )
         return ''
 
 
-def _arm(name: str, **policies: str) -> Arm:
-    """Return an arm."""
+def _make_arm(name: str, **policies: str) -> Arm:
+    """Return an arm with policies by kind."""
     return Arm(name, tuple(policies.items()))
 
 
-#: The baselines of the issue come first; ``best`` is all that we have.
+#: The baselines come first; ``best`` uses all policies that improve on them.
 ARMS: Final = (
-    _arm('least-in-flight', planner='cheapest', selector='least-in-flight'),
-    _arm('round-robin-dearest', planner='dearest', selector='round-robin'),
-    _arm(
+    _make_arm(
+        'least-in-flight', planner='cheapest', selector='least-in-flight'
+    ),
+    _make_arm('round-robin-dearest', planner='dearest', selector='round-robin'),
+    _make_arm(
         'cheapest-only',
         planner='cheapest-only',
         selector='least-in-flight',
     ),
-    _arm('static-share', planner='static-share', selector='least-in-flight'),
-    _arm(
+    _make_arm(
+        'static-share', planner='static-share', selector='least-in-flight'
+    ),
+    _make_arm(
         'best',
         planner='adaptive',
         selector='expected',
@@ -74,51 +84,61 @@
 
 
 def choose(names: list[str]) -> list[Arm]:
-    """Return the arms of those names.
+    """Return the arms with the given names.
 
     Args:
-        names: Names of arms, or ``NAME:planner=P,selector=S``; none asks
-            for every arm whose policies are registered.
+        names: Names of arms, or definitions of new ones in the form
+            ``NAME:planner=P,selector=S``. An empty list selects every arm
+            whose policies are registered.
 
     Raises:
         ArmError: If a name is unknown or a policy is not registered.
     """
     load_plugins()
     if not names:
-        return [arm for arm in ARMS if not arm.missing()]
-    arms = [_read(name) for name in names]
+        return [arm for arm in ARMS if not arm.explain_missing_policy()]
+    arms = [_parse_arm(name) for name in names]
     for arm in arms:
-        if arm.missing():
-            raise ArmError(arm.missing())
+        if arm.explain_missing_policy():
+            raise ArmError(arm.explain_missing_policy())
     return arms
 
 
-def not_run(names: list[str]) -> list[str]:
-    """Say why arms that nobody named are left out."""
+def explain_skipped_arms(names: list[str]) -> list[str]:
+    """Explain which of the default arms are skipped, and why.
+
+    Args:
+        names: Names of the arms that were requested; if there are any, no
+            default arm is skipped.
+    """
     if names:
         return []
-    return [arm.missing() for arm in ARMS if arm.missing()]
+    return [
+        arm.explain_missing_policy()
+        for arm in ARMS
+        if arm.explain_missing_policy()
+    ]
 
 
-def _read(text: str) -> Arm:
-    """Read one arm."""
+def _parse_arm(text: str) -> Arm:
+    """Parse the name or the definition of an arm."""
     known = {arm.name: arm for arm in ARMS}
     if text in known:
         return known[text]
-    custom = _CUSTOM.fullmatch(text)
+    custom = _CUSTOM_ARM.fullmatch(text)
     if custom is None:
         message = (
-            f'There is no arm {text!r}; arms are {", ".join(known)}, or '
-            'one of your own as NAME:planner=P,selector=S.'
+            f'There is no arm {text!r}; choose from {", ".join(known)}, or '
+            'define one as NAME:planner=P,selector=S.'
         )
         raise ArmError(message)
     name, settings = custom.groups()
     pairs = [setting.partition('=') for setting in settings.split(',')]
     for kind, _, _ in pairs:
-        if kind not in KINDS:
+        if kind not in POLICY_KINDS:
             message = (
-                f'The arm {name!r} sets {kind!r}, which is no kind of '
-                f'policy; kinds are {", ".join(KINDS)}.'
+                f'The arm {name!r} sets {kind!r}, which is not a kind of '
+                f'policy; choose from {", ".join(POLICY_KINDS)}.'
             )
             raise ArmError(message)
     return Arm(name, tuple((kind, policy) for kind, _, policy in pairs))
--- a/experiments/load/capacity.py
+++ b/experiments/load/capacity.py
@@ -1,8 +1,8 @@
 """Finds the capacity of a deployment: ``python -m experiments.load.capacity``.
 
-It raises a flat arrival rate step by step and reports, for each rate, the
-share of requests that were answered in time. The capacity is the highest
-rate at which that share still holds.
+The arrival rate is constant during a run and is raised from run to run. The
+capacity is the highest rate at which the required fraction of the requests is
+still answered in time.
 """
 
 import asyncio
@@ -16,28 +16,28 @@
 
 from experiments.load.arms import ArmError, choose
 from experiments.load.measure import OUTPUT
-from experiments.load.orders import Order
-from experiments.load.runs import run
-from experiments.load.scenarios import RIGS, Scenario
+from experiments.load.orders import RunSpec
+from experiments.load.runs import execute_run
+from experiments.load.scenarios import DEPLOYMENTS, Scenario
 from experiments.load.tables import table
 from experiments.load.traffic import Curve
 
-#: Share of requests that must be answered in time for a rate to hold.
-HOLDS: Final = 0.98
+#: Fraction of the requests that must be answered in time at a sustained rate.
+MIN_IN_TIME: Final = 0.98
 
 
 @dataclass(frozen=True, slots=True)
-class Point:
-    """What one rate gave.
+class RateResult:
+    """Result of a run at one arrival rate.
 
     Attributes:
-        rate: Requests a second.
-        share: Share of the model requests that were answered in time.
-        goodput: Answers in time, a second.
-        first: 95th percentile of the first token, milliseconds.
-        cpu: Share of a core that the load client used.
-        load_average: The machine's, after the run.
-        saturated: The load client was itself a bottleneck.
+        rate: Requests per second.
+        share: Fraction of the model requests that were answered in time.
+        goodput: Answers in time per second.
+        first: 95th percentile of the time to the first token, milliseconds.
+        cpu: Fraction of a core that the load client used.
+        load_average: Load average of the machine after the run.
+        saturated: Whether the load client itself was a bottleneck.
     """
 
     rate: float
@@ -49,7 +49,7 @@
     saturated: bool
 
     def row(self) -> list[str]:
-        """Return its row of the table."""
+        """Return the row of the table."""
         return [
             f'{self.rate:.0f}',
             f'{self.share:.3f}',
@@ -61,8 +61,16 @@
         ]
 
 
-async def probe(flags: Namespace, rate: float, folder: Path) -> Point:
-    """Measure one rate."""
+async def measure_rate(
+    flags: Namespace, rate: float, folder: Path
+) -> RateResult:
+    """Run the load at one arrival rate.
+
+    Args:
+        flags: Options of the command line.
+        rate: Requests per second.
+        folder: Folder for the logs of the processes.
+    """
     scenario = Scenario(
         f'capacity-{rate:.0f}',
         flags.deployment,
@@ -71,9 +79,9 @@
         flags.preset,
     )
     arm = choose([flags.arm])[0]
-    order = Order(scenario, arm, flags.seed, flags.seconds, rate)
-    report = await run(order, folder)
-    return Point(
+    run_spec = RunSpec(scenario, arm, flags.seed, flags.seconds, rate)
+    report = await execute_run(run_spec, folder)
+    return RateResult(
         rate,
         report.models.share_in_time,
         report.goodput,
@@ -84,35 +92,44 @@
     )
 
 
-def capacity(points: list[Point]) -> float:
-    """Return the highest rate up to which every rate holds."""
+def highest_sustained_rate(rate_results: list[RateResult]) -> float:
+    """Return the highest rate up to which all rates are sustained."""
     highest: float = 0
-    for point in sorted(points, key=lambda one: one.rate):
-        if point.share < HOLDS:
+    for result in sorted(rate_results, key=lambda each: each.rate):
+        if result.share < MIN_IN_TIME:
             break
-        highest = point.rate
+        highest = result.rate
     return highest
 
 
-async def find(flags: Namespace, folder: Path) -> list[Point]:
-    """Raise the rate until it no longer holds, then halve the step once."""
-    points: list[Point] = []
+async def find_capacity(flags: Namespace, folder: Path) -> list[RateResult]:
+    """Raise the rate until it is not sustained, then try half a step lower.
+
+    Args:
+        flags: Options of the command line.
+        folder: Folder for the logs of the processes.
+    """
+    rate_results: list[RateResult] = []
     rate = flags.first
     while rate <= flags.last:
-        points.append(await probe(flags, rate, folder))
-        sys.stdout.write(f'{" ".join(points[-1].row())}\n')
+        rate_results.append(await measure_rate(flags, rate, folder))
+        sys.stdout.write(f'{" ".join(rate_results[-1].row())}\n')
         sys.stdout.flush()
-        if points[-1].share < HOLDS:
+        if rate_results[-1].share < MIN_IN_TIME:
             break
         rate += flags.step
-    points.append(await probe(flags, rate - flags.step / 2, folder))
-    return points
+    rate_results.append(
+        await measure_rate(flags, rate - flags.step / 2, folder)
+    )
+    return rate_results
 
 
 def parser() -> ArgumentParser:
     """Return the parser of the command line."""
     flags = ArgumentParser(description='Find the capacity of a deployment.')
-    flags.add_argument('--deployment', choices=sorted(RIGS), default='lesen')
+    flags.add_argument(
+        '--deployment', choices=sorted(DEPLOYMENTS), default='lesen'
+    )
     flags.add_argument('--preset', default='peak')
     flags.add_argument('--arm', default='least-in-flight')
     flags.add_argument('--seed', type=int, default=1)
@@ -124,7 +141,7 @@
 
 
 def main() -> int:
-    """Find the capacity and print it."""
+    """Find the capacity of a deployment and print it."""
     flags = parser().parse_args()
     try:
         choose([flags.arm])
@@ -132,13 +149,13 @@
         sys.stderr.write(f'{problem}\n')
         return 2
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        points = runner.run(find(flags, OUTPUT))
-    points.sort(key=lambda point: point.rate)
+        rate_results = runner.run(find_capacity(flags, OUTPUT))
+    rate_results.sort(key=lambda result: result.rate)
     heads = ('rate/s', 'in time', 'goodput/s', 'first p95 ms', 'client cpu')
-    rows = [point.row() for point in points]
+    rows = [result.row() for result in rate_results]
     sys.stdout.write(f'\n{table((*heads, "load", "note"), rows)}\n')
-    found = capacity(points)
-    sys.stdout.write(f'\nCapacity of {flags.deployment}: {found:.0f}/s\n')
+    capacity = highest_sustained_rate(rate_results)
+    sys.stdout.write(f'\nCapacity of {flags.deployment}: {capacity:.0f}/s\n')
     return 0
 
 
--- a/experiments/load/fixtures.py
+++ b/experiments/load/fixtures.py
@@ -1,4 +1,4 @@
-"""What decisions are timed with: a configuration, engines and requests."""
+"""Sample configuration, engines and requests for timing decisions."""
 
 from typing import Final
 
@@ -29,17 +29,17 @@
     WorkspaceId,
 )
 
-#: Versions in use.
+#: Number of versions in the configuration.
 VERSIONS: Final = 22
-#: Versions that one engine has loaded.
-LOADED: Final = 3
+#: Number of versions that each engine has loaded.
+VERSIONS_PER_ENGINE: Final = 3
 
 
 def large_document() -> Document:
-    """Return an example's configuration with 22 versions."""
+    """Return an example's configuration, extended to ``VERSIONS`` versions."""
     document = parse_document(read_example('lesen'))
     versions = tuple(
-        _version(document.versions[number % 3], number)
+        _make_version(document.versions[number % 3], number)
         for number in range(VERSIONS)
     )
     names = tuple(entry.id for entry in versions)
@@ -63,14 +63,14 @@
     )
 
 
-def _version(like: VersionEntry, number: int) -> VersionEntry:
-    """Return one more version like another, a little dearer."""
-    dearer = 1 + number / 100
+def _make_version(template: VersionEntry, number: int) -> VersionEntry:
+    """Return a copy of a version with a new id and a higher price."""
+    price_factor = 1 + number / 100
     return replace(
-        like,
+        template,
         id=f'model-{number}@1',
-        price_in=like.price_in * dearer,
-        price_out=like.price_out * dearer,
+        price_in=template.price_in * price_factor,
+        price_out=template.price_out * price_factor,
     )
 
 
@@ -80,7 +80,7 @@
     workspace: WorkspaceEntry,
     now: float,
 ) -> ModelRequest:
-    """Return a request that any of the versions may answer."""
+    """Return a request that any version of the workspace may answer."""
     return ModelRequest(
         request=RequestId(f'r-{number}'),
         workspace=WorkspaceId(workspace.name),
@@ -101,7 +101,7 @@
 
 
 def upstream_of(number: int) -> UpstreamInfo:
-    """Return an engine's entry of the host list; nothing listens there."""
+    """Return the directory entry of an engine; nothing listens there."""
     domains = DOMAINS['lesen']
     return UpstreamInfo(
         UpstreamId(f'engine-{number}'),
@@ -112,10 +112,16 @@
 
 
 def report_of(number: int) -> EngineReport:
-    """Return an engine's report, with its own versions and load."""
+    """Return the report of an engine; versions and load depend on its number.
+
+    Args:
+        number: Number of the engine.
+    """
     versions = tuple(
-        VersionId(f'model-{(number * LOADED + place) % VERSIONS}@1')
-        for place in range(LOADED)
+        VersionId(
+            f'model-{(number * VERSIONS_PER_ENGINE + offset) % VERSIONS}@1'
+        )
+        for offset in range(VERSIONS_PER_ENGINE)
     )
     return EngineReport(
         versions,
--- a/experiments/load/goals.py
+++ b/experiments/load/goals.py
@@ -1,212 +1,241 @@
-"""The goals of the project beside measured figures."""
+"""Compares measured results with the project's performance goals."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Final
 
 from experiments.load.reports import ratio
-from experiments.load.summaries import Report
+from experiments.load.summaries import RunReport
 from experiments.load.tables import spread, table
 
-DEAREST: Final = 'round-robin-dearest'
-LEAST: Final = 'least-in-flight'
+ROUND_ROBIN_ARM: Final = 'round-robin-dearest'
+LEAST_IN_FLIGHT_ARM: Final = 'least-in-flight'
 
-#: Seconds after which a version that turned bad must get no new work.
-LAST_WORK: Final = 10
+#: Seconds after its degradation within which a version may get new requests.
+MAX_WORK_SECONDS: Final = 10
 
-# Scenarios that the goals speak of.
-DAY: Final = 'ordinary-day'
-FULL: Final = 'peak-1.0'
-OVER: Final = 'peak-2.5'
+# Scenarios to which the goals refer.
+ORDINARY_DAY: Final = 'ordinary-day'
+AT_CAPACITY: Final = 'peak-1.0'
+OVERLOAD: Final = 'peak-2.5'
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """One goal, and what was measured.
+    """A goal and the result that was measured for it.
 
     Attributes:
-        goal: The goal in words.
-        bound: The figure that it asks for.
-        figure: What was measured; None if the runs do not tell.
-        reached: Whether it was reached.
+        goal: Description of the goal.
+        bound: The required value.
+        measured: The measured value; None if no run provides it.
+        reached: Whether the measured value is within the bound.
     """
 
     goal: str
     bound: str
-    figure: float | None
+    measured: float | None
     reached: bool
 
     @property
-    def word(self) -> str:
-        """Return the verdict in a word or two."""
-        if self.figure is None:
+    def label(self) -> str:
+        """The verdict as a short label."""
+        if self.measured is None:
             return 'not run'
         return 'reached' if self.reached else 'short'
 
 
-class Figurer:
-    """Looks figures up, as means over the seeds.
+class MetricLookup:
+    """Looks up metrics of runs as means over the seeds.
 
     Args:
         runs: All runs.
-        arm: The arm that the goals are held against.
+        arm: The arm that is compared with the goals.
     """
 
-    def __init__(self, runs: list[Report], arm: str) -> None:
+    def __init__(self, runs: list[RunReport], arm: str) -> None:
         self._runs = runs
         self._arm = arm
 
     def mean(
         self,
         scenario: str,
-        getter: Callable[[Report], float | None],
+        getter: Callable[[RunReport], float | None],
         arm: str = '',
     ) -> float | None:
-        """Return a mean; None where nothing was run."""
-        found = spread(
+        """Return the mean of a metric over the seeds.
+
+        Args:
+            scenario: Name of the scenario.
+            getter: Reads the metric of a run.
+            arm: Name of the arm; empty for the one under evaluation.
+
+        Returns:
+            The mean; None if no run provides the metric.
+        """
+        summary = spread(
             getter(run)
             for run in self._runs
             if run.scenario == scenario and run.arm == (arm or self._arm)
         )
-        return None if found is None else found.mean
+        return None if summary is None else summary.mean
 
-    def quotient(
+    def relative(
         self,
         scenario: str,
-        getter: Callable[[Report], float | None],
-        other: tuple[str, str],
+        getter: Callable[[RunReport], float | None],
+        baseline: tuple[str, str],
     ) -> float | None:
-        """Return a figure by that of another scenario and arm."""
+        """Return a metric relative to that of a baseline.
+
+        Args:
+            scenario: Name of the scenario.
+            getter: Reads the metric of a run.
+            baseline: Scenario and arm of the baseline.
+
+        Returns:
+            The ratio; None if either value is missing.
+        """
         ours = self.mean(scenario, getter)
-        theirs = self.mean(other[0], getter, other[1])
+        theirs = self.mean(baseline[0], getter, baseline[1])
         if ours is None or theirs is None:
             return None
         return ratio(ours, theirs)
 
 
-def judge(runs: list[Report], arm: str) -> list[Verdict]:
-    """Hold an arm's figures against the goals."""
-    look = Figurer(runs, arm)
+def evaluate_goals(runs: list[RunReport], arm: str) -> list[Verdict]:
+    """Compare the results of an arm with all goals."""
+    metrics = MetricLookup(runs, arm)
     return [
-        *_judge_cost(look),
-        *_judge_latency(look, arm),
-        *_judge_overload(look, arm),
-        *_judge_exposure(look),
+        *_evaluate_cost(metrics),
+        *_evaluate_latency(metrics, arm),
+        *_evaluate_overload(metrics, arm),
+        *_evaluate_exposure(metrics),
     ]
 
 
-def goal_table(runs: list[Report], arm: str) -> str:
-    """Return the goals beside an arm's figures."""
+def goal_table(runs: list[RunReport], arm: str) -> str:
+    """Return the goals and the results of an arm as a Markdown table."""
     rows = [
         [
             verdict.goal,
             verdict.bound,
-            '-' if verdict.figure is None else f'{verdict.figure:.4g}',
-            verdict.word,
+            '-' if verdict.measured is None else f'{verdict.measured:.4g}',
+            verdict.label,
         ]
-        for verdict in judge(runs, arm)
+        for verdict in evaluate_goals(runs, arm)
     ]
     return table(('goal', 'bound', arm, 'verdict'), rows)
 
 
-def _judge_cost(look: Figurer) -> list[Verdict]:
-    """Judge what answers cost at the quality target."""
-    dearest = (DAY, DEAREST)
-    cost = look.quotient(DAY, _cost_per_met, dearest)
-    met = look.quotient(DAY, _share_met, dearest)
+def _evaluate_cost(metrics: MetricLookup) -> list[Verdict]:
+    """Evaluate the cost of answers that meet their quality target."""
+    baseline = (ORDINARY_DAY, ROUND_ROBIN_ARM)
+    cost = metrics.relative(ORDINARY_DAY, _cost_per_met, baseline)
+    share_met = metrics.relative(ORDINARY_DAY, _share_met, baseline)
     return [
-        _most('cost per met request by that of the dearest', cost, 0.5),
-        _least('share met by that of the dearest', met, 1),
+        _at_most(f'cost per met request, relative to {baseline[1]}', cost, 0.5),
+        _at_least(f'fraction met, relative to {baseline[1]}', share_met, 1),
     ]
 
 
-def _judge_latency(look: Figurer, arm: str) -> list[Verdict]:
-    """Judge the first token at the capacity."""
-    idle = look.quotient(FULL, _first, ('idle', arm))
-    # Held against itself, an arm would always reach it.
-    least = (
+def _evaluate_latency(metrics: MetricLookup, arm: str) -> list[Verdict]:
+    """Evaluate the time to the first token at the capacity."""
+    idle = metrics.relative(AT_CAPACITY, _first_token, ('idle', arm))
+    # Compared with itself, an arm would always reach the goal.
+    versus_baseline = (
         None
-        if arm == LEAST
-        else look.quotient(
-            FULL,
-            _first,
-            (FULL, LEAST),
+        if arm == LEAST_IN_FLIGHT_ARM
+        else metrics.relative(
+            AT_CAPACITY,
+            _first_token,
+            (AT_CAPACITY, LEAST_IN_FLIGHT_ARM),
         )
     )
     return [
-        _most('first token p95 at 1.0 by idle', idle, 1.3),
-        _most('first token p95 at 1.0 by least in flight', least, 1),
+        _at_most('first token p95 at 1.0, relative to idle', idle, 1.3),
+        _at_most(
+            f'first token p95 at 1.0, relative to {LEAST_IN_FLIGHT_ARM}',
+            versus_baseline,
+            1,
+        ),
     ]
 
 
-def _judge_overload(look: Figurer, arm: str) -> list[Verdict]:
-    """Judge what happens beyond the capacity."""
-    good = look.quotient(OVER, _goodput, (FULL, arm))
-    refusal = look.mean(OVER, _refusal)
-    fair = look.mean(OVER, _fair)
+def _evaluate_overload(metrics: MetricLookup, arm: str) -> list[Verdict]:
+    """Evaluate the behaviour under overload."""
+    goodput = metrics.relative(OVERLOAD, _goodput, (AT_CAPACITY, arm))
+    refusal = metrics.mean(OVERLOAD, _refusal_time)
+    fairness = metrics.mean(OVERLOAD, _worst_fairness)
     return [
-        _least('goodput at 2.5 by that at 1.0', good, 0.9),
-        _most('refusal p95 at 2.5, seconds', refusal, 0.05),
-        _least('worst fair share at 2.5', fair, 0.9),
+        _at_least('goodput at 2.5, relative to 1.0', goodput, 0.9),
+        _at_most('refusal p95 at 2.5, seconds', refusal, 0.05),
+        _at_least('worst fair share at 2.5', fairness, 0.9),
     ]
 
 
-def _judge_exposure(look: Figurer) -> list[Verdict]:
-    """Judge the work of a version that is bad at once."""
-    bad = look.mean('bad-at-once', _exposed)
-    last = look.mean('bad-at-once', _last)
+def _evaluate_exposure(metrics: MetricLookup) -> list[Verdict]:
+    """Evaluate the exposure to a version that degrades suddenly."""
+    exposed = metrics.mean('bad-at-once', _exposure_share)
+    work_seconds = metrics.mean('bad-at-once', _seconds_of_work)
     return [
-        _most('share exposed to a version bad at once', bad, 0.01),
-        _most('seconds from its turn to its last new work', last, LAST_WORK),
+        _at_most('share exposed to a suddenly degraded version', exposed, 0.01),
+        _at_most(
+            'seconds from its degradation to its last new request',
+            work_seconds,
+            MAX_WORK_SECONDS,
+        ),
     ]
 
 
-def _most(goal: str, figure: float | None, bound: float) -> Verdict:
-    """Judge a figure that must not be above a bound."""
-    reached = figure is not None and figure <= bound
-    return Verdict(goal, f'at most {bound:g}', figure, reached)
+def _at_most(goal: str, measured: float | None, bound: float) -> Verdict:
+    """Evaluate a metric with an upper bound."""
+    reached = measured is not None and measured <= bound
+    return Verdict(goal, f'at most {bound:g}', measured, reached)
 
 
-def _least(goal: str, figure: float | None, bound: float) -> Verdict:
-    """Judge a figure that must not be below a bound."""
-    reached = figure is not None and figure >= bound
-    return Verdict(goal, f'at least {bound:g}', figure, reached)
+def _at_least(goal: str, measured: float | None, bound: float) -> Verdict:
+    """Evaluate a metric with a lower bound."""
+    reached = measured is not None and measured >= bound
+    return Verdict(goal, f'at least {bound:g}', measured, reached)
 
 
-def _cost_per_met(run: Report) -> float | None:
+def _cost_per_met(run: RunReport) -> float | None:
     return run.models.cost_per_met
 
 
-def _share_met(run: Report) -> float | None:
+def _share_met(run: RunReport) -> float | None:
     return run.models.share_met
 
 
-def _first(run: Report) -> float | None:
+def _first_token(run: RunReport) -> float | None:
     return run.models.first.p95
 
 
-def _goodput(run: Report) -> float | None:
+def _goodput(run: RunReport) -> float | None:
     return run.goodput
 
 
-def _refusal(run: Report) -> float | None:
+def _refusal_time(run: RunReport) -> float | None:
     return run.models.refused.p95
 
 
-def _fair(run: Report) -> float | None:
+def _worst_fairness(run: RunReport) -> float | None:
     return min(run.fairness.values(), default=0)
 
 
-def _exposed(run: Report) -> float | None:
+def _exposure_share(run: RunReport) -> float | None:
     return None if run.exposure is None else run.exposure.share
 
 
-def _last(run: Report) -> float | None:
-    """Return when the last work came, if the run was long enough to tell."""
-    seen = run.exposure
-    if seen is None or seen.watched <= LAST_WORK:
+def _seconds_of_work(run: RunReport) -> float | None:
+    """Return for how long a degraded version got new requests, in seconds.
+
+    None if the run was too short, or had no request for the version.
+    """
+    exposure = run.exposure
+    if exposure is None or exposure.watched <= MAX_WORK_SECONDS:
         return None
-    if not seen.asked:
-        # Nothing that the version could have answered tells nothing.
+    if not exposure.asked:
+        # Without requests that it could have answered, nothing was measured.
         return None
-    return seen.last if seen.exposed else 0
+    return exposure.last if exposure.exposed else 0
--- a/experiments/load/incidents.py
+++ b/experiments/load/incidents.py
@@ -1,4 +1,4 @@
-"""What goes wrong during a scenario: faults, kills and frozen hosts."""
+"""Incidents during a scenario: faults, killed engines and frozen hosts."""
 
 import asyncio
 import signal
@@ -12,19 +12,20 @@
 from experiments.load.load import LoadClient
 from experiments.processes import Running
 
-#: Seconds after which the balancer takes a host out that does not answer.
+#: Seconds after which the load balancer notices that a host has stopped or
+#: resumed answering.
 BALANCER_DELAY: Final = 2.0
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
-    """What an incident can act on.
+class IncidentContext:
+    """The deployment and the load client on which incidents act.
 
     Attributes:
-        running: The deployment.
-        client: The load client, which is the balancer as well.
-        session: HTTP client for faults.
-        name: Name of the deployment's example.
+        running: The running deployment.
+        client: The load client, which also acts as the load balancer.
+        session: HTTP client for injecting faults.
+        name: Name of the example deployment.
     """
 
     running: Deployment
@@ -34,85 +35,102 @@
 
     @property
     def domain(self) -> str:
-        """Return the domain that incidents strike."""
+        """The failure domain that incidents affect."""
         return DOMAINS[self.name][0]
 
-    async def fault(self, target: Running, **order: Any) -> None:
-        """Switch a fault on in a stand-in."""
+    async def inject_fault(self, target: Running, **settings: Any) -> None:
+        """Inject a fault into a stand-in.
+
+        Args:
+            target: Process of the stand-in.
+            **settings: The fault, as the stand-in's admin interface takes it.
+        """
         url = f'http://{target.listening["main"]}/admin/faults'
-        async with self.session.post(url, json=order) as response:
+        async with self.session.post(url, json=settings) as response:
             response.raise_for_status()
 
 
-#: Does what goes wrong.
-Action = Callable[[Scene], Awaitable[None]]
+#: Brings an incident about.
+IncidentAction = Callable[[IncidentContext], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class Incident:
-    """Something that goes wrong at a moment.
+    """An incident at a given time of a run.
 
     Attributes:
-        at: Share of the run's time.
-        action: Brings it about.
+        at: Its time, as a fraction of the length of the run.
+        action: Brings the incident about.
     """
 
     at: float
-    action: Action
+    action: IncidentAction
 
 
-async def kill_engines(scene: Scene) -> None:
-    """Kill every engine of one domain."""
-    for name, engine in scene.running.engines.items():
-        if name.startswith(scene.domain):
+async def kill_engines(context: IncidentContext) -> None:
+    """Kill all engines of one failure domain."""
+    for name, engine in context.running.engines.items():
+        if name.startswith(context.domain):
             engine.signal(signal.SIGKILL)
-            scene.running.killed.add(name)
+            context.running.killed.add(name)
+
 
+def slow_engine(factor: float) -> IncidentAction:
+    """Return an action that slows one engine down without stopping it.
 
-def slow_engine(factor: float) -> Action:
-    """Return what makes one engine slow, but not dead."""
+    Args:
+        factor: Factor by which the engine slows down.
+    """
 
-    async def action(scene: Scene) -> None:
+    async def action(context: IncidentContext) -> None:
         """Slow the first engine down."""
-        engine = next(iter(scene.running.engines.values()))
-        await scene.fault(engine, kind='slow', scope='answers', delay=factor)
+        engine = next(iter(context.running.engines.values()))
+        await context.inject_fault(
+            engine, kind='slow', scope='answers', delay=factor
+        )
 
     return action
 
 
-def turn_bad(version: str, quality: float, seconds: float = 0) -> Action:
-    """Return what makes a version bad on all engines.
+def degrade_version(
+    version: str, quality: float, seconds: float = 0
+) -> IncidentAction:
+    """Return an action that lowers the quality of a version on all engines.
 
     Args:
         version: The version.
-        quality: The mean quality that it falls to.
-        seconds: How long the fall takes; 0 for at once.
+        quality: Mean quality after the degradation.
+        seconds: Duration of the decline; 0 for an immediate one.
     """
 
-    async def action(scene: Scene) -> None:
-        """Make it bad."""
+    async def action(context: IncidentContext) -> None:
+        """Degrade the version."""
         faults = [
-            scene.fault(
+            context.inject_fault(
                 engine,
                 kind='bad',
                 version=version,
                 quality=quality,
                 seconds=seconds,
             )
-            for engine in scene.running.engines.values()
+            for engine in context.running.engines.values()
         ]
         await asyncio.gather(*faults)
 
     return action
 
 
-def platform_down(seconds: float | None = None) -> Action:
-    """Return what takes the platform down, for a time or for good."""
+def platform_outage(seconds: float | None = None) -> IncidentAction:
+    """Return an action that takes the platform down.
+
+    Args:
+        seconds: Duration of the outage; None for the rest of the run.
+    """
 
-    async def action(scene: Scene) -> None:
-        """Take it down."""
-        await scene.fault(
-            scene.running.platform,
+    async def action(context: IncidentContext) -> None:
+        """Take the platform down."""
+        await context.inject_fault(
+            context.running.platform,
             kind='down',
             scope='all',
             seconds=seconds,
@@ -121,32 +139,44 @@
     return action
 
 
-async def freeze_domain(scene: Scene) -> None:
-    """Stop the hosts of one domain; the balancer notices later."""
+async def freeze_domain(context: IncidentContext) -> None:
+    """Freeze the hosts of one failure domain with SIGSTOP.
+
+    The load balancer removes them after ``BALANCER_DELAY``.
+    """
     frozen: set[int] = set()
-    for place, host in enumerate(scene.running.hosts):
-        if host.name.startswith(scene.domain):
+    for index, host in enumerate(context.running.hosts):
+        if host.name.startswith(context.domain):
             host.signal(signal.SIGSTOP)
-            frozen.add(place)
+            frozen.add(index)
     await asyncio.sleep(BALANCER_DELAY)
-    scene.client.avoided |= frozen
+    context.client.excluded_hosts |= frozen
 
 
-async def thaw_domain(scene: Scene) -> None:
-    """Let the frozen hosts go on; the balancer takes them in later."""
-    for host in scene.running.hosts:
-        if host.name.startswith(scene.domain):
+async def thaw_domain(context: IncidentContext) -> None:
+    """Resume the frozen hosts.
+
+    The load balancer restores them after ``BALANCER_DELAY``.
+    """
+    for host in context.running.hosts:
+        if host.name.startswith(context.domain):
             host.signal(signal.SIGCONT)
     await asyncio.sleep(BALANCER_DELAY)
-    scene.client.avoided.clear()
+    context.client.excluded_hosts.clear()
 
 
-async def play(
-    scene: Scene,
+async def run_incidents(
+    context: IncidentContext,
     incidents: tuple[Incident, ...],
     seconds: float,
 ) -> None:
-    """Let each incident happen at its moment."""
+    """Bring each incident about at its time.
+
+    Args:
+        context: What the incidents act on.
+        incidents: The incidents in order.
+        seconds: Length of the run.
+    """
     for incident in incidents:
-        await asyncio.sleep(max(0, incident.at * seconds - scene.client.now))
-        await incident.action(scene)
+        await asyncio.sleep(max(0, incident.at * seconds - context.client.now))
+        await incident.action(context)
--- a/experiments/load/measure.py
+++ b/experiments/load/measure.py
@@ -1,8 +1,8 @@
-"""The measurements: ``python -m experiments.load.measure`` or ``make measure``.
+"""Load measurements: ``python -m experiments.load.measure``, ``make measure``.
 
-Runs each scenario with each arm and seed on a deployment of its own, prints
-tables and writes JSON, a page and a plot under ``results/``. It stops when
-its time is used up and says what it did not run.
+Runs each scenario with each arm and seed on a separate deployment, prints
+tables, and writes JSON, a Markdown page and a plot to ``results/``. Runs that
+do not fit into the time budget are skipped and listed.
 """
 
 import asyncio
@@ -17,50 +17,50 @@
 import msgspec
 import uvloop
 
-from experiments.load.arms import ArmError, choose, not_run
+from experiments.load.arms import ArmError, choose, explain_skipped_arms
 from experiments.load.goals import goal_table
-from experiments.load.orders import Order
+from experiments.load.orders import RunSpec
 from experiments.load.plots import plot
-from experiments.load.runs import run
-from experiments.load.scenarios import QUICK, scenarios
-from experiments.load.summaries import Report
-from experiments.load.tables import compare, describe, warnings
+from experiments.load.runs import execute_run
+from experiments.load.scenarios import QUICK_SCENARIOS, find_scenarios
+from experiments.load.summaries import RunReport
+from experiments.load.tables import comparison_table, describe, run_warnings
 
 OUTPUT: Final = Path(__file__).parents[2] / 'results'
-#: Seconds for the whole set and for the quick one.
+#: Time budget in seconds of the full set and of ``--quick``.
 BUDGET: Final = 700.0
 QUICK_BUDGET: Final = 170.0
-#: Seconds that a run may take beyond its traffic; measured, with a margin.
-OVERHEAD: Final = 16.0
-#: Seconds beyond which a run is given up.
-RUN_LIMIT: Final = 90.0
+#: Upper bound on the seconds that a run takes in addition to its traffic.
+RUN_OVERHEAD: Final = 16.0
+#: Seconds after which a run is aborted.
+RUN_TIMEOUT: Final = 90.0
 
 
 @dataclass(slots=True)
 class Measurement:
-    """What has been measured.
+    """The results of a measurement.
 
     Attributes:
-        runs: Reports in order.
-        left: Runs that were not carried out, and why.
+        runs: Reports of the completed runs in order.
+        skipped: Names of the runs that were skipped or failed, and why.
     """
 
-    runs: list[Report] = field(default_factory=list)
-    left: list[str] = field(default_factory=list)
+    runs: list[RunReport] = field(default_factory=list)
+    skipped: list[str] = field(default_factory=list)
 
 
-def orders(flags: Namespace) -> list[Order]:
-    """Return all runs: every scenario once, before the next seed.
+def plan_runs(flags: Namespace) -> list[RunSpec]:
+    """Return all runs: every scenario with one seed before the next seed.
 
     Raises:
         ValueError: If an arm or a scenario does not exist.
     """
     names = flags.scenario
     if flags.quick and not names:
-        names = list(QUICK)
-    combined = product(flags.seeds, scenarios(names), choose(flags.arms))
+        names = list(QUICK_SCENARIOS)
+    combined = product(flags.seeds, find_scenarios(names), choose(flags.arms))
     return [
-        Order(
+        RunSpec(
             scenario,
             arm,
             seed,
@@ -72,41 +72,47 @@
 
 
 async def measure(
-    planned: list[Order],
+    run_specs: list[RunSpec],
     folder: Path,
     budget: float,
 ) -> Measurement:
-    """Carry runs out, one after another, until the time is used up."""
+    """Execute runs one after another until the time budget is used up.
+
+    Args:
+        run_specs: The runs in order.
+        folder: Folder for results and logs.
+        budget: Seconds for all runs together.
+    """
     measurement = Measurement()
-    begun = time.monotonic()
-    for order in planned:
-        used = time.monotonic() - begun
-        if used + order.seconds + OVERHEAD > budget:
-            measurement.left.append(f'{order.name}: no time was left')
+    started = time.monotonic()
+    for spec in run_specs:
+        used = time.monotonic() - started
+        if used + spec.seconds + RUN_OVERHEAD > budget:
+            measurement.skipped.append(f'{spec.name}: time budget used up')
             continue
         try:
-            async with asyncio.timeout(RUN_LIMIT):
-                report = await run(order, folder)
+            async with asyncio.timeout(RUN_TIMEOUT):
+                report = await execute_run(spec, folder)
         except (RuntimeError, OSError) as problem:
-            # A run that fails is said and does not take the others along.
+            # A failed run is reported and the others continue.
             cause = f'{type(problem).__name__} {problem}'
-            measurement.left.append(f'{order.name}: failed, {cause}')
+            measurement.skipped.append(f'{spec.name}: failed, {cause}')
             continue
         measurement.runs.append(report)
-        # Written after each run, so that a stop in between loses none.
-        save(measurement.runs, folder)
-        _say(report)
+        # Saved after each run, so that an interruption loses no results.
+        save_reports(measurement.runs, folder)
+        _print_progress(report)
     return measurement
 
 
-def save(runs: list[Report], folder: Path) -> None:
-    """Write all figures as JSON."""
+def save_reports(runs: list[RunReport], folder: Path) -> None:
+    """Write the reports of all runs as JSON."""
     content = msgspec.json.format(msgspec.json.encode(runs))
     (folder / 'runs.json').write_bytes(content)
 
 
-def _say(report: Report) -> None:
-    """Print a line for a run."""
+def _print_progress(report: RunReport) -> None:
+    """Print a summary of a run and its warnings."""
     models = report.models
     line = (
         f'{report.scenario:20} {report.arm:20} seed {report.seed}: '
@@ -116,28 +122,39 @@
     sys.stdout.write(f'{line}\n')
     if models.reasons:
         sys.stdout.write(f'  without an answer: {models.reasons}\n')
-    for warning in warnings(report):
+    for warning in run_warnings(report):
         sys.stdout.write(f'  {warning}\n')
     sys.stdout.flush()
 
 
-def page(measurement: Measurement, missing: list[str]) -> str:
-    """Return the whole measurement as Markdown."""
+def render_page(measurement: Measurement, skipped_arms: list[str]) -> str:
+    """Return the results of a measurement as Markdown.
+
+    Args:
+        measurement: The results.
+        skipped_arms: Descriptions of the arms that were skipped.
+    """
     runs = measurement.runs
     parts: list[str] = []
     for scenario in dict.fromkeys(one.scenario for one in runs):
         own = [one for one in runs if one.scenario == scenario]
-        parts.extend((f'## {scenario}', compare(own)))
+        parts.extend((f'## {scenario}', comparison_table(own)))
     for arm in dict.fromkeys(one.arm for one in runs):
         parts.extend((f'## Goals, {arm}', goal_table(runs, arm)))
-    left = [*missing, *measurement.left]
-    if left:
-        parts.extend(('## Not run', '\n'.join(f'- {one}' for one in left)))
+    skipped = [*skipped_arms, *measurement.skipped]
+    if skipped:
+        parts.extend(('## Not run', '\n'.join(f'- {one}' for one in skipped)))
     return '\n\n'.join(parts)
 
 
-def write(measurement: Measurement, summary: str, folder: Path) -> None:
-    """Write the page and the plot."""
+def write_results(measurement: Measurement, summary: str, folder: Path) -> None:
+    """Write the Markdown page and the plot.
+
+    Args:
+        measurement: The results.
+        summary: Comparison of the arms, which precedes the single runs.
+        folder: Folder for the files.
+    """
     runs = measurement.runs
     full = '\n\n'.join(describe(one) for one in runs)
     (folder / 'page.md').write_text(f'{summary}\n\n{full}\n')
@@ -147,15 +164,17 @@
 
 def parser() -> ArgumentParser:
     """Return the parser of the command line."""
-    flags = ArgumentParser(description='Measure arms in scenarios.')
-    flags.add_argument('--quick', action='store_true', help='a small set')
+    flags = ArgumentParser(description='Measure policies under load.')
+    flags.add_argument(
+        '--quick', action='store_true', help='measure a few scenarios only'
+    )
     flags.add_argument('--scenario', nargs='+', default=[], metavar='NAME')
     flags.add_argument(
         '--arms',
         nargs='+',
         default=[],
         metavar='ARM',
-        help='names, or NAME:planner=P,selector=S; default: all there are',
+        help='names, or NAME:planner=P,selector=S; default: all available',
     )
     flags.add_argument('--seeds', nargs='+', type=int, default=[1])
     flags.add_argument('--seconds', type=float, default=12)
@@ -163,30 +182,36 @@
         '--capacity',
         type=float,
         default=0,
-        help='requests a second that count as 1.0; default: as measured',
+        help='requests per second that count as load 1.0; default: the '
+        'measured capacity of the deployment',
+    )
+    flags.add_argument(
+        '--budget', type=float, help='seconds for all runs together'
     )
-    flags.add_argument('--budget', type=float, help='seconds for all runs')
     flags.add_argument('--output', type=Path, default=OUTPUT)
     return flags
 
 
 def main() -> int:
-    """Measure, and say whether every run was sound."""
+    """Measure; return 0 if no run violated a guarantee or logged a traceback.
+
+    The exit code is 1 if one did or there was no run, and 2 for wrong options.
+    """
     flags = parser().parse_args()
     try:
-        planned = orders(flags)
+        run_specs = plan_runs(flags)
     except (ArmError, ValueError) as problem:
         sys.stderr.write(f'{problem}\n')
         return 2
-    usual = QUICK_BUDGET if flags.quick else BUDGET
+    default_budget = QUICK_BUDGET if flags.quick else BUDGET
     flags.output.mkdir(parents=True, exist_ok=True)
-    missing = not_run(flags.arms)
+    skipped_arms = explain_skipped_arms(flags.arms)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         measurement = runner.run(
-            measure(planned, flags.output, flags.budget or usual),
+            measure(run_specs, flags.output, flags.budget or default_budget),
         )
-    summary = page(measurement, missing)
-    write(measurement, summary, flags.output)
+    summary = render_page(measurement, skipped_arms)
+    write_results(measurement, summary, flags.output)
     sys.stdout.write(f'\n{summary}\n\nResults are in {flags.output}.\n')
     sound = measurement.runs and not any(
         one.breaches or one.tracebacks for one in measurement.runs
--- a/experiments/load/orders.py
+++ b/experiments/load/orders.py
@@ -1,23 +1,29 @@
-"""Orders of runs: a scenario, an arm and a seed."""
+"""Specifications of runs: a scenario, an arm and a seed."""
 
 from dataclasses import dataclass, replace
 
 from experiments.load.arms import Arm
 from experiments.load.scenarios import CAPACITY, Scenario
-from experiments.load.traffic import Ask, Curve, Demand, draw
+from experiments.load.traffic import (
+    Curve,
+    PlannedRequest,
+    TrafficSpec,
+    draw_requests,
+)
 from nutmegroad.contracts.documents import Document
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """What is to be run.
+class RunSpec:
+    """Specification of a run.
 
     Attributes:
-        scenario: The situation.
-        arm: The policies.
-        seed: Draws the traffic.
+        scenario: The scenario.
+        arm: The set of policies.
+        seed: Seed of the traffic.
         seconds: Length of the traffic.
-        capacity: Requests a second; 0 for the measured ones.
+        capacity: Requests per second that count as the capacity of the
+            deployment; 0 for ``CAPACITY``.
     """
 
     scenario: Scenario
@@ -28,35 +34,37 @@
 
     @property
     def name(self) -> str:
-        """Return a name for files."""
+        """Name of the run, suitable for files."""
         return f'{self.scenario.name}.{self.arm.name}.{self.seed}'
 
 
-def rate_of(order: Order) -> float:
-    """Return the highest rate, requests a second."""
-    scenario = order.scenario
-    capacity = order.capacity or CAPACITY[scenario.deployment]
+def peak_rate(run_spec: RunSpec) -> float:
+    """Return the peak arrival rate of a run in requests per second."""
+    scenario = run_spec.scenario
+    capacity = run_spec.capacity or CAPACITY[scenario.deployment]
     return capacity * scenario.load
 
 
-def asks_of(order: Order, document: Document) -> list[Ask]:
-    """Return the requests of a run."""
-    scenario = order.scenario
-    demand = Demand(
+def plan_requests(
+    run_spec: RunSpec, document: Document
+) -> list[PlannedRequest]:
+    """Return the requests of a run, ordered by their scheduled times."""
+    scenario = run_spec.scenario
+    traffic_spec = TrafficSpec(
         scenario.deployment,
         scenario.curve,
-        rate_of(order),
-        order.seconds,
+        peak_rate(run_spec),
+        run_spec.seconds,
         scenario.preset,
     )
-    asks = draw(document, demand, order.seed)
+    requests = draw_requests(document, traffic_spec, run_spec.seed)
     if scenario.flood is not None:
         name, load = scenario.flood
         extra = replace(
-            demand,
+            traffic_spec,
             curve=Curve.FLAT,
-            rate=rate_of(order) / scenario.load * load,
+            rate=peak_rate(run_spec) / scenario.load * load,
             workspace=name,
         )
-        asks += draw(document, extra, order.seed)
-    return sorted(asks, key=lambda ask: ask.at)
+        requests += draw_requests(document, extra, run_spec.seed)
+    return sorted(requests, key=lambda planned: planned.at)
--- a/experiments/load/plots.py
+++ b/experiments/load/plots.py
@@ -1,4 +1,4 @@
-"""Plots of a measurement: bars by scenario and arm, for each figure."""
+"""Plots of a measurement: one bar chart per metric, by scenario and arm."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -9,21 +9,21 @@
 from matplotlib.backends.backend_agg import FigureCanvasAgg
 from matplotlib.figure import Figure
 
-from experiments.load.summaries import Report
+from experiments.load.summaries import RunReport
 from experiments.load.tables import COLUMNS, arms_of, spread
 
-#: Figures that are drawn, by the names of the table's columns.
-DRAWN: Final = ('cost/met', 'met', 'first p95 ms', 'goodput/s')
+#: Metrics to plot, by the names of their table columns.
+PLOTTED_COLUMNS: Final = ('cost/met', 'met', 'first p95 ms', 'goodput/s')
 
 
 @dataclass(frozen=True, slots=True)
 class Bars:
-    """One arm's bars, by scenario.
+    """Bars of one arm, one per scenario.
 
     Attributes:
-        means: Their heights.
-        below: How far the lowest seed lies below.
-        above: How far the highest seed lies above.
+        means: Means over the seeds, which are the heights of the bars.
+        below: Differences between the means and the lowest seeds.
+        above: Differences between the highest seeds and the means.
     """
 
     means: list[float]
@@ -31,29 +31,31 @@
     above: list[float]
 
 
-def plot(runs: list[Report], path: Path) -> None:
-    """Draw the runs into a PNG file."""
-    figure = Figure(figsize=(12, 3 * len(DRAWN)), layout='constrained')
-    # The canvas is named, so that no display is looked for.
+def plot(runs: list[RunReport], path: Path) -> None:
+    """Plot the metrics of all runs into a PNG file."""
+    figure = Figure(
+        figsize=(12, 3 * len(PLOTTED_COLUMNS)), layout='constrained'
+    )
+    # An explicit canvas lets matplotlib draw without a display.
     FigureCanvasAgg(figure)
-    places = figure.subplots(len(DRAWN), 1, sharex=True)
-    for axes, name in zip(places, DRAWN, strict=True):
-        _draw(axes, runs, name)
-    places[0].legend(fontsize='small')
-    places[-1].tick_params(axis='x', rotation=30)
+    positions = figure.subplots(len(PLOTTED_COLUMNS), 1, sharex=True)
+    for axes, name in zip(positions, PLOTTED_COLUMNS, strict=True):
+        _draw_bars(axes, runs, name)
+    positions[0].legend(fontsize='small')
+    positions[-1].tick_params(axis='x', rotation=30)
     figure.savefig(path)
 
 
-def _draw(axes: Axes, runs: list[Report], name: str) -> None:
-    """Draw one figure: a bar for each arm in each scenario."""
+def _draw_bars(axes: Axes, runs: list[RunReport], name: str) -> None:
+    """Plot one metric: a bar for each arm in each scenario."""
     names = list(dict.fromkeys(run.scenario for run in runs))
     arms = arms_of(runs)
-    places = np.arange(len(names))
+    positions = np.arange(len(names))
     width = 0.8 / len(arms)
     for number, arm in enumerate(arms):
-        bars = _bars(runs, names, arm, name)
+        bars = _seed_bars(runs, names, arm, name)
         axes.bar(
-            places + number * width,
+            positions + number * width,
             bars.means,
             width,
             yerr=[bars.below, bars.above],
@@ -61,16 +63,23 @@
             capsize=2,
         )
     axes.set_ylabel(name)
-    axes.set_xticks(places + 0.4 - width / 2, names)
+    axes.set_xticks(positions + 0.4 - width / 2, names)
 
 
-def _bars(
-    runs: list[Report],
+def _seed_bars(
+    runs: list[RunReport],
     names: list[str],
     arm: str,
     column: str,
 ) -> Bars:
-    """Return an arm's means by scenario, and how far the seeds reach."""
+    """Return the bars of an arm for one metric.
+
+    Args:
+        runs: All runs.
+        names: Names of the scenarios.
+        arm: Name of the arm.
+        column: Name of the metric's table column.
+    """
     getter = dict(COLUMNS)[column]
     means: list[float] = []
     below: list[float] = []
--- a/experiments/load/promises.py
+++ b/experiments/load/promises.py
@@ -1,121 +1,141 @@
-"""What must always hold, as far as it is seen from outside."""
+"""Checks the router's guarantees on the results of a run.
+
+Only what callers, engines and services can observe is checked.
+"""
 
 from collections import Counter
 from dataclasses import dataclass, field
 
-from experiments.load.load import Outcome, Record
-from experiments.load.observations import Observed
+from experiments.load.load import Outcome, RequestResult
+from experiments.load.observations import Observations
 from nutmegroad.contracts.documents import Document
 
-#: Examples that a broken promise is reported with.
-_EXAMPLES = 3
+#: Maximum number of examples that are kept for each violated guarantee.
+_MAX_EXAMPLES = 3
 
 
 @dataclass(slots=True)
-class Breaches:
-    """Promises that were broken.
+class Violations:
+    """Violations of guarantees in a run.
 
     Attributes:
-        counts: How often, by promise.
-        examples: Some cases of each.
+        counts: Number of violations by guarantee.
+        examples: Some examples of each.
     """
 
     counts: Counter[str] = field(default_factory=Counter)
     examples: dict[str, list[str]] = field(default_factory=dict)
 
-    def note(self, promise: str, example: str) -> None:
-        """Note a breach."""
-        self.counts[promise] += 1
-        known = self.examples.setdefault(promise, [])
-        if len(known) < _EXAMPLES:
-            known.append(example)
+    def add(self, guarantee: str, example: str) -> None:
+        """Record a violation."""
+        self.counts[guarantee] += 1
+        examples = self.examples.setdefault(guarantee, [])
+        if len(examples) < _MAX_EXAMPLES:
+            examples.append(example)
 
 
-def check(
-    records: list[Record],
-    observed: Observed,
+def check_guarantees(
+    request_results: list[RequestResult],
+    observations: Observations,
     document: Document,
-) -> Breaches:
-    """Return the promises that a run broke."""
-    breaches = Breaches()
+) -> Violations:
+    """Return the violations of guarantees in a run.
+
+    Args:
+        request_results: Results of all requests.
+        observations: What the processes reported.
+        document: The configuration.
+    """
+    violations = Violations()
     allowed = {
         entry.name: frozenset(entry.versions) for entry in document.workspaces
     }
-    for record in records:
-        _check_record(record, allowed, breaches)
-    _check_sessions(records, breaches)
-    _check_keys(observed, breaches)
-    _check_runs(records, observed, document, breaches)
-    return breaches
+    for result in request_results:
+        _check_result(result, allowed, violations)
+    _check_sessions(request_results, violations)
+    _check_keys(observations, violations)
+    _check_runs(request_results, observations, document, violations)
+    return violations
 
 
-def _check_record(
-    record: Record,
+def _check_result(
+    result: RequestResult,
     allowed: dict[str, frozenset[str]],
-    breaches: Breaches,
+    violations: Violations,
 ) -> None:
-    """Check one reply on its own."""
-    ask = record.ask
-    if record.outcome is Outcome.HUNG:
-        breaches.note('no reply goes on past its deadline', _name(record))
-    if not record.answered or ask.is_service:
+    """Check the result of a single request."""
+    planned = result.planned
+    name = _describe_request(result)
+    if result.outcome is Outcome.HUNG:
+        violations.add('no reply goes on past its deadline', name)
+    if not result.answered or planned.is_service:
         return
-    if not record.words == record.tokens == ask.tokens:
-        breaches.note(
+    if not result.words == result.tokens == planned.tokens:
+        violations.add(
             'an answer is whole',
-            f'{_name(record)}: {record.words} words, states {record.tokens}, '
-            f'asked for {ask.tokens}',
+            f'{name}: received {result.words} words, the answer states '
+            f'{result.tokens}, the request asked for {planned.tokens}',
         )
-    if record.quality is None:
-        breaches.note('an answer ends with its last word', _name(record))
-    if record.version not in allowed[ask.workspace]:
-        breaches.note('an answer is from an allowed version', _name(record))
+    if result.quality is None:
+        violations.add('an answer ends with its last word', name)
+    if result.version not in allowed[planned.workspace]:
+        violations.add('an answer is from an allowed version', name)
 
 
-def _check_sessions(records: list[Record], breaches: Breaches) -> None:
-    """Check that requests that bring one token have one version."""
+def _check_sessions(
+    request_results: list[RequestResult], violations: Violations
+) -> None:
+    """Check that all requests of a session are answered by one version.
+
+    A request counts only if it opened the session or carried its token.
+    """
     versions: dict[str, set[str]] = {}
-    for record in records:
-        ask = record.ask
-        if record.answered and (record.held or ask.opens) and ask.session:
-            versions.setdefault(ask.session, set()).add(record.version)
+    for result in request_results:
+        planned = result.planned
+        is_bound = result.sent_token or planned.opens_session
+        if result.answered and is_bound and planned.session:
+            versions.setdefault(planned.session, set()).add(result.version)
     for session, seen in versions.items():
         if len(seen) > 1:
-            breaches.note('a session keeps its version', f'{session}: {seen}')
+            violations.add('a session keeps its version', f'{session}: {seen}')
 
 
-def _check_keys(observed: Observed, breaches: Breaches) -> None:
-    """Check that each key of a plain service ran at most once."""
-    keys = Counter(call.key for call in observed.service_runs if call.key)
+def _check_keys(observations: Observations, violations: Violations) -> None:
+    """Check that services ran each idempotency key at most once."""
+    keys = Counter(call.key for call in observations.service_runs if call.key)
     for key, count in keys.items():
         if count > 1:
-            breaches.note('a key runs at most once', f'{key}: {count} times')
+            violations.add('a key runs at most once', f'{key}: {count} times')
 
 
 def _check_runs(
-    records: list[Record],
-    observed: Observed,
+    request_results: list[RequestResult],
+    observations: Observations,
     document: Document,
-    breaches: Breaches,
+    violations: Violations,
 ) -> None:
-    """Check the engines' runs against what callers were told."""
+    """Check the answers that engines began against the callers' results."""
     runs = Counter(
-        run.request
-        for engine in observed.engine_runs.values()
+        run.request_id
+        for engine in observations.engine_runs.values()
         for run in engine
     )
-    once = {task.name for task in document.tasks if not task.repeatable}
-    for record in records:
-        count = runs[record.request] if record.request else 0
-        if record.ask.task in once and count > 1:
-            breaches.note(
+    not_repeatable = {
+        task.name for task in document.tasks if not task.repeatable
+    }
+    for result in request_results:
+        count = runs[result.request_id] if result.request_id else 0
+        example = f'{_describe_request(result)}: {count} runs'
+        if result.planned.task in not_repeatable and count > 1:
+            violations.add(
                 'a request that may not be repeated runs at most once',
-                f'{_name(record)}: {count} runs',
+                example,
             )
-        if record.not_run and count:
-            breaches.note('"not run" is true', f'{_name(record)}: {count} runs')
+        if result.not_run and count:
+            violations.add('"not run" is true', example)
 
 
-def _name(record: Record) -> str:
-    """Name a request in a report."""
-    return f'{record.ask.task} {record.request or record.ask.number}'
+def _describe_request(result: RequestResult) -> str:
+    """Return a description of a request for examples."""
+    planned = result.planned
+    return f'{planned.task} {result.request_id or planned.number}'
--- a/experiments/load/reports.py
+++ b/experiments/load/reports.py
@@ -1,4 +1,4 @@
-"""Figures of one run, worked out of its records."""
+"""Statistics of the requests of one run."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -7,21 +7,21 @@
 
 import numpy as np
 
-from experiments.load.load import Outcome, Record
+from experiments.load.load import Outcome, RequestResult
 
-#: Seconds within which a refusal ought to be answered.
+#: Seconds within which a refusal should be answered.
 REFUSAL_GOAL: Final = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Percentiles:
-    """Percentiles of some seconds; None where there were none.
+    """Percentiles of durations in seconds; None if there are no durations.
 
     Attributes:
-        p50: Half are below.
-        p95: 95 in 100 are below.
-        p99: 99 in 100 are below.
-        count: How many there were.
+        p50: Median.
+        p95: 95th percentile.
+        p99: 99th percentile.
+        count: Number of durations.
     """
 
     p50: float | None = None
@@ -31,34 +31,35 @@
 
 
 def percentiles(times: Iterable[float | None]) -> Percentiles:
-    """Return percentiles of those times that there are."""
-    there = [moment for moment in times if moment is not None]
-    if not there:
+    """Return the percentiles of durations, ignoring None."""
+    present = [moment for moment in times if moment is not None]
+    if not present:
         return Percentiles()
-    middle, high, highest = np.percentile(there, (50, 95, 99))
-    return Percentiles(float(middle), float(high), float(highest), len(there))
+    p50, p95, p99 = np.percentile(present, (50, 95, 99))
+    return Percentiles(float(p50), float(p95), float(p99), len(present))
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """Figures of some requests; times are seconds.
+class RequestStats:
+    """Statistics of a group of requests; times are in seconds.
 
     Attributes:
-        asked: Requests sent.
-        answered: Whole answers.
-        in_time: Whole answers within their callers' deadlines.
-        met: Answers that reached their quality target.
-        good: Answers in time that reached their target.
+        asked: Number of requests sent.
+        answered: Number of complete answers.
+        in_time: Number of complete answers before their callers' deadlines.
+        met: Number of answers that reached their quality target.
+        good: Number of answers in time that reached their quality target.
         cost: Cost of all answers.
-        cost_per_answer: Cost of an answered request.
-        cost_per_met: Cost of all answers, by those that met the target.
-        share_met: Share of the answers that met the target.
-        first: First token, from the intended time.
-        between: Between tokens.
-        whole: Whole time of answers.
-        refused: Time until a refusal came.
-        reasons: Requests without an answer by outcome and code.
-        run_refusals: Refusals that do not say "not run".
+        cost_per_answer: Cost of all answers divided by their number.
+        cost_per_met: Cost of all answers divided by the number of those that
+            reached their quality target.
+        share_met: Fraction of the answers that reached their quality target.
+        first: Times from the scheduled sending to the first token.
+        between: Times between tokens.
+        whole: Times from the scheduled sending to the end of the answer.
+        refused: Times from the scheduled sending to the end of a refusal.
+        reasons: Number of unanswered requests by outcome and code.
+        run_refusals: Number of refusals that do not state "not run".
     """
 
     asked: int
@@ -79,71 +80,79 @@
 
     @property
     def share_in_time(self) -> float:
-        """Return the share of requests that were answered in time."""
+        """Fraction of the requests that were answered in time."""
         return self.in_time / self.asked if self.asked else 0
 
 
-def figures(records: list[Record]) -> Figures:
-    """Work out the figures of some requests."""
-    answers = [record for record in records if record.answered]
-    failures = [record for record in records if not record.answered]
+def compute_stats(request_results: list[RequestResult]) -> RequestStats:
+    """Compute the statistics of a group of requests."""
+    answers = [result for result in request_results if result.answered]
+    failures = [result for result in request_results if not result.answered]
     refusals = [
-        record for record in failures if record.outcome is Outcome.REFUSED
+        result for result in failures if result.outcome is Outcome.REFUSED
     ]
-    cost = sum(record.cost for record in answers)
-    met = sum(record.met for record in answers)
-    return Figures(
-        asked=len(records),
+    cost = sum(result.cost for result in answers)
+    met = sum(result.meets_target for result in answers)
+    return RequestStats(
+        asked=len(request_results),
         answered=len(answers),
-        in_time=sum(record.in_time for record in answers),
+        in_time=sum(result.in_time for result in answers),
         met=met,
-        good=sum(record.in_time and record.met for record in answers),
+        good=sum(result.in_time and result.meets_target for result in answers),
         cost=cost,
         cost_per_answer=ratio(cost, len(answers)),
         cost_per_met=ratio(cost, met),
         share_met=ratio(met, len(answers)),
-        first=percentiles(record.first for record in answers),
+        first=percentiles(result.first_token for result in answers),
         between=percentiles(gap for one in answers for gap in one.gaps),
-        whole=percentiles(record.whole for record in answers),
-        refused=percentiles(record.whole for record in refusals),
-        reasons=dict(Counter(map(_reason, failures))),
-        run_refusals=sum(not record.not_run for record in refusals),
+        whole=percentiles(result.total_seconds for result in answers),
+        refused=percentiles(result.total_seconds for result in refusals),
+        reasons=dict(Counter(map(_failure_reason, failures))),
+        run_refusals=sum(not result.not_run for result in refusals),
     )
 
 
 def ratio(part: float, whole: float) -> float | None:
-    """Return a quotient; None where there is nothing to divide by."""
+    """Return a quotient; None if the divisor is zero."""
     return part / whole if whole else None
 
 
-def _reason(record: Record) -> str:
-    """Name why a request has no answer."""
-    return f'{record.outcome.value} {record.code}'
+def _failure_reason(result: RequestResult) -> str:
+    """Return the outcome and code of an unanswered request."""
+    return f'{result.outcome.value} {result.code}'
 
 
-def by(
-    records: list[Record],
-    name: Callable[[Record], str],
-) -> dict[str, Figures]:
-    """Return figures of groups of requests."""
-    groups: dict[str, list[Record]] = {}
-    for record in records:
-        groups.setdefault(name(record), []).append(record)
-    return {name: figures(groups[name]) for name in sorted(groups)}
+def group_stats(
+    request_results: list[RequestResult],
+    name: Callable[[RequestResult], str],
+) -> dict[str, RequestStats]:
+    """Return statistics of the requests in each group.
+
+    Args:
+        request_results: All requests.
+        name: Returns the group of a request.
+    """
+    groups: dict[str, list[RequestResult]] = {}
+    for result in request_results:
+        groups.setdefault(name(result), []).append(result)
+    return {name: compute_stats(groups[name]) for name in sorted(groups)}
 
 
 @dataclass(frozen=True, slots=True)
 class Exposure:
-    """Work of a version after it turned bad.
+    """Exposure of callers to a version after its degradation.
 
     Attributes:
-        version: The version.
-        exposed: Requests that were sent later and that it answered.
-        asked: All requests of the same task classes sent later.
-        share: The one by the other.
-        last: Seconds from its turn to the last such request's sending.
-        watched: Seconds from its turn to the end of the traffic.
-        below: How many of the exposed answers missed their target.
+        version: Id of the version.
+        exposed: Number of requests that were sent after the degradation and
+            answered by the version.
+        asked: Number of all requests of the same task classes that were sent
+            after the degradation.
+        share: Exposed requests as a fraction of these.
+        last: Seconds from the degradation to the sending of the last exposed
+            request.
+        watched: Seconds from the degradation to the end of the traffic.
+        below: Number of exposed answers that missed their quality target.
     """
 
     version: str
@@ -156,33 +165,36 @@
 
 
 def exposure(
-    records: list[Record],
+    request_results: list[RequestResult],
     version: str,
-    turned: float,
+    degraded_at: float,
     end: float,
 ) -> Exposure:
-    """Return what a version did after it turned bad.
+    """Return the exposure to a version after its degradation.
 
     Args:
-        records: All requests.
-        version: The version.
-        turned: Seconds after the run's start at which it turned.
-        end: Seconds after the run's start at which the traffic ended.
+        request_results: All requests.
+        version: Id of the version.
+        degraded_at: Time of the degradation, in seconds since the start of
+            the run.
+        end: End of the traffic, in seconds since the start of the run.
     """
-    later = [record for record in records if record.sent >= turned]
-    exposed = [record for record in later if record.version == version]
-    # Its task classes are those that it answered at any time of the run.
-    tasks = {one.ask.task for one in records if one.version == version}
-    asked = sum(record.ask.task in tasks for record in later)
-    sent = [record.sent - turned for record in exposed]
+    later = [result for result in request_results if result.sent >= degraded_at]
+    exposed = [result for result in later if result.version == version]
+    # The version's task classes are those that it answered at any time.
+    tasks = {
+        one.planned.task for one in request_results if one.version == version
+    }
+    asked = sum(result.planned.task in tasks for result in later)
+    sent = [result.sent - degraded_at for result in exposed]
     return Exposure(
         version,
         len(exposed),
         asked,
         ratio(len(exposed), asked),
         max(sent) if sent else None,
-        end - turned,
-        sum(not record.met for record in exposed),
+        end - degraded_at,
+        sum(not result.meets_target for result in exposed),
     )
 
 
@@ -191,41 +203,56 @@
     weights: dict[str, float],
     total: float,
 ) -> dict[str, float]:
-    """Share a total out by weight; nobody gets more than it asks for."""
+    """Divide a total by weight so that nobody gets more than its demand.
+
+    This is weighted max-min fairness: what some do not need is divided among
+    the others.
+
+    Args:
+        demands: Demand of each participant.
+        weights: Weight of each participant.
+        total: Amount to divide.
+    """
     shares: dict[str, float] = {}
-    left = dict(demands)
-    while left:
-        unit = total / sum(weights[name] for name in left)
-        small = {
+    remaining = dict(demands)
+    while remaining:
+        per_weight = total / sum(weights[name] for name in remaining)
+        satisfied = {
             name: asked
-            for name, asked in left.items()
-            if asked <= unit * weights[name]
+            for name, asked in remaining.items()
+            if asked <= per_weight * weights[name]
+        }
+        if not satisfied:
+            limited = {name: per_weight * weights[name] for name in remaining}
+            return {**shares, **limited}
+        shares.update(satisfied)
+        total -= sum(satisfied.values())
+        remaining = {
+            name: remaining[name] for name in remaining if name not in satisfied
         }
-        if not small:
-            rest = {name: unit * weights[name] for name in left}
-            return {**shares, **rest}
-        shares.update(small)
-        total -= sum(small.values())
-        left = {name: left[name] for name in left if name not in small}
     return shares
 
 
 def fairness(
-    records: list[Record],
+    request_results: list[RequestResult],
     weights: dict[str, float],
 ) -> dict[str, float]:
-    """Return what each workspace got, as share of what was fair.
+    """Return what each workspace received relative to its fair share.
 
-    Work is counted in words of answers that came in time, beside the words
-    that were asked for; so a long answer counts for more than a short one.
+    Work is measured in requested words and in words of answers in time, so
+    that a long answer counts for more than a short one.
+
+    Args:
+        request_results: All requests.
+        weights: Quota share of each workspace.
     """
     asked: Counter[str] = Counter()
-    got: Counter[str] = Counter()
-    for record in records:
-        ask = record.ask
-        asked[ask.workspace] += ask.tokens
-        if record.in_time:
-            got[ask.workspace] += ask.tokens
+    received: Counter[str] = Counter()
+    for result in request_results:
+        planned = result.planned
+        asked[planned.workspace] += planned.tokens
+        if result.in_time:
+            received[planned.workspace] += planned.tokens
     demands = {name: float(words) for name, words in asked.items() if words}
-    fair = fair_shares(demands, weights, float(got.total()))
-    return {name: got[name] / part for name, part in fair.items() if part}
+    fair = fair_shares(demands, weights, float(received.total()))
+    return {name: received[name] / part for name, part in fair.items() if part}
--- a/experiments/load/runs.py
+++ b/experiments/load/runs.py
@@ -1,4 +1,4 @@
-"""One run: one scenario, one arm, one seed, on its own deployment."""
+"""Executes one run (a scenario, an arm and a seed) on its own deployment."""
 
 import asyncio
 import time
@@ -16,65 +16,71 @@
     operator_token,
     start,
 )
-from experiments.load.compression import compressed
-from experiments.load.incidents import Scene, play
-from experiments.load.load import LoadClient, Record, client_session
+from experiments.load.compression import compressed_configuration
+from experiments.load.incidents import IncidentContext, run_incidents
+from experiments.load.load import LoadClient, RequestResult, client_session
 from experiments.load.observations import Observer
-from experiments.load.orders import Order, asks_of
-from experiments.load.scenarios import RIGS
-from experiments.load.summaries import Report, Seen, report
+from experiments.load.orders import RunSpec, plan_requests
+from experiments.load.scenarios import DEPLOYMENTS
+from experiments.load.summaries import RunData, RunReport, build_report
 from experiments.processes import Processes
 from nutmegroad.contracts.documents import Role
 
-#: Seconds for hosts to hear of upstreams and of the preset.
-SETTLE: Final = 1.5
+#: Seconds in which all hosts receive the list of upstreams and the preset.
+SETTLE_SECONDS: Final = 1.5
 
 
-async def run(order: Order, folder: Path) -> Report:
-    """Carry a run out.
+async def execute_run(run_spec: RunSpec, folder: Path) -> RunReport:
+    """Execute a run and report its results.
 
     Args:
-        order: What is to be run.
-        folder: Where the processes' logs go.
+        run_spec: Specification of the run.
+        folder: Folder that will hold the logs of the processes.
     """
-    logs = _log_folder(folder, order)
+    logs = _log_folder(folder, run_spec)
     async with AsyncExitStack() as stack:
         processes = Processes(logs)
         async with processes:
-            running = await start(processes, _rig(order))
+            running = await start(processes, _deployment_spec(run_spec))
             session = await stack.enter_async_context(client_session())
             observer = Observer(running, session, logs)
-            await switch_preset(running, order.scenario.preset)
-            await asyncio.sleep(SETTLE)
-            records = await _load(order, running, session, observer)
+            await switch_preset(running, run_spec.scenario.preset)
+            await asyncio.sleep(SETTLE_SECONDS)
+            request_results = await _send_traffic(
+                run_spec, running, session, observer
+            )
             await observer.collect()
         observer.read_logs()
-    codes = _unasked(processes, running)
-    seen = Seen(records, observer.observed, running.document, codes)
-    return report(order, seen)
+    codes = _unexpected_exit_codes(processes, running)
+    run_data = RunData(
+        request_results, observer.observations, running.document, codes
+    )
+    return build_report(run_spec, run_data)
 
 
-def _log_folder(folder: Path, order: Order) -> Path:
-    """Return an empty folder for a run's logs."""
-    logs = folder / 'logs' / order.name
+def _log_folder(folder: Path, run_spec: RunSpec) -> Path:
+    """Return the log folder of a run, emptied of logs from earlier runs."""
+    logs = folder / 'logs' / run_spec.name
     logs.mkdir(parents=True, exist_ok=True)
-    for old in logs.glob('*.log'):
-        old.unlink()
+    for old_log in logs.glob('*.log'):
+        old_log.unlink()
     return logs
 
 
-def _rig(order: Order) -> Rig:
-    """Return the deployment of a run, with its arm's policies."""
-    rig = RIGS[order.scenario.deployment]
+def _deployment_spec(run_spec: RunSpec) -> Rig:
+    """Return the deployment of a run with the policies of its arm."""
+    rig = DEPLOYMENTS[run_spec.scenario.deployment]
     return replace(
         rig,
-        host_args=(*rig.host_args, *order.arm.flags),
-        text=compressed(rig.name),
+        host_args=(*rig.host_args, *run_spec.arm.flags),
+        text=compressed_configuration(rig.name),
     )
 
 
-def _unasked(processes: Processes, running: Deployment) -> dict[str, int]:
-    """Return the codes of processes that failed and were not killed."""
+def _unexpected_exit_codes(
+    processes: Processes, running: Deployment
+) -> dict[str, int]:
+    """Return the nonzero exit codes of processes that were not killed."""
     return {
         name: code
         for name, code in processes.exit_codes.items()
@@ -83,7 +89,7 @@
 
 
 async def switch_preset(running: Deployment, preset: str) -> None:
-    """Put a preset into force."""
+    """Apply a preset through the operators' interface."""
     operators = running.document.operators
     name = next(one.name for one in operators if one.role is Role.OPERATE)
     await operate(
@@ -94,29 +100,31 @@
     )
 
 
-async def _load(
-    order: Order,
+async def _send_traffic(
+    run_spec: RunSpec,
     running: Deployment,
     session: ClientSession,
     observer: Observer,
-) -> list[Record]:
-    """Send the traffic while the incidents happen."""
-    asks = asks_of(order, running.document)
-    client = LoadClient(running.callers, origin=time.monotonic())
-    name = order.scenario.deployment
-    scene = Scene(running, client, session, name)
-    observer.begin()
+) -> list[RequestResult]:
+    """Send the traffic of a run while its incidents take place."""
+    requests = plan_requests(run_spec, running.document)
+    client = LoadClient(running.callers, started_at=time.monotonic())
+    name = run_spec.scenario.deployment
+    context = IncidentContext(running, client, session, name)
+    observer.begin_load()
     tasks = [
         asyncio.create_task(
-            play(scene, order.scenario.incidents, order.seconds),
+            run_incidents(
+                context, run_spec.scenario.incidents, run_spec.seconds
+            ),
         ),
-        asyncio.create_task(observer.count_calls(client)),
+        asyncio.create_task(observer.poll_platform_calls(client)),
     ]
-    records = await client.run(session, asks)
+    request_results = await client.run(session, requests)
     observer.end_load()
-    # An incident that failed fails the run.
+    # An exception in an incident fails the run.
     await tasks[0]
     tasks[1].cancel()
     with suppress(asyncio.CancelledError):
         await tasks[1]
-    return records
+    return request_results
--- a/experiments/load/scenarios.py
+++ b/experiments/load/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of the measurements."""
+"""The scenarios that load measurements run."""
 
 from dataclasses import dataclass
 from types import MappingProxyType
@@ -7,17 +7,18 @@
 from experiments.deployment import Rig
 from experiments.load.incidents import (
     Incident,
+    degrade_version,
     freeze_domain,
     kill_engines,
-    platform_down,
+    platform_outage,
     slow_engine,
     thaw_domain,
-    turn_bad,
 )
 from experiments.load.traffic import Curve
 
-#: Highest rate, in requests a second, at which goodput holds; measured by
-#: ``python -m experiments.load.capacity``; docs/MEASUREMENTS.md has the run.
+#: Capacity of each deployment: the highest sustained rate in requests per
+#: second, from ``python -m experiments.load.capacity``. docs/MEASUREMENTS.md
+#: has the run.
 CAPACITY: Final = MappingProxyType({'lesen': 70.0, 'cascade': 70.0})
 
 _ENGINE_ARGS: Final = (
@@ -32,10 +33,10 @@
 _MEDIUM_LARGE: Final = ('brief-medium@4', 'brief-large@6')
 _LARGES: Final = ('brief-large@6', 'brief-large@7', 'brief-small@2')
 _GALLEY: Final = ('galley-small@5', 'galley-large@3')
-_GALLEY_ALL: Final = ('galley-medium@2', 'galley-large@3', 'galley-large@4')
+_GALLEY_ROLLOUT: Final = ('galley-medium@2', 'galley-large@3', 'galley-large@4')
 
-#: The deployments of the brief: 9 and 5 engines, 3 services, 9 hosts.
-RIGS: Final = MappingProxyType(
+#: The deployments by name: 9 and 5 engines, 3 services and 9 hosts.
+DEPLOYMENTS: Final = MappingProxyType(
     {
         'lesen': Rig(
             'lesen',
@@ -45,7 +46,7 @@
         ),
         'cascade': Rig(
             'cascade',
-            (_GALLEY, _GALLEY_ALL),
+            (_GALLEY, _GALLEY_ROLLOUT),
             hosts=3,
             engine_args=_ENGINE_ARGS,
             uneven={'everett-hall': (_GALLEY,)},
@@ -55,12 +56,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bad:
-    """The version that turns bad in a scenario.
+class Degradation:
+    """The degradation of a version in a scenario.
 
     Attributes:
-        version: Its name.
-        at: Share of the run's time at which it begins to.
+        version: Id of the version.
+        at: Start of the degradation, as a fraction of the length of the run.
     """
 
     version: str
@@ -69,20 +70,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One situation that is measured.
+    """A load scenario.
 
     Attributes:
         name: Its name.
-        deployment: Name of the example.
-        curve: How arrivals go up and down.
-        load: Highest rate, as a share of the capacity.
+        deployment: Name of the example deployment.
+        curve: Shape of the arrival rate.
+        load: Peak arrival rate, relative to the capacity.
         preset: The preset in force.
-        incidents: What goes wrong, in order.
-        bad: The version that turns bad, if one does.
-        flood: Extra load of one workspace, as a share of the capacity.
-        outage: Share of the time at which an outage begins, and its seconds.
-        note: What the scenario does not show.
-        seconds: Seconds that it needs at least to show what it is for.
+        incidents: The incidents in order.
+        degradation: The version that degrades, if one does.
+        flood: A workspace that sends additional load, and its rate relative
+            to the capacity.
+        outage: Start of a platform outage as a fraction of the length of the
+            run, and its duration in seconds.
+        note: Limits of the conclusions that the scenario allows.
+        seconds: Minimum length of a run that serves the scenario's purpose.
     """
 
     name: str
@@ -91,15 +94,15 @@
     load: float
     preset: str
     incidents: tuple[Incident, ...] = ()
-    bad: Bad | None = None
+    degradation: Degradation | None = None
     flood: tuple[str, float] | None = None
     outage: tuple[float, float] | None = None
     note: str = ''
     seconds: float = 0
 
 
-def _peak(load: float) -> Scenario:
-    """Return the night before a sitting, at a share of the capacity."""
+def _peak_scenario(load: float) -> Scenario:
+    """Return the peak scenario at a rate relative to the capacity."""
     return Scenario(
         f'peak-{load:.1f}',
         'lesen',
@@ -109,8 +112,8 @@
     )
 
 
-_BAD_ROLLOUT: Final = 'galley-large@4'
-_BAD_STEADY: Final = 'brief-medium@4'
+_ROLLOUT_VERSION: Final = 'galley-large@4'
+_STEADY_VERSION: Final = 'brief-medium@4'
 
 SCENARIOS: Final = (
     Scenario('idle', 'lesen', Curve.FLAT, 0.1, 'peak'),
@@ -122,9 +125,9 @@
         0.8,
         'ordinary',
     ),
-    _peak(1.0),
-    _peak(1.5),
-    _peak(2.5),
+    _peak_scenario(1.0),
+    _peak_scenario(1.5),
+    _peak_scenario(2.5),
     Scenario(
         'domain-engines-gone',
         'lesen',
@@ -147,11 +150,11 @@
         Curve.FLAT,
         0.6,
         'ordinary',
-        (Incident(0.25, turn_bad(_BAD_ROLLOUT, 0.3)),),
-        bad=Bad(_BAD_ROLLOUT, 0.25),
+        (Incident(0.25, degrade_version(_ROLLOUT_VERSION, 0.3)),),
+        degradation=Degradation(_ROLLOUT_VERSION, 0.25),
         seconds=22,
-        note='Seconds stand for the hour of the goal: the share is an upper '
-        'bound that no run of seconds can bring to 1%.',
+        note='The goal refers to an hour, the run lasts seconds: the share is '
+        'an upper bound, which cannot fall to 1% in so short a run.',
     ),
     Scenario(
         'steady-bad-at-once',
@@ -159,11 +162,11 @@
         Curve.FLAT,
         0.6,
         'ordinary',
-        (Incident(0.25, turn_bad(_BAD_STEADY, 0.3)),),
-        bad=Bad(_BAD_STEADY, 0.25),
+        (Incident(0.25, degrade_version(_STEADY_VERSION, 0.3)),),
+        degradation=Degradation(_STEADY_VERSION, 0.25),
         seconds=22,
-        note='A steady version, since one in roll-out may get no request '
-        'within a run; of its share of an hour the same holds.',
+        note='The version is not in roll-out, since such a version may get no '
+        'request within a run. The share is an upper bound here, too.',
     ),
     Scenario(
         'bad-slowly',
@@ -171,10 +174,11 @@
         Curve.FLAT,
         0.6,
         'ordinary',
-        (Incident(0.1, turn_bad(_BAD_STEADY, 0.5, 8)),),
-        bad=Bad(_BAD_STEADY, 0.1),
+        (Incident(0.1, degrade_version(_STEADY_VERSION, 0.5, 8)),),
+        degradation=Degradation(_STEADY_VERSION, 0.1),
         seconds=22,
-        note='The version falls over 8 s; it counts as bad from their start.',
+        note='The quality declines over 8 s; the version counts as degraded '
+        'from the start of the decline.',
     ),
     Scenario(
         'platform-down',
@@ -182,7 +186,7 @@
         Curve.FLAT,
         0.6,
         'ordinary',
-        (Incident(0.15, platform_down()),),
+        (Incident(0.15, platform_outage()),),
         seconds=16,
         note='Hosts are isolated one lease (8 s) after the outage begins.',
     ),
@@ -193,9 +197,10 @@
         0.6,
         'ordinary',
         (Incident(0.25, freeze_domain), Incident(0.65, thaw_domain)),
-        note='The hosts of a domain are stopped by SIGSTOP, and the balancer '
-        'leaves them out 2 s later. It does not show a cut-off domain that '
-        'goes on serving, nor upstreams that only some hosts can reach.',
+        note='The hosts of a failure domain are stopped by SIGSTOP, and the '
+        'load balancer removes them 2 s later. The scenario does not cover a '
+        'disconnected domain that continues to serve, nor upstreams that only '
+        'some hosts can reach.',
     ),
     Scenario(
         'outage-end',
@@ -203,9 +208,9 @@
         Curve.FLAT,
         0.5,
         'ordinary',
-        (Incident(0.2, platform_down(6)),),
+        (Incident(0.2, platform_outage(6)),),
         outage=(0.2, 6),
-        note='Calls to the platform are counted each second.',
+        note='Calls to the platform are counted every second.',
     ),
     Scenario(
         'flood',
@@ -218,19 +223,19 @@
 )
 
 #: Scenarios of ``--quick``.
-QUICK: Final = ('ordinary-day', 'peak-2.5', 'bad-at-once')
+QUICK_SCENARIOS: Final = ('ordinary-day', 'peak-2.5', 'bad-at-once')
 
 
-def scenarios(names: list[str]) -> list[Scenario]:
-    """Return the scenarios of those names; all where there are none.
+def find_scenarios(names: list[str]) -> list[Scenario]:
+    """Return the scenarios with the given names, or all if none is given.
 
     Raises:
-        ValueError: If there is no such scenario.
+        ValueError: If a name is unknown.
     """
     known = {scenario.name: scenario for scenario in SCENARIOS}
     for name in names:
         if name not in known:
             choices = ', '.join(known)
-            message = f'There is no scenario {name!r}; there are {choices}.'
+            message = f'There is no scenario {name!r}; choose from {choices}.'
             raise ValueError(message)
     return [known[name] for name in names or known]
--- a/experiments/load/summaries.py
+++ b/experiments/load/summaries.py
@@ -1,39 +1,41 @@
-"""All figures of one run, worked out of what was seen."""
+"""The report of a run, computed from the data that it produced."""
 
 from collections import Counter
 from dataclasses import dataclass
 from typing import Final
 
-from experiments.load.load import Record
-from experiments.load.observations import Observed
-from experiments.load.orders import Order, rate_of
-from experiments.load.promises import check
+from experiments.load.load import RequestResult
+from experiments.load.observations import Observations
+from experiments.load.orders import RunSpec, peak_rate
+from experiments.load.promises import check_guarantees
 from experiments.load.reports import (
     Exposure,
-    Figures,
     Percentiles,
-    by,
+    RequestStats,
+    compute_stats,
     exposure,
     fairness,
-    figures,
+    group_stats,
     percentiles,
 )
 from nutmegroad.contracts.documents import Document
 
-#: Client lag and share of a core beyond which it distorts the figures.
-MOST_LAG: Final = 0.05
-MOST_CPU: Final = 0.8
+#: Lag of the load client in seconds (99th percentile) and fraction of a core
+#: above which the client distorts the results.
+MAX_CLIENT_LAG: Final = 0.05
+MAX_CLIENT_CPU: Final = 0.8
 
 
 @dataclass(frozen=True, slots=True)
-class Client:
-    """How the load client itself did.
+class ClientStats:
+    """Statistics of the load client itself.
 
     Attributes:
-        lag: How late requests were sent, seconds.
-        cpu: Share of one core.
-        load_average: The machine's, before and after.
-        saturated: It was itself a bottleneck, so the figures are too bad.
+        lag: Delays in sending the requests, in seconds.
+        cpu: Fraction of a core that it used.
+        load_average: Load average of the machine before and after the load.
+        saturated: Whether the client was a bottleneck, so that the results
+            are worse than they should be.
     """
 
     lag: Percentiles
@@ -43,13 +45,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outage:
-    """Calls to the platform around the end of an outage.
+class OutageCalls:
+    """Calls to the platform per second around an outage.
 
     Attributes:
-        before: Calls a second before it began.
-        during: The most in a second while it lasted.
-        after: The most in a second after its end.
+        before: Mean before the outage.
+        during: Maximum during the outage.
+        after: Maximum after the outage.
     """
 
     before: float
@@ -58,37 +60,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """All figures of a run.
+class RunReport:
+    """The results of a run, as they are written to ``runs.json``.
 
     Attributes:
-        scenario: Its name.
-        arm: Its name.
-        seed: The seed.
+        scenario: Name of the scenario.
+        arm: Name of the arm.
+        seed: Seed of the traffic.
         seconds: Length of the traffic.
-        rate: Highest rate, requests a second.
-        models: Figures of all model requests.
-        services: Figures of all calls to plain services.
-        tasks: Figures by task class.
-        workspaces: Figures by workspace.
-        classes: Figures by workspace and task class.
-        versions: Answers by task class and version.
-        goodput: Answers in time, a second, from the curve's 30% to its end.
-        exposure: Work of a version that turned bad.
-        fairness: What each workspace got, as share of what was fair.
-        work: Answers begun by each engine.
-        retried: Requests that were begun more than once.
-        ends: Answers begun, by how they ended at the engine.
+        rate: Peak arrival rate in requests per second.
+        models: Statistics of all model requests.
+        services: Statistics of all calls to plain services.
+        tasks: Statistics by task class.
+        workspaces: Statistics by workspace.
+        classes: Statistics by workspace and task class.
+        versions: Number of answers by task class and version.
+        goodput: Answers in time per second, after the first 30% of the run.
+        exposure: Exposure to a version that degraded, if one did.
+        fairness: What each workspace received, relative to its fair share.
+        work: Number of answers that each engine began.
+        retried: Number of requests that engines began more than once.
+        ends: Number of answers begun, by how they ended at the engine.
         retries: Retries by reason, from the hosts' metrics.
-        invariants: Alarms of the hosts' own assertions.
-        breaches: Promises that were broken.
-        examples: Cases of these.
-        tracebacks: Tracebacks by process.
-        exit_codes: Processes that did not end with 0.
-        unseen: Stand-ins that could not be asked.
-        outage: Calls around an outage's end.
-        client: How the load client did.
-        note: What the scenario does not show.
+        invariants: Failures of the hosts' invariant checks, by name.
+        breaches: Number of violations by guarantee.
+        examples: Examples of violations by guarantee.
+        tracebacks: Number of tracebacks by process.
+        exit_codes: Nonzero exit codes of processes that were not killed.
+        unseen: Stand-ins that did not respond.
+        outage: Calls to the platform around an outage, if there was one.
+        client: Statistics of the load client.
+        note: Limits of the conclusions that the scenario allows.
     """
 
     scenario: str
@@ -96,11 +98,11 @@
     seed: int
     seconds: float
     rate: float
-    models: Figures
-    services: Figures
-    tasks: dict[str, Figures]
-    workspaces: dict[str, Figures]
-    classes: dict[str, Figures]
+    models: RequestStats
+    services: RequestStats
+    tasks: dict[str, RequestStats]
+    workspaces: dict[str, RequestStats]
+    classes: dict[str, RequestStats]
     versions: dict[str, int]
     goodput: float
     exposure: Exposure | None
@@ -115,139 +117,160 @@
     tracebacks: dict[str, int]
     exit_codes: dict[str, int]
     unseen: list[str]
-    outage: Outage | None
-    client: Client
+    outage: OutageCalls | None
+    client: ClientStats
     note: str
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """What a run gave, before it is worked out.
+class RunData:
+    """The data that a run produced.
 
     Attributes:
-        records: All requests.
-        observed: What was seen beside the replies.
+        request_results: Results of all requests.
+        observations: Observations other than the responses to callers.
         document: The configuration.
-        exit_codes: Processes that ended with another code than 0, unasked.
+        exit_codes: Nonzero exit codes of processes that were not killed.
     """
 
-    records: list[Record]
-    observed: Observed
+    request_results: list[RequestResult]
+    observations: Observations
     document: Document
     exit_codes: dict[str, int]
 
 
-def report(order: Order, seen: Seen) -> Report:
-    """Work a run's figures out."""
-    records = seen.records
-    models = [record for record in records if not record.ask.is_service]
-    services = [record for record in records if record.ask.is_service]
-    observed = seen.observed
-    breaches = check(records, observed, seen.document)
-    return Report(
-        scenario=order.scenario.name,
-        arm=order.arm.name,
-        seed=order.seed,
-        seconds=order.seconds,
-        rate=rate_of(order),
-        models=figures(models),
-        services=figures(services),
-        tasks=by(models, lambda record: record.ask.task),
-        workspaces=by(models, lambda record: record.ask.workspace),
-        classes=by(models, _class_of),
-        versions=dict(_versions(models)),
-        goodput=goodput(models, order.seconds),
-        exposure=_exposure(order, models),
-        fairness=_fairness(models, seen.document),
-        work={name: len(runs) for name, runs in observed.engine_runs.items()},
-        retried=_retried(observed),
-        ends=dict(_ends(observed)),
-        retries=dict(observed.retries),
-        invariants=dict(observed.invariants),
-        breaches=dict(breaches.counts),
-        examples=breaches.examples,
-        tracebacks=observed.tracebacks,
-        exit_codes=seen.exit_codes,
-        unseen=observed.unseen,
-        outage=_outage(order, observed),
-        client=_client(records, observed),
-        note=order.scenario.note,
+def build_report(run_spec: RunSpec, run_data: RunData) -> RunReport:
+    """Compute the report of a run."""
+    request_results = run_data.request_results
+    models = [
+        result for result in request_results if not result.planned.is_service
+    ]
+    services = [
+        result for result in request_results if result.planned.is_service
+    ]
+    observations = run_data.observations
+    violations = check_guarantees(
+        request_results, observations, run_data.document
     )
+    return RunReport(
+        scenario=run_spec.scenario.name,
+        arm=run_spec.arm.name,
+        seed=run_spec.seed,
+        seconds=run_spec.seconds,
+        rate=peak_rate(run_spec),
+        models=compute_stats(models),
+        services=compute_stats(services),
+        tasks=group_stats(models, lambda result: result.planned.task),
+        workspaces=group_stats(models, lambda result: result.planned.workspace),
+        classes=group_stats(models, _class_name),
+        versions=dict(_count_versions(models)),
+        goodput=goodput(models, run_spec.seconds),
+        exposure=_exposure(run_spec, models),
+        fairness=_fairness(models, run_data.document),
+        work={
+            name: len(runs) for name, runs in observations.engine_runs.items()
+        },
+        retried=_count_retried(observations),
+        ends=dict(_count_ends(observations)),
+        retries=dict(observations.retries),
+        invariants=dict(observations.invariants),
+        breaches=dict(violations.counts),
+        examples=violations.examples,
+        tracebacks=observations.tracebacks,
+        exit_codes=run_data.exit_codes,
+        unseen=observations.unseen,
+        outage=_outage_calls(run_spec, observations),
+        client=_client_stats(request_results, observations),
+        note=run_spec.scenario.note,
+    )
+
 
+def goodput(models: list[RequestResult], seconds: float) -> float:
+    """Return the answers in time per second, after the first 30% of the run.
 
-def goodput(models: list[Record], seconds: float) -> float:
-    """Return answers in time by second, after the curve has risen."""
+    By then every curve has passed its initial rise.
+    """
     begin = seconds * 0.3
-    good = sum(one.in_time and one.ask.at >= begin for one in models)
+    good = sum(one.in_time and one.planned.at >= begin for one in models)
     return good / (seconds - begin)
 
 
-def _class_of(record: Record) -> str:
-    """Name a record's workspace and task class."""
-    return f'{record.ask.workspace} / {record.ask.task}'
+def _class_name(result: RequestResult) -> str:
+    """Return the workspace and task class of a request."""
+    return f'{result.planned.workspace} / {result.planned.task}'
 
 
-def _versions(models: list[Record]) -> Counter[str]:
+def _count_versions(models: list[RequestResult]) -> Counter[str]:
     """Count answers by task class and version."""
     return Counter(
-        f'{record.ask.task} / {record.version}'
-        for record in models
-        if record.answered
+        f'{result.planned.task} / {result.version}'
+        for result in models
+        if result.answered
     )
 
 
-def _exposure(order: Order, models: list[Record]) -> Exposure | None:
-    """Return the exposure where a version turned bad."""
-    bad = order.scenario.bad
-    if bad is None:
+def _exposure(
+    run_spec: RunSpec, models: list[RequestResult]
+) -> Exposure | None:
+    """Return the exposure to the version that degraded, if one did."""
+    degradation = run_spec.scenario.degradation
+    if degradation is None:
         return None
-    turned = bad.at * order.seconds
-    return exposure(models, bad.version, turned, order.seconds)
+    degraded_at = degradation.at * run_spec.seconds
+    return exposure(models, degradation.version, degraded_at, run_spec.seconds)
 
 
-def _fairness(models: list[Record], document: Document) -> dict[str, float]:
-    """Return what each workspace got, as share of what was fair."""
+def _fairness(
+    models: list[RequestResult], document: Document
+) -> dict[str, float]:
+    """Return what each workspace received relative to its fair share."""
     weights = {entry.name: entry.share for entry in document.workspaces}
     return fairness(models, weights)
 
 
-def _retried(observed: Observed) -> int:
-    """Count requests that engines began more than once."""
-    begun = Counter(
-        run.request for runs in observed.engine_runs.values() for run in runs
+def _count_retried(observations: Observations) -> int:
+    """Return the number of requests that engines began more than once."""
+    starts = Counter(
+        run.request_id
+        for runs in observations.engine_runs.values()
+        for run in runs
     )
-    return sum(count > 1 for count in begun.values())
+    return sum(count > 1 for count in starts.values())
 
 
-def _ends(observed: Observed) -> Counter[str]:
-    """Count answers begun, by how they ended."""
+def _count_ends(observations: Observations) -> Counter[str]:
+    """Count the answers begun, by how they ended."""
     return Counter(
-        run.ended for runs in observed.engine_runs.values() for run in runs
+        run.ended for runs in observations.engine_runs.values() for run in runs
     )
 
 
-def _outage(order: Order, observed: Observed) -> Outage | None:
-    """Return the calls to the platform around an outage's end."""
-    bounds = order.scenario.outage
+def _outage_calls(
+    run_spec: RunSpec, observations: Observations
+) -> OutageCalls | None:
+    """Return the calls to the platform around an outage, if there was one."""
+    bounds = run_spec.scenario.outage
     if bounds is None:
         return None
-    begin = bounds[0] * order.seconds
+    begin = bounds[0] * run_spec.seconds
     end = begin + bounds[1]
-    calls = observed.calls
+    calls = observations.platform_calls
     before = [count for at, count in calls if at <= begin]
     during = [count for at, count in calls if begin + 1 < at <= end]
     after = [count for at, count in calls if at > end]
     mean = sum(before) / len(before) if before else 0
-    return Outage(mean, max(during, default=0), max(after, default=0))
+    return OutageCalls(mean, max(during, default=0), max(after, default=0))
 
 
-def _client(records: list[Record], observed: Observed) -> Client:
-    """Return how the load client itself did."""
-    lag = percentiles(record.lag for record in records)
-    late = (lag.p99 or 0) > MOST_LAG
-    return Client(
+def _client_stats(
+    request_results: list[RequestResult], observations: Observations
+) -> ClientStats:
+    """Return the statistics of the load client itself."""
+    lag = percentiles(result.lag for result in request_results)
+    late = (lag.p99 or 0) > MAX_CLIENT_LAG
+    return ClientStats(
         lag,
-        observed.cpu,
-        observed.load_average,
-        late or observed.cpu > MOST_CPU,
+        observations.cpu,
+        observations.load_average,
+        late or observations.cpu > MAX_CLIENT_CPU,
     )
--- a/experiments/load/tables.py
+++ b/experiments/load/tables.py
@@ -1,4 +1,4 @@
-"""Tables of runs, for people, and the goals beside the figures."""
+"""Markdown tables and descriptions of runs."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -6,23 +6,23 @@
 
 import numpy as np
 
-from experiments.load.reports import Figures
-from experiments.load.summaries import Report
+from experiments.load.reports import Exposure, RequestStats
+from experiments.load.summaries import RunReport
 
-#: Tells a figure of a run; None where it has none.
-Getter = Callable[[Report], float | None]
+#: Returns a metric of a run; None if the run does not provide it.
+MetricGetter = Callable[[RunReport], float | None]
 
-_NOTHING: Final = '-'
+_NO_VALUE: Final = '-'
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """A figure over several seeds.
+    """Spread of a metric over several seeds.
 
     Attributes:
         mean: Mean.
-        low: Lowest.
-        high: Highest.
+        low: Minimum.
+        high: Maximum.
     """
 
     mean: float
@@ -30,27 +30,27 @@
     high: float
 
     def __str__(self) -> str:
-        """Return the form that tables use."""
+        """Return the mean and, if they differ, the minimum and maximum."""
         if self.low == self.high:
             return f'{self.mean:.4g}'
         return f'{self.mean:.4g} [{self.low:.4g}, {self.high:.4g}]'
 
 
-def spread(found: Iterable[float | None]) -> Spread | None:
-    """Return the spread of those figures that there are."""
-    there = [figure for figure in found if figure is not None]
-    if not there:
+def spread(metrics: Iterable[float | None]) -> Spread | None:
+    """Return the spread of the values that are not None, if there are any."""
+    present = [one for one in metrics if one is not None]
+    if not present:
         return None
-    return Spread(float(np.mean(there)), min(there), max(there))
+    return Spread(float(np.mean(present)), min(present), max(present))
 
 
 def _milliseconds(seconds: float | None) -> float | None:
-    """Return milliseconds."""
+    """Convert seconds to milliseconds."""
     return None if seconds is None else seconds * 1000
 
 
-#: A figure's name and how it is got.
-Column = tuple[str, Getter]
+#: Name of a metric and the function that returns it.
+Column = tuple[str, MetricGetter]
 
 COLUMNS: Final[tuple[Column, ...]] = (
     ('asked', lambda run: run.models.asked),
@@ -69,7 +69,7 @@
     ('retried', lambda run: run.retried),
 )
 
-_GROUP_HEAD: Final = (
+_GROUP_COLUMNS: Final = (
     'asked',
     'in time',
     'met',
@@ -82,35 +82,36 @@
 )
 
 
-def table(head: Iterable[str], rows: Iterable[Iterable[str]]) -> str:
+def table(header: Iterable[str], rows: Iterable[Iterable[str]]) -> str:
     """Return a Markdown table."""
-    heads = tuple(head)
-    lines = [f'| {" | ".join(heads)} |']
-    lines.append(f'| {" | ".join("---" for _ in heads)} |')
+    columns = tuple(header)
+    lines = [f'| {" | ".join(columns)} |']
+    lines.append(f'| {" | ".join("---" for _ in columns)} |')
     lines.extend(f'| {" | ".join(row)} |' for row in rows)
     return '\n'.join(lines)
 
 
-def arms_of(runs: list[Report]) -> list[str]:
-    """Return the arms in the order in which they were run."""
+def arms_of(runs: list[RunReport]) -> list[str]:
+    """Return the names of the arms in the order of their first runs."""
     return list(dict.fromkeys(run.arm for run in runs))
 
 
-def compare(runs: list[Report]) -> str:
-    """Compare the arms of one scenario, over its seeds."""
+def comparison_table(runs: list[RunReport]) -> str:
+    """Return a table that compares the arms of one scenario over all seeds."""
     rows = []
     for arm in arms_of(runs):
         own = [run for run in runs if run.arm == arm]
         cells = [
-            _text(spread(getter(run) for run in own)) for _, getter in COLUMNS
+            _spread_cell(spread(getter(run) for run in own))
+            for _, getter in COLUMNS
         ]
         rows.append([arm, str(len(own)), *cells])
-    heads = ['arm', 'seeds', *(name for name, _ in COLUMNS)]
-    return table(heads, rows)
+    columns = ['arm', 'seeds', *(name for name, _ in COLUMNS)]
+    return table(columns, rows)
 
 
-def describe(run: Report) -> str:
-    """Return one run in full."""
+def describe(run: RunReport) -> str:
+    """Return all results of one run as Markdown."""
     title = f'### {run.scenario}, {run.arm}, seed {run.seed}'
     groups = {
         'all model requests': run.models,
@@ -120,25 +121,29 @@
         **run.classes,
     }
     rows = [[name, *_group_row(group)] for name, group in groups.items()]
-    parts = [title, table(('group', *_GROUP_HEAD), rows), *_lines(run)]
+    parts = [
+        title,
+        table(('group', *_GROUP_COLUMNS), rows),
+        *_detail_lines(run),
+    ]
     return '\n\n'.join(parts)
 
 
-def warnings(run: Report) -> list[str]:
-    """Return what a reader of a run's figures has to know."""
+def run_warnings(run: RunReport) -> list[str]:
+    """Return warnings about a run that affect the use of its results."""
     found = []
     if run.client.saturated:
         lag = _milliseconds(run.client.lag.p99) or 0
         found.append(
-            f'the load client or the machine was too busy (lag p99 '
+            f'the load client or the machine was overloaded (lag p99 '
             f'{lag:.0f} ms, '
             f'{run.client.cpu:.2f} of a core)',
         )
-    for promise, count in run.breaches.items():
-        example = run.examples[promise][0]
-        found.append(f'BROKEN {count} times: {promise} ({example})')
+    for guarantee, count in run.breaches.items():
+        example = run.examples[guarantee][0]
+        found.append(f'BROKEN {count} times: {guarantee} ({example})')
     found.extend(
-        f'alarm of the hosts: {name} {count} times'
+        f'invariant check of the hosts failed {count} times: {name}'
         for name, count in run.invariants.items()
     )
     found.extend(
@@ -146,94 +151,105 @@
         for name, count in run.tracebacks.items()
     )
     found.extend(
-        f'{name} ended with {code}' for name, code in run.exit_codes.items()
+        f'{name} exited with code {code}'
+        for name, code in run.exit_codes.items()
     )
     return found
 
 
-def _lines(run: Report) -> list[str]:
-    """Return what stands below a run's table."""
+def _detail_lines(run: RunReport) -> list[str]:
+    """Return the lines below the table of a run."""
     client = run.client
     lag = _milliseconds(client.lag.p99) or 0
     before, after = client.load_average
     lines = [
-        f'Rate at the highest point {run.rate:.1f}/s; versions: '
-        f'{_counts(run.versions)}.',
-        f'Begun by engine: {_counts(run.work)}; ends: {_counts(run.ends)}; '
-        f'begun more than once: {run.retried}; retries by reason: '
-        f'{_counts(run.retries) or "not shown by the hosts"}.',
-        f'Fair share by workspace: {_shares(run.fairness)}.',
+        f'Peak rate {run.rate:.1f}/s; versions: {_join_counts(run.versions)}.',
+        f'Answers begun by engine: {_join_counts(run.work)}; '
+        f'by end: {_join_counts(run.ends)}; '
+        f'requests begun more than once: {run.retried}; retries by reason: '
+        f'{_join_counts(run.retries) or "not reported by the hosts"}.',
+        f'Fair share by workspace: {_join_shares(run.fairness)}.',
         f'Load client: lag p99 {lag:.1f} ms, {client.cpu:.2f} of a core; '
         f'load average {before:.1f} before, {after:.1f} after.',
     ]
     lines.extend(_special_lines(run))
-    lines.extend(f'Note: {warning}.' for warning in warnings(run))
+    lines.extend(f'Note: {warning}.' for warning in run_warnings(run))
     if run.note:
         lines.append(run.note)
     return lines
 
 
-def _special_lines(run: Report) -> list[str]:
-    """Return the lines that only some scenarios have."""
+def _special_lines(run: RunReport) -> list[str]:
+    """Return the lines for results that only some scenarios have."""
     lines = []
     if run.exposure is not None:
-        seen = run.exposure
-        share = 'no requests' if seen.share is None else f'{seen.share:.1%}'
-        last = 'none' if seen.last is None else f'{seen.last:.1f} s later'
-        lines.append(
-            f'Exposure to {seen.version}: {seen.exposed} of {seen.asked} '
-            f'requests ({share}), {seen.below} below target, last {last}, '
-            f'of {seen.watched:.1f} s watched.',
-        )
+        lines.append(_exposure_line(run.exposure))
     if run.outage is not None:
-        calls = run.outage
+        outage = run.outage
         lines.append(
-            f'Calls to the platform a second: {calls.before:.0f} before the '
-            f'outage, at most {calls.during} during it, at most '
-            f'{calls.after} after its end.',
+            f'Calls to the platform per second: {outage.before:.0f} before the '
+            f'outage, at most {outage.during} during it, at most '
+            f'{outage.after} after its end.',
         )
     return lines
 
 
-def _group_row(group: Figures) -> list[str]:
-    """Return the cells of one group."""
+def _exposure_line(exposure: Exposure) -> str:
+    """Return the line about a version that degraded."""
+    share = 'no requests'
+    if exposure.share is not None:
+        share = f'{exposure.share:.1%}'
+    last = 'none'
+    if exposure.last is not None:
+        last = f'{exposure.last:.1f} s after its degradation'
+    return (
+        f'Exposure to {exposure.version}: {exposure.exposed} of '
+        f'{exposure.asked} requests ({share}), {exposure.below} below target, '
+        f'last {last}, observed for {exposure.watched:.1f} s.'
+    )
+
+
+def _group_row(group: RequestStats) -> list[str]:
+    """Return the table cells of one group of requests."""
     met = group.share_met
     return [
         str(group.asked),
         f'{group.share_in_time:.3f}',
-        _NOTHING if met is None else f'{met:.3f}',
-        _number(group.cost_per_answer),
-        _number(group.cost_per_met),
-        _three(group.first.p50, group.first.p95, group.first.p99),
-        _three(group.between.p50, group.between.p95, group.between.p99),
-        _three(group.whole.p50, group.whole.p95, group.whole.p99),
-        _counts(group.reasons),
+        _NO_VALUE if met is None else f'{met:.3f}',
+        _number_cell(group.cost_per_answer),
+        _number_cell(group.cost_per_met),
+        _percentile_cell(group.first.p50, group.first.p95, group.first.p99),
+        _percentile_cell(
+            group.between.p50, group.between.p95, group.between.p99
+        ),
+        _percentile_cell(group.whole.p50, group.whole.p95, group.whole.p99),
+        _join_counts(group.reasons),
     ]
 
 
-def _text(cell: Spread | None) -> str:
-    """Return a cell."""
-    return _NOTHING if cell is None else str(cell)
+def _spread_cell(cell: Spread | None) -> str:
+    """Return a cell with a spread over the seeds."""
+    return _NO_VALUE if cell is None else str(cell)
 
 
-def _number(cell: float | None) -> str:
-    """Return a cell."""
-    return _NOTHING if cell is None else f'{cell:.4g}'
+def _number_cell(cell: float | None) -> str:
+    """Return a cell with a number of four significant digits."""
+    return _NO_VALUE if cell is None else f'{cell:.4g}'
 
 
-def _three(*seconds: float | None) -> str:
-    """Return a cell of milliseconds."""
+def _percentile_cell(*seconds: float | None) -> str:
+    """Return a cell with several durations in milliseconds."""
     cells = [_milliseconds(one) for one in seconds]
     return ' / '.join(
-        _NOTHING if one is None else f'{one:.0f}' for one in cells
+        _NO_VALUE if one is None else f'{one:.0f}' for one in cells
     )
 
 
-def _counts(counts: dict[str, int]) -> str:
-    """Return counts in words."""
+def _join_counts(counts: dict[str, int]) -> str:
+    """Return names and counts as a comma-separated list."""
     return ', '.join(f'{name} {count}' for name, count in counts.items())
 
 
-def _shares(shares: dict[str, float]) -> str:
-    """Return shares in words."""
+def _join_shares(shares: dict[str, float]) -> str:
+    """Return names and shares as a comma-separated list."""
     return ', '.join(f'{name} {part:.2f}' for name, part in shares.items())
--- a/experiments/load/traffic.py
+++ b/experiments/load/traffic.py
@@ -1,9 +1,9 @@
-"""The two deployments' traffic, drawn from a seed before a run begins.
+"""Random traffic of the two example deployments.
 
-Time is compressed: answers are about a twentieth of the length that the
-configuration states, and callers' deadlines are a twentieth, too. All of a
-run's requests are known before the first is sent, each with the moment at
-which it is meant to be sent, so that late answers slow nothing down.
+Time is compressed: answers and callers' deadlines are about a twentieth of
+those in the configuration. All requests of a run are drawn from a seed and
+scheduled before the first is sent, so that late answers do not slow down the
+load.
 """
 
 import math
@@ -16,23 +16,25 @@
 
 from nutmegroad.contracts.documents import Document, WorkspaceEntry
 
-#: Words that prompts of one workspace and task class begin with.
+#: Length in words of the prefix that prompts of one workspace and task class
+#: have in common.
 PREFIX_WORDS: Final = 64
-#: Longest lengths, by the mean; such an answer still ends in its deadline.
-LONGEST: Final = 3
-#: Seconds between two requests of a session.
-SESSION_PAUSE: Final = 4.0
-#: Share of the calls to a service that may not be repeated.
-WRITE_SHARE: Final = 0.4
-#: Share of those calls that are sent again under the same key.
-AGAIN_SHARE: Final = 0.25
-#: Seconds after which such a call is sent again.
-AGAIN_PAUSE: Final = 0.3
+#: Maximum length as a multiple of the mean. An answer of this length can still
+#: end before its deadline.
+MAX_LENGTH_FACTOR: Final = 3
+#: Seconds between successive requests of a session.
+SESSION_INTERVAL: Final = 4.0
+#: Fraction of the service calls that are writes, which may not be repeated.
+WRITE_FRACTION: Final = 0.4
+#: Fraction of the writes that are sent twice with the same idempotency key.
+DUPLICATE_FRACTION: Final = 0.25
+#: Seconds after which the duplicate is sent.
+DUPLICATE_DELAY: Final = 0.3
 
 
 @unique
 class Curve(Enum):
-    """How arrivals go up and down over a run."""
+    """Shape of the arrival rate over a run."""
 
     FLAT = 'flat'
     ORDINARY_DAY = 'ordinary day'
@@ -40,7 +42,8 @@
     CATERING_MORNING = 'catering morning'
 
 
-#: Each curve's share of its highest rate, by share of the run's time.
+#: Points of each curve: elapsed fraction of the run, and rate relative to the
+#: peak rate. The rate is interpolated linearly between them.
 _SHAPES: Final = {
     Curve.FLAT: ((0, 1), (1, 1)),
     Curve.ORDINARY_DAY: (
@@ -65,42 +68,42 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskMix:
-    """One task class's part of the traffic.
+    """Traffic of one task class.
 
     Attributes:
-        task: Its name.
-        weight: Its part among the model requests.
-        tokens: Mean words of its answers.
-        spread: Sigma of the log-normal draw of lengths.
-        prompt: Mean words of its prompts.
-        deadline: Seconds that its callers wait.
-        sessions: Share of its requests that begin a session.
+        task: Name of the task class.
+        weight: Relative frequency among the model requests.
+        tokens: Mean length of its answers in words.
+        sigma: Sigma of the log-normal distribution of these lengths.
+        prompt: Mean length of its prompts in words.
+        deadline: Seconds for which its callers wait.
+        session_fraction: Fraction of its requests that start a session.
     """
 
     task: str
     weight: float
     tokens: float
-    spread: float
+    sigma: float
     prompt: float
     deadline: float
-    sessions: float = 0
+    session_fraction: float = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """One deployment's traffic.
+    """Traffic of one deployment.
 
     Attributes:
         tasks: Its task classes.
-        service_share: Share of all requests that go to the plain service.
-        read: Path of a call that may be repeated; ends with a slash.
-        write: Path of a call that may not.
+        service_fraction: Fraction of all requests that are service calls.
+        read_path: Path of a repeatable call; ends with a slash.
+        write_path: Path of a call that may not be repeated.
     """
 
     tasks: tuple[TaskMix, ...]
-    service_share: float
-    read: str
-    write: str
+    service_fraction: float
+    read_path: str
+    write_path: str
 
 
 MIXES: Final = {
@@ -128,22 +131,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """One request that is to be sent.
+class PlannedRequest:
+    """A request scheduled to be sent.
 
     Attributes:
-        number: Its place in the run.
-        at: Seconds after the run's start at which it is to be sent.
-        workspace: Who asks.
-        task: Task class, or the plain service's name.
-        deadline: Seconds that its caller waits.
-        host: Draws the entry host; any whole number.
-        target: Quality that its answer must reach.
-        tokens: Words of its answer; 0 for a plain service's call.
-        prompt: Words of its prompt.
+        number: Number of the request, unique among those drawn together.
+        at: Seconds after the start of the run at which it is to be sent.
+        workspace: Workspace of the caller.
+        task: Task class, or name of the plain service.
+        deadline: Seconds for which its caller waits.
+        host_index: Any whole number; its remainder selects the entry host.
+        target: Quality target of its answer.
+        tokens: Length of its answer in words; 0 for a service call.
+        prompt: Length of its prompt in words.
         session: Name of its session; empty for none.
-        opens: It is the first of its session.
-        path: Path below a plain service; empty for a model request.
+        opens_session: Whether it is the first request of its session.
+        path: Path within a plain service; empty for a model request.
         key: Idempotency key; empty for none.
     """
 
@@ -152,32 +155,33 @@
     workspace: str
     task: str
     deadline: float
-    host: int
+    host_index: int
     target: float = 0
     tokens: int = 0
     prompt: int = 0
     session: str = ''
-    opens: bool = False
+    opens_session: bool = False
     path: str = ''
     key: str = ''
 
     @property
     def is_service(self) -> bool:
-        """Tell whether it goes to a plain service."""
+        """Whether it is a call to a plain service."""
         return bool(self.path)
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
-    """What traffic is to be drawn.
+class TrafficSpec:
+    """Parameters of the traffic to draw.
 
     Attributes:
-        deployment: Name of the example.
-        curve: How arrivals go up and down.
-        rate: Requests a second at the highest point of the curve.
+        deployment: Name of the example deployment.
+        curve: Shape of the arrival rate.
+        rate: Requests per second at the peak of the curve.
         seconds: Length of the run.
-        preset: The preset in force, whose targets hold.
-        workspace: The only workspace that asks; empty for all by share.
+        preset: The preset in force, whose quality targets apply.
+        workspace: The only workspace that sends requests; empty for all
+            workspaces in proportion to their quota shares.
     """
 
     deployment: str
@@ -188,39 +192,54 @@
     workspace: str = ''
 
 
-def share_of_peak(curve: Curve, moment: float) -> float:
-    """Return the rate at a moment (from 0 to 1), as share of the highest."""
-    moments, shares = zip(*_SHAPES[curve], strict=True)
-    return float(np.interp(moment, moments, shares))
+def relative_rate(curve: Curve, moment: float) -> float:
+    """Return the arrival rate relative to the peak of a curve.
+
+    Args:
+        curve: The curve.
+        moment: Elapsed fraction of the run, from 0 to 1.
+    """
+    moments, rates = zip(*_SHAPES[curve], strict=True)
+    return float(np.interp(moment, moments, rates))
 
 
-def arrivals(demand: Demand, randomness: random.Random) -> list[float]:
-    """Draw arrival times of a Poisson process that follows the curve."""
+def draw_arrivals(spec: TrafficSpec, randomness: random.Random) -> list[float]:
+    """Draw the arrival times of an inhomogeneous Poisson process.
+
+    Its rate follows the curve; arrivals at the peak rate are thinned out.
+    """
     times: list[float] = []
     now: float = 0
     while True:
-        now += randomness.expovariate(demand.rate)
-        if now >= demand.seconds:
+        now += randomness.expovariate(spec.rate)
+        if now >= spec.seconds:
             return times
-        share = share_of_peak(demand.curve, now / demand.seconds)
-        if randomness.random() < share:
+        rate = relative_rate(spec.curve, now / spec.seconds)
+        if randomness.random() < rate:
             times.append(now)
 
 
-def length(mean: float, spread: float, randomness: random.Random) -> int:
-    """Draw a length with a long tail; its mean is the one given."""
-    middle = math.log(mean) - spread * spread / 2
-    drawn = randomness.lognormvariate(middle, spread)
-    return max(2, min(round(drawn), round(mean * LONGEST)))
+def draw_length(mean: float, sigma: float, randomness: random.Random) -> int:
+    """Draw a length from a log-normal distribution with the given mean.
+
+    The result is at least 2 and at most ``MAX_LENGTH_FACTOR`` times the mean.
+    """
+    mu = math.log(mean) - sigma * sigma / 2
+    drawn = randomness.lognormvariate(mu, sigma)
+    return max(2, min(round(drawn), round(mean * MAX_LENGTH_FACTOR)))
 
 
-def target_of(
+def quality_target(
     document: Document,
     workspace: WorkspaceEntry,
     task: str,
     preset: str,
 ) -> float:
-    """Return a target: workspace before preset before task class."""
+    """Return the quality target that applies to a request.
+
+    A target of the workspace overrides that of the preset, which overrides
+    that of the task class.
+    """
     if task in workspace.targets:
         return workspace.targets[task]
     for chosen in document.presets:
@@ -231,136 +250,146 @@
     return next(entry.target for entry in document.tasks if entry.name == task)
 
 
-class Traffic:
-    """Draws requests.
+class TrafficGenerator:
+    """Generates random requests.
 
     Args:
         document: The deployment's configuration.
-        demand: What is wanted.
-        randomness: Seeded.
+        spec: Parameters of the traffic.
+        randomness: Source of randomness, already seeded.
     """
 
     def __init__(
         self,
         document: Document,
-        demand: Demand,
+        spec: TrafficSpec,
         randomness: random.Random,
     ) -> None:
         self._document = document
-        self._demand = demand
+        self._spec = spec
         self._randomness = randomness
-        self._mix = MIXES[demand.deployment]
+        self._mix = MIXES[spec.deployment]
         self._workspaces = [
             entry
             for entry in document.workspaces
-            if demand.workspace in {'', entry.name}
+            if spec.workspace in {'', entry.name}
         ]
-        self._asks: list[Ask] = []
+        self._requests: list[PlannedRequest] = []
 
-    def draw(self) -> list[Ask]:
-        """Return all requests, in the order of their times."""
-        for moment in arrivals(self._demand, self._randomness):
-            workspace = self._workspace()
-            if self._randomness.random() < self._mix.service_share:
+    def generate(self) -> list[PlannedRequest]:
+        """Return all requests, ordered by their scheduled times."""
+        for moment in draw_arrivals(self._spec, self._randomness):
+            workspace = self._draw_workspace()
+            if self._randomness.random() < self._mix.service_fraction:
                 self._add_call(moment, workspace)
             else:
-                self._add_model(moment, workspace)
-        return sorted(self._asks, key=lambda ask: ask.at)
+                self._add_model_requests(moment, workspace)
+        return sorted(self._requests, key=lambda planned: planned.at)
 
-    def _workspace(self) -> WorkspaceEntry:
-        """Draw who asks, by the workspaces' shares."""
+    def _draw_workspace(self) -> WorkspaceEntry:
+        """Draw a workspace in proportion to the quota shares."""
         shares = [entry.share for entry in self._workspaces]
         return self._randomness.choices(self._workspaces, shares)[0]
 
     def _add_call(self, moment: float, workspace: WorkspaceEntry) -> None:
-        """Add a call to the plain service, sometimes sent twice."""
-        number = len(self._asks)
+        """Add a call to the plain service, and sometimes its duplicate."""
+        number = len(self._requests)
         entry = self._document.services[0]
-        writes = self._randomness.random() < WRITE_SHARE
-        mark = f'{self._demand.workspace}{number}'
-        ask = Ask(
+        is_write = self._randomness.random() < WRITE_FRACTION
+        suffix = f'{self._spec.workspace}{number}'
+        read_path = f'{self._mix.read_path}{suffix}'
+        planned = PlannedRequest(
             number,
             moment,
             workspace.name,
             entry.name,
             min(entry.timeout, 5),
-            self._host(),
-            path=self._mix.write if writes else f'{self._mix.read}{mark}',
-            key=f'key-{mark}' if writes else '',
+            self._draw_host_index(),
+            path=self._mix.write_path if is_write else read_path,
+            key=f'key-{suffix}' if is_write else '',
         )
-        self._asks.append(ask)
-        if writes and self._randomness.random() < AGAIN_SHARE:
-            self._asks.append(self._again(ask))
-
-    def _again(self, ask: Ask) -> Ask:
-        """Return the same call, sent through another host a little later."""
-        return Ask(
-            len(self._asks),
-            ask.at + AGAIN_PAUSE,
-            ask.workspace,
-            ask.task,
-            ask.deadline,
-            ask.host + 1,
-            path=ask.path,
-            key=ask.key,
+        self._requests.append(planned)
+        if is_write and self._randomness.random() < DUPLICATE_FRACTION:
+            self._requests.append(self._duplicate_call(planned))
+
+    def _duplicate_call(self, planned: PlannedRequest) -> PlannedRequest:
+        """Return the same call, sent later through another host."""
+        return PlannedRequest(
+            len(self._requests),
+            planned.at + DUPLICATE_DELAY,
+            planned.workspace,
+            planned.task,
+            planned.deadline,
+            planned.host_index + 1,
+            path=planned.path,
+            key=planned.key,
         )
 
-    def _add_model(self, moment: float, workspace: WorkspaceEntry) -> None:
-        """Add a model request, or a session of some."""
+    def _add_model_requests(
+        self, moment: float, workspace: WorkspaceEntry
+    ) -> None:
+        """Add a single model request, or a session of two to four."""
         weights = [task.weight for task in self._mix.tasks]
         task = self._randomness.choices(self._mix.tasks, weights)[0]
-        if self._randomness.random() >= task.sessions:
-            self._asks.append(self._model(moment, workspace, task, '', False))
+        if self._randomness.random() >= task.session_fraction:
+            self._requests.append(
+                self._model_request(moment, workspace, task, '', False)
+            )
             return
-        name = f's-{self._demand.workspace}{len(self._asks)}'
-        for turn in range(self._randomness.randint(2, 4)):
-            sent = moment + turn * SESSION_PAUSE
-            opens = turn == 0
-            if sent < self._demand.seconds:
-                ask = self._model(sent, workspace, task, name, opens)
-                self._asks.append(ask)
-
-    def _model(
+        name = f's-{self._spec.workspace}{len(self._requests)}'
+        for position in range(self._randomness.randint(2, 4)):
+            at = moment + position * SESSION_INTERVAL
+            is_first = position == 0
+            if at < self._spec.seconds:
+                self._requests.append(
+                    self._model_request(at, workspace, task, name, is_first)
+                )
+
+    def _model_request(
         self,
         moment: float,
         workspace: WorkspaceEntry,
         task: TaskMix,
         session: str,
-        opens: bool,
-    ) -> Ask:
-        """Return one model request."""
-        return Ask(
-            len(self._asks),
+        opens_session: bool,
+    ) -> PlannedRequest:
+        """Draw one model request."""
+        return PlannedRequest(
+            len(self._requests),
             moment,
             workspace.name,
             task.task,
             task.deadline,
-            self._host(),
-            target_of(
+            self._draw_host_index(),
+            quality_target(
                 self._document,
                 workspace,
                 task.task,
-                self._demand.preset,
+                self._spec.preset,
             ),
-            length(task.tokens, task.spread, self._randomness),
-            length(task.prompt, 0.5, self._randomness),
+            draw_length(task.tokens, task.sigma, self._randomness),
+            draw_length(task.prompt, 0.5, self._randomness),
             session,
-            opens,
+            opens_session,
         )
 
-    def _host(self) -> int:
-        """Draw a number that names an entry host."""
+    def _draw_host_index(self) -> int:
+        """Draw the number that selects the entry host."""
         return self._randomness.randrange(1 << 16)
 
 
-def draw(document: Document, demand: Demand, seed: int) -> list[Ask]:
-    """Return the requests of a run, the same ones for the same seed."""
-    randomness = random.Random(f'{seed}:{demand.workspace}')
-    return Traffic(document, demand, randomness).draw()
+def draw_requests(
+    document: Document, spec: TrafficSpec, seed: int
+) -> list[PlannedRequest]:
+    """Draw the requests of a run; a seed always gives the same ones."""
+    randomness = random.Random(f'{seed}:{spec.workspace}')
+    return TrafficGenerator(document, spec, randomness).generate()
 
 
-def prompt_of(ask: Ask) -> str:
-    """Return a prompt; its first words are its workspace's and task's own."""
-    shared = [f'{ask.workspace}-{ask.task}-{n}' for n in range(PREFIX_WORDS)]
-    own = [f'w{ask.number}-{n}' for n in range(ask.prompt)]
-    return ' '.join((shared + own)[: max(ask.prompt, 1)])
+def make_prompt(planned: PlannedRequest) -> str:
+    """Return a prompt, starting with the prefix of its workspace and task."""
+    shared = [
+        f'{planned.workspace}-{planned.task}-{n}' for n in range(PREFIX_WORDS)
+    ]
+    own = [f'w{planned.number}-{n}' for n in range(planned.prompt)]
+    return ' '.join((shared + own)[: max(planned.prompt, 1)])
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,49 +1,51 @@
-"""Tests of the figures, on records made by hand."""
+"""Tests of the statistics of load tests on handmade results."""
 
 import unittest
 from types import SimpleNamespace
 from typing import cast
 
 from experiments.deployment import read_example
-from experiments.load.goals import judge
-from experiments.load.load import Outcome, Record
-from experiments.load.observations import EngineRun, Observed, ServiceRun
-from experiments.load.promises import check
+from experiments.load.goals import evaluate_goals
+from experiments.load.load import Outcome, RequestResult
+from experiments.load.observations import EngineRun, Observations, ServiceRun
+from experiments.load.promises import check_guarantees
 from experiments.load.reports import (
+    compute_stats,
     exposure,
     fair_shares,
-    figures,
     percentiles,
 )
-from experiments.load.summaries import Report
-from experiments.load.traffic import Ask
+from experiments.load.summaries import RunReport
+from experiments.load.traffic import PlannedRequest
 
 from nutmegroad.contracts.documents import parse_document
 
 _DOCUMENT = parse_document(read_example('cascade'))
 
 
-def _ask(number: int = 0, task: str = 'manifest') -> Ask:
-    return Ask(number, number, 'kent-planners', task, 9, 0, 0.9, 4)
+def _planned_request(number: int = 0, task: str = 'manifest') -> PlannedRequest:
+    return PlannedRequest(number, number, 'kent-planners', task, 9, 0, 0.9, 4)
 
 
-def _answer(number: int, quality: float, version: str = 'a@1') -> Record:
-    return Record(
-        _ask(number),
+def _answered(
+    number: int, quality: float, version: str = 'a@1'
+) -> RequestResult:
+    return RequestResult(
+        _planned_request(number),
         sent=number,
         outcome=Outcome.ANSWERED,
-        request=f'r-{number}',
+        request_id=f'r-{number}',
         version=version,
         cost=2,
         tokens=4,
         words=4,
         quality=quality,
-        first=0.1 * (number + 1),
-        whole=1,
+        first_token=0.1 * (number + 1),
+        total_seconds=1,
     )
 
 
-class FiguresTest(unittest.TestCase):
+class RequestStatsTest(unittest.TestCase):
     def test_percentiles(self) -> None:
         found = percentiles([*range(101), None])
         self.assertEqual(
@@ -52,9 +54,11 @@
         )
         self.assertIsNone(percentiles([None]).p95)
 
-    def test_cost_counts_answers_that_missed_the_target_too(self) -> None:
-        refused = Record(_ask(), outcome=Outcome.REFUSED, code='NO_UPSTREAM')
-        found = figures([_answer(0, 0.95), _answer(1, 0.5), refused])
+    def test_cost_includes_answers_below_the_target(self) -> None:
+        refused = RequestResult(
+            _planned_request(), outcome=Outcome.REFUSED, code='NO_UPSTREAM'
+        )
+        found = compute_stats([_answered(0, 0.95), _answered(1, 0.5), refused])
         self.assertEqual(found.cost_per_answer, 2)
         self.assertEqual(found.cost_per_met, 4)
         self.assertEqual(found.share_met, 0.5)
@@ -62,55 +66,55 @@
         self.assertEqual(found.run_refusals, 1)
 
     def test_a_late_answer_is_not_in_time(self) -> None:
-        late = _answer(0, 0.95)
-        late.whole = 9.5
-        found = figures([late])
+        late = _answered(0, 0.95)
+        late.total_seconds = 9.5
+        found = compute_stats([late])
         self.assertEqual((found.answered, found.in_time, found.good), (1, 0, 0))
 
-    def test_exposure_counts_what_was_sent_after_the_turn(self) -> None:
-        bad = [_answer(number, 0.3, 'bad@2') for number in (1, 3, 4)]
-        found = exposure([*bad, _answer(5, 0.95)], 'bad@2', 2, 10)
+    def test_exposure_counts_requests_after_the_degradation(self) -> None:
+        bad = [_answered(number, 0.3, 'bad@2') for number in (1, 3, 4)]
+        found = exposure([*bad, _answered(5, 0.95)], 'bad@2', 2, 10)
         self.assertEqual((found.exposed, found.asked), (2, 3))
         self.assertEqual((found.last, found.below), (2, 2))
 
-    def test_a_bad_version_without_work_reaches_no_goal(self) -> None:
-        unused = exposure([_answer(5, 0.95)], 'bad@2', 2, 20)
+    def test_a_degraded_version_without_requests_reaches_no_goal(self) -> None:
+        unused = exposure([_answered(5, 0.95)], 'bad@2', 2, 20)
         run = SimpleNamespace(scenario='bad-at-once', arm='a', exposure=unused)
         words = [
-            verdict.word
-            for verdict in judge([cast(Report, run)], 'a')
-            if 'its turn' in verdict.goal or 'exposed' in verdict.goal
+            verdict.label
+            for verdict in evaluate_goals([cast(RunReport, run)], 'a')
+            if 'its degradation' in verdict.goal or 'exposed' in verdict.goal
         ]
         self.assertEqual(words, ['not run', 'not run'])
 
-    def test_what_a_small_workspace_leaves_is_shared_by_weight(self) -> None:
+    def test_unused_fair_share_is_divided_by_weight(self) -> None:
         demands: dict[str, float] = {'small': 1, 'large': 90, 'flood': 900}
         weights: dict[str, float] = {'small': 1, 'large': 1, 'flood': 2}
         found = fair_shares(demands, weights, 61)
         self.assertEqual(found, {'small': 1, 'large': 20, 'flood': 40})
 
 
-class PromisesTest(unittest.TestCase):
-    def test_each_breach_is_seen(self) -> None:
-        cut = _answer(0, 0.95, 'galley-large@3')
+class GuaranteesTest(unittest.TestCase):
+    def test_each_violation_is_found(self) -> None:
+        cut = _answered(0, 0.95, 'galley-large@3')
         cut.words = 3
-        untrue = Record(
-            _ask(1),
+        untrue = RequestResult(
+            _planned_request(1),
             outcome=Outcome.REFUSED,
             not_run=True,
-            request='r-1',
+            request_id='r-1',
         )
         runs = tuple(
             EngineRun(f'{request}.{place}.n', 'v', 'manifest', 'whole', 0)
             for place, request in enumerate(('r-0', 'r-0', 'r-1'))
         )
         call = ServiceRun('POST', '/manifests', 'k')
-        observed = Observed(
+        observations = Observations(
             engine_runs={'e': runs},
             service_runs=[call, call],
         )
-        records = [cut, untrue, _answer(2, 0.95, 'strange@1')]
-        found = check(records, observed, _DOCUMENT)
+        request_results = [cut, untrue, _answered(2, 0.95, 'strange@1')]
+        found = check_guarantees(request_results, observations, _DOCUMENT)
         self.assertEqual(
             dict(found.counts),
             {
@@ -122,8 +126,10 @@
             },
         )
 
-    def test_a_sound_run_breaks_none(self) -> None:
-        sound = _answer(0, 0.95, 'galley-large@3')
+    def test_a_sound_run_has_no_violation(self) -> None:
+        sound = _answered(0, 0.95, 'galley-large@3')
         run = EngineRun('r-0.1.n', 'galley-large@3', 'manifest', 'whole', 0)
-        observed = Observed(engine_runs={'e': (run,)})
-        self.assertFalse(check([sound], observed, _DOCUMENT).counts)
+        observations = Observations(engine_runs={'e': (run,)})
+        self.assertFalse(
+            check_guarantees([sound], observations, _DOCUMENT).counts
+        )
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -12,10 +12,10 @@
 
 
 def mean_late_fraction(
-    results: list[SimulationResult], kind: str | None = None
+    runs: list[SimulationResult], kind: str | None = None
 ) -> float:
     """Return the mean fraction of late answers over several runs."""
-    fractions = [result.late_fraction(kind) for result in results]
+    fractions = [run.late_fraction(kind) for run in runs]
     return sum(fractions) / len(fractions)
 
 
