--- a/experiments/load/goals.py
+++ b/experiments/load/goals.py
@@ -11,7 +11,8 @@
 ROUND_ROBIN_ARM: Final = 'round-robin-dearest'
 LEAST_IN_FLIGHT_ARM: Final = 'least-in-flight'
 
-#: Seconds after its degradation within which a version may get new requests.
+#: Seconds after its degradation beyond which a version must get no new
+#: requests.
 MAX_WORK_SECONDS: Final = 10
 
 # Scenarios to which the goals refer.
@@ -72,12 +73,12 @@
         Returns:
             The mean; None if no run provides the metric.
         """
-        summary = spread(
+        seeds = spread(
             getter(run)
             for run in self._runs
             if run.scenario == scenario and run.arm == (arm or self._arm)
         )
-        return None if summary is None else summary.mean
+        return None if seeds is None else seeds.mean
 
     def relative(
         self,
@@ -230,12 +231,13 @@
 def _seconds_of_work(run: RunReport) -> float | None:
     """Return for how long a degraded version got new requests, in seconds.
 
-    None if the run was too short, or had no request for the version.
+    None if the run was too short, or had no request that the version could
+    have answered.
     """
     exposure = run.exposure
     if exposure is None or exposure.watched <= MAX_WORK_SECONDS:
         return None
     if not exposure.asked:
-        # Without requests that it could have answered, nothing was measured.
+        # Without such requests nothing was measured.
         return None
     return exposure.last if exposure.exposed else 0
--- a/experiments/load/incidents.py
+++ b/experiments/load/incidents.py
@@ -153,7 +153,7 @@
     context.client.excluded_hosts |= frozen
 
 
-async def thaw_domain(context: IncidentContext) -> None:
+async def resume_domain(context: IncidentContext) -> None:
     """Resume the frozen hosts.
 
     The load balancer restores them after ``BALANCER_DELAY``.
--- a/experiments/load/measure.py
+++ b/experiments/load/measure.py
@@ -26,11 +26,13 @@
 from experiments.load.summaries import RunReport
 from experiments.load.tables import comparison_table, describe, run_warnings
 
+#: Default folder for results and logs.
 OUTPUT: Final = Path(__file__).parents[2] / 'results'
 #: Time budget in seconds of the full set and of ``--quick``.
 BUDGET: Final = 700.0
 QUICK_BUDGET: Final = 170.0
-#: Upper bound on the seconds that a run takes in addition to its traffic.
+#: Upper bound, with a margin, on the seconds that a run takes in addition to
+#: its traffic.
 RUN_OVERHEAD: Final = 16.0
 #: Seconds after which a run is aborted.
 RUN_TIMEOUT: Final = 90.0
@@ -136,14 +138,14 @@
     """
     runs = measurement.runs
     parts: list[str] = []
-    for scenario in dict.fromkeys(one.scenario for one in runs):
-        own = [one for one in runs if one.scenario == scenario]
+    for scenario in dict.fromkeys(run.scenario for run in runs):
+        own = [run for run in runs if run.scenario == scenario]
         parts.extend((f'## {scenario}', comparison_table(own)))
-    for arm in dict.fromkeys(one.arm for one in runs):
+    for arm in dict.fromkeys(run.arm for run in runs):
         parts.extend((f'## Goals, {arm}', goal_table(runs, arm)))
     skipped = [*skipped_arms, *measurement.skipped]
     if skipped:
-        parts.extend(('## Not run', '\n'.join(f'- {one}' for one in skipped)))
+        parts.extend(('## Not run', '\n'.join(f'- {run}' for run in skipped)))
     return '\n\n'.join(parts)
 
 
@@ -156,7 +158,7 @@
         folder: Folder for the files.
     """
     runs = measurement.runs
-    full = '\n\n'.join(describe(one) for one in runs)
+    full = '\n\n'.join(describe(run) for run in runs)
     (folder / 'page.md').write_text(f'{summary}\n\n{full}\n')
     if runs:
         plot(runs, folder / 'plot.png')
@@ -214,7 +216,7 @@
     write_results(measurement, summary, flags.output)
     sys.stdout.write(f'\n{summary}\n\nResults are in {flags.output}.\n')
     sound = measurement.runs and not any(
-        one.breaches or one.tracebacks for one in measurement.runs
+        run.breaches or run.tracebacks for run in measurement.runs
     )
     return 0 if sound else 1
 
--- a/experiments/load/observations.py
+++ b/experiments/load/observations.py
@@ -180,9 +180,9 @@
     def read_logs(self) -> None:
         """Count the tracebacks in the logs after all processes have exited."""
         for log in sorted(self._logs.glob('*.log')):
-            found = log.read_text(errors='replace').count('Traceback')
-            if found:
-                self.observations.tracebacks[log.stem] = found
+            count = log.read_text(errors='replace').count('Traceback')
+            if count:
+                self.observations.tracebacks[log.stem] = count
 
     async def _platform_call_count(self) -> int:
         """Return the total number of calls to the platform.
--- a/experiments/load/plots.py
+++ b/experiments/load/plots.py
@@ -38,11 +38,11 @@
     )
     # An explicit canvas lets matplotlib draw without a display.
     FigureCanvasAgg(figure)
-    positions = figure.subplots(len(PLOTTED_COLUMNS), 1, sharex=True)
-    for axes, name in zip(positions, PLOTTED_COLUMNS, strict=True):
+    charts = figure.subplots(len(PLOTTED_COLUMNS), 1, sharex=True)
+    for axes, name in zip(charts, PLOTTED_COLUMNS, strict=True):
         _draw_bars(axes, runs, name)
-    positions[0].legend(fontsize='small')
-    positions[-1].tick_params(axis='x', rotation=30)
+    charts[0].legend(fontsize='small')
+    charts[-1].tick_params(axis='x', rotation=30)
     figure.savefig(path)
 
 
@@ -85,12 +85,12 @@
     below: list[float] = []
     above: list[float] = []
     for name in names:
-        found = spread(
+        seeds = spread(
             getter(run)
             for run in runs
             if run.scenario == name and run.arm == arm
         )
-        means.append(0 if found is None else found.mean)
-        below.append(0 if found is None else found.mean - found.low)
-        above.append(0 if found is None else found.high - found.mean)
+        means.append(0 if seeds is None else seeds.mean)
+        below.append(0 if seeds is None else seeds.mean - seeds.low)
+        above.append(0 if seeds is None else seeds.high - seeds.mean)
     return Bars(means, below, above)
--- a/experiments/load/reports.py
+++ b/experiments/load/reports.py
@@ -104,7 +104,7 @@
         cost_per_met=ratio(cost, met),
         share_met=ratio(met, len(answers)),
         first=percentiles(result.first_token for result in answers),
-        between=percentiles(gap for one in answers for gap in one.gaps),
+        between=percentiles(gap for answer in answers for gap in answer.gaps),
         whole=percentiles(result.total_seconds for result in answers),
         refused=percentiles(result.total_seconds for result in refusals),
         reasons=dict(Counter(map(_failure_reason, failures))),
@@ -183,7 +183,9 @@
     exposed = [result for result in later if result.version == version]
     # The version's task classes are those that it answered at any time.
     tasks = {
-        one.planned.task for one in request_results if one.version == version
+        result.planned.task
+        for result in request_results
+        if result.version == version
     }
     asked = sum(result.planned.task in tasks for result in later)
     sent = [result.sent - degraded_at for result in exposed]
--- a/experiments/load/runs.py
+++ b/experiments/load/runs.py
@@ -91,7 +91,9 @@
 async def switch_preset(running: Deployment, preset: str) -> None:
     """Apply a preset through the operators' interface."""
     operators = running.document.operators
-    name = next(one.name for one in operators if one.role is Role.OPERATE)
+    name = next(
+        operator.name for operator in operators if operator.role is Role.OPERATE
+    )
     await operate(
         running.operators[0],
         'preset',
--- a/experiments/load/scenarios.py
+++ b/experiments/load/scenarios.py
@@ -11,8 +11,8 @@
     freeze_domain,
     kill_engines,
     platform_outage,
+    resume_domain,
     slow_engine,
-    thaw_domain,
 )
 from experiments.load.traffic import Curve
 
@@ -35,7 +35,8 @@
 _GALLEY: Final = ('galley-small@5', 'galley-large@3')
 _GALLEY_ROLLOUT: Final = ('galley-medium@2', 'galley-large@3', 'galley-large@4')
 
-#: The deployments by name: 9 and 5 engines, 3 services and 9 hosts.
+#: The deployments by name. They have 9 and 5 engines, and 3 services and 9
+#: hosts each.
 DEPLOYMENTS: Final = MappingProxyType(
     {
         'lesen': Rig(
@@ -102,7 +103,11 @@
 
 
 def _peak_scenario(load: float) -> Scenario:
-    """Return the peak scenario at a rate relative to the capacity."""
+    """Return a peak scenario: the load of the night before a sitting.
+
+    Args:
+        load: Peak arrival rate, relative to the capacity.
+    """
     return Scenario(
         f'peak-{load:.1f}',
         'lesen',
@@ -196,7 +201,7 @@
         Curve.FLAT,
         0.6,
         'ordinary',
-        (Incident(0.25, freeze_domain), Incident(0.65, thaw_domain)),
+        (Incident(0.25, freeze_domain), Incident(0.65, resume_domain)),
         note='The hosts of a failure domain are stopped by SIGSTOP, and the '
         'load balancer removes them 2 s later. The scenario does not cover a '
         'disconnected domain that continues to serve, nor upstreams that only '
--- a/experiments/load/summaries.py
+++ b/experiments/load/summaries.py
@@ -188,11 +188,13 @@
 def goodput(models: list[RequestResult], seconds: float) -> float:
     """Return the answers in time per second, after the first 30% of the run.
 
-    By then every curve has passed its initial rise.
+    This leaves out the initial rise of the arrival rate.
     """
     begin = seconds * 0.3
-    good = sum(one.in_time and one.planned.at >= begin for one in models)
-    return good / (seconds - begin)
+    in_time = sum(
+        result.in_time and result.planned.at >= begin for result in models
+    )
+    return in_time / (seconds - begin)
 
 
 def _class_name(result: RequestResult) -> str:
--- a/experiments/load/tables.py
+++ b/experiments/load/tables.py
@@ -38,7 +38,7 @@
 
 def spread(metrics: Iterable[float | None]) -> Spread | None:
     """Return the spread of the values that are not None, if there are any."""
-    present = [one for one in metrics if one is not None]
+    present = [metric for metric in metrics if metric is not None]
     if not present:
         return None
     return Spread(float(np.mean(present)), min(present), max(present))
@@ -131,30 +131,30 @@
 
 def run_warnings(run: RunReport) -> list[str]:
     """Return warnings about a run that affect the use of its results."""
-    found = []
+    messages = []
     if run.client.saturated:
         lag = _milliseconds(run.client.lag.p99) or 0
-        found.append(
+        messages.append(
             f'the load client or the machine was overloaded (lag p99 '
             f'{lag:.0f} ms, '
             f'{run.client.cpu:.2f} of a core)',
         )
     for guarantee, count in run.breaches.items():
         example = run.examples[guarantee][0]
-        found.append(f'BROKEN {count} times: {guarantee} ({example})')
-    found.extend(
+        messages.append(f'BROKEN {count} times: {guarantee} ({example})')
+    messages.extend(
         f'invariant check of the hosts failed {count} times: {name}'
         for name, count in run.invariants.items()
     )
-    found.extend(
+    messages.extend(
         f'{count} tracebacks in the log of {name}'
         for name, count in run.tracebacks.items()
     )
-    found.extend(
+    messages.extend(
         f'{name} exited with code {code}'
         for name, code in run.exit_codes.items()
     )
-    return found
+    return messages
 
 
 def _detail_lines(run: RunReport) -> list[str]:
@@ -239,9 +239,9 @@
 
 def _percentile_cell(*seconds: float | None) -> str:
     """Return a cell with several durations in milliseconds."""
-    cells = [_milliseconds(one) for one in seconds]
+    cells = [_milliseconds(duration) for duration in seconds]
     return ' / '.join(
-        _NO_VALUE if one is None else f'{one:.0f}' for one in cells
+        _NO_VALUE if cell is None else f'{cell:.0f}' for cell in cells
     )
 
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -23,15 +23,15 @@
 _DOCUMENT = parse_document(read_example('cascade'))
 
 
-def _planned_request(number: int = 0, task: str = 'manifest') -> PlannedRequest:
+def _make_request(number: int = 0, task: str = 'manifest') -> PlannedRequest:
     return PlannedRequest(number, number, 'kent-planners', task, 9, 0, 0.9, 4)
 
 
-def _answered(
+def _make_answer(
     number: int, quality: float, version: str = 'a@1'
 ) -> RequestResult:
     return RequestResult(
-        _planned_request(number),
+        _make_request(number),
         sent=number,
         outcome=Outcome.ANSWERED,
         request_id=f'r-{number}',
@@ -47,38 +47,40 @@
 
 class RequestStatsTest(unittest.TestCase):
     def test_percentiles(self) -> None:
-        found = percentiles([*range(101), None])
+        stats = percentiles([*range(101), None])
         self.assertEqual(
-            (found.p50, found.p95, found.p99, found.count),
+            (stats.p50, stats.p95, stats.p99, stats.count),
             (50, 95, 99, 101),
         )
         self.assertIsNone(percentiles([None]).p95)
 
     def test_cost_includes_answers_below_the_target(self) -> None:
         refused = RequestResult(
-            _planned_request(), outcome=Outcome.REFUSED, code='NO_UPSTREAM'
+            _make_request(), outcome=Outcome.REFUSED, code='NO_UPSTREAM'
         )
-        found = compute_stats([_answered(0, 0.95), _answered(1, 0.5), refused])
-        self.assertEqual(found.cost_per_answer, 2)
-        self.assertEqual(found.cost_per_met, 4)
-        self.assertEqual(found.share_met, 0.5)
-        self.assertEqual(found.reasons, {'refused NO_UPSTREAM': 1})
-        self.assertEqual(found.run_refusals, 1)
+        stats = compute_stats(
+            [_make_answer(0, 0.95), _make_answer(1, 0.5), refused]
+        )
+        self.assertEqual(stats.cost_per_answer, 2)
+        self.assertEqual(stats.cost_per_met, 4)
+        self.assertEqual(stats.share_met, 0.5)
+        self.assertEqual(stats.reasons, {'refused NO_UPSTREAM': 1})
+        self.assertEqual(stats.run_refusals, 1)
 
     def test_a_late_answer_is_not_in_time(self) -> None:
-        late = _answered(0, 0.95)
+        late = _make_answer(0, 0.95)
         late.total_seconds = 9.5
-        found = compute_stats([late])
-        self.assertEqual((found.answered, found.in_time, found.good), (1, 0, 0))
+        stats = compute_stats([late])
+        self.assertEqual((stats.answered, stats.in_time, stats.good), (1, 0, 0))
 
     def test_exposure_counts_requests_after_the_degradation(self) -> None:
-        bad = [_answered(number, 0.3, 'bad@2') for number in (1, 3, 4)]
-        found = exposure([*bad, _answered(5, 0.95)], 'bad@2', 2, 10)
-        self.assertEqual((found.exposed, found.asked), (2, 3))
-        self.assertEqual((found.last, found.below), (2, 2))
+        degraded = [_make_answer(number, 0.3, 'bad@2') for number in (1, 3, 4)]
+        measured = exposure([*degraded, _make_answer(5, 0.95)], 'bad@2', 2, 10)
+        self.assertEqual((measured.exposed, measured.asked), (2, 3))
+        self.assertEqual((measured.last, measured.below), (2, 2))
 
     def test_a_degraded_version_without_requests_reaches_no_goal(self) -> None:
-        unused = exposure([_answered(5, 0.95)], 'bad@2', 2, 20)
+        unused = exposure([_make_answer(5, 0.95)], 'bad@2', 2, 20)
         run = SimpleNamespace(scenario='bad-at-once', arm='a', exposure=unused)
         words = [
             verdict.label
@@ -90,33 +92,33 @@
     def test_unused_fair_share_is_divided_by_weight(self) -> None:
         demands: dict[str, float] = {'small': 1, 'large': 90, 'flood': 900}
         weights: dict[str, float] = {'small': 1, 'large': 1, 'flood': 2}
-        found = fair_shares(demands, weights, 61)
-        self.assertEqual(found, {'small': 1, 'large': 20, 'flood': 40})
+        shares = fair_shares(demands, weights, 61)
+        self.assertEqual(shares, {'small': 1, 'large': 20, 'flood': 40})
 
 
 class GuaranteesTest(unittest.TestCase):
     def test_each_violation_is_found(self) -> None:
-        cut = _answered(0, 0.95, 'galley-large@3')
+        cut = _make_answer(0, 0.95, 'galley-large@3')
         cut.words = 3
         untrue = RequestResult(
-            _planned_request(1),
+            _make_request(1),
             outcome=Outcome.REFUSED,
             not_run=True,
             request_id='r-1',
         )
         runs = tuple(
-            EngineRun(f'{request}.{place}.n', 'v', 'manifest', 'whole', 0)
-            for place, request in enumerate(('r-0', 'r-0', 'r-1'))
+            EngineRun(f'{request}.{index}.n', 'v', 'manifest', 'whole', 0)
+            for index, request in enumerate(('r-0', 'r-0', 'r-1'))
         )
         call = ServiceRun('POST', '/manifests', 'k')
         observations = Observations(
             engine_runs={'e': runs},
             service_runs=[call, call],
         )
-        request_results = [cut, untrue, _answered(2, 0.95, 'strange@1')]
-        found = check_guarantees(request_results, observations, _DOCUMENT)
+        request_results = [cut, untrue, _make_answer(2, 0.95, 'strange@1')]
+        violations = check_guarantees(request_results, observations, _DOCUMENT)
         self.assertEqual(
-            dict(found.counts),
+            dict(violations.counts),
             {
                 'an answer is whole': 1,
                 'an answer is from an allowed version': 1,
@@ -127,7 +129,7 @@
         )
 
     def test_a_sound_run_has_no_violation(self) -> None:
-        sound = _answered(0, 0.95, 'galley-large@3')
+        sound = _make_answer(0, 0.95, 'galley-large@3')
         run = EngineRun('r-0.1.n', 'galley-large@3', 'manifest', 'whole', 0)
         observations = Observations(engine_runs={'e': (run,)})
         self.assertFalse(
