--- a/experiments/losses.py
+++ b/experiments/losses.py
@@ -94,7 +94,7 @@
     return (*rows, Row('requests larger or smaller than usual', remainder))
 
 
-def rows_by_moment(report: Mapping[str, Any]) -> tuple[Row, ...]:
+def rows_by_window(report: Mapping[str, Any]) -> tuple[Row, ...]:
     """Return the time windows with the largest losses.
 
     Each window is weighted by the number of requests in it.
@@ -143,7 +143,7 @@
         out.write(f'## {path.stem}: worth {report["G"]:.3f}\n\n')
         write_loss_table(rows_by_part(report), 'part or price', out)
         write_loss_table(rows_by_cause(report, worths), 'kind and cause', out)
-        write_loss_table(rows_by_moment(report), 'moment', out)
+        write_loss_table(rows_by_window(report), 'moment', out)
 
 
 def _max_worth(
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -10,8 +10,8 @@
     KindWorth,
     main,
     rows_by_cause,
-    rows_by_moment,
     rows_by_part,
+    rows_by_window,
 )
 
 KINDS = {'draft': KindWorth(4, 1), 'tag': KindWorth(1, 0.3)}
@@ -60,7 +60,7 @@
 
     def test_window_with_the_largest_loss_is_first(self) -> None:
         """Losses are weighted by the number of requests in the window."""
-        first = rows_by_moment(REPORT)[0]
+        first = rows_by_window(REPORT)[0]
         self.assertTrue(first.name.startswith('from 0 s'))
         self.assertAlmostEqual(first.lost, 0.1)
 
