--- a/experiments/fleet_soak/__init__.py
+++ b/experiments/fleet_soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomised run of the program that users run, from outside."""
+"""Randomized fault-injection test of the router as real processes."""
--- a/experiments/fleet_soak/__main__.py
+++ b/experiments/fleet_soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the soak of the program that users run, from outside."""
+"""Command-line entry point: ``python -m experiments.fleet_soak``."""
 
 import sys
 
--- a/experiments/fleet_soak/callers.py
+++ b/experiments/fleet_soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: they keep connections, leave, repeat by the rules."""
+"""Callers of the soak: they keep connections and obey ``Retry-After``."""
 
 import asyncio
 import random
@@ -8,35 +8,42 @@
 
 from aiohttp import ClientError, ClientSession, ClientTimeout, TCPConnector
 
-from experiments.fleet_soak.history import Asked, History, Kind
+from experiments.fleet_soak.history import History, Kind, RequestRecord
 
-#: The host name of all routes.
-ROUTER: Final = 'router.example'
+#: Host name of all routes.
+ROUTER_HOST_NAME: Final = 'router.example'
 
-#: The header by which a worker proves that an answer is its own.
+#: Header with a worker's signature, which proves that it sent the answer.
 SIGNATURE: Final = 'Nutmegroad-Response-Signature'
 
-#: Seconds that a caller waits for its answer, and between two requests.
-PATIENCE: Final = 4.0
-PAUSES: Final = (0.02, 0.25)
+#: Seconds within which a caller expects its answer.
+ANSWER_TIMEOUT: Final = 4.0
 
-#: Sessions that requests belong to; each comes to all hosts.
-SESSIONS: Final = 60
+#: Minimum and maximum seconds between two requests of a caller.
+PAUSE_RANGE: Final = (0.02, 0.25)
 
-#: Part of the requests whose caller leaves before the answer, and how soon.
-LEAVING: Final = 0.03
-LEAVES_AFTER: Final = 0.05
+#: Number of sessions; requests of each are sent to all hosts.
+SESSION_COUNT: Final = 60
 
-#: Part of the bodies that are long and are sent slowly.
-SLOW_BODIES: Final = 0.05
-SLOW_PIECES: Final = 5
+#: Fraction of requests whose caller disconnects before the answer.
+ABANDON_FRACTION: Final = 0.03
 
+#: Seconds after which it disconnects.
+ABANDON_DELAY: Final = 0.05
 
-def headers_of(request: str, key: str) -> dict[str, str]:
-    """Return the headers that each request of a caller has."""
+#: Fraction of request bodies that are long and are sent slowly.
+SLOW_BODY_FRACTION: Final = 0.05
+
+#: Number of chunks of a slow body, and seconds after each.
+SLOW_BODY_CHUNKS: Final = 5
+CHUNK_INTERVAL: Final = 0.05
+
+
+def request_headers(request_id: str, key: str) -> dict[str, str]:
+    """Return the headers that every request carries."""
     return {
-        'Host': ROUTER,
-        'Nutmegroad-Request-Id': request,
+        'Host': ROUTER_HOST_NAME,
+        'Nutmegroad-Request-Id': request_id,
         'Authorization': f'Bearer {key}',
     }
 
@@ -45,11 +52,11 @@
     """Sends one request after another to one host.
 
     Args:
-        name: Begins the ids of its requests.
+        name: Prefix of its request ids; also seeds its random choices.
         host: The host's name.
-        address: Where the host is reached.
-        history: What is seen.
-        key: Returns the key to use now.
+        address: The address of the host, as IP:PORT.
+        history: Receives a record of each request.
+        key: Returns the API key to use.
     """
 
     def __init__(
@@ -65,70 +72,78 @@
         self._address = address
         self._history = history
         self._key = key
-        self._randomness = random.Random(name)
+        self._rng = random.Random(name)
 
-    async def run(self, until: Callable[[], bool]) -> None:
-        """Send requests until told to stop."""
+    async def run(self, is_stopped: Callable[[], bool]) -> None:
+        """Send requests until ``is_stopped`` returns true."""
         number = 0
-        timeout = ClientTimeout(total=PATIENCE * 2, sock_connect=1)
+        timeout = ClientTimeout(total=ANSWER_TIMEOUT * 2, sock_connect=1)
         connector = TCPConnector(limit=1)
         async with ClientSession(
             connector=connector,
             timeout=timeout,
             auto_decompress=False,
         ) as session:
-            while not until():
+            while not is_stopped():
                 number += 1
-                wait = await self._ask(session, f'{self._name}-{number}')
-                pause = self._randomness.uniform(*PAUSES)
+                wait = await self._send_request(
+                    session, f'{self._name}-{number}'
+                )
+                pause = self._rng.uniform(*PAUSE_RANGE)
                 await asyncio.sleep(min(1, max(wait, pause)))
 
-    async def _ask(self, session: ClientSession, request: str) -> float:
-        """Send one request; return the seconds to wait before the next."""
-        kind = self._randomness.choice(tuple(Kind))
-        asked = Asked(request, kind, self._host, self._key(), time.monotonic())
-        asked.session = f's{self._randomness.randrange(SESSIONS)}'
-        self._history.asked[request] = asked
-        patience = PATIENCE * 2
-        if self._randomness.random() < LEAVING:
-            asked.left_early = True
-            patience = LEAVES_AFTER
+    async def _send_request(
+        self, session: ClientSession, request_id: str
+    ) -> float:
+        """Send a request; return its answer's ``Retry-After``, 0 if none."""
+        kind = self._rng.choice(tuple(Kind))
+        record = RequestRecord(
+            request_id, kind, self._host, self._key(), time.monotonic()
+        )
+        record.session = f's{self._rng.randrange(SESSION_COUNT)}'
+        self._history.requests_by_id[request_id] = record
+        timeout_s = ANSWER_TIMEOUT * 2
+        if self._rng.random() < ABANDON_FRACTION:
+            record.abandoned = True
+            timeout_s = ABANDON_DELAY
         try:
-            async with asyncio.timeout(patience):
-                return await self._exchange(session, asked)
+            async with asyncio.timeout(timeout_s):
+                return await self._exchange(session, record)
         except (ClientError, TimeoutError, OSError):
             return 0
         finally:
-            asked.ended = time.monotonic()
+            record.ended_at = time.monotonic()
 
-    async def _exchange(self, session: ClientSession, asked: Asked) -> float:
-        """Send a request and take its answer in, as far as it comes."""
+    async def _exchange(
+        self, session: ClientSession, record: RequestRecord
+    ) -> float:
+        """Send a request, and record its answer as far as it is received."""
         headers = {
-            **headers_of(asked.request, asked.key),
-            'Nutmegroad-Deadline-Ms': str(int(PATIENCE * 1000)),
-            'Session': asked.session,
+            **request_headers(record.request_id, record.key),
+            'Nutmegroad-Deadline-Ms': str(int(ANSWER_TIMEOUT * 1000)),
+            'Session': record.session,
         }
         async with session.post(
-            f'http://{self._address}/{asked.kind.value}/1',
+            f'http://{self._address}/{record.kind.value}/1',
             headers=headers,
             data=self._body(),
         ) as answer:
-            asked.status = answer.status
-            asked.signed = SIGNATURE in answer.headers
-            async for piece in answer.content.iter_any():
-                asked.body += piece
-            asked.whole = True
+            record.status = answer.status
+            record.signed = SIGNATURE in answer.headers
+            async for chunk in answer.content.iter_any():
+                record.body += chunk
+            record.complete = True
             return float(answer.headers.get('Retry-After', 0))
 
     def _body(self) -> bytes | AsyncIterator[bytes]:
-        """Return a short body, or a long one that comes slowly."""
-        if self._randomness.random() >= SLOW_BODIES:
+        """Return a short body, or a long one that is sent slowly."""
+        if self._rng.random() >= SLOW_BODY_FRACTION:
             return b'body'
         return _slow_body()
 
 
 async def _slow_body() -> AsyncIterator[bytes]:
-    """Yield a long body, piece by piece."""
-    for _ in range(SLOW_PIECES):
+    """Yield a long body in chunks, with pauses."""
+    for _ in range(SLOW_BODY_CHUNKS):
         yield b'x' * 10_000
-        await asyncio.sleep(LEAVES_AFTER)
+        await asyncio.sleep(CHUNK_INTERVAL)
--- a/experiments/fleet_soak/faults.py
+++ b/experiments/fleet_soak/faults.py
@@ -1,4 +1,4 @@
-"""Lets the faults of a plan befall a soak's fleet."""
+"""Injects the faults of a plan into a soak's fleet."""
 
 import asyncio
 import signal
@@ -8,32 +8,33 @@
 from typing import Final
 
 from experiments.fleet_soak.fleet import Fleet
-from experiments.fleet_soak.history import History, Trouble
+from experiments.fleet_soak.history import FaultInterval, History
 from experiments.fleet_soak.links import Link, LinkState
-from experiments.fleet_soak.plan import OF_ONE_HOST, Event, Fault
+from experiments.fleet_soak.plan import SINGLE_HOST_FAULTS, Event, Fault
 from experiments.fleet_soak.rollouts import Rollouts
 from experiments.fleet_soak.worker import HARMFUL
 
-#: Seconds for which the store is silent to a host at least: until a change
-#: that comes meanwhile has to be in force on the others, and a while more.
-HELD: Final = 4.0
+#: Seconds by which the store's silence to one host exceeds the drawn duration:
+#: until a change made meanwhile must be in force on the other hosts, and some
+#: time more.
+SILENCE_EXTENSION: Final = 4.0
 
-#: Seconds after which a change follows on a silence.
-SOON: Final = 0.1
+#: Seconds from the beginning of a silence to the change made during it.
+CHANGE_DELAY: Final = 0.1
 
-#: Seconds for which a harmful request comes again: the span after its third end
-#: in which hosts have to learn of it, and as much once more.
-COMES_AGAIN: Final = 7.0
+#: Seconds for which a harmful request is sent repeatedly: the time after its
+#: third crash in which hosts have to learn of it, and as much again.
+RESEND_DURATION: Final = 7.0
 
-#: Seconds after which a worker is started again that has ended.
-BACK_AFTER: Final = 0.4
+#: Seconds after which a crashed worker is restarted.
+RESTART_DELAY: Final = 0.4
 
-#: What the store does, by fault.
+#: The store's name of each fault that affects all its calls.
 _STORE_FAULTS: Final = {
     Fault.STORE_BUSY: 'busy',
     Fault.STORE_THROTTLED: 'throttled',
     Fault.STORE_SILENT: 'silent',
-    Fault.STORE_LOSES: 'loses_replies',
+    Fault.STORE_LOSES_REPLIES: 'loses_replies',
 }
 
 _WORKER_LINKS: Final = {
@@ -42,48 +43,51 @@
     Fault.WORKER_ONE_WAY: LinkState.ONE_WAY,
 }
 
-#: An entry of another writer, at the address of nobody.
-_FOREIGN: Final = b'{"service": "desk", "address": 7, "slots": "many"}'
+#: An invalid entry of another writer: address and slots are malformed.
+_FOREIGN_ENTRY: Final = b'{"service": "desk", "address": 7, "slots": "many"}'
 
 
-class Faults:
-    """Lets the faults of a plan happen.
+class FaultInjector:
+    """Carries out the events of a plan on a fleet.
+
+    Attributes:
+        injected: Number of events by kind.
 
     Args:
-        fleet: To whom.
-        history: Told of what was in trouble, and when.
+        fleet: The fleet.
+        history: Receives fault intervals and planned stops.
     """
 
     def __init__(self, fleet: Fleet, history: History) -> None:
         self._fleet = fleet
         self._history = history
-        self.fired: Counter[Fault] = Counter()
+        self.injected: Counter[Fault] = Counter()
         self._rollouts = Rollouts(fleet)
 
-    async def happen(self, event: Event) -> None:
-        """Let one happen, and end it."""
-        self.fired[event.fault] += 1
+    async def inject(self, event: Event) -> None:
+        """Carry an event out, and return when it is over."""
+        self.injected[event.fault] += 1
         began = time.monotonic()
-        host = self._befallen(event)
-        # Open-ended until it is over.
-        open_ended = Trouble(began, float('inf'), host)
+        host = self._affected_host(event)
+        # Replaced when the fault is over and its end is known.
+        open_ended = FaultInterval(began, float('inf'), host)
         if not event.planned:
-            self._history.troubled.append(open_ended)
-        await self._of(event.fault)(event)
+            self._history.fault_intervals.append(open_ended)
+        await self._action_for(event.fault)(event)
         if not event.planned:
-            self._history.troubled.remove(open_ended)
-            self._history.troubled.append(
-                Trouble(began, time.monotonic(), host),
+            self._history.fault_intervals.remove(open_ended)
+            self._history.fault_intervals.append(
+                FaultInterval(began, time.monotonic(), host),
             )
 
-    def _befallen(self, event: Event) -> str:
-        """Return the one host that a fault befalls; empty if it is not one."""
-        if event.fault not in OF_ONE_HOST:
+    def _affected_host(self, event: Event) -> str:
+        """Return the only affected host; empty if others may be affected."""
+        if event.fault not in SINGLE_HOST_FAULTS:
             return ''
-        return f'host-{self._number(event)}'
+        return f'host-{self._host_number(event)}'
 
-    def _of(self, fault: Fault) -> Callable[[Event], Awaitable[None]]:
-        """Return what makes a fault."""
+    def _action_for(self, fault: Fault) -> Callable[[Event], Awaitable[None]]:
+        """Return the method that carries out a kind of event."""
         if fault in _STORE_FAULTS:
             return self._store
         if fault in _WORKER_LINKS:
@@ -100,10 +104,10 @@
             Fault.WORKER_RESET: self._worker_reset,
             Fault.CALLERS_RESET: self._callers_reset,
             Fault.STORE_FORGETS: self._store_forgets,
-            Fault.STORE_REFUSES: self._store_refuses,
+            Fault.STORE_REFUSES_HOST: self._store_refuses_host,
             Fault.STORE_SLOW: self._store_slow,
-            Fault.STORE_HOLDS: self._store_holds,
-            Fault.STORE_RETURNS: self._store_returns,
+            Fault.STORE_SILENT_TO_HOST: self._store_silent_to_host,
+            Fault.STORE_RESTORED: self._store_restored,
             Fault.HARMFUL_REQUEST: self._harmful_request,
             Fault.KEY_REVOKED: self._key_revoked,
             Fault.CONFIGURED: self._configured,
@@ -113,75 +117,75 @@
         }[fault]
 
     async def _store(self, event: Event) -> None:
-        """Let the store fail all calls in one way."""
+        """Let all calls to the store fail in one way."""
         await self._fleet.tell_store(f'fault/{_STORE_FAULTS[event.fault]}')
-        await asyncio.sleep(event.lasts)
+        await asyncio.sleep(event.duration)
         await self._fleet.tell_store('fault/none')
 
     async def _store_forgets(self, event: Event) -> None:
-        """Drop the store's history."""
+        """Drop the store's change history."""
         await self._fleet.tell_store('forget')
 
-    async def _store_refuses(self, event: Event) -> None:
+    async def _store_refuses_host(self, event: Event) -> None:
         """Cut one host off from the store."""
         link = self._store_link(event)
         link.reset()
-        await _held(link, LinkState.REFUSED, event.lasts)
+        await _hold(link, LinkState.REFUSED, event.duration)
 
     async def _store_slow(self, event: Event) -> None:
-        """Let one host's store be slow."""
+        """Slow down one host's connection to the store."""
         link = self._store_link(event)
-        await _held(link, LinkState.SLOW, event.lasts)
+        await _hold(link, LinkState.SLOW, event.duration)
 
     def _store_link(self, event: Event) -> Link:
-        """Return the link of one host to the store."""
-        return self._fleet.store_links[self._number(event)]
+        """Return the link from the affected host to the store."""
+        return self._fleet.store_links[self._host_number(event)]
 
-    def _number(self, event: Event) -> int:
-        """Return which host a fault is for."""
+    def _host_number(self, event: Event) -> int:
+        """Return the number of the host that an event affects."""
         return event.target % len(self._fleet.hosts)
 
-    async def _store_holds(self, event: Event) -> None:
-        """Let the store fall silent to one host, and add a route meanwhile.
+    async def _store_silent_to_host(self, event: Event) -> None:
+        """Stop the store's replies to one host, and add a route meanwhile.
 
-        The host's connections stay open, as behind a proxy whose far side is
-        cut off.
+        The host's connections stay open, as behind a proxy that has lost its
+        connection to the store.
         """
         link = self._store_link(event)
-        began = asyncio.create_task(
-            _held(link, LinkState.SILENT, event.lasts + HELD),
+        silence = asyncio.create_task(
+            _hold(link, LinkState.SILENT, event.duration + SILENCE_EXTENSION),
         )
-        await asyncio.sleep(SOON)
+        await asyncio.sleep(CHANGE_DELAY)
         await self._fleet.configure(add_route=True)
-        await began
+        await silence
 
-    async def _store_returns(self, event: Event) -> None:
-        """Let the store come back from a copy, and the operator write again."""
+    async def _store_restored(self, event: Event) -> None:
+        """Restore the store from a copy, and write a configuration again."""
         await self._fleet.tell_store('copy')
-        await asyncio.sleep(event.lasts)
+        await asyncio.sleep(event.duration)
         await self._fleet.tell_store('fault/silent')
-        await asyncio.sleep(SOON)
+        await asyncio.sleep(CHANGE_DELAY)
         await self._fleet.tell_store('come_back')
         await self._fleet.tell_store('fault/none')
-        await asyncio.sleep(event.lasts / 4)
+        await asyncio.sleep(event.duration / 4)
         await self._fleet.configure()
 
     async def _harmful_request(self, event: Event) -> None:
-        """Let a request that ends workers come again and again."""
+        """Send a request that crashes workers repeatedly."""
         path = f'/draft/{HARMFUL}-{event.at:.2f}'
-        latest = time.monotonic() + COMES_AGAIN
+        latest = time.monotonic() + RESEND_DURATION
         number = event.target
         while time.monotonic() < latest:
             number += 1
             await self._fleet.send_harmful(path, number)
-            await asyncio.sleep(BACK_AFTER)
-            await self._fleet.workers.revive()
+            await asyncio.sleep(RESTART_DELAY)
+            await self._fleet.workers.restart_ended()
 
     async def _worker_link(self, event: Event) -> None:
-        """Hold up what is sent to one worker."""
+        """Delay or block traffic of one worker."""
         links = self._fleet.workers.links
         link = links[event.target % len(links)]
-        await _held(link, _WORKER_LINKS[event.fault], event.lasts)
+        await _hold(link, _WORKER_LINKS[event.fault], event.duration)
 
     async def _worker_reset(self, event: Event) -> None:
         """Reset all connections to one worker."""
@@ -194,90 +198,90 @@
         links[event.target % len(links)].reset()
 
     async def _host_killed(self, event: Event) -> None:
-        """Kill a host, and start it again."""
-        host = self._fleet.hosts[self._number(event)]
+        """Kill a host, and restart it."""
+        host = self._fleet.hosts[self._host_number(event)]
         await host.kill()
-        await asyncio.sleep(event.lasts / 4)
+        await asyncio.sleep(event.duration / 4)
         await host.start()
         await asyncio.sleep(1)
 
     async def _host_paused(self, event: Event) -> None:
-        """Let a host stand still."""
-        host = self._fleet.hosts[self._number(event)]
+        """Suspend a host."""
+        host = self._fleet.hosts[self._host_number(event)]
         host.signal(signal.SIGSTOP)
-        await asyncio.sleep(event.lasts)
+        await asyncio.sleep(event.duration)
         host.signal(signal.SIGCONT)
 
     async def _host_stopped(self, event: Event) -> None:
-        """Stop a host as planned, and start it again."""
-        number = self._number(event)
+        """Stop a host in the planned way, and restart it."""
+        number = self._host_number(event)
         host = self._fleet.hosts[number]
         began = time.monotonic()
         host.signal(signal.SIGTERM)
-        await host.ended()
-        self._history.stopping.append(
+        await host.wait_ended()
+        self._history.planned_stops.append(
             (f'host-{number}', began, time.monotonic()),
         )
         await host.start()
 
     async def _host_reloaded(self, event: Event) -> None:
-        """Let a host read its settings again."""
-        host = self._fleet.hosts[self._number(event)]
+        """Let a host reload its settings."""
+        host = self._fleet.hosts[self._host_number(event)]
         host.signal(signal.SIGHUP)
 
     async def _worker_killed(self, event: Event) -> None:
-        """Kill a worker; it starts again under its id."""
+        """Kill a worker, and restart it under the same id."""
         workers = self._fleet.workers.processes
         worker = workers[event.target % len(workers)]
         await worker.kill()
-        await asyncio.sleep(event.lasts / 4)
+        await asyncio.sleep(event.duration / 4)
         await worker.start()
 
     async def _worker_paused(self, event: Event) -> None:
-        """Let a worker stand still."""
+        """Suspend a worker."""
         workers = self._fleet.workers.processes
         worker = workers[event.target % len(workers)]
         worker.signal(signal.SIGSTOP)
-        await asyncio.sleep(event.lasts)
+        await asyncio.sleep(event.duration)
         worker.signal(signal.SIGCONT)
 
     async def _worker_fails(self, event: Event) -> None:
-        """Let a worker fail part of its requests."""
+        """Let a worker fail a fraction of its requests."""
         workers = self._fleet.workers.processes
         worker = workers[event.target % len(workers)]
         worker.signal(signal.SIGUSR1)
-        await asyncio.sleep(event.lasts)
+        await asyncio.sleep(event.duration)
         worker.signal(signal.SIGUSR1)
 
     async def _worker_leaves(self, event: Event) -> None:
-        """Let a worker leave, and another take its place."""
+        """Drain a worker, and replace it by another."""
         number = event.target % len(self._fleet.workers)
         await self._fleet.workers.replace(number)
 
     async def _key_revoked(self, event: Event) -> None:
-        """Take a key away."""
-        await self._fleet.revoke()
+        """Replace the oldest API key."""
+        await self._fleet.rotate_key()
 
     async def _configured(self, event: Event) -> None:
         """Add a route."""
         await self._fleet.configure(add_route=True)
 
     async def _foreign_entry(self, event: Event) -> None:
-        """Let another writer write into the list of workers."""
+        """Write an invalid entry into the table of workers."""
         name = f'foreign-{event.target}'
-        await self._fleet.put('servers', name, _FOREIGN)
+        await self._fleet.put('servers', name, _FOREIGN_ENTRY)
 
     async def _rolled_out(self, event: Event) -> None:
-        """Roll a good version out."""
+        """Roll out a good version."""
         await self._rollouts.order(bad=False)
 
     async def _rolled_out_bad(self, event: Event) -> None:
-        """Roll a bad version out."""
+        """Roll out a bad version."""
         await self._rollouts.order(bad=True)
 
 
-async def _held(link: Link, state: LinkState, seconds: float) -> None:
-    """Keep a link in a state for a while."""
+async def _hold(link: Link, state: LinkState, seconds: float) -> None:
+    """Keep a link in a state for some seconds."""
     link.state = state
     await asyncio.sleep(seconds)
-    link.state = LinkState.WELL
+    link.state = LinkState.HEALTHY
--- a/experiments/fleet_soak/fleet.py
+++ b/experiments/fleet_soak/fleet.py
@@ -1,7 +1,7 @@
-"""The fleet of a soak: the real program on loopback, links around it.
+"""The fleet of a soak: real processes on loopback, connected by links.
 
-Every host has an address of its own, and so has each link, so that one host
-can be cut off from the store, and one worker from all hosts.
+Each host and each link has its own IP address, so that one host can be cut off
+from the store, and one worker from all hosts.
 """
 
 import asyncio
@@ -17,13 +17,13 @@
 
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
-from experiments.fleet_soak.callers import ROUTER, headers_of
+from experiments.fleet_soak.callers import ROUTER_HOST_NAME, request_headers
 from experiments.fleet_soak.history import (
-    Asked,
     Bounds,
     History,
     Kind,
-    put_of,
+    RequestRecord,
+    put_transaction,
 )
 from experiments.fleet_soak.links import Link
 from experiments.fleet_soak.probes import Prober
@@ -31,26 +31,27 @@
 from experiments.fleet_soak.workers import (
     DOMAINS,
     Workers,
+    format_address,
     free_address,
-    written,
 )
 
+#: The bounds with which hosts are configured.
 BOUNDS: Final = Bounds()
 
-#: What the operator's kinds are called.
-_KINDS: Final = {
+#: Kinds of requests, as the configuration names them.
+_ROUTE_KINDS: Final = {
     Kind.LOOK: 'idempotent',
     Kind.PAY: 'non_idempotent',
     Kind.DRAFT: 'streaming',
 }
 
-#: Seconds between two tries of the operator.
-RETRY: Final = 0.2
+#: Seconds between two attempts to write a configuration.
+RETRY_INTERVAL: Final = 0.2
 
-#: Seconds that the fleet may take to begin to serve.
-START_LIMIT: Final = 60
+#: Seconds within which all hosts must serve requests.
+START_TIMEOUT: Final = 60
 
-#: A host's settings file, with the bounds that the judges know.
+#: A host's settings file; its bounds agree with those of the judges.
 _SETTINGS: Final = """\
 nodeName={name}
 zone={domain}
@@ -75,13 +76,24 @@
 class Fleet:
     """Store, workers and hosts as processes, and the links between them.
 
+    Attributes:
+        history: Receives records of requests and interventions.
+        hosts: The hosts' processes, in the order of their numbers.
+        host_links: Links from callers to each host.
+        store_links: Links from each host to the store.
+        keys: Valid API keys, oldest first.
+        caller_addresses: Address of each host for callers, as IP:PORT.
+        workers: The workers; set when the fleet is entered.
+        prober: Probes new routes; set when the fleet is entered.
+
     Args:
-        hosts: How many hosts.
-        workers: How many workers.
-        net: Second number of all addresses, so that soaks don't meet.
-        history: What is seen.
+        hosts: Number of hosts.
+        workers: Number of workers.
+        net: Second byte of all IP addresses, by which soaks that run at the
+            same time are separated.
+        history: Receives records of requests and interventions.
         mutant: A deliberate fault of the workers; empty for none.
-        program: The folder of the program that is played.
+        program: Root directory of the checkout whose program is run.
     """
 
     def __init__(
@@ -100,7 +112,7 @@
         self.host_links: list[Link] = []
         self.store_links: list[Link] = []
         self.keys = ['key-0']
-        self.callers_at: list[str] = []
+        self.caller_addresses: list[str] = []
         self._net = net
         self._counts = (hosts, workers)
         self._stack = AsyncExitStack()
@@ -108,7 +120,7 @@
         self._extra_routes = 0
 
     async def __aenter__(self) -> 'Fleet':
-        """Start everything, and wait until it serves."""
+        """Start all processes, and wait until every host serves requests."""
         try:
             await self._open()
         except BaseException:
@@ -117,45 +129,53 @@
         return self
 
     async def _open(self) -> None:
-        """Start everything, and wait until it serves."""
-        folder = self._stack.enter_context(tempfile.TemporaryDirectory())
-        self._folder = Path(folder)
+        """Start all processes, and wait until every host serves requests."""
+        directory = self._stack.enter_context(tempfile.TemporaryDirectory())
+        self._directory = Path(directory)
         self._session = await self._stack.enter_async_context(
             ClientSession(timeout=ClientTimeout(total=2)),
         )
-        self.probes = self._prober()
-        self._store_at = free_address(f'127.{self._net}.0.1')
-        words = ('-m', 'experiments.fleet_soak.store', '--listen')
-        await self._own(
-            SoakProcess((*words, written(self._store_at)), {}, _unheard)
+        self.prober = self._make_prober()
+        self._store_address = free_address(f'127.{self._net}.0.1')
+        arguments = ('-m', 'experiments.fleet_soak.store', '--listen')
+        await self._start_owned(
+            SoakProcess(
+                (*arguments, format_address(self._store_address)),
+                {},
+                _ignore_line,
+            )
         )
-        await self._configure_surely()
+        await self._configure_until_acknowledged()
         hosts, workers = self._counts
         self.workers = Workers(
             f'127.{self._net}',
-            written(self._store_at),
+            format_address(self._store_address),
             self.history,
             self._mutant,
-            self._own,
+            self._start_owned,
             self._stack,
         )
         for number in range(workers):
             await self.workers.add(number)
         for number in range(hosts):
             await self._add_host(number)
-        async with asyncio.timeout(START_LIMIT):
-            for address in self.callers_at:
-                await self._until_served(address)
+        async with asyncio.timeout(START_TIMEOUT):
+            for address in self.caller_addresses:
+                await self._wait_until_served(address)
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End every process that was started, and close all links."""
+        """Kill all processes, and close all links."""
         await self._stack.aclose()
 
     async def configure(self, *, add_route: bool = False) -> bool:
-        """Write a configuration; tell whether it was acknowledged."""
+        """Write a configuration; return whether the store acknowledged it.
+
+        Args:
+            add_route: Whether to add another route.
+        """
         self._extra_routes += add_route
         for key in self.keys:
-            self.history.keys.setdefault(key, 'clerks')
+            self.history.workspace_by_key.setdefault(key, 'clerks')
         names = [kind.value for kind in Kind]
         names.extend(f'extra{each}' for each in range(self._extra_routes))
         document = {
@@ -166,55 +186,55 @@
             'tenants': [{'name': 'clerks', 'apiKeys': self.keys}],
         }
         content = json.dumps(document).encode()
-        done = await self.put('op', 'config', content)
-        if done:
-            self._note_added(names[len(Kind) :])
-        return done
-
-    async def revoke(self) -> None:
-        """Take the oldest key away, once another holds everywhere."""
-        number = len(self.history.keys)
+        acknowledged = await self.put('op', 'config', content)
+        if acknowledged:
+            self._record_added(names[len(Kind) :])
+        return acknowledged
+
+    async def rotate_key(self) -> None:
+        """Revoke the oldest key, once a new one is valid on all hosts."""
+        number = len(self.history.workspace_by_key)
         self.keys.append(f'key-{number}')
-        await self._configure_surely()
+        await self._configure_until_acknowledged()
         await asyncio.sleep(BOUNDS.revoke)
-        gone = self.keys.pop(0)
-        await self._configure_surely()
-        self.history.revoked[gone] = time.monotonic()
+        revoked = self.keys.pop(0)
+        await self._configure_until_acknowledged()
+        self.history.revoked_at[revoked] = time.monotonic()
 
-    def _prober(self) -> Prober:
-        """Return what asks for new routes; it ends with the fleet."""
-        made = Prober(
+    def _make_prober(self) -> Prober:
+        """Return a prober that is cancelled when the fleet is closed."""
+        prober = Prober(
             self._session,
             self.history,
-            lambda: tuple(self.callers_at),
+            lambda: tuple(self.caller_addresses),
             lambda: self.keys[0],
         )
-        self._stack.callback(made.cancel)
-        return made
+        self._stack.callback(prober.cancel)
+        return prober
 
-    def _note_added(self, routes: Iterable[str]) -> None:
-        """Note that routes are confirmed, and ask every host for new ones."""
+    def _record_added(self, routes: Iterable[str]) -> None:
+        """Record the confirmation of new routes, and start to probe them."""
         for route in routes:
-            if route not in self.history.added:
-                self.history.added[route] = time.monotonic()
-                self.probes.begin(route)
+            if route not in self.history.route_added_at:
+                self.history.route_added_at[route] = time.monotonic()
+                self.prober.start(route)
 
-    async def _configure_surely(self) -> None:
-        """Write a configuration until that is acknowledged.
+    async def _configure_until_acknowledged(self) -> None:
+        """Write configurations until the store acknowledges one.
 
-        One whose reply is lost may be in force, or not.
+        One whose reply is lost may or may not be in force.
         """
         while not await self.configure():
-            await asyncio.sleep(RETRY)
+            await asyncio.sleep(RETRY_INTERVAL)
 
     async def put(self, table: str, key: str, content: bytes) -> bool:
-        """Write a row; tell whether that was acknowledged."""
-        body = put_of(table, key, content)
+        """Write a row; return whether the store acknowledged it."""
+        body = put_transaction(table, key, content)
         return await self.tell_store('v1/rows-tx', body)
 
     async def tell_store(self, call: str, body: object = None) -> bool:
-        """Make a call to the store; tell whether it was acknowledged."""
-        url = f'http://{written(self._store_at)}/{call}'
+        """Post to a path of the store; return whether it succeeded."""
+        url = f'http://{format_address(self._store_address)}/{call}'
         try:
             async with self._session.post(url, json=body) as answer:
                 return answer.ok
@@ -222,99 +242,111 @@
             return False
 
     async def host_calls(self) -> int:
-        """Return how many calls hosts have made to the store, rows by row."""
-        url = f'http://{written(self._store_at)}/calls'
+        """Return the number of reads by hosts plus the rows they have written."""
+        url = f'http://{format_address(self._store_address)}/calls'
         async with self._session.get(url) as answer:
             counts = await answer.json()
         return int(counts['reads'] + counts['writes'])
 
     async def row(self, table: str, key: str) -> str:
-        """Return a row's value as the store gives it; empty if it has none."""
-        url = f'http://{written(self._store_at)}/v1/rows-get'
-        asked = {'table': table, 'part': '', 'from': key, 'limit': '1'}
+        """Return a row's value, encoded in base64; empty if there is none."""
+        url = f'http://{format_address(self._store_address)}/v1/rows-get'
+        query = {'table': table, 'part': '', 'from': key, 'limit': '1'}
         try:
-            async with self._session.get(url, params=asked) as answer:
-                found = await answer.json() if answer.ok else {}
+            async with self._session.get(url, params=query) as answer:
+                content = await answer.json() if answer.ok else {}
         except (ClientError, TimeoutError, OSError):
             return ''
-        by_key = {row['key']: row['value'] for row in found.get('rows', ())}
+        by_key = {row['key']: row['value'] for row in content.get('rows', ())}
         return str(by_key.get(key, ''))
 
     async def send_harmful(self, path: str, number: int) -> None:
-        """Send a request that ends workers to one of the hosts."""
-        address = self.callers_at[number % len(self.callers_at)]
-        request = f'{path.strip("/")}-{number}'
-        headers = self._ask_aside(request, Kind.DRAFT, address)
+        """Send a request that crashes workers.
+
+        Args:
+            path: Its path.
+            number: Selects the host, modulo their count, and makes the request
+                id unique.
+        """
+        address = self.caller_addresses[number % len(self.caller_addresses)]
+        request_id = f'{path.strip("/")}-{number}'
+        headers = self._record_auxiliary(request_id, Kind.DRAFT, address)
         await self._is_served(f'http://{address}{path}', headers)
 
     async def _add_host(self, number: int) -> None:
-        """Start a host between links of its own."""
+        """Start a host with its own links to callers and to the store."""
         ip = f'127.{self._net}.3.{number + 1}'
         callers, ready, inside = (free_address(ip) for _ in range(3))
         to_host = Link(
             *free_address(f'127.{self._net}.4.{number + 1}'), callers
         )
-        store_at = free_address(f'127.{self._net}.5.{number + 1}')
-        to_store = Link(*store_at, self._store_at)
+        link_address = free_address(f'127.{self._net}.5.{number + 1}')
+        to_store = Link(*link_address, self._store_address)
         for link in (to_host, to_store):
             await link.open()
             self._stack.callback(link.close)
         self.host_links.append(to_host)
         self.store_links.append(to_store)
-        path = self._folder / f'host-{number}.conf'
+        path = self._directory / f'host-{number}.conf'
         path.write_text(
             _SETTINGS.format(
                 name=f'host-{number}',
                 domain=DOMAINS[number % len(DOMAINS)],
                 ip=ip,
-                callers=written(callers),
-                ready=written(ready),
+                callers=format_address(callers),
+                ready=format_address(ready),
                 inside=f'{inside[1]},{inside[1]}',
-                store=written(store_at),
+                store=format_address(link_address),
             ),
         )
-        self.callers_at.append(to_host.address)
+        self.caller_addresses.append(to_host.address)
         process = SoakProcess(
             ('-S', str(self._program / 'platform' / 'start.py')),
             {'NUTMEGROAD_BOOT': str(path), 'PYTHONPATH': _site_packages()},
-            _unheard,
+            _ignore_line,
         )
         self.hosts.append(process)
-        await self._own(process)
+        await self._start_owned(process)
 
-    async def _own(self, process: SoakProcess) -> None:
-        """Start a process that ends with the fleet."""
+    async def _start_owned(self, process: SoakProcess) -> None:
+        """Start a process that is killed when the fleet is closed."""
         await process.start()
         self._stack.push_async_callback(process.kill)
 
-    async def _until_served(self, address: str) -> None:
-        """Wait until a host serves."""
-        first = f'first at {address}'
-        headers = self._ask_aside(first, Kind.LOOK, address)
+    async def _wait_until_served(self, address: str) -> None:
+        """Wait until a host serves a request."""
+        request_id = f'first at {address}'
+        headers = self._record_auxiliary(request_id, Kind.LOOK, address)
         url = f'http://{address}/look/1'
         while not await self._is_served(url, headers):
             await asyncio.sleep(0.1)
 
-    def _ask_aside(
+    def _record_auxiliary(
         self,
-        request: str,
+        request_id: str,
         kind: Kind,
         address: str,
     ) -> dict[str, str]:
-        """Note a request that is no caller's, and return its headers."""
+        """Record a request that no caller sends, and return its headers.
+
+        Args:
+            request_id: The request's id.
+            kind: The request's kind.
+            address: The address of the host, which stands for its name.
+        """
         key = self.keys[0]
-        self.history.asked[request] = Asked(
-            request,
+        self.history.requests_by_id[request_id] = RequestRecord(
+            request_id,
             kind,
             address,
             key,
             time.monotonic(),
-            left_early=True,
+            abandoned=True,
         )
-        return headers_of(request, key)
+        return request_headers(request_id, key)
 
     async def _is_served(self, url: str, headers: dict[str, str]) -> bool:
-        """Tell whether a request is answered."""
+        """Send a request; return whether its answer is a success."""
         try:
             async with self._session.post(url, headers=headers) as answer:
                 return answer.ok
@@ -323,11 +355,13 @@
 
 
 def _route(name: str) -> dict[str, Any]:
-    """Return a route as the operator writes it."""
-    known = {kind.value: written for kind, written in _KINDS.items()}
+    """Return a route of the configuration; unknown names are look-ups."""
+    known = {
+        kind.value: route_kind for kind, route_kind in _ROUTE_KINDS.items()
+    }
     return {
         'name': name,
-        'host': ROUTER,
+        'host': ROUTER_HOST_NAME,
         'prefix': f'/{name}/',
         'kind': known.get(name, 'idempotent'),
         'timeoutMs': int(BOUNDS.timeout * 1000),
@@ -340,9 +374,9 @@
 
 
 def _site_packages() -> str:
-    """Return where libraries are, for a program that looks nowhere itself."""
+    """Return library directories; ``-S`` keeps the program from adding them."""
     return ':'.join(site.getsitepackages())
 
 
-def _unheard(line: dict[str, Any]) -> None:
-    """Hear nothing of what a process writes."""
+def _ignore_line(line: dict[str, Any]) -> None:
+    """Ignore a line of a process's output."""
--- a/experiments/fleet_soak/history.py
+++ b/experiments/fleet_soak/history.py
@@ -1,4 +1,4 @@
-"""What a soak of a fleet has seen, as its judges read it."""
+"""Records of a soak run that the judges evaluate."""
 
 import base64
 from dataclasses import dataclass, field
@@ -7,17 +7,21 @@
 
 OK: Final = 200
 
-#: Seconds that a bound is exceeded by before it counts: two processes on a
-#: busy machine read the same clock up to a scheduler's turn apart.
-SLACK: Final = 0.5
+#: Seconds by which a bound may be exceeded before that counts: on a busy
+#: machine, two processes read the same clock up to a scheduling delay apart.
+TOLERANCE: Final = 0.5
 
-#: Events of each stream.
-EVENTS: Final = 6
+#: Number of events in each streamed answer.
+STREAM_EVENTS: Final = 6
 
 
 @unique
 class Kind(Enum):
-    """What may be repeated of a request."""
+    """Kind of a request, by which the operator's route allows retries.
+
+    Values are the names of the routes: look-ups are idempotent, payments are
+    not, and drafts are streamed.
+    """
 
     LOOK = 'look'
     PAY = 'pay'
@@ -25,93 +29,96 @@
 
 
 @unique
-class RolloutEnd(Enum):
-    """What hosts have written of a roll-out, in the operator's words."""
+class RolloutOutcome(Enum):
+    """State of a rollout, as hosts write it into the store."""
 
-    #: No end; a roll-out that is under way.
-    NONE = 'running'
+    RUNNING = 'running'
     SUCCEEDED = 'succeeded'
     ROLLED_BACK = 'rolled_back'
 
 
 @dataclass(slots=True)
 class OrderedRollout:
-    """A roll-out that an operator has ordered; times are monotonic seconds.
+    """A rollout ordered by the operator; times are monotonic seconds.
 
     Attributes:
-        to: The new version.
-        bad: Whether it fails part of its requests.
-        ordered: When the order was acknowledged.
-        duration: Seconds that it may take.
-        ended: When its end was read; infinite while there is none.
-        end: What hosts have written.
+        version: The new version.
+        bad: Whether the new version fails a fraction of its requests.
+        ordered_at: When the store acknowledged the order.
+        duration: Time limit of the rollout in seconds.
+        ended_at: When its outcome was read or waiting for it timed out;
+            infinite before.
+        outcome: The outcome that hosts have written; ``RUNNING`` if none.
     """
 
-    to: str
+    version: str
     bad: bool
-    ordered: float
+    ordered_at: float
     duration: float
-    ended: float = float('inf')
-    end: RolloutEnd = RolloutEnd.NONE
+    ended_at: float = float('inf')
+    outcome: RolloutOutcome = RolloutOutcome.RUNNING
 
 
 @dataclass(slots=True)
-class Asked:
-    """A request as its caller saw it; times are monotonic seconds.
+class RequestRecord:
+    """A request as its caller observed it; times are monotonic seconds.
 
     Attributes:
-        request: Its id.
-        kind: Its kind.
-        host: Which host was asked.
-        key: The key that it bore.
-        sent: When it was sent.
-        ended: When it ended, however; 0 while it has not.
-        status: HTTP status; 0 if there was none.
-        body: What came of the answer.
-        whole: Whether the answer came to its end.
-        signed: Whether it bore a worker's signature.
-        left_early: Whether its caller leaves before the answer.
-        route: The route that an operator had just added; empty for others.
-        session: What it belongs to; empty for nothing.
+        request_id: The request's id.
+        kind: The request's kind.
+        host: Name of the host that it was sent to; the address for requests
+            that neither a ``Caller`` nor a ``Prober`` sent.
+        key: The API key that it carried.
+        sent_at: When it was sent.
+        ended_at: When it ended, with or without an answer; 0 while pending.
+        status: HTTP status of the answer; 0 if there was none.
+        body: The part of the answer's body that was received.
+        complete: Whether the answer was received to its end.
+        signed: Whether the answer carried a worker's signature.
+        abandoned: Whether the request is exempt from the rules on answer
+            times and planned stops: its caller disconnects before the answer,
+            or it is a probe or another request not sent by a ``Caller``.
+        route: The recently added route that it probes; empty for others.
+        session: The session that it belongs to; empty for none.
     """
 
-    request: str
+    request_id: str
     kind: Kind
     host: str
     key: str
-    sent: float
-    ended: float = 0
+    sent_at: float
+    ended_at: float = 0
     status: int = 0
     body: bytes = b''
-    whole: bool = False
+    complete: bool = False
     signed: bool = False
-    left_early: bool = False
+    abandoned: bool = False
     route: str = ''
     session: str = ''
 
     @property
     def served(self) -> bool:
-        """Tell whether a success came to its end."""
-        return self.status == OK and self.whole
+        """Whether a complete successful answer was received."""
+        return self.status == OK and self.complete
 
 
 @dataclass(frozen=True, slots=True)
 class Ran:
-    """A request as a worker saw it.
+    """An execution of a request, as its worker reported it.
 
     Attributes:
-        request: Its id.
+        request_id: The request's id.
         worker: The worker's id.
-        moment: When it began.
-        workspace: The workspace that it was told.
-        authorization: The key that was passed on; there must be none.
-        harmful: The path, if it is one whose requests end workers.
-        failed: Whether it was failed on purpose.
+        started_at: When the execution started, in monotonic seconds.
+        workspace: The workspace that the host named in the request.
+        authorization: The key that the host forwarded; must be empty.
+        harmful: The request's path, if its requests crash workers; else empty.
+        failed: Whether the worker failed it deliberately.
     """
 
-    request: str
+    request_id: str
     worker: str
-    moment: float
+    started_at: float
     workspace: str = ''
     authorization: str = ''
     harmful: str = ''
@@ -119,13 +126,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """A span in which something was in trouble.
+class FaultInterval:
+    """A span in which an unplanned fault was in effect.
 
     Attributes:
-        since: When it began.
-        until: When it ended.
-        host: Whose trouble it was alone; empty if it may have been anybody's.
+        since: When the fault began, in monotonic seconds.
+        until: When the fault ended; infinite while it lasts.
+        host: The only host that it affects; empty if it may affect any.
     """
 
     since: float
@@ -135,120 +142,153 @@
 
 @dataclass(slots=True)
 class History:
-    """All that was seen, and what the operator and the plan did.
+    """All requests and executions of a run, and all interventions in it.
 
     Attributes:
-        asked: Requests by id.
-        ran: Runs, in any order.
-        keys: Workspace by key, of all keys that ever held.
-        revoked: When a key's end was acknowledged, by key.
-        left: When it was acknowledged that a worker leaves, by worker.
-        added: When a route was acknowledged, by route.
-        versions: The version of each worker.
-        rollouts: Roll-outs, in order.
-        troubled: Spans in which hosts, links or the store were in trouble.
-        stopping: Spans of planned stops, by host.
-        calm_from: When the last fault had ended for long enough.
+        requests_by_id: Requests by id.
+        executions: Executions by workers, in any order.
+        workspace_by_key: Workspace by API key, of all keys that were ever
+            valid.
+        revoked_at: By key, when the store acknowledged its revocation.
+        draining_since: By worker, when the store acknowledged that it drains.
+        route_added_at: By route, when the store acknowledged it.
+        versions: Version by worker.
+        rollouts: Rollouts, in order.
+        fault_intervals: Spans in which hosts, links or the store were faulty.
+        planned_stops: Host, begin and end of each planned stop.
+        settled_at: When the fleet is expected to have recovered from the last
+            fault.
     """
 
-    asked: dict[str, Asked] = field(default_factory=dict)
-    ran: list[Ran] = field(default_factory=list)
-    keys: dict[str, str] = field(default_factory=dict)
-    revoked: dict[str, float] = field(default_factory=dict)
-    left: dict[str, float] = field(default_factory=dict)
-    added: dict[str, float] = field(default_factory=dict)
+    requests_by_id: dict[str, RequestRecord] = field(default_factory=dict)
+    executions: list[Ran] = field(default_factory=list)
+    workspace_by_key: dict[str, str] = field(default_factory=dict)
+    revoked_at: dict[str, float] = field(default_factory=dict)
+    draining_since: dict[str, float] = field(default_factory=dict)
+    route_added_at: dict[str, float] = field(default_factory=dict)
     versions: dict[str, str] = field(default_factory=dict)
     rollouts: list[OrderedRollout] = field(default_factory=list)
-    troubled: list[Trouble] = field(default_factory=list)
-    stopping: list[tuple[str, float, float]] = field(default_factory=list)
-    calm_from: float = float('inf')
+    fault_intervals: list[FaultInterval] = field(default_factory=list)
+    planned_stops: list[tuple[str, float, float]] = field(default_factory=list)
+    settled_at: float = float('inf')
 
     @property
-    def requests(self) -> tuple[Asked, ...]:
-        """Return all requests."""
-        return tuple(self.asked.values())
+    def requests(self) -> tuple[RequestRecord, ...]:
+        """All requests."""
+        return tuple(self.requests_by_id.values())
 
-    def of_kind(self, kind: Kind) -> tuple[Asked, ...]:
+    def of_kind(self, kind: Kind) -> tuple[RequestRecord, ...]:
         """Return the requests of a kind."""
         return tuple(each for each in self.requests if each.kind is kind)
 
-    def runs_of(self, request: str) -> int:
-        """Return how often a request ran."""
-        return sum(run.request == request for run in self.ran)
+    def execution_count(self, request_id: str) -> int:
+        """Return how many times a request was executed."""
+        return sum(run.request_id == request_id for run in self.executions)
 
-    def is_calm(self, begin: float, end: float, before: float = 0) -> bool:
-        """Tell whether nothing was in trouble in a span, nor before it."""
+    def is_fault_free(
+        self, begin: float, end: float, margin: float = 0
+    ) -> bool:
+        """Return whether no fault was in effect in a span.
+
+        Args:
+            begin: Begin of the span.
+            end: End of the span.
+            margin: Seconds before the span that must be free of faults, too.
+        """
         return all(
-            each.until < begin - before or each.since > end
-            for each in self.troubled
+            each.until < begin - margin or each.since > end
+            for each in self.fault_intervals
         )
 
-    def is_well(self, host: str, begin: float, end: float) -> bool:
-        """Tell whether a host was in no trouble in a span.
+    def is_unaffected(self, host: str, begin: float, end: float) -> bool:
+        """Return whether a host was neither faulty nor stopping in a span.
 
-        Other hosts may have been: it has to do its work all the same.
+        Faults of other hosts don't count: they must not affect this host.
         """
-        troubled = any(
+        faulty = any(
             each.host in {'', host}
             and each.until >= begin
             and each.since <= end
-            for each in self.troubled
+            for each in self.fault_intervals
         )
         stopped = any(
-            stopping == host and until >= begin and since <= end
-            for stopping, since, until in self.stopping
+            stopped_host == host and until >= begin and since <= end
+            for stopped_host, since, until in self.planned_stops
         )
-        return not troubled and not stopped
+        return not faulty and not stopped
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The deployment's bounds, in seconds; ratios without a unit."""
+    """The operator's bounds on the fleet, and tolerances of the judges.
+
+    Attributes:
+        revoke: Seconds after which a revoked key is rejected.
+        drain: Seconds after which a draining worker gets no new requests.
+        propagation: Seconds for which a fault's effects may outlast it, and in
+            which hosts learn that a request is harmful.
+        timeout: Timeout of each route in seconds.
+        crash_limit: Crashes after which a request counts as harmful.
+        max_later_executions: Maximum number of executions of a harmful request
+            once hosts have learned of it.
+        apply: Seconds after which a confirmed configuration is in force.
+        retry_ratio: Maximum ratio of retries to requests.
+        retry_slack: Number of retries allowed beyond that ratio.
+        budget_window: Seconds over which retries are counted.
+        session_lifetime: Seconds for which an idle session lives on.
+        max_moved_sessions: Number of moved sessions tolerated per rollout.
+        exposure_fraction: Maximum traffic fraction of a bad version.
+        exposure_slack: Number of requests allowed beyond that fraction.
+        rollback: Seconds after which a bad version gets no more requests, once
+            it has failed enough of them.
+        min_failures: Number of failures that are enough for a rollback.
+    """
 
     revoke: float = 5
     drain: float = 2
-    contact: float = 3
+    propagation: float = 3
     timeout: float = 4
-    ends: int = 3
-    repeats_after: int = 3
+    crash_limit: int = 3
+    max_later_executions: int = 3
     apply: float = 2
-    repeat_ratio: float = 0.9
-    repeat_slack: float = 58
-    window: float = 10
-    session: float = 5
-    moved: int = 3
-    expose_share: float = 0.15
-    expose_slack: int = 30
-    halt: float = 5
-    bad_answers: int = 50
+    retry_ratio: float = 0.9
+    retry_slack: float = 58
+    budget_window: float = 10
+    session_lifetime: float = 5
+    max_moved_sessions: int = 3
+    exposure_fraction: float = 0.15
+    exposure_slack: int = 30
+    rollback: float = 5
+    min_failures: int = 50
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What one judge found.
+    """Result of one judge.
 
     Attributes:
-        judge: Its name.
-        moments: How often its rule could have been broken.
-        broken: A sentence for each time that it was.
+        judge: The judge's name.
+        checked: Number of occasions on which its rule could have been broken.
+        violations: A description of each violation of the rule.
     """
 
     judge: str
-    moments: int
-    broken: tuple[str, ...] = ()
+    checked: int
+    violations: tuple[str, ...] = ()
 
 
-def expected_body(request: str, kind: Kind) -> bytes:
-    """Return the whole answer that any worker gives to a request."""
+def expected_body(request_id: str, kind: Kind) -> bytes:
+    """Return the complete body with which a worker answers a request."""
     if kind is not Kind.DRAFT:
-        return f'answer to {request}'.encode()
+        return f'answer to {request_id}'.encode()
     return b''.join(
-        event_of(request, number) for number in range(1, EVENTS + 1)
+        stream_event(request_id, number)
+        for number in range(1, STREAM_EVENTS + 1)
     )
 
 
-def put_of(table: str, key: str, content: bytes) -> dict[str, object]:
-    """Return the transaction that writes one row, as the store reads it."""
+def put_transaction(table: str, key: str, content: bytes) -> dict[str, object]:
+    """Return the store transaction that writes one row."""
     put = {
         'table': table,
         'part': '',
@@ -258,6 +298,6 @@
     return {'expectedRevision': [], 'puts': [put], 'remove': []}
 
 
-def event_of(request: str, number: int) -> bytes:
-    """Return one event of a stream."""
-    return f'id: {number}\ndata: {request} piece {number}\n\n'.encode()
+def stream_event(request_id: str, number: int) -> bytes:
+    """Return one event of a streamed answer; numbers start at 1."""
+    return f'id: {number}\ndata: {request_id} piece {number}\n\n'.encode()
--- a/experiments/fleet_soak/judge.py
+++ b/experiments/fleet_soak/judge.py
@@ -1,7 +1,8 @@
-"""What must hold of a fleet, judged from what callers and workers have seen.
+"""Rules that a fleet must keep, checked on the history of a soak run.
 
-Each judge is a function from a history to what it found broken; it says how
-many moments it looked at, so that a run which never came near a rule shows.
+Each judge checks one rule on a history and returns the violations. It also
+counts the occasions that it checked, so that a run that never exercised a rule
+is recognizable.
 """
 
 from collections import Counter
@@ -10,310 +11,347 @@
 
 from experiments.fleet_soak.history import (
     OK,
-    SLACK,
-    Asked,
+    TOLERANCE,
     Bounds,
     History,
     Kind,
+    RequestRecord,
     Verdict,
     expected_body,
 )
 from experiments.fleet_soak.rollout_judge import (
-    bad_versions_get_little,
-    sessions_stay,
+    bad_versions_get_limited_traffic,
+    sessions_are_not_moved,
 )
 
-#: Statuses that promise that a request has not run and never will.
-PROMISES: Final = frozenset((408, 421, 429, 503))
+#: Statuses that promise that a request was not executed and never will be.
+NOT_EXECUTED_STATUSES: Final = frozenset((408, 421, 429, 503))
 
-#: What a host answers that does not know a route or a key.
-UNKNOWN: Final = frozenset((401, 403, 404))
+#: Statuses of a host that does not know a route or a key.
+UNKNOWN_STATUSES: Final = frozenset((401, 403, 404))
 
-#: Seconds between the first effect of a configuration on a host and a request
-#: that is judged by it.
-SEEN: Final = 0.25
+#: Seconds from a host's first successful answer for a new route, after which
+#: its further answers for the route are judged.
+APPLIED_MARGIN: Final = 0.25
 
 Judge = Callable[[History, Bounds], Verdict]
 
 
-def answers_are_whole(history: History, bounds: Bounds) -> Verdict:
-    """A success is the whole answer to its own request, and a worker's."""
+def answers_are_complete(history: History, bounds: Bounds) -> Verdict:
+    """A success is the complete answer to its request, signed by a worker."""
     judged = [each for each in history.requests if each.served]
-    broken = [
-        f'{each.request}: {each.body[:60]!r}'
+    violations = [
+        f'{each.request_id}: {each.body[:60]!r}'
         for each in judged
         if not each.signed
-        or each.body != expected_body(each.request, each.kind)
+        or each.body != expected_body(each.request_id, each.kind)
     ]
-    return _verdict('whole answers', judged, broken)
+    return _verdict('whole answers', judged, violations)
 
 
 def streams_are_in_order(history: History, bounds: Bounds) -> Verdict:
-    """What came of a stream that broke is its beginning, piece by piece."""
+    """What was received of a stream is a prefix of it, even if it broke."""
     judged = [
         each
         for each in history.requests
         if each.kind is Kind.DRAFT and each.body and each.status == OK
     ]
-    broken = [
-        f'{each.request}: {each.body[-60:]!r}'
+    violations = [
+        f'{each.request_id}: {each.body[-60:]!r}'
         for each in judged
-        if not expected_body(each.request, each.kind).startswith(each.body)
+        if not expected_body(each.request_id, each.kind).startswith(each.body)
     ]
-    return _verdict('order of streams', judged, broken)
+    return _verdict('order of streams', judged, violations)
 
 
-def runs_once(history: History, bounds: Bounds) -> Verdict:
-    """What may not be repeated runs at most once."""
-    runs = Counter(run.request for run in history.ran)
+def non_idempotent_runs_at_most_once(
+    history: History, bounds: Bounds
+) -> Verdict:
+    """A non-idempotent request is executed at most once."""
+    counts = Counter(run.request_id for run in history.executions)
     judged = history.of_kind(Kind.PAY)
-    broken = [
-        f'{each.request}: {runs[each.request]} runs'
+    violations = [
+        f'{each.request_id}: {counts[each.request_id]} executions'
         for each in judged
-        if runs[each.request] > 1
+        if counts[each.request_id] > 1
     ]
-    return _verdict('at most once', judged, broken)
+    return _verdict('at most once', judged, violations)
 
 
-def promises_are_true(history: History, bounds: Bounds) -> Verdict:
-    """A refusal that says "not run" is true, also later."""
-    runs = Counter(run.request for run in history.ran)
+def refusals_are_truthful(history: History, bounds: Bounds) -> Verdict:
+    """A request refused as not executed is not executed later, either."""
+    counts = Counter(run.request_id for run in history.executions)
     judged = [
         each
         for each in history.requests
-        if each.status in PROMISES and each.kind is Kind.PAY
+        if each.status in NOT_EXECUTED_STATUSES and each.kind is Kind.PAY
     ]
-    broken = [
-        f'{each.request}: {each.status}, and it ran'
+    violations = [
+        f'{each.request_id}: status {each.status}, but executed'
         for each in judged
-        if runs[each.request]
+        if counts[each.request_id]
     ]
-    return _verdict('true refusals', judged, broken)
+    return _verdict('true refusals', judged, violations)
 
 
-def runs_were_asked_for(history: History, bounds: Bounds) -> Verdict:
-    """Only what callers sent runs, for the workspace that holds its key."""
-    broken = []
-    for run in history.ran:
-        asked = history.asked.get(run.request)
-        if asked is None:
-            broken.append(f'{run.request}: nobody sent it')
+def executions_match_requests(history: History, bounds: Bounds) -> Verdict:
+    """Only sent requests are executed, for the workspace of their key."""
+    violations = []
+    for run in history.executions:
+        record = history.requests_by_id.get(run.request_id)
+        if record is None:
+            violations.append(f'{run.request_id}: executed, but never sent')
         elif run.authorization:
-            broken.append(f'{run.request}: its key was passed on')
-        elif run.workspace != history.keys.get(asked.key):
-            broken.append(f'{run.request}: ran for {run.workspace!r}')
-    return Verdict('asked for', len(history.ran), tuple(broken))
-
-
-def keys_end(history: History, bounds: Bounds) -> Verdict:
-    """A key that was taken away lets nothing run after the bound."""
-    moments = 0
-    broken = []
-    for run in history.ran:
-        asked = history.asked.get(run.request)
-        if asked is None or asked.key not in history.revoked:
+            violations.append(f'{run.request_id}: API key forwarded')
+        elif run.workspace != history.workspace_by_key.get(record.key):
+            violations.append(
+                f'{run.request_id}: wrong workspace {run.workspace!r}'
+            )
+    return Verdict('asked for', len(history.executions), tuple(violations))
+
+
+def revoked_keys_are_rejected(history: History, bounds: Bounds) -> Verdict:
+    """No request with a revoked key is executed after the bound."""
+    checked = 0
+    violations = []
+    for run in history.executions:
+        record = history.requests_by_id.get(run.request_id)
+        if record is None or record.key not in history.revoked_at:
             continue
-        moments += 1
-        late = asked.sent - history.revoked[asked.key]
+        checked += 1
+        late = record.sent_at - history.revoked_at[record.key]
         if late > bounds.revoke:
-            broken.append(f'{run.request}: sent {late:.2f} s after')
+            violations.append(
+                f'{run.request_id}: sent {late:.2f} s after revocation'
+            )
     refused = sum(
-        each.key in history.revoked and each.status != OK
+        each.key in history.revoked_at and each.status != OK
         for each in history.requests
     )
-    return Verdict('keys end', moments + refused, tuple(broken))
+    return Verdict('keys end', checked + refused, tuple(violations))
 
 
-def leaving_workers_get_nothing(history: History, bounds: Bounds) -> Verdict:
-    """A worker that leaves gets nothing new after the bound, in calm."""
-    moments = sum(
-        history.is_calm(left, left + bounds.drain, bounds.contact)
-        for left in history.left.values()
+def draining_workers_get_no_requests(
+    history: History, bounds: Bounds
+) -> Verdict:
+    """Without faults, a draining worker gets no requests after the bound."""
+    checked = sum(
+        history.is_fault_free(
+            drained_at, drained_at + bounds.drain, bounds.propagation
+        )
+        for drained_at in history.draining_since.values()
     )
-    broken = []
-    latest = bounds.drain + SLACK
-    for run in history.ran:
-        left = history.left.get(run.worker)
-        if left is None or run.moment < left:
+    violations = []
+    latest = bounds.drain + TOLERANCE
+    for run in history.executions:
+        drained_at = history.draining_since.get(run.worker)
+        if drained_at is None or run.started_at < drained_at:
             continue
-        if not history.is_calm(left, run.moment, bounds.contact):
+        if not history.is_fault_free(
+            drained_at, run.started_at, bounds.propagation
+        ):
             continue
-        moments += 1
-        if run.moment - left > latest:
-            broken.append(f'{run.request}: {run.moment - left:.2f} s after')
-    return Verdict('leaving workers', moments, tuple(broken))
-
-
-def answers_come_in_time(history: History, bounds: Bounds) -> Verdict:
-    """Each request has its final answer by its route's timeout, in calm."""
-    moments = 0
-    broken = []
+        checked += 1
+        if run.started_at - drained_at > latest:
+            violations.append(
+                f'{run.request_id}: {run.started_at - drained_at:.2f} s '
+                'after the drain began'
+            )
+    return Verdict('leaving workers', checked, tuple(violations))
+
+
+def answers_arrive_in_time(history: History, bounds: Bounds) -> Verdict:
+    """Without faults, a request is answered within its route's timeout."""
+    checked = 0
+    violations = []
     for each in history.requests:
-        end = each.ended or float('inf')
-        latest = each.sent + bounds.timeout
-        calm = history.is_calm(each.sent, latest, bounds.contact)
-        if each.left_early or not calm:
+        end = each.ended_at or float('inf')
+        latest = each.sent_at + bounds.timeout
+        fault_free = history.is_fault_free(
+            each.sent_at, latest, bounds.propagation
+        )
+        if each.abandoned or not fault_free:
             continue
-        moments += 1
-        if end > latest + 2 * SLACK:
-            broken.append(f'{each.request}: {end - each.sent:.2f} s')
-    return Verdict('final answers', moments, tuple(broken))
+        checked += 1
+        if end > latest + 2 * TOLERANCE:
+            violations.append(
+                f'{each.request_id}: no final answer '
+                f'for {end - each.sent_at:.2f} s'
+            )
+    return Verdict('final answers', checked, tuple(violations))
+
 
+def planned_stops_drop_no_requests(history: History, bounds: Bounds) -> Verdict:
+    """A request that was executed gets an answer although its host stops.
 
-def planned_stops_cut_nothing(history: History, bounds: Bounds) -> Verdict:
-    """A request that a stopping host has taken is answered."""
+    Considers requests sent from one second before the stop until its end.
+    """
     judged = [
         each
-        for host, begin, end in history.stopping
+        for host, begin, end in history.planned_stops
         for each in history.requests
         if each.host == host
-        and not each.left_early
-        and begin - 1 < each.sent < end
-        and history.is_calm(each.sent, end, bounds.contact)
+        and not each.abandoned
+        and begin - 1 < each.sent_at < end
+        and history.is_fault_free(each.sent_at, end, bounds.propagation)
     ]
-    broken = [
-        f'{each.request}: cut at a planned stop'
+    violations = [
+        f'{each.request_id}: no answer, sent near a planned stop'
         for each in judged
-        if not each.status and history.runs_of(each.request)
+        if not each.status and history.execution_count(each.request_id)
     ]
-    return _verdict('planned stops', judged, broken)
-
-
-def repeats_keep_to_the_budget(history: History, bounds: Bounds) -> Verdict:
-    """Runs beyond the first of each request keep to the operator's ratio."""
-    first: set[str] = set()
-    extra: list[float] = []
-    for run in sorted(history.ran, key=lambda each: each.moment):
-        if run.request in first:
-            extra.append(run.moment)
-        first.add(run.request)
-    broken = []
-    for begin in extra:
-        end = begin + bounds.window
-        repeats = sum(begin <= moment < end for moment in extra)
-        asked = sum(
-            begin - bounds.window <= each.sent < end
+    return _verdict('planned stops', judged, violations)
+
+
+def retries_stay_within_budget(history: History, bounds: Bounds) -> Verdict:
+    """Executions beyond the first of each request stay within the budget."""
+    executed: set[str] = set()
+    retries: list[float] = []
+    for run in sorted(history.executions, key=lambda each: each.started_at):
+        if run.request_id in executed:
+            retries.append(run.started_at)
+        executed.add(run.request_id)
+    violations = []
+    for begin in retries:
+        end = begin + bounds.budget_window
+        retry_count = sum(begin <= moment < end for moment in retries)
+        request_count = sum(
+            begin - bounds.budget_window <= each.sent_at < end
             for each in history.requests
         )
-        if repeats > bounds.repeat_ratio * asked + bounds.repeat_slack:
-            broken.append(f'{repeats} repeats of {asked} in {bounds.window} s')
-    return Verdict('budget', len(extra), tuple(broken))
+        allowed = bounds.retry_ratio * request_count + bounds.retry_slack
+        if retry_count > allowed:
+            violations.append(
+                f'{retry_count} retries in {bounds.budget_window} s '
+                f'for {request_count} requests'
+            )
+    return Verdict('budget', len(retries), tuple(violations))
 
 
-def service_returns(history: History, bounds: Bounds) -> Verdict:
-    """After the last fault most requests are served again."""
+def service_recovers(history: History, bounds: Bounds) -> Verdict:
+    """After the last fault, at least half of the requests are served again."""
     judged = [
         each
         for each in history.requests
-        if each.sent >= history.calm_from and each.key not in history.revoked
+        if each.sent_at >= history.settled_at
+        and each.key not in history.revoked_at
     ]
     served = sum(each.served for each in judged)
-    broken = []
+    violations = []
     if served * 2 < len(judged):
-        broken.append(f'{served} of {len(judged)} served')
-    return _verdict('recovery', judged, broken)
+        violations.append(f'{served} of {len(judged)} served')
+    return _verdict('recovery', judged, violations)
 
 
-def configurations_come_into_force(
+def configurations_take_effect(
     history: History,
     bounds: Bounds,
 ) -> Verdict:
-    """A confirmed route is served after the bound by each host that is well."""
+    """Each host without faults knows a confirmed route after the bound."""
     judged = [
         each
         for each in history.requests
-        if each.sent - history.added.get(each.route, float('inf'))
+        if each.sent_at - history.route_added_at.get(each.route, float('inf'))
         > bounds.apply
-        and history.is_well(each.host, each.sent - bounds.contact, each.ended)
+        and history.is_unaffected(
+            each.host, each.sent_at - bounds.propagation, each.ended_at
+        )
     ]
-    broken = [
-        f'{each.request}: {each.status} by {each.host} for {each.route}, '
-        f'{each.sent - history.added[each.route]:.2f} s after'
+    violations = [
+        f'{each.request_id}: {each.status} by {each.host} for {each.route}, '
+        f'{each.sent_at - history.route_added_at[each.route]:.2f} s '
+        'after confirmation'
         for each in judged
-        if each.status in UNKNOWN
+        if each.status in UNKNOWN_STATUSES
     ]
-    return _verdict('configurations in force', judged, broken)
+    return _verdict('configurations in force', judged, violations)
 
 
-def configurations_stay(history: History, bounds: Bounds) -> Verdict:
-    """A host that has served a new route does not forget it again."""
-    first: dict[tuple[str, str], float] = {}
+def configurations_persist(history: History, bounds: Bounds) -> Verdict:
+    """A host that has served a new route continues to know it."""
+    first_served: dict[tuple[str, str], float] = {}
     judged = []
-    for each in sorted(history.requests, key=lambda asked: asked.sent):
-        known = first.get((each.host, each.route), float('inf'))
+    for each in sorted(history.requests, key=lambda record: record.sent_at):
+        known_since = first_served.get((each.host, each.route), float('inf'))
         if not each.route:
             continue
         if each.served:
-            first.setdefault((each.host, each.route), each.ended)
-        if each.sent > known + SEEN and history.is_well(
-            each.host,
-            known,
-            each.ended,
+            first_served.setdefault((each.host, each.route), each.ended_at)
+        if (
+            each.sent_at > known_since + APPLIED_MARGIN
+            and history.is_unaffected(
+                each.host,
+                known_since,
+                each.ended_at,
+            )
         ):
             judged.append(each)
-    broken = [
-        f'{each.request}: {each.status} by {each.host} for {each.route}'
+    violations = [
+        f'{each.request_id}: {each.status} by {each.host} for {each.route}'
         for each in judged
-        if each.status in UNKNOWN
+        if each.status in UNKNOWN_STATUSES
     ]
-    return _verdict('configurations stay', judged, broken)
+    return _verdict('configurations stay', judged, violations)
 
 
-def harmful_requests_are_kept_out(
+def harmful_requests_are_rejected(
     history: History,
     bounds: Bounds,
 ) -> Verdict:
-    """A request that has ended three workers reaches three more at most.
+    """A harmful request is rejected once it has crashed several workers.
 
-    Hosts have a while to learn of the third.
+    Hosts have some time to learn of the last of these crashes; then a few more
+    executions are tolerated.
     """
     by_path: dict[str, list[float]] = {}
-    for run in sorted(history.ran, key=lambda each: each.moment):
+    for run in sorted(history.executions, key=lambda each: each.started_at):
         if run.harmful:
-            by_path.setdefault(run.harmful, []).append(run.moment)
-    judged = 0
-    broken = []
-    for path, moments in by_path.items():
-        if len(moments) < bounds.ends:
+            by_path.setdefault(run.harmful, []).append(run.started_at)
+    checked = 0
+    violations = []
+    for path, start_times in by_path.items():
+        if len(start_times) < bounds.crash_limit:
             continue
-        known = moments[bounds.ends - 1] + bounds.contact
-        later = sum(moment > known for moment in moments)
-        judged += 1
-        if later > bounds.repeats_after:
-            broken.append(f'{path}: {later} more, {len(moments)} in all')
-    return Verdict('harmful requests', judged, tuple(broken))
+        known_since = start_times[bounds.crash_limit - 1] + bounds.propagation
+        later = sum(moment > known_since for moment in start_times)
+        checked += 1
+        if later > bounds.max_later_executions:
+            violations.append(
+                f'{path}: {later} late of {len(start_times)} executions'
+            )
+    return Verdict('harmful requests', checked, tuple(violations))
 
 
 JUDGES: Final[tuple[Judge, ...]] = (
-    answers_are_whole,
+    answers_are_complete,
     streams_are_in_order,
-    runs_once,
-    promises_are_true,
-    runs_were_asked_for,
-    keys_end,
-    leaving_workers_get_nothing,
-    answers_come_in_time,
-    planned_stops_cut_nothing,
-    repeats_keep_to_the_budget,
-    configurations_come_into_force,
-    configurations_stay,
-    harmful_requests_are_kept_out,
-    sessions_stay,
-    bad_versions_get_little,
-    service_returns,
+    non_idempotent_runs_at_most_once,
+    refusals_are_truthful,
+    executions_match_requests,
+    revoked_keys_are_rejected,
+    draining_workers_get_no_requests,
+    answers_arrive_in_time,
+    planned_stops_drop_no_requests,
+    retries_stay_within_budget,
+    configurations_take_effect,
+    configurations_persist,
+    harmful_requests_are_rejected,
+    sessions_are_not_moved,
+    bad_versions_get_limited_traffic,
+    service_recovers,
 )
 
 
 def judge(history: History, bounds: Bounds) -> Iterator[Verdict]:
-    """Yield what each judge found."""
+    """Yield the verdict of each judge, in the order of ``JUDGES``."""
     for each in JUDGES:
         yield each(history, bounds)
 
 
 def _verdict(
     name: str,
-    judged: Sequence[Asked],
-    broken: Iterable[str],
+    judged: Sequence[RequestRecord],
+    violations: Iterable[str],
 ) -> Verdict:
-    """Return what a judge of requests found."""
-    return Verdict(name, len(judged), tuple(broken))
+    """Return the verdict of a judge that checks requests."""
+    return Verdict(name, len(judged), tuple(violations))
--- a/experiments/fleet_soak/links.py
+++ b/experiments/fleet_soak/links.py
@@ -1,21 +1,31 @@
-"""Links of the soak: connections that can be held up, reset or refused."""
+"""TCP proxies of the soak, which can delay, block, reset or refuse traffic."""
 
 import asyncio
 import contextlib
 from enum import Enum, unique
 from typing import Final
 
-CHUNK: Final = 65_536
+#: Maximum bytes forwarded at a time.
+CHUNK_BYTES: Final = 65_536
 
-#: Seconds that a slow link adds to each piece.
-SLOW: Final = 0.1
+#: Seconds by which a slow link delays each chunk; also the polling interval of
+#: a blocked one.
+SLOW_DELAY: Final = 0.1
 
 
 @unique
 class LinkState(Enum):
-    """What becomes of what is sent on a link."""
+    """How a link treats its traffic.
+
+    Attributes:
+        HEALTHY: Forwards everything.
+        SLOW: Delays each chunk.
+        SILENT: Forwards nothing; connections stay open.
+        ONE_WAY: Forwards nothing from the target to the client.
+        REFUSED: Aborts new connections.
+    """
 
-    WELL = 'well'
+    HEALTHY = 'well'
     SLOW = 'slow'
     SILENT = 'silent'
     ONE_WAY = 'one way'
@@ -23,102 +33,106 @@
 
 
 class Link:
-    """Passes connections on, as its state has it.
+    """A TCP proxy that treats connections according to its state.
 
     Args:
-        ip: Where it listens.
-        port: The same.
-        target: Where it passes connections on to; IP and port.
+        ip: The IP address to listen on.
+        port: The port to listen on.
+        target: IP and port to which connections are forwarded.
     """
 
     @property
     def address(self) -> str:
-        """Return where it listens, as IP:PORT."""
-        ip, port = self._listens
+        """The address it listens on, as IP:PORT."""
+        ip, port = self._listen_address
         return f'{ip}:{port}'
 
     def __init__(self, ip: str, port: int, target: tuple[str, int]) -> None:
-        self.state = LinkState.WELL
-        self._listens = (ip, port)
+        self.state = LinkState.HEALTHY
+        self._listen_address = (ip, port)
         self._target = target
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def open(self) -> None:
-        """Listen."""
-        self._server = await asyncio.start_server(self._take, *self._listens)
+        """Start listening."""
+        self._server = await asyncio.start_server(
+            self._accept, *self._listen_address
+        )
 
     def close(self) -> None:
-        """Close everything."""
+        """Stop listening, and abort all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
 
     def reset(self) -> None:
-        """Reset all connections."""
+        """Abort all connections."""
         for writer in tuple(self._writers):
             writer.transport.abort()
 
-    async def _take(
+    async def _accept(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Pass one connection on, both ways."""
+        """Handle one connection."""
         self._writers.add(writer)
         try:
-            await self._pass_on(reader, writer)
+            await self._forward(reader, writer)
         except (OSError, asyncio.CancelledError):
             writer.transport.abort()
         finally:
             self._writers.discard(writer)
             writer.close()
 
-    async def _pass_on(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Connect to the target, and copy until either side ends."""
+        """Connect to the target, and copy both ways until both have ended."""
         if self.state is LinkState.REFUSED:
             writer.transport.abort()
             return
         while self.state is LinkState.SILENT:
-            await asyncio.sleep(SLOW)
-        far_reader, far_writer = await asyncio.open_connection(*self._target)
-        self._writers.add(far_writer)
+            await asyncio.sleep(SLOW_DELAY)
+        target_reader, target_writer = await asyncio.open_connection(
+            *self._target
+        )
+        self._writers.add(target_writer)
         try:
             await asyncio.gather(
-                self._copy(reader, far_writer, back=False),
-                self._copy(far_reader, writer, back=True),
+                self._copy(reader, target_writer, to_client=False),
+                self._copy(target_reader, writer, to_client=True),
             )
         finally:
-            self._writers.discard(far_writer)
-            far_writer.close()
+            self._writers.discard(target_writer)
+            target_writer.close()
 
     async def _copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        back: bool,
+        to_client: bool,
     ) -> None:
-        """Copy one way, held up as the state has it."""
+        """Copy one direction, delayed or blocked according to the state."""
         while True:
-            piece = await reader.read(CHUNK)
-            while self._holds_up(back=back):
-                await asyncio.sleep(SLOW)
+            chunk = await reader.read(CHUNK_BYTES)
+            while self._is_blocked(to_client=to_client):
+                await asyncio.sleep(SLOW_DELAY)
             if self.state is LinkState.SLOW:
-                await asyncio.sleep(SLOW)
-            if not piece:
+                await asyncio.sleep(SLOW_DELAY)
+            if not chunk:
                 break
-            writer.write(piece)
+            writer.write(chunk)
             await writer.drain()
         with contextlib.suppress(OSError):
             writer.write_eof()
 
-    def _holds_up(self, *, back: bool) -> bool:
-        """Tell whether nothing passes in a direction now."""
+    def _is_blocked(self, *, to_client: bool) -> bool:
+        """Return whether a direction is blocked now."""
         if self.state is LinkState.SILENT:
             return True
-        return self.state is LinkState.ONE_WAY and back
+        return self.state is LinkState.ONE_WAY and to_client
--- a/experiments/fleet_soak/plan.py
+++ b/experiments/fleet_soak/plan.py
@@ -1,4 +1,4 @@
-"""Which faults befall a soak, and when: drawn from a seed and printed."""
+"""The plan of a soak: which faults are injected when, drawn from a seed."""
 
 import random
 from collections.abc import Iterable, Iterator
@@ -9,7 +9,7 @@
 
 @unique
 class Fault(Enum):
-    """What may befall a fleet; planned work is no trouble."""
+    """Kinds of faults and planned operations; values are printed names."""
 
     HOST_KILLED = 'host killed'
     HOST_PAUSED = 'host paused'
@@ -27,12 +27,12 @@
     STORE_BUSY = 'store busy'
     STORE_THROTTLED = 'store throttled'
     STORE_SILENT = 'store silent'
-    STORE_LOSES = 'store loses replies'
+    STORE_LOSES_REPLIES = 'store loses replies'
     STORE_FORGETS = 'store forgets'
-    STORE_REFUSES = 'store refuses a host'
+    STORE_REFUSES_HOST = 'store refuses a host'
     STORE_SLOW = 'store slow'
-    STORE_HOLDS = 'store silent to a host'
-    STORE_RETURNS = 'store back from a copy'
+    STORE_SILENT_TO_HOST = 'store silent to a host'
+    STORE_RESTORED = 'store back from a copy'
     HARMFUL_REQUEST = 'harmful request'
     KEY_REVOKED = 'key revoked'
     CONFIGURED = 'configured'
@@ -41,8 +41,8 @@
     ROLLED_OUT_BAD = 'rolled out a bad version'
 
 
-#: What operators do on an ordinary day; rules hold through it.
-PLANNED: Final = frozenset(
+#: Routine work of operators, through which all rules must hold.
+PLANNED_OPERATIONS: Final = frozenset(
     (
         Fault.HOST_STOPPED,
         Fault.HOST_RELOADED,
@@ -55,77 +55,81 @@
     ),
 )
 
-#: What befalls one host alone; the others have to keep all rules meanwhile.
-OF_ONE_HOST: Final = frozenset(
+#: Faults that affect one host alone; the others must keep all rules meanwhile.
+SINGLE_HOST_FAULTS: Final = frozenset(
     (
         Fault.HOST_KILLED,
         Fault.HOST_PAUSED,
         Fault.CALLERS_RESET,
-        Fault.STORE_REFUSES,
+        Fault.STORE_REFUSES_HOST,
         Fault.STORE_SLOW,
-        Fault.STORE_HOLDS,
+        Fault.STORE_SILENT_TO_HOST,
     ),
 )
 
-#: Least and most seconds between two faults, and for which one lasts.
-GAPS: Final = (0.3, 2.0)
-LASTS: Final = (1.0, 4.0)
+#: Minimum and maximum seconds between the beginnings of two faults, and of the
+#: duration of one.
+GAP_RANGE: Final = (0.3, 2.0)
+DURATION_RANGE: Final = (1.0, 4.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A fault of a plan.
+    """A planned fault or operation.
 
     Attributes:
         at: Seconds from the first request.
-        fault: What happens.
-        target: Which host or worker, counted from 0.
-        lasts: Seconds.
+        fault: Its kind.
+        target: Number of the affected host or worker, from 0; taken modulo
+            their count.
+        duration: Duration in seconds, for kinds that last.
     """
 
     at: float
     fault: Fault
     target: int
-    lasts: float
+    duration: float
 
     @property
     def planned(self) -> bool:
-        """Tell whether it is no trouble."""
-        return self.fault in PLANNED
+        """Whether it is routine work rather than a fault."""
+        return self.fault in PLANNED_OPERATIONS
 
     def __str__(self) -> str:
-        """Return a line of the printed plan."""
+        """Return its line of the printed plan."""
         return (
             f'{self.at:6.2f} s  {self.fault.value} '
-            f'(number {self.target}, {self.lasts:.1f} s)'
+            f'(number {self.target}, {self.duration:.1f} s)'
         )
 
 
-def draw(
+def draw_plan(
     seed: int,
     seconds: float,
     targets: int,
     kinds: Iterable[Fault] = Fault,
 ) -> Iterator[Event]:
-    """Yield the faults of a seed, in order; kinds come in turn, shuffled.
+    """Yield the events of a seed, ordered by time.
+
+    Every kind comes once, in random order, before any comes again.
 
     Args:
         seed: The seed.
-        seconds: For how long faults begin.
-        targets: How many hosts and workers there are at most.
-        kinds: The kinds that come.
+        seconds: Time limit for the beginning of the last event.
+        targets: Exclusive upper bound of target numbers.
+        kinds: The kinds to draw from.
     """
-    randomness = random.Random(seed)
-    at = randomness.uniform(*GAPS)
-    waiting: list[Fault] = []
+    rng = random.Random(seed)
+    at = rng.uniform(*GAP_RANGE)
+    remaining: list[Fault] = []
     while at < seconds:
-        if not waiting:
-            waiting = list(kinds)
-            randomness.shuffle(waiting)
+        if not remaining:
+            remaining = list(kinds)
+            rng.shuffle(remaining)
         yield Event(
             at,
-            waiting.pop(),
-            randomness.randrange(targets),
-            randomness.uniform(*LASTS),
+            remaining.pop(),
+            rng.randrange(targets),
+            rng.uniform(*DURATION_RANGE),
         )
-        at += randomness.uniform(*GAPS)
+        at += rng.uniform(*GAP_RANGE)
--- a/experiments/fleet_soak/probes.py
+++ b/experiments/fleet_soak/probes.py
@@ -1,4 +1,4 @@
-"""Questions to every host for routes that an operator has just added."""
+"""Probes that check whether all hosts know a recently added route."""
 
 import asyncio
 import itertools
@@ -8,26 +8,28 @@
 
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
-from experiments.fleet_soak.callers import SIGNATURE, headers_of
-from experiments.fleet_soak.history import Asked, History, Kind
+from experiments.fleet_soak.callers import SIGNATURE, request_headers
+from experiments.fleet_soak.history import History, Kind, RequestRecord
 
-#: Seconds for which a new route is asked for, and between two questions to a
-#: host: the bound, and as much again for those that are late.
-PROBED: Final = 4.5
-EACH: Final = 0.2
+#: Seconds for which a new route is probed: the operator's bound for it to be in
+#: force, and as much again to detect hosts that are late.
+PROBE_DURATION: Final = 4.5
 
-#: Seconds that an answer may take.
-PATIENCE: Final = 1.0
+#: Seconds between two probes of a host.
+PROBE_INTERVAL: Final = 0.2
+
+#: Timeout of a probe in seconds.
+PROBE_TIMEOUT: Final = 1.0
 
 
 class Prober:
-    """Asks for routes that are new.
+    """Sends requests for new routes to all hosts.
 
     Args:
-        session: What questions are sent by.
-        history: What is seen.
-        hosts: Returns where each host is reached, in their order.
-        key: Returns the key to use now.
+        session: The HTTP session to use.
+        history: Receives a record of each probe.
+        hosts: Returns the address of each host, in the order of host numbers.
+        key: Returns the API key to use.
     """
 
     def __init__(
@@ -44,54 +46,54 @@
         self._numbers = itertools.count()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def begin(self, route: str) -> None:
-        """Ask for a route from now on, for a while."""
+    def start(self, route: str) -> None:
+        """Start to probe all hosts for a route, in the background."""
         for number, address in enumerate(self._hosts()):
-            work = self._probe(route, f'host-{number}', address)
-            task = asyncio.create_task(work)
+            probes = self._probe(route, f'host-{number}', address)
+            task = asyncio.create_task(probes)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def ended(self) -> None:
-        """Wait until nothing is asked any more."""
+    async def wait_finished(self) -> None:
+        """Wait until all probes have ended."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
     def cancel(self) -> None:
-        """Ask no more."""
+        """Cancel all probes."""
         for task in self._tasks:
             task.cancel()
 
     async def _probe(self, route: str, host: str, address: str) -> None:
-        """Ask one host for a route again and again."""
-        latest = time.monotonic() + PROBED
+        """Probe one host for a route repeatedly."""
+        latest = time.monotonic() + PROBE_DURATION
         while time.monotonic() < latest:
-            await self._ask(route, host, address)
-            await asyncio.sleep(EACH)
+            await self._send_request(route, host, address)
+            await asyncio.sleep(PROBE_INTERVAL)
 
-    async def _ask(self, route: str, host: str, address: str) -> None:
-        """Ask once, and note what came."""
-        asked = Asked(
+    async def _send_request(self, route: str, host: str, address: str) -> None:
+        """Send one probe, and record its answer."""
+        record = RequestRecord(
             f'probe-{next(self._numbers)}',
             Kind.LOOK,
             host,
             self._key(),
             time.monotonic(),
-            left_early=True,
+            abandoned=True,
             route=route,
         )
-        self._history.asked[asked.request] = asked
+        self._history.requests_by_id[record.request_id] = record
         try:
             async with self._session.post(
                 f'http://{address}/{route}/1',
-                headers=headers_of(asked.request, asked.key),
-                timeout=ClientTimeout(total=PATIENCE),
+                headers=request_headers(record.request_id, record.key),
+                timeout=ClientTimeout(total=PROBE_TIMEOUT),
             ) as answer:
-                asked.signed = SIGNATURE in answer.headers
-                asked.body = await answer.read()
-                asked.status = answer.status
-                asked.whole = True
+                record.signed = SIGNATURE in answer.headers
+                record.body = await answer.read()
+                record.status = answer.status
+                record.complete = True
         except (ClientError, TimeoutError, OSError):
             return
         finally:
-            asked.ended = time.monotonic()
+            record.ended_at = time.monotonic()
--- a/experiments/fleet_soak/processes.py
+++ b/experiments/fleet_soak/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the soak: started, signalled and ended by their own ids."""
+"""Child processes of the soak: start, signals, output and termination."""
 
 import asyncio
 import json
@@ -10,91 +10,93 @@
 from pathlib import Path
 from typing import Any, Final
 
+#: The root directory of this checkout.
 ROOT: Final = Path(__file__).resolve().parents[2]
 
-#: Seconds that a process may take to end after it was told to.
-END_LIMIT: Final = 20
+#: Seconds that a process may take to exit after a signal before it is killed.
+EXIT_TIMEOUT: Final = 20
 
-#: What is told of a line that a process has written.
-Tell = Callable[[dict[str, Any]], None]
+#: Called with each JSON object that a process has written.
+LineHandler = Callable[[dict[str, Any]], None]
 
 
 class SoakProcess:
-    """A program that can be started again and again.
+    """A Python program that can be started repeatedly.
 
     Args:
-        words: The command line behind the interpreter.
-        environ: Variables besides the path of our sources.
-        tell: Told of each JSON line that it writes.
+        arguments: Arguments of the Python interpreter.
+        environ: Additional environment variables.
+        handle_line: Called with each JSON line of its standard output.
     """
 
     def __init__(
         self,
-        words: tuple[str, ...],
+        arguments: tuple[str, ...],
         environ: dict[str, str],
-        tell: Tell,
+        handle_line: LineHandler,
     ) -> None:
-        self._words = words
+        self._arguments = arguments
         self._environ = environ
-        self._tell = tell
+        self._handle_line = handle_line
         self._process: Process | None = None
-        # Two faults may start it at one moment; one of the two would be lost.
-        self._starting = asyncio.Lock()
+        # Two faults may start it concurrently; without the lock, one of the two
+        # processes would be left behind.
+        self._start_lock = asyncio.Lock()
         self._reader: asyncio.Task[None] | None = None
 
     @property
     def running(self) -> bool:
-        """Tell whether the process runs, paused or not."""
+        """Whether the process exists, suspended or not."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
-        """Start it unless it runs, and follow what it writes."""
-        async with self._starting:
+        """Start the process unless it is running, and read its output."""
+        async with self._start_lock:
             if not self.running:
                 await self._start()
 
     async def _start(self) -> None:
-        """Start it, and follow what it writes."""
+        """Start the process, and read its output."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
-            *self._words,
+            *self._arguments,
             cwd=ROOT,
             env={**os.environ, 'PYTHONPATH': '.', **self._environ},
             stdout=PIPE,
             stderr=DEVNULL,
             limit=2**20,
         )
-        self._reader = asyncio.create_task(self._follow(self._process))
+        self._reader = asyncio.create_task(self._read_lines(self._process))
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if it runs."""
+        """Send a signal to the process if it is running."""
         if self._process is not None and self.running:
             self._process.send_signal(number)
 
-    async def ended(self) -> None:
-        """Wait until it has ended; kill it if it does not."""
+    async def wait_ended(self) -> None:
+        """Wait until the process has exited; kill it after a timeout."""
         if self._process is None or self._reader is None:
             return
         try:
-            async with asyncio.timeout(END_LIMIT):
+            async with asyncio.timeout(EXIT_TIMEOUT):
                 await self._process.wait()
         except TimeoutError:
             await self.kill()
         await self._reader
 
     async def kill(self) -> None:
-        """Kill it, paused or not, and wait for its end."""
+        """Kill the process, suspended or not, and wait for its exit."""
         self.signal(signal.SIGKILL)
         if self._process is not None:
             await self._process.wait()
 
-    async def _follow(self, process: Process) -> None:
-        """Tell of each line until the process ends."""
+    async def _read_lines(self, process: Process) -> None:
+        """Pass each JSON line of the output on until the process exits."""
         if process.stdout is None:
             return
         while line := await process.stdout.readline():
             try:
-                found = json.loads(line)
+                content = json.loads(line)
             except ValueError:
                 continue
-            self._tell(found)
+            self._handle_line(content)
--- a/experiments/fleet_soak/program.py
+++ b/experiments/fleet_soak/program.py
@@ -1,10 +1,10 @@
-"""A randomized soak of the program that users run, from outside.
+"""A randomized soak of the router, run as real processes.
 
 ``python -m experiments.fleet_soak --seed 1`` starts a store, workers and
-hosts as processes on loopback, sends requests, lets faults befall them by a
-plan that the seed gives, and judges by what callers and workers have seen.
-``--seeds 50`` runs that many, one after the other. The exit status is 1 if a
-rule was broken.
+hosts as processes on loopback, sends requests, injects faults by a plan drawn
+from the seed, and checks rules on what callers and workers have observed.
+``--seeds 50`` runs that many seeds, one after the other. The exit status is 1
+if a rule was broken.
 """
 
 import argparse
@@ -16,55 +16,59 @@
 from typing import Final
 
 from experiments.fleet_soak.callers import Caller
-from experiments.fleet_soak.faults import Faults
+from experiments.fleet_soak.faults import FaultInjector
 from experiments.fleet_soak.fleet import Fleet
 from experiments.fleet_soak.history import Bounds, History, Verdict
 from experiments.fleet_soak.judge import judge
-from experiments.fleet_soak.plan import Event, Fault, draw
+from experiments.fleet_soak.plan import Event, Fault, draw_plan
 from experiments.fleet_soak.processes import ROOT
 
-#: Seconds from the last fault until everything is expected to serve again:
-#: the operator's bound on keys, a start, and the store's return.
-SETTLE: Final = 8.0
-#: Seconds of requests after that, at least.
-CALM: Final = 4.0
+#: Seconds from the end of the last fault until the fleet is expected to have
+#: recovered: the operator's bound on revoking keys, the start of a process, and
+#: the recovery from an outage of the store.
+SETTLE_DURATION: Final = 8.0
 
-#: Planned work that is done then, with nothing else in the way.
-CALM_WORK: Final = (
+#: Minimum seconds of requests after that.
+QUIET_DURATION: Final = 4.0
+
+#: Planned operations carried out then, without any fault.
+QUIET_OPERATIONS: Final = (
     Event(0, Fault.HOST_STOPPED, 0, 0),
     Event(0, Fault.WORKER_LEAVES, 1, 0),
     Event(0, Fault.CONFIGURED, 0, 0),
 )
 
-#: Callers for each host.
-CALLERS: Final = 3
+#: Number of callers per host.
+CALLERS_PER_HOST: Final = 3
 
 
-async def play(options: argparse.Namespace, seed: int) -> bool:
-    """Play one seed, write what was seen, and tell whether all rules held."""
+async def run_seed(options: argparse.Namespace, seed: int) -> bool:
+    """Run one seed, print a report, and return whether all rules held."""
     history = History()
     targets = options.hosts + options.workers
-    plan = list(draw(seed, options.seconds, targets, options.faults or Fault))
+    plan = list(
+        draw_plan(seed, options.seconds, targets, options.faults or Fault)
+    )
     for event in plan:
         sys.stdout.write(f'{event}\n')
     net = 1 + seed % 250
     counts = (options.hosts, options.workers)
     program = options.program.resolve()
     async with Fleet(*counts, net, history, options.mutant, program) as fleet:
-        faults = Faults(fleet, history)
-        await _play(fleet, faults, plan, history)
+        injector = FaultInjector(fleet, history)
+        await _run_plan(fleet, injector, plan, history)
     verdicts = list(judge(history, Bounds()))
-    _report(seed, history, faults, verdicts)
-    return not any(verdict.broken for verdict in verdicts)
+    _report(seed, history, injector, verdicts)
+    return not any(verdict.violations for verdict in verdicts)
 
 
-async def play_to_the_end(options: argparse.Namespace, seed: int) -> bool:
-    """Play one seed; SIGTERM ends its processes and the whole run.
+async def run_until_signalled(options: argparse.Namespace, seed: int) -> bool:
+    """Run one seed; SIGTERM terminates its processes and the program.
 
     Raises:
-        SystemExit: If it was ended so.
+        SystemExit: On SIGTERM.
     """
-    task = asyncio.ensure_future(play(options, seed))
+    task = asyncio.ensure_future(run_seed(options, seed))
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     try:
         return await task
@@ -73,22 +77,22 @@
         sys.exit(1)
 
 
-async def _play(
+async def _run_plan(
     fleet: Fleet,
-    faults: Faults,
+    injector: FaultInjector,
     plan: list[Event],
     history: History,
 ) -> None:
-    """Let callers ask while the faults of a plan happen."""
-    over: list[bool] = []
+    """Send requests while the events of a plan are carried out."""
+    stopped = False
 
-    def present_key() -> str:
-        """Return the key that holds now."""
+    def current_key() -> str:
+        """Return the oldest valid key."""
         return fleet.keys[0]
 
-    def is_over() -> bool:
-        """Tell whether callers stop asking."""
-        return bool(over)
+    def is_stopped() -> bool:
+        """Return whether callers must stop."""
+        return stopped
 
     callers = [
         asyncio.create_task(
@@ -97,90 +101,96 @@
                 f'host-{host}',
                 address,
                 history,
-                present_key,
-            ).run(is_over),
+                current_key,
+            ).run(is_stopped),
         )
-        for host, address in enumerate(fleet.callers_at)
-        for number in range(CALLERS)
+        for host, address in enumerate(fleet.caller_addresses)
+        for number in range(CALLERS_PER_HOST)
     ]
     began = time.monotonic()
-    happening = []
+    injections = []
     for event in plan:
         await asyncio.sleep(max(0, began + event.at - time.monotonic()))
-        happening.append(asyncio.create_task(faults.happen(event)))
-    await asyncio.gather(*happening)
-    await asyncio.sleep(SETTLE if plan else 0)
-    history.calm_from = time.monotonic()
-    work = (faults.happen(event) for event in CALM_WORK)
-    await asyncio.gather(asyncio.sleep(CALM), *work)
-    await fleet.probes.ended()
-    over.append(True)
+        injections.append(asyncio.create_task(injector.inject(event)))
+    await asyncio.gather(*injections)
+    await asyncio.sleep(SETTLE_DURATION if plan else 0)
+    history.settled_at = time.monotonic()
+    operations = (injector.inject(event) for event in QUIET_OPERATIONS)
+    await asyncio.gather(asyncio.sleep(QUIET_DURATION), *operations)
+    await fleet.prober.wait_finished()
+    stopped = True
     await asyncio.gather(*callers)
 
 
 def _report(
     seed: int,
     history: History,
-    faults: Faults,
+    injector: FaultInjector,
     verdicts: list[Verdict],
 ) -> None:
-    """Write what was asked, what happened, and what was judged."""
+    """Print counts of requests and faults, rollouts, and verdicts."""
     served = sum(each.served for each in history.requests)
     out = sys.stdout
-    out.write(f'seed {seed}: {len(history.asked)} requests, {served} served\n')
-    fired = ', '.join(f'{fault.value} {faults.fired[fault]}' for fault in Fault)
-    out.write(f'faults: {fired}\n')
+    out.write(
+        f'seed {seed}: {len(history.requests)} requests, {served} served\n'
+    )
+    counts = ', '.join(
+        f'{fault.value} {injector.injected[fault]}' for fault in Fault
+    )
+    out.write(f'faults: {counts}\n')
     for fault in Fault:
-        if not faults.fired[fault]:
+        if not injector.injected[fault]:
             out.write(f'never fired: {fault.value}\n')
     for rollout in history.rollouts:
-        sort = 'bad' if rollout.bad else 'good'
-        took = rollout.ended - rollout.ordered
-        out.write(f'{sort} version {rollout.to}: {rollout.end.value}, ')
-        out.write(f'{took:.1f} s\n')
+        quality = 'bad' if rollout.bad else 'good'
+        seconds = rollout.ended_at - rollout.ordered_at
+        out.write(
+            f'{quality} version {rollout.version}: {rollout.outcome.value}, '
+        )
+        out.write(f'{seconds:.1f} s\n')
     for verdict in verdicts:
-        out.write(f'{verdict.judge}: {verdict.moments} judged, ')
-        out.write(f'{len(verdict.broken)} broken\n')
-        for sentence in verdict.broken[:5]:
-            out.write(f'  {sentence}\n')
+        out.write(f'{verdict.judge}: {verdict.checked} judged, ')
+        out.write(f'{len(verdict.violations)} broken\n')
+        for violation in verdict.violations[:5]:
+            out.write(f'  {violation}\n')
 
 
-def main(words: list[str] | None = None) -> int:
-    """Play the seeds of a command line."""
+def main(arguments: list[str] | None = None) -> int:
+    """Run the seeds that the command line gives; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('--seed', type=int, default=1, help='the first seed')
-    parser.add_argument('--seeds', type=int, default=1, help='how many')
+    parser.add_argument('--seed', type=int, default=1, help='first seed')
+    parser.add_argument('--seeds', type=int, default=1, help='number of seeds')
     parser.add_argument('--hosts', type=int, default=3)
     parser.add_argument('--workers', type=int, default=4)
     parser.add_argument(
         '--seconds',
         type=float,
         default=25.0,
-        help='for how long faults begin',
+        help='seconds within which faults begin',
     )
     parser.add_argument(
         '--mutant',
         default='',
-        help='a deliberate fault of the workers, which has to be found',
+        help='deliberate fault of the workers, which the judges must detect',
     )
     parser.add_argument(
         '--faults',
         type=Fault,
         nargs='+',
         metavar='KIND',
-        help='only these kinds, by the names that a run prints',
+        help='inject only these kinds, by the names that a run prints',
     )
     parser.add_argument(
         '--program',
         type=Path,
         default=ROOT,
-        help='the checkout whose program is played; this one if left out',
+        help='checkout whose program is run (default: this one)',
     )
-    options = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     failed = [
         seed
         for seed in range(options.seed, options.seed + options.seeds)
-        if not asyncio.run(play_to_the_end(options, seed))
+        if not asyncio.run(run_until_signalled(options, seed))
     ]
     sys.stdout.write(f'{options.seeds} seeds played, failed: {failed}\n')
     return 1 if failed else 0
--- a/experiments/fleet_soak/rollouts.py
+++ b/experiments/fleet_soak/rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs of a soak: an operator orders one and heeds what hosts write."""
+"""Rollouts of a soak: the operator orders one and waits for its outcome."""
 
 import asyncio
 import base64
@@ -8,42 +8,46 @@
 from collections.abc import Awaitable, Callable
 from typing import Final, Protocol
 
-from experiments.fleet_soak.history import History, OrderedRollout, RolloutEnd
+from experiments.fleet_soak.history import (
+    History,
+    OrderedRollout,
+    RolloutOutcome,
+)
 from experiments.fleet_soak.workers import Workers
 
-#: Seconds that hosts may take to carry a roll-out out.
+#: Time limit of a rollout in seconds.
 DURATION: Final = 12.0
 
-#: Seconds after that in which their last word may still come.
-LAST_WORD: Final = 4.0
+#: Seconds after that in which hosts may still write the outcome.
+STATUS_GRACE: Final = 4.0
 
-#: Seconds between two looks at what they have written.
-LOOK: Final = 0.2
+#: Seconds between two calls to the store.
+POLL_INTERVAL: Final = 0.2
 
-#: Part of the requests that a bad version fails.
-FAILING: Final = 0.5
+#: Fraction of requests that a bad version fails.
+FAILURE_FRACTION: Final = 0.5
 
 
 class RolloutFleet(Protocol):
-    """What a roll-out needs of a fleet."""
+    """The part of a fleet that rollouts use."""
 
     history: History
     workers: Workers
 
     async def put(self, table: str, key: str, content: bytes) -> bool:
-        """Write a row; tell whether that was acknowledged."""
+        """Write a row; return whether the store acknowledged it."""
 
     async def row(self, table: str, key: str) -> str:
-        """Return a row's value as the store gives it; empty if it has none."""
+        """Return a row's value, encoded in base64; empty if there is none."""
 
 
 class Rollouts:
-    """Orders roll-outs, one at a time.
+    """Orders rollouts, one at a time.
 
     Args:
-        fleet: Where.
+        fleet: The fleet.
         clock: Returns monotonic seconds.
-        sleep: Waits for seconds.
+        sleep: Waits for a number of seconds.
     """
 
     def __init__(
@@ -56,46 +60,52 @@
         self._clock = clock
         self._sleep = sleep
         self._numbers = itertools.count(2)
-        self._one_at_a_time = asyncio.Lock()
+        self._rollout_lock = asyncio.Lock()
 
     async def order(self, *, bad: bool) -> None:
-        """Order a roll-out, unless one is under way, and heed its end."""
-        if self._one_at_a_time.locked():
+        """Order a rollout and wait for its outcome, unless one is running.
+
+        Afterwards the workers of the losing version are stopped.
+        """
+        if self._rollout_lock.locked():
             return
-        async with self._one_at_a_time:
+        async with self._rollout_lock:
             version = f'v{next(self._numbers)}'
-            await self._fleet.workers.begin_version(
-                version, FAILING if bad else 0
+            await self._fleet.workers.start_version(
+                version, FAILURE_FRACTION if bad else 0
             )
-            order = await self._write(version, bad=bad)
-            order.end = await self._wait(order)
-            order.ended = self._clock()
-            if order.end is RolloutEnd.SUCCEEDED:
-                await self._fleet.workers.keep_version()
+            order = await self._place_order(version, bad=bad)
+            order.outcome = await self._wait_for_outcome(order)
+            order.ended_at = self._clock()
+            if order.outcome is RolloutOutcome.SUCCEEDED:
+                await self._fleet.workers.promote_version()
             else:
-                await self._fleet.workers.drop_version()
+                await self._fleet.workers.discard_version()
 
-    async def _write(self, version: str, *, bad: bool) -> OrderedRollout:
-        """Write an order until that is acknowledged."""
+    async def _place_order(self, version: str, *, bad: bool) -> OrderedRollout:
+        """Write an order until the store acknowledges it."""
         document = {'service': 'desk', 'to': version, 'durationS': DURATION}
         content = json.dumps(document).encode()
         order = OrderedRollout(version, bad, self._clock(), DURATION)
         self._fleet.history.rollouts.append(order)
         while not await self._fleet.put('op', 'rollout/desk', content):
-            await self._sleep(LOOK)
-        order.ordered = self._clock()
+            await self._sleep(POLL_INTERVAL)
+        order.ordered_at = self._clock()
         return order
 
-    async def _wait(self, order: OrderedRollout) -> RolloutEnd:
-        """Return what hosts have written in the end."""
-        latest = order.ordered + DURATION + LAST_WORD
+    async def _wait_for_outcome(self, order: OrderedRollout) -> RolloutOutcome:
+        """Return the outcome that hosts write; ``RUNNING`` after a timeout."""
+        latest = order.ordered_at + DURATION + STATUS_GRACE
         while self._clock() < latest:
-            await self._sleep(LOOK)
+            await self._sleep(POLL_INTERVAL)
             text = await self._fleet.row('status', 'rollout/desk')
             if not text:
                 continue
             status = json.loads(base64.b64decode(text))
-            state = RolloutEnd(status['state'])
-            if status['to'] == order.to and state is not RolloutEnd.NONE:
+            state = RolloutOutcome(status['state'])
+            if (
+                status['to'] == order.version
+                and state is not RolloutOutcome.RUNNING
+            ):
                 return state
-        return RolloutEnd.NONE
+        return RolloutOutcome.RUNNING
--- a/experiments/fleet_soak/store.py
+++ b/experiments/fleet_soak/store.py
@@ -1,10 +1,10 @@
-"""The soak's store of rows, as a program whose faults are switched by HTTP.
+"""The soak's row store as a program, with faults controlled over HTTP.
 
     python -m experiments.fleet_soak.store --listen IP:PORT
 
-``POST /fault/NAME`` puts a fault into force, ``POST /forget`` drops the
-history of changes, ``POST /copy`` keeps a copy and ``POST /come_back`` lets the
-store come back from it. ``GET /calls`` returns how many calls hosts have made.
+``POST /fault/NAME`` activates a fault, ``POST /forget`` drops the change
+history, ``POST /copy`` takes a snapshot and ``POST /come_back`` restores the
+oldest snapshot. ``GET /calls`` returns how many calls hosts have made.
 """
 
 import argparse
@@ -15,39 +15,42 @@
 from aiohttp import web
 from fakes.row_store import RowStore, StoreCopy, StoreFault
 
-#: Tables that only operators and workers write.
-NOT_OF_HOSTS: Final = frozenset(('op', 'servers'))
+#: Tables that only operators and workers write, not hosts.
+TABLES_NOT_WRITTEN_BY_HOSTS: Final = frozenset(('op', 'servers'))
 
 
 async def serve(listen: str) -> None:
-    """Serve until the process is ended."""
+    """Serve on an address, given as IP:PORT, until the process is killed."""
     store = RowStore(era=1)
-    copies: list[StoreCopy] = []
+    snapshots: list[StoreCopy] = []
 
     async def put_fault(request: web.Request) -> web.Response:
-        """Switch a fault on."""
+        """Activate the named fault; ``none`` deactivates it."""
         store.fault = StoreFault(request.match_info['name'].replace('_', ' '))
         return web.Response()
 
     async def forget(request: web.Request) -> web.Response:
-        """Drop the history."""
+        """Drop the change history."""
         store.forget()
         return web.Response()
 
     async def copy(request: web.Request) -> web.Response:
-        """Keep a copy, to come back from."""
-        copies.append(store.copy())
+        """Take a snapshot."""
+        snapshots.append(store.copy())
         return web.Response()
 
     async def come_back(request: web.Request) -> web.Response:
-        """Come back from the oldest copy that was kept."""
-        store.come_back(copies.pop(0))
+        """Restore the oldest snapshot, and discard it."""
+        store.come_back(snapshots.pop(0))
         return web.Response()
 
     async def calls(request: web.Request) -> web.Response:
-        """Return how many calls hosts have made."""
+        """Return how many reads and writes hosts have made."""
         reads = sum(store.calls.get(call, 0) for call in ('get', 'feed'))
-        writes = sum(table not in NOT_OF_HOSTS for table, _, _ in store.writes)
+        writes = sum(
+            table not in TABLES_NOT_WRITTEN_BY_HOSTS
+            for table, _, _ in store.writes
+        )
         return web.json_response({'reads': reads, 'writes': writes})
 
     app = store.app()
@@ -66,7 +69,7 @@
 
 
 def main() -> None:
-    """Read the command line and serve."""
+    """Parse the command line, and serve."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--listen', required=True)
     asyncio.run(serve(parser.parse_args().listen))
--- a/experiments/fleet_soak/worker.py
+++ b/experiments/fleet_soak/worker.py
@@ -1,10 +1,11 @@
-"""A worker of the soak, as a program: lists itself, runs what it is sent.
+"""A worker of the soak as a program: registers itself, executes requests.
 
     python -m experiments.fleet_soak.worker --id w1 --listed IP:PORT ...
 
-What it ran goes to standard output, a JSON line each. SIGTERM lets it say
-that it leaves, serve on for its notice and a little longer, and end; SIGUSR1
-lets it fail part of its requests until the next.
+It writes a JSON line to standard output for each execution. On SIGTERM it
+announces that it drains, continues to serve for the drain period and a little
+longer, and exits. SIGUSR1 makes it fail a fraction of its requests until the
+next SIGUSR1.
 """
 
 import argparse
@@ -20,46 +21,51 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout, web
 
 from experiments.fleet_soak.history import (
-    EVENTS,
+    STREAM_EVENTS,
     Kind,
-    event_of,
     expected_body,
-    put_of,
+    put_transaction,
+    stream_event,
 )
 
-#: Seconds between two signs of life, and for which a worker that leaves
-#: serves on: its notice and a little more.
-HEARTBEAT: Final = 0.5
-LINGER: Final = 2.4
+#: Seconds between two heartbeats.
+HEARTBEAT_INTERVAL: Final = 0.5
 
-#: A deliberate fault: bodies of other requests, under the right id.
+#: Seconds for which a draining worker continues to serve: the drain period that
+#: the operator allows, and a little more.
+DRAIN_DURATION: Final = 2.4
+
+#: A deliberate fault: answers with the body of another request, under the right
+#: request id.
 FOREIGN_BODIES: Final = 'foreign-bodies'
 
-#: What stands in the path of requests that end the worker.
+#: Part of the path of requests that crash the worker.
 HARMFUL: Final = 'harmful'
 
-#: Share of requests that fail while a worker is in trouble.
-FAILING: Final = 0.4
+#: Fraction of requests that fail after SIGUSR1.
+FAILURE_FRACTION: Final = 0.4
+
+#: Seconds between two events of a streamed answer.
+EVENT_INTERVAL: Final = 0.05
 
-#: Seconds between two events of a stream, and for a plain answer.
-EVENT_GAP: Final = 0.05
-WORK: Final = 0.02
+#: Seconds of work before each answer.
+WORK_DURATION: Final = 0.02
 
 
 class Worker:
-    """Runs requests and lists itself in the store.
+    """Executes requests and registers itself in the store.
 
     Args:
-        options: The command line.
+        options: The parsed command line.
     """
 
     def __init__(self, options: argparse.Namespace) -> None:
         self._options = options
-        self._born = int(time.time() * 1000)
+        self._started_ms = int(time.time() * 1000)
         self._sequence = 0
-        self._leaving = False
-        self._troubled = False
-        self._randomness = random.Random(options.seed)
+        self._draining = False
+        self._failing = False
+        self._rng = random.Random(options.seed)
 
     def app(self) -> web.Application:
         """Return the web application."""
@@ -67,29 +73,29 @@
         app.router.add_route('*', '/{path:.*}', self._run)
         return app
 
-    async def list_itself(self) -> None:
-        """Write a sign of life again and again."""
+    async def send_heartbeats(self) -> None:
+        """Send heartbeats until cancelled."""
         async with ClientSession(timeout=ClientTimeout(total=1)) as session:
             while True:
-                await self._beat(session)
-                await asyncio.sleep(HEARTBEAT)
+                await self._send_heartbeat(session)
+                await asyncio.sleep(HEARTBEAT_INTERVAL)
 
-    async def leave(self) -> None:
-        """Say that it leaves, serve on for a while, and end."""
-        self._leaving = True
+    async def drain(self) -> None:
+        """Announce the drain, serve for the drain period, and exit."""
+        self._draining = True
         async with ClientSession(timeout=ClientTimeout(total=1)) as session:
-            while not await self._beat(session):
-                await asyncio.sleep(HEARTBEAT)
-            say('left', moment=time.monotonic())
-            await asyncio.sleep(LINGER)
+            while not await self._send_heartbeat(session):
+                await asyncio.sleep(HEARTBEAT_INTERVAL)
+            write_event('left', moment=time.monotonic())
+            await asyncio.sleep(DRAIN_DURATION)
         sys.exit(0)
 
-    def trouble(self) -> None:
-        """Begin to fail, or stop it."""
-        self._troubled = not self._troubled
+    def toggle_failures(self) -> None:
+        """Start to fail a fraction of the requests, or stop it."""
+        self._failing = not self._failing
 
-    async def _beat(self, session: ClientSession) -> bool:
-        """Write the entry; tell whether the store took it."""
+    async def _send_heartbeat(self, session: ClientSession) -> bool:
+        """Write the worker's entry; return whether the store accepted it."""
         self._sequence += 1
         entry = {
             'service': 'desk',
@@ -97,12 +103,12 @@
             'zone': self._options.zone,
             'version': self._options.version,
             'slots': 16,
-            'state': 'draining' if self._leaving else 'ready',
-            'born': self._born,
+            'state': 'draining' if self._draining else 'ready',
+            'born': self._started_ms,
             'sequence': self._sequence,
         }
         text = json.dumps(entry).encode()
-        body = put_of('servers', self._options.id, text)
+        body = put_transaction('servers', self._options.id, text)
         url = f'http://{self._options.store}/v1/rows-tx'
         try:
             async with session.post(url, json=body) as answer:
@@ -111,90 +117,98 @@
             return False
 
     async def _run(self, request: web.Request) -> web.StreamResponse:
-        """Run a request, or show that it did not run."""
-        name = request.headers.get('Nutmegroad-Request-Id', '')
-        usual = {'Nutmegroad-Request-Id': name}
+        """Execute a request, or refuse it with status 421.
+
+        A request that is addressed to another worker is not executed.
+        """
+        request_id = request.headers.get('Nutmegroad-Request-Id', '')
+        headers = {'Nutmegroad-Request-Id': request_id}
         if (
             request.headers.get('Nutmegroad-Expect-Instance')
             != self._options.id
         ):
-            return web.Response(status=421, headers=usual)
-        kind = _kind_of(request.path.split('/')[1])
-        share = FAILING if self._troubled else self._options.failing
-        failing = self._randomness.random() < share
-        say(
+            return web.Response(status=421, headers=headers)
+        kind = _kind_of_route(request.path.split('/')[1])
+        fraction = FAILURE_FRACTION if self._failing else self._options.failing
+        failing = self._rng.random() < fraction
+        write_event(
             'ran',
-            request=name,
+            request=request_id,
             moment=time.monotonic(),
             workspace=request.headers.get('Nutmegroad-Tenant', ''),
             authorization=request.headers.get('Authorization', ''),
             harmful=request.path if HARMFUL in request.path else '',
             failed=failing,
         )
-        usual['Nutmegroad-Response-Signature'] = f'{self._options.id}.{name}'
-        await asyncio.sleep(WORK)
+        headers['Nutmegroad-Response-Signature'] = (
+            f'{self._options.id}.{request_id}'
+        )
+        await asyncio.sleep(WORK_DURATION)
         if failing:
-            return web.Response(status=500, headers=usual, body=b'failed')
+            return web.Response(status=500, headers=headers, body=b'failed')
         if HARMFUL in request.path:
-            # As a process that crashes: after the head, with all that it runs.
-            await web.StreamResponse(headers=usual).prepare(request)
+            # Like a crash of the process: after the head of the answer is sent,
+            # along with all other executions.
+            await web.StreamResponse(headers=headers).prepare(request)
             os._exit(1)
         if kind is Kind.DRAFT:
-            return await self._stream(request, name, usual)
+            return await self._stream(request, request_id, headers)
         if self._options.mutant == FOREIGN_BODIES:
-            name = 'another request'
-        return web.Response(headers=usual, body=expected_body(name, kind))
+            request_id = 'another request'
+        return web.Response(
+            headers=headers, body=expected_body(request_id, kind)
+        )
 
     async def _stream(
         self,
         request: web.Request,
-        name: str,
+        request_id: str,
         headers: dict[str, str],
     ) -> web.StreamResponse:
-        """Send the events that the caller has left out."""
+        """Stream the events after the caller's ``Last-Event-Id``."""
         after = int(request.headers.get('Last-Event-Id') or 0)
         answer = web.StreamResponse(headers=headers)
         await answer.prepare(request)
-        for number in range(after + 1, EVENTS + 1):
-            await answer.write(event_of(name, number))
-            await asyncio.sleep(EVENT_GAP)
+        for number in range(after + 1, STREAM_EVENTS + 1):
+            await answer.write(stream_event(request_id, number))
+            await asyncio.sleep(EVENT_INTERVAL)
         await answer.write_eof()
         return answer
 
 
-def _kind_of(route: str) -> Kind:
-    """Return the kind of a route; routes that are added are for look-ups."""
+def _kind_of_route(route: str) -> Kind:
+    """Return the kind of a route; added routes are for look-ups."""
     known = {kind.value: kind for kind in Kind}
     return known.get(route, Kind.LOOK)
 
 
-def say(event: str, **fields: Any) -> None:
-    """Write what happened."""
+def write_event(event: str, **fields: Any) -> None:
+    """Write an event to standard output, as a JSON line."""
     line = json.dumps({'event': event, **fields})
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
 
 async def serve(options: argparse.Namespace) -> None:
-    """Serve until SIGTERM has been heeded."""
+    """Serve until the worker has drained after SIGTERM."""
     worker = Worker(options)
     runner = web.AppRunner(worker.app(), handler_cancellation=True)
     await runner.setup()
     host, _, port = options.listen.rpartition(':')
     await web.TCPSite(runner, host, int(port)).start()
     loop = asyncio.get_running_loop()
-    tasks = [asyncio.ensure_future(worker.list_itself())]
+    tasks = [asyncio.ensure_future(worker.send_heartbeats())]
     loop.add_signal_handler(
         signal.SIGTERM,
-        lambda: tasks.append(asyncio.ensure_future(worker.leave())),
+        lambda: tasks.append(asyncio.ensure_future(worker.drain())),
     )
-    loop.add_signal_handler(signal.SIGUSR1, worker.trouble)
-    say('listening')
+    loop.add_signal_handler(signal.SIGUSR1, worker.toggle_failures)
+    write_event('listening')
     await asyncio.gather(tasks[0])
 
 
 def main() -> None:
-    """Read the command line and serve."""
+    """Parse the command line, and serve."""
     parser = argparse.ArgumentParser(description=__doc__)
     for name in ('id', 'listen', 'listed', 'store', 'zone'):
         parser.add_argument(f'--{name}', required=True)
--- a/experiments/fleet_soak/workers.py
+++ b/experiments/fleet_soak/workers.py
@@ -1,4 +1,4 @@
-"""The workers of a soak, each behind a link of its own, in versions."""
+"""The workers of a soak, each behind its own link, by version."""
 
 import itertools
 import signal
@@ -11,6 +11,7 @@
 from experiments.fleet_soak.links import Link
 from experiments.fleet_soak.processes import SoakProcess
 
+#: Failure domains of hosts and workers.
 DOMAINS: Final = ('north', 'south')
 
 #: The version of the first workers.
@@ -18,29 +19,33 @@
 
 
 def free_address(ip: str) -> tuple[str, int]:
-    """Return an address that nobody listens on."""
+    """Return an IP address with a port that is free."""
     with socket.socket() as probe:
         probe.bind((ip, 0))
         port: int = probe.getsockname()[1]
     return ip, port
 
 
-def written(address: tuple[str, int]) -> str:
+def format_address(address: tuple[str, int]) -> str:
     """Return an address as IP:PORT."""
     ip, port = address
     return f'{ip}:{port}'
 
 
 class Workers:
-    """Starts and ends the workers of a fleet.
+    """Starts and stops the workers of a fleet.
+
+    Attributes:
+        processes: Workers of the current version, in the order of numbers.
+        links: The link of each of them.
 
     Args:
-        net: Beginning of all addresses.
-        store: Where the store is, as IP:PORT.
-        history: What is seen.
+        net: First two bytes of all IP addresses.
+        store: Address of the store, as IP:PORT.
+        history: Receives executions, versions and drains.
         mutant: A deliberate fault of the workers; empty for none.
-        own: Starts a process that ends with the fleet.
-        stack: Closes links with the fleet.
+        start_owned: Starts a process that is killed when the fleet is closed.
+        stack: Closes links when the fleet is closed.
     """
 
     def __init__(
@@ -49,7 +54,7 @@
         store: str,
         history: History,
         mutant: str,
-        own: Callable[[SoakProcess], Awaitable[None]],
+        start_owned: Callable[[SoakProcess], Awaitable[None]],
         stack: AsyncExitStack,
     ) -> None:
         self.processes: list[SoakProcess] = []
@@ -58,20 +63,20 @@
         self._store = store
         self._history = history
         self._mutant = mutant
-        self._own = own
+        self._start_owned = start_owned
         self._stack = stack
         self._incarnations = itertools.count()
         self._version = FIRST_VERSION
-        # Those of another version beside them.
-        self._arriving: list[tuple[SoakProcess, Link]] = []
-        self._arriving_version = ''
+        # Workers of a version that is being rolled out.
+        self._new_workers: list[tuple[SoakProcess, Link]] = []
+        self._new_version = ''
 
     def __len__(self) -> int:
-        """Return how many workers there are."""
+        """Return the number of workers of the current version."""
         return len(self.processes)
 
     async def add(self, number: int) -> None:
-        """Start a worker in the place of a number."""
+        """Start a worker of the current version under a number."""
         process, link = await self._start(number, self._version, 0)
         if number < len(self.processes):
             self.processes[number] = process
@@ -81,43 +86,48 @@
             self.links.append(link)
 
     async def replace(self, number: int) -> None:
-        """Let a worker leave, and another take its place."""
-        leaving = self.processes[number]
+        """Start a successor of a worker, and drain the worker."""
+        draining = self.processes[number]
         version = self._version
         await self.add(number)
-        leaving.signal(signal.SIGTERM)
-        await leaving.ended()
+        draining.signal(signal.SIGTERM)
+        await draining.wait_ended()
         if version != self._version:
             await self.add(number)
 
-    async def begin_version(self, version: str, failing: float) -> None:
-        """Start workers of another version beside those that are there."""
-        self._arriving_version = version
+    async def start_version(self, version: str, failing: float) -> None:
+        """Start workers of a new version beside the current ones.
+
+        Args:
+            version: The new version.
+            failing: Fraction of requests that it fails.
+        """
+        self._new_version = version
         for number, _ in enumerate(tuple(self.processes)):
             started = await self._start(number, version, failing)
-            self._arriving.append(started)
-
-    async def keep_version(self) -> None:
-        """Stop the workers of the version before."""
-        self._version = self._arriving_version
-        stopped = self.processes
-        self.processes = [process for process, _ in self._arriving]
-        self.links = [link for _, link in self._arriving]
-        self._arriving = []
-        for process in stopped:
+            self._new_workers.append(started)
+
+    async def promote_version(self) -> None:
+        """Make the new version the current one, and kill the old workers."""
+        self._version = self._new_version
+        old_processes = self.processes
+        self.processes = [process for process, _ in self._new_workers]
+        self.links = [link for _, link in self._new_workers]
+        self._new_workers = []
+        for process in old_processes:
             await process.kill()
 
-    async def drop_version(self) -> None:
-        """Let the workers of the other version leave."""
-        leaving = tuple(self._arriving)
-        self._arriving.clear()
-        for process, _ in leaving:
+    async def discard_version(self) -> None:
+        """Drain the workers of the new version."""
+        draining = tuple(self._new_workers)
+        self._new_workers.clear()
+        for process, _ in draining:
             process.signal(signal.SIGTERM)
-        for process, _ in leaving:
-            await process.ended()
+        for process, _ in draining:
+            await process.wait_ended()
 
-    async def revive(self) -> None:
-        """Start workers again that have ended."""
+    async def restart_ended(self) -> None:
+        """Restart workers that have terminated."""
         for worker in self.processes:
             await worker.start()
 
@@ -127,40 +137,41 @@
         version: str,
         failing: float,
     ) -> tuple[SoakProcess, Link]:
-        """Start a worker behind a link of its own.
+        """Start a worker behind its own link.
 
         Args:
-            number: Its place, which says in which failure domain it is.
+            number: Its number, which determines its failure domain.
             version: Its version.
-            failing: Part of the requests that it fails.
+            failing: Fraction of requests that it fails.
         """
         name = f'w-{next(self._incarnations)}'
-        at = free_address(f'{self._net}.1.{number + 1}')
+        address = free_address(f'{self._net}.1.{number + 1}')
         listed = free_address(f'{self._net}.2.{number + 1}')
-        link = Link(*listed, at)
+        link = Link(*listed, address)
         await link.open()
         self._stack.callback(link.close)
-        words = (
+        arguments = (
             *('-m', 'experiments.fleet_soak.worker', '--id', name),
-            *('--listen', written(at), '--listed', written(listed)),
+            *('--listen', format_address(address)),
+            *('--listed', format_address(listed)),
             *('--store', self._store),
             *('--zone', DOMAINS[number % len(DOMAINS)]),
             *('--seed', str(number), '--mutant', self._mutant),
             *('--version', version, '--failing', str(failing)),
         )
         process = SoakProcess(
-            words,
+            arguments,
             {},
-            lambda line: self._said(name, line),
+            lambda line: self._handle_line(name, line),
         )
         self._history.versions[name] = version
-        await self._own(process)
+        await self._start_owned(process)
         return process, link
 
-    def _said(self, worker: str, line: dict[str, Any]) -> None:
-        """Take in what a worker has written."""
+    def _handle_line(self, worker: str, line: dict[str, Any]) -> None:
+        """Record a JSON line that a worker has written."""
         if line['event'] == 'ran':
-            self._history.ran.append(
+            self._history.executions.append(
                 Ran(
                     line['request'],
                     worker,
@@ -172,4 +183,4 @@
                 ),
             )
         elif line['event'] == 'left':
-            self._history.left[worker] = line['moment']
+            self._history.draining_since[worker] = line['moment']
--- a/tests/test_fleet_soak_judge.py
+++ b/tests/test_fleet_soak_judge.py
@@ -1,243 +1,284 @@
-"""Each judge of the fleet's soak can fail: a history that breaks its rule."""
+"""Tests that each judge of the fleet soak detects a violation of its rule."""
 
 import unittest
 from dataclasses import replace
 
 from experiments.fleet_soak import judge as judges
 from experiments.fleet_soak.history import (
-    Asked,
     Bounds,
+    FaultInterval,
     History,
     Kind,
     OrderedRollout,
     Ran,
-    Trouble,
-    event_of,
+    RequestRecord,
     expected_body,
+    stream_event,
 )
 
 BOUNDS = Bounds()
-GOOD = Asked(
+GOOD = RequestRecord(
     'r',
     Kind.PAY,
     'h',
     'k',
-    sent=10,
-    ended=11,
+    sent_at=10,
+    ended_at=11,
     status=200,
     body=expected_body('r', Kind.PAY),
-    whole=True,
+    complete=True,
     signed=True,
 )
-RUN = Ran('r', 'w', 10.1, workspace='clerks')
+EXECUTION = Ran('r', 'w', 10.1, workspace='clerks')
 
 
-def history(*asked: Asked, ran: tuple[Ran, ...] = (RUN,)) -> History:
-    """Return a history in which a key holds."""
+def make_history(
+    *records: RequestRecord, executions: tuple[Ran, ...] = (EXECUTION,)
+) -> History:
+    """Return a history in which one API key is valid."""
     return History(
-        asked={each.request: each for each in asked},
-        ran=list(ran),
-        keys={'k': 'clerks'},
-        calm_from=0,
+        requests_by_id={each.request_id: each for each in records},
+        executions=list(executions),
+        workspace_by_key={'k': 'clerks'},
+        settled_at=0,
     )
 
 
 class JudgeTest(unittest.TestCase):
-    """What breaks a rule is found, and what keeps all is not."""
+    """Violations are found, and only violations."""
 
-    def broken(self, judge: judges.Judge, seen: History) -> int:
-        """Return how often a judge found its rule broken."""
-        verdict = judge(seen, BOUNDS)
-        self.assertGreater(verdict.moments, 0)
-        return len(verdict.broken)
+    def count_violations(self, judge: judges.Judge, history: History) -> int:
+        """Return the number of violations that a judge finds."""
+        verdict = judge(history, BOUNDS)
+        self.assertGreater(verdict.checked, 0)
+        return len(verdict.violations)
 
     def test_good_history_breaks_nothing(self) -> None:
-        """One request, one run, one answer."""
+        """One request is executed once and answered."""
         for judge in judges.JUDGES:
             with self.subTest(judge=judge.__name__):
-                self.assertEqual(judge(history(GOOD), BOUNDS).broken, ())
+                self.assertEqual(
+                    judge(make_history(GOOD), BOUNDS).violations, ()
+                )
 
     def test_foreign_and_unsigned_answers(self) -> None:
-        """The answer to another request, or nobody's."""
+        """A body for another request, or no signature of a worker."""
         for bad in (
             replace(GOOD, body=expected_body('other', Kind.PAY)),
             replace(GOOD, signed=False),
         ):
             self.assertEqual(
-                self.broken(judges.answers_are_whole, history(bad)), 1
+                self.count_violations(
+                    judges.answers_are_complete, make_history(bad)
+                ),
+                1,
             )
 
-    def test_streams_with_a_gap_or_a_doubled_piece(self) -> None:
-        """Pieces of two runs that were joined badly."""
+    def test_streams_with_a_gap_or_a_duplicate_event(self) -> None:
+        """The events of two executions are joined wrongly."""
         for numbers in ((1, 3), (1, 2, 2), (2,)):
-            body = b''.join(event_of('r', number) for number in numbers)
-            bad = replace(GOOD, kind=Kind.DRAFT, body=body, whole=False)
+            body = b''.join(stream_event('r', number) for number in numbers)
+            bad = replace(GOOD, kind=Kind.DRAFT, body=body, complete=False)
             self.assertEqual(
-                self.broken(judges.streams_are_in_order, history(bad)), 1
+                self.count_violations(
+                    judges.streams_are_in_order, make_history(bad)
+                ),
+                1,
             )
 
-    def test_second_run(self) -> None:
-        """A booking that was made twice."""
-        seen = history(GOOD, ran=(RUN, replace(RUN, worker='v')))
-        found = self.broken(judges.runs_once, seen)
+    def test_second_execution(self) -> None:
+        """A non-idempotent request is executed twice."""
+        history = make_history(
+            GOOD, executions=(EXECUTION, replace(EXECUTION, worker='v'))
+        )
+        found = self.count_violations(
+            judges.non_idempotent_runs_at_most_once, history
+        )
         self.assertEqual(found, 1)
 
-    def test_refusal_that_lies(self) -> None:
-        """Not run, and it ran."""
-        seen = history(replace(GOOD, status=503))
-        found = self.broken(judges.promises_are_true, seen)
+    def test_false_refusal(self) -> None:
+        """Refused as not executed, but executed."""
+        history = make_history(replace(GOOD, status=503))
+        found = self.count_violations(judges.refusals_are_truthful, history)
         self.assertEqual(found, 1)
 
-    def test_runs_that_nobody_asked_for(self) -> None:
-        """An unknown id, a foreign workspace, a key that was passed on."""
+    def test_executions_without_a_matching_request(self) -> None:
+        """An unknown id, another workspace, or a forwarded API key."""
         for bad in (
-            replace(RUN, request='x'),
-            replace(RUN, workspace='others'),
-            replace(RUN, authorization='Bearer k'),
+            replace(EXECUTION, request_id='x'),
+            replace(EXECUTION, workspace='others'),
+            replace(EXECUTION, authorization='Bearer k'),
         ):
-            seen = history(GOOD, ran=(bad,))
-            found = self.broken(judges.runs_were_asked_for, seen)
+            history = make_history(GOOD, executions=(bad,))
+            found = self.count_violations(
+                judges.executions_match_requests, history
+            )
             self.assertEqual(found, 1)
 
-    def test_dead_key(self) -> None:
-        """Sent six seconds after its key was taken away."""
-        seen = history(GOOD)
-        seen.revoked['k'] = 4
-        found = self.broken(judges.keys_end, seen)
+    def test_revoked_key(self) -> None:
+        """Sent six seconds after its key was revoked."""
+        history = make_history(GOOD)
+        history.revoked_at['k'] = 4
+        found = self.count_violations(judges.revoked_keys_are_rejected, history)
         self.assertEqual(found, 1)
-        seen.revoked['k'] = 6
-        found = self.broken(judges.keys_end, seen)
+        history.revoked_at['k'] = 6
+        found = self.count_violations(judges.revoked_keys_are_rejected, history)
         self.assertEqual(found, 0)
 
-    def test_worker_that_has_left(self) -> None:
-        """Three seconds after it said so; excused only by trouble."""
-        seen = history(GOOD)
-        seen.left['w'] = 7
+    def test_draining_worker(self) -> None:
+        """Used three seconds after the drain; only a fault excuses that."""
+        history = make_history(GOOD)
+        history.draining_since['w'] = 7
         self.assertEqual(
-            self.broken(judges.leaving_workers_get_nothing, seen), 1
+            self.count_violations(
+                judges.draining_workers_get_no_requests, history
+            ),
+            1,
         )
-        seen.troubled.append(Trouble(6, 8))
-        excused = judges.leaving_workers_get_nothing(seen, BOUNDS)
-        self.assertEqual((excused.moments, excused.broken), (0, ()))
+        history.fault_intervals.append(FaultInterval(6, 8))
+        excused = judges.draining_workers_get_no_requests(history, BOUNDS)
+        self.assertEqual((excused.checked, excused.violations), (0, ()))
 
-    def test_route_that_is_unknown_after_the_bound(self) -> None:
-        """Three seconds after it was confirmed; trouble of others is none."""
+    def test_route_unknown_after_the_bound(self) -> None:
+        """Unknown after three seconds; only a fault of the host excuses that."""
         bad = replace(GOOD, status=404, route='new')
-        seen = history(bad)
-        seen.added['new'] = 7
-        judge = judges.configurations_come_into_force
-        self.assertEqual(self.broken(judge, seen), 1)
-        seen.troubled.append(Trouble(6, 8, 'another'))
-        self.assertEqual(self.broken(judge, seen), 1)
-        seen.troubled.append(Trouble(6, 8, GOOD.host))
-        excused = judge(seen, BOUNDS)
-        self.assertEqual((excused.moments, excused.broken), (0, ()))
-
-    def test_route_that_is_forgotten_again(self) -> None:
-        """Served, and unknown a second later by the same host."""
+        history = make_history(bad)
+        history.route_added_at['new'] = 7
+        judge = judges.configurations_take_effect
+        self.assertEqual(self.count_violations(judge, history), 1)
+        history.fault_intervals.append(FaultInterval(6, 8, 'another'))
+        self.assertEqual(self.count_violations(judge, history), 1)
+        history.fault_intervals.append(FaultInterval(6, 8, GOOD.host))
+        excused = judge(history, BOUNDS)
+        self.assertEqual((excused.checked, excused.violations), (0, ()))
+
+    def test_route_forgotten_again(self) -> None:
+        """The same host serves it, and a second later does not know it."""
         first = replace(GOOD, route='new')
-        later = replace(first, request='s', sent=12, ended=13, status=404)
-        judge = judges.configurations_stay
-        self.assertEqual(self.broken(judge, history(first, later)), 1)
+        later = replace(
+            first, request_id='s', sent_at=12, ended_at=13, status=404
+        )
+        judge = judges.configurations_persist
+        self.assertEqual(
+            self.count_violations(judge, make_history(first, later)), 1
+        )
         elsewhere = replace(later, host='another')
-        found = judge(history(first, elsewhere), BOUNDS)
-        self.assertEqual((found.moments, found.broken), (0, ()))
+        found = judge(make_history(first, elsewhere), BOUNDS)
+        self.assertEqual((found.checked, found.violations), (0, ()))
 
     def test_answer_after_the_timeout(self) -> None:
-        """Never ended, or much too late."""
+        """No answer, or one that is much too late."""
         for ended in (0.0, 16.0):
-            seen = history(replace(GOOD, ended=ended))
-            found = self.broken(judges.answers_come_in_time, seen)
+            history = make_history(replace(GOOD, ended_at=ended))
+            found = self.count_violations(
+                judges.answers_arrive_in_time, history
+            )
             self.assertEqual(found, 1)
 
-    def test_cut_at_a_planned_stop(self) -> None:
-        """Passed on, and closed without an answer."""
-        seen = history(replace(GOOD, status=0, whole=False))
-        seen.stopping.append(('h', 9.5, 18))
-        found = self.broken(judges.planned_stops_cut_nothing, seen)
+    def test_request_dropped_at_a_planned_stop(self) -> None:
+        """Executed, but its connection is closed without an answer."""
+        history = make_history(replace(GOOD, status=0, complete=False))
+        history.planned_stops.append(('h', 9.5, 18))
+        found = self.count_violations(
+            judges.planned_stops_drop_no_requests, history
+        )
         self.assertEqual(found, 1)
 
-    def test_storm_of_repeats(self) -> None:
-        """Each of them beyond the operator's ratio."""
-        runs = tuple(replace(RUN, moment=10 + i / 100) for i in range(100))
-        seen = history(GOOD, ran=runs)
+    def test_retries_beyond_the_budget(self) -> None:
+        """One request is executed a hundred times."""
+        runs = tuple(
+            replace(EXECUTION, started_at=10 + i / 100) for i in range(100)
+        )
+        history = make_history(GOOD, executions=runs)
         self.assertGreater(
-            self.broken(judges.repeats_keep_to_the_budget, seen), 0
+            self.count_violations(judges.retries_stay_within_budget, history), 0
         )
 
-    def test_fleet_that_does_not_come_back(self) -> None:
-        """Nothing is served after the last fault."""
-        seen = history(replace(GOOD, status=503, whole=True))
-        found = self.broken(judges.service_returns, seen)
+    def test_fleet_that_does_not_recover(self) -> None:
+        """No request is served after the last fault."""
+        history = make_history(replace(GOOD, status=503, complete=True))
+        found = self.count_violations(judges.service_recovers, history)
         self.assertEqual(found, 1)
 
-    def sessions(self, versions: str, *, bad: bool = False) -> History:
-        """Return a roll-out of v2 in which sessions run twice.
+    def session_history(self, versions: str, *, bad: bool = False) -> History:
+        """Return a rollout of v2 in which each session has several requests.
 
         Args:
-            versions: The versions of both runs of each session.
+            versions: Version number for each request of a session, in order.
             bad: Whether the new version is bad.
         """
-        seen = History(
-            keys={'k': 'clerks'},
+        history = History(
+            workspace_by_key={'k': 'clerks'},
             versions={'w1': 'v1', 'w2': 'v2'},
-            rollouts=[OrderedRollout('v2', bad, ordered=10, duration=12)],
+            rollouts=[OrderedRollout('v2', bad, ordered_at=10, duration=12)],
         )
-        for number in range(BOUNDS.moved + 1):
+        for number in range(BOUNDS.max_moved_sessions + 1):
             for place, version in enumerate(versions):
                 name = f'{number}-{place}'
                 sent = 12 + place
-                seen.asked[name] = replace(
+                history.requests_by_id[name] = replace(
                     GOOD,
-                    request=name,
-                    sent=sent,
-                    ended=sent + 0.5,
+                    request_id=name,
+                    sent_at=sent,
+                    ended_at=sent + 0.5,
                     session=f's{number}',
                 )
-                seen.ran.append(Ran(name, f'w{version}', sent + 0.1))
-        return seen
+                history.executions.append(Ran(name, f'w{version}', sent + 0.1))
+        return history
 
-    def test_sessions_that_are_moved(self) -> None:
-        """To the new version in the first half, or back from a good one."""
+    def test_moved_sessions(self) -> None:
+        """Moved to the new version early, or back from a good new version."""
         cases = (('11', False, 0), ('12', False, 4), ('12', True, 4))
-        for versions, bad, broken in (*cases, ('21', False, 4)):
-            seen = self.sessions(versions, bad=bad)
+        for versions, bad, expected in (*cases, ('21', False, 4)):
+            history = self.session_history(versions, bad=bad)
             with self.subTest(versions=versions, bad=bad):
-                found = self.broken(judges.sessions_stay, seen)
-                self.assertEqual(found, broken)
+                found = self.count_violations(
+                    judges.sessions_are_not_moved, history
+                )
+                self.assertEqual(found, expected)
         self.assertEqual(
-            self.broken(judges.sessions_stay, self.sessions('21', bad=True)),
+            self.count_violations(
+                judges.sessions_are_not_moved,
+                self.session_history('21', bad=True),
+            ),
             0,
         )
-        late = self.sessions('12')
-        late.rollouts[0].ordered = 2
-        self.assertEqual(judges.sessions_stay(late, BOUNDS).broken, ())
-
-    def test_bad_version_that_goes_on(self) -> None:
-        """More than its share, or more after fifty bad answers."""
-        seen = self.sessions('2', bad=True)
-        seen.ran = [
+        late = self.session_history('12')
+        late.rollouts[0].ordered_at = 2
+        self.assertEqual(
+            judges.sessions_are_not_moved(late, BOUNDS).violations, ()
+        )
+
+    def test_bad_version_that_gets_too_much_traffic(self) -> None:
+        """More than its traffic share, or any requests after fifty failures."""
+        history = self.session_history('2', bad=True)
+        history.executions = [
             Ran('0-0', 'w2', 12 + number / 100, failed=True)
-            for number in range(BOUNDS.expose_slack)
+            for number in range(BOUNDS.exposure_slack)
         ]
-        judge = judges.bad_versions_get_little
-        self.assertEqual(self.broken(judge, seen), 0)
-        seen.ran *= 2
-        self.assertEqual(self.broken(judge, seen), 1)
+        judge = judges.bad_versions_get_limited_traffic
+        self.assertEqual(self.count_violations(judge, history), 0)
+        history.executions *= 2
+        self.assertEqual(self.count_violations(judge, history), 1)
         others = [Ran('0-0', 'w1', 13) for _ in range(400)]
-        seen.ran = [*seen.ran, *others]
-        self.assertEqual(self.broken(judge, seen), 0)
-        seen.ran.append(Ran('0-0', 'w2', 19))
-        self.assertEqual(self.broken(judge, seen), 1)
+        history.executions = [*history.executions, *others]
+        self.assertEqual(self.count_violations(judge, history), 0)
+        history.executions.append(Ran('0-0', 'w2', 19))
+        self.assertEqual(self.count_violations(judge, history), 1)
 
-    def test_harmful_requests_that_go_on(self) -> None:
-        """Four more after the third, later than hosts have to know of it."""
+    def test_harmful_requests_that_are_not_rejected(self) -> None:
+        """Four executions after the time in which hosts learn of the third."""
         path = '/draft/harmful'
-        moments = (1.0, 2.0, 3.0, 5.0, 7.0, 8.0, 9.0)
+        start_times = (1.0, 2.0, 3.0, 5.0, 7.0, 8.0, 9.0)
         runs = tuple(
-            replace(RUN, moment=moment, harmful=path) for moment in moments
+            replace(EXECUTION, started_at=moment, harmful=path)
+            for moment in start_times
+        )
+        judge = judges.harmful_requests_are_rejected
+        self.assertEqual(
+            self.count_violations(judge, make_history(GOOD, executions=runs)), 0
+        )
+        more = (*runs, replace(EXECUTION, started_at=10, harmful=path))
+        self.assertEqual(
+            self.count_violations(judge, make_history(GOOD, executions=more)), 1
         )
-        judge = judges.harmful_requests_are_kept_out
-        self.assertEqual(self.broken(judge, history(GOOD, ran=runs)), 0)
-        more = (*runs, replace(RUN, moment=10, harmful=path))
-        self.assertEqual(self.broken(judge, history(GOOD, ran=more)), 1)
