--- a/experiments/fleet_soak/fleet.py
+++ b/experiments/fleet_soak/fleet.py
@@ -242,7 +242,7 @@
             return False
 
     async def host_calls(self) -> int:
-        """Return the number of reads by hosts plus the rows they have written."""
+        """Return the number of reads and of row writes by hosts."""
         url = f'http://{format_address(self._store_address)}/calls'
         async with self._session.get(url) as answer:
             counts = await answer.json()
@@ -374,7 +374,7 @@
 
 
 def _site_packages() -> str:
-    """Return library directories; ``-S`` keeps the program from adding them."""
+    """Return library directories, which ``-S`` does not add by itself."""
     return ':'.join(site.getsitepackages())
 
 
--- a/experiments/fleet_soak/judge.py
+++ b/experiments/fleet_soak/judge.py
@@ -64,9 +64,7 @@
     return _verdict('order of streams', judged, violations)
 
 
-def non_idempotent_runs_at_most_once(
-    history: History, bounds: Bounds
-) -> Verdict:
+def executions_are_at_most_once(history: History, bounds: Bounds) -> Verdict:
     """A non-idempotent request is executed at most once."""
     counts = Counter(run.request_id for run in history.executions)
     judged = history.of_kind(Kind.PAY)
@@ -79,7 +77,7 @@
 
 
 def refusals_are_truthful(history: History, bounds: Bounds) -> Verdict:
-    """A request refused as not executed is not executed later, either."""
+    """A request that was refused as not executed is never executed."""
     counts = Counter(run.request_id for run in history.executions)
     judged = [
         each
@@ -325,7 +323,7 @@
 JUDGES: Final[tuple[Judge, ...]] = (
     answers_are_complete,
     streams_are_in_order,
-    non_idempotent_runs_at_most_once,
+    executions_are_at_most_once,
     refusals_are_truthful,
     executions_match_requests,
     revoked_keys_are_rejected,
--- a/experiments/fleet_soak/probes.py
+++ b/experiments/fleet_soak/probes.py
@@ -11,8 +11,8 @@
 from experiments.fleet_soak.callers import SIGNATURE, request_headers
 from experiments.fleet_soak.history import History, Kind, RequestRecord
 
-#: Seconds for which a new route is probed: the operator's bound for it to be in
-#: force, and as much again to detect hosts that are late.
+#: Seconds for which a new route is probed: the operator's bound for it to be
+#: in force, and as much again to detect hosts that are late.
 PROBE_DURATION: Final = 4.5
 
 #: Seconds between two probes of a host.
--- a/experiments/fleet_soak/processes.py
+++ b/experiments/fleet_soak/processes.py
@@ -39,8 +39,8 @@
         self._environ = environ
         self._handle_line = handle_line
         self._process: Process | None = None
-        # Two faults may start it concurrently; without the lock, one of the two
-        # processes would be left behind.
+        # Two faults may start it concurrently; without the lock, one of the
+        # two processes would be left behind.
         self._start_lock = asyncio.Lock()
         self._reader: asyncio.Task[None] | None = None
 
--- a/experiments/fleet_soak/program.py
+++ b/experiments/fleet_soak/program.py
@@ -24,8 +24,8 @@
 from experiments.fleet_soak.processes import ROOT
 
 #: Seconds from the end of the last fault until the fleet is expected to have
-#: recovered: the operator's bound on revoking keys, the start of a process, and
-#: the recovery from an outage of the store.
+#: recovered: the operator's bound on revoking keys, the start of a process,
+#: and the recovery from an outage of the store.
 SETTLE_DURATION: Final = 8.0
 
 #: Minimum seconds of requests after that.
--- a/experiments/fleet_soak/worker.py
+++ b/experiments/fleet_soak/worker.py
@@ -31,12 +31,12 @@
 #: Seconds between two heartbeats.
 HEARTBEAT_INTERVAL: Final = 0.5
 
-#: Seconds for which a draining worker continues to serve: the drain period that
-#: the operator allows, and a little more.
+#: Seconds for which a draining worker continues to serve: the operator's bound
+#: on drains, and a little more.
 DRAIN_DURATION: Final = 2.4
 
-#: A deliberate fault: answers with the body of another request, under the right
-#: request id.
+#: A deliberate fault: answers with the body of another request, under the
+#: right request id.
 FOREIGN_BODIES: Final = 'foreign-bodies'
 
 #: Part of the path of requests that crash the worker.
@@ -147,8 +147,8 @@
         if failing:
             return web.Response(status=500, headers=headers, body=b'failed')
         if HARMFUL in request.path:
-            # Like a crash of the process: after the head of the answer is sent,
-            # along with all other executions.
+            # Like a crash of the process: after the head of the answer is
+            # sent, along with all other executions.
             await web.StreamResponse(headers=headers).prepare(request)
             os._exit(1)
         if kind is Kind.DRAFT:
--- a/tests/test_fleet_soak_judge.py
+++ b/tests/test_fleet_soak_judge.py
@@ -92,7 +92,7 @@
             GOOD, executions=(EXECUTION, replace(EXECUTION, worker='v'))
         )
         found = self.count_violations(
-            judges.non_idempotent_runs_at_most_once, history
+            judges.executions_are_at_most_once, history
         )
         self.assertEqual(found, 1)
 
@@ -140,7 +140,7 @@
         self.assertEqual((excused.checked, excused.violations), (0, ()))
 
     def test_route_unknown_after_the_bound(self) -> None:
-        """Unknown after three seconds; only a fault of the host excuses that."""
+        """Unknown after three seconds; only a fault of that host excuses."""
         bad = replace(GOOD, status=404, route='new')
         history = make_history(bad)
         history.route_added_at['new'] = 7
@@ -250,7 +250,7 @@
         )
 
     def test_bad_version_that_gets_too_much_traffic(self) -> None:
-        """More than its traffic share, or any requests after fifty failures."""
+        """More than its traffic share, or any request after fifty failures."""
         history = self.session_history('2', bad=True)
         history.executions = [
             Ran('0-0', 'w2', 12 + number / 100, failed=True)
