--- a/experiments/fleet_soak/faults.py
+++ b/experiments/fleet_soak/faults.py
@@ -37,6 +37,7 @@
     Fault.STORE_LOSES_REPLIES: 'loses_replies',
 }
 
+#: The state of a worker's link, by fault.
 _WORKER_LINKS: Final = {
     Fault.WORKER_SILENT: LinkState.SILENT,
     Fault.WORKER_SLOW: LinkState.SLOW,
@@ -171,7 +172,7 @@
         await self._fleet.configure()
 
     async def _harmful_request(self, event: Event) -> None:
-        """Send a request that crashes workers repeatedly."""
+        """Repeatedly send a request that crashes workers."""
         path = f'/draft/{HARMFUL}-{event.at:.2f}'
         latest = time.monotonic() + RESEND_DURATION
         number = event.target
--- a/experiments/fleet_soak/judge.py
+++ b/experiments/fleet_soak/judge.py
@@ -296,10 +296,10 @@
     history: History,
     bounds: Bounds,
 ) -> Verdict:
-    """A harmful request is rejected once it has crashed several workers.
+    """A harmful request is rejected once it has crashed three workers.
 
-    Hosts have some time to learn of the last of these crashes; then a few more
-    executions are tolerated.
+    Hosts have some time to learn of the third crash; then three more
+    executions are tolerated. ``Bounds`` has the numbers.
     """
     by_path: dict[str, list[float]] = {}
     for run in sorted(history.executions, key=lambda each: each.started_at):
--- a/experiments/fleet_soak/rollouts.py
+++ b/experiments/fleet_soak/rollouts.py
@@ -65,7 +65,8 @@
     async def order(self, *, bad: bool) -> None:
         """Order a rollout and wait for its outcome, unless one is running.
 
-        Afterwards the workers of the losing version are stopped.
+        If the rollout succeeds, the old version's workers are stopped; else the
+        new version's.
         """
         if self._rollout_lock.locked():
             return
