--- a/experiments/soak/answers.py
+++ b/experiments/soak/answers.py
@@ -9,32 +9,34 @@
 #: Seconds that stand for never.
 NEVER: Final = 10_000.0
 
-_MARK: Final = 'mark:'
+_TAG_PREFIX: Final = 'mark:'
 
 
-def mark_of(text: str) -> str:
+def extract_tag(text: str) -> str:
     """Return the mark that a request carries in its text."""
-    _, _, rest = text.partition(_MARK)
-    return rest.split(maxsplit=1)[0] if rest else ''
+    _, _, remainder = text.partition(_TAG_PREFIX)
+    return remainder.split(maxsplit=1)[0] if remainder else ''
 
 
-def marked(mark: str) -> str:
+def tagged_text(tag: str) -> str:
     """Return a text that carries a mark."""
-    return f'{_MARK}{mark} please'
+    return f'{_TAG_PREFIX}{tag} please'
 
 
-def word_of(mark: str, version: str, place: int) -> str:
+def answer_piece(tag: str, version: str, position: int) -> str:
     """Return one piece of the answer that an engine writes."""
-    return f'{mark}/{version}/{place} '
+    return f'{tag}/{version}/{position} '
 
 
-def text_of(mark: str, version: str, words: int) -> str:
+def answer_text(tag: str, version: str, words: int) -> str:
     """Return the whole answer that an engine writes."""
-    return ''.join(word_of(mark, version, place) for place in range(words))
+    return ''.join(
+        answer_piece(tag, version, position) for position in range(words)
+    )
 
 
 @dataclass(slots=True)
-class Step:
+class ScheduledChunk:
     """A chunk that an engine sends.
 
     Attributes:
@@ -42,77 +44,94 @@
         chunk: The chunk, before it is encoded.
     """
 
-    seconds: float
+    delay: float
     chunk: dict[str, Any]
 
 
-def plan_answer(
+def schedule_answer(
     randomness: random.Random,
     attempt: Attempt,
-    mark: str,
+    tag: str,
     words: int,
-) -> list[Step]:
+) -> list[ScheduledChunk]:
     """Return the steps of a whole answer, from where it is to go on."""
-    name = attempt.attempt
-    plan = [
-        Step(
+    attempt_id = attempt.attempt
+    schedule = [
+        ScheduledChunk(
             randomness.uniform(0.01, 0.2),
-            _chunk(name, place, word_of(mark, attempt.version, place)),
+            _content_chunk(
+                attempt_id,
+                position,
+                answer_piece(tag, attempt.version, position),
+            ),
         )
-        for place in range(attempt.skip, words)
+        for position in range(attempt.skip, words)
     ]
-    plan.append(Step(0.01, _last(name, words)))
-    return plan
+    schedule.append(ScheduledChunk(0.01, _final_chunk(attempt_id, words)))
+    return schedule
 
 
-def spoil(plan: list[Step], randomness: random.Random) -> None:
+def inject_stream_fault(
+    schedule: list[ScheduledChunk], randomness: random.Random
+) -> None:
     """Let an answer go wrong somewhere, in some way."""
-    ways = (_cut, _skip, _repeat, _delay, _fall_silent, _cross)
-    randomness.choice(ways)(plan, randomness.randrange(len(plan)))
-
-
-def _cut(plan: list[Step], place: int) -> None:
+    fault_kinds = (
+        _truncate,
+        _drop_chunk,
+        _duplicate_chunk,
+        _delay_chunk,
+        _stall,
+        _substitute_chunk,
+    )
+    randomness.choice(fault_kinds)(
+        schedule, randomness.randrange(len(schedule))
+    )
+
+
+def _truncate(schedule: list[ScheduledChunk], position: int) -> None:
     """End the stream before its end."""
-    while len(plan) > place:
-        plan.pop()
+    while len(schedule) > position:
+        schedule.pop()
 
 
-def _skip(plan: list[Step], place: int) -> None:
+def _drop_chunk(schedule: list[ScheduledChunk], position: int) -> None:
     """Leave a piece out."""
-    plan.pop(place)
+    schedule.pop(position)
 
 
-def _repeat(plan: list[Step], place: int) -> None:
+def _duplicate_chunk(schedule: list[ScheduledChunk], position: int) -> None:
     """Send a piece twice."""
-    plan.insert(place, plan[place])
+    schedule.insert(position, schedule[position])
 
 
-def _delay(plan: list[Step], place: int) -> None:
+def _delay_chunk(schedule: list[ScheduledChunk], position: int) -> None:
     """Send a piece late."""
-    plan[place].seconds = 3.0
+    schedule[position].delay = 3.0
 
 
-def _fall_silent(plan: list[Step], place: int) -> None:
+def _stall(schedule: list[ScheduledChunk], position: int) -> None:
     """Send no more, and keep the stream open."""
-    plan[place].seconds = NEVER
+    schedule[position].delay = NEVER
 
 
-def _cross(plan: list[Step], place: int) -> None:
+def _substitute_chunk(schedule: list[ScheduledChunk], position: int) -> None:
     """Send a piece of another answer."""
-    index = plan[place].chunk['index']
-    plan[place].chunk = _chunk('another', index, 'of another answer ')
+    index = schedule[position].chunk['index']
+    schedule[position].chunk = _content_chunk(
+        'another', index, 'of another answer '
+    )
 
 
-def _chunk(attempt: str, place: int, text: str) -> dict[str, Any]:
+def _content_chunk(attempt: str, position: int, text: str) -> dict[str, Any]:
     """Return one piece as it is sent."""
     return {
         'id': attempt,
-        'index': place,
+        'index': position,
         'choices': [{'delta': {'content': text}}],
     }
 
 
-def _last(attempt: str, words: int) -> dict[str, Any]:
+def _final_chunk(attempt: str, words: int) -> dict[str, Any]:
     """Return the chunk with the end."""
     return {
         'id': attempt,
--- a/experiments/soak/calls.py
+++ b/experiments/soak/calls.py
@@ -17,9 +17,9 @@
 from aiohttp.web import Application, Response
 from multidict import CIMultiDict
 
-_LIMIT: Final = 2**20
+_MAX_BODY_BYTES: Final = 2**20
 _DATA_FIELD: Final = b'data: '
-_DONE: Final = b'[DONE]'
+_STREAM_END: Final = b'[DONE]'
 _OK: Final = 200
 
 
@@ -60,10 +60,10 @@
         return self.body.startswith((b'data:', b'event:'))
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether it claims to be a whole answer."""
         if self.is_stream:
-            return self.body.rstrip().endswith(_DONE)
+            return self.body.rstrip().endswith(_STREAM_END)
         return self.status == _OK
 
     def json(self) -> Any:
@@ -73,7 +73,9 @@
     def refusal(self) -> dict[str, Any] | None:
         """Return the refusal in it, if it holds one."""
         if self.is_stream:
-            last = _events(self.body)[-1] if _events(self.body) else {}
+            last = (
+                _parse_events(self.body)[-1] if _parse_events(self.body) else {}
+            )
             return last.get('error')
         if self.status == _OK:
             return None
@@ -86,9 +88,13 @@
     def answer(self) -> tuple[str, str]:
         """Return the version and the text of a model's answer."""
         if not self.is_stream:
-            read = self.json()
-            return read['model'], read['choices'][0]['message']['content']
-        chunks = [event for event in _events(self.body) if 'choices' in event]
+            completion = self.json()
+            return completion['model'], completion['choices'][0]['message'][
+                'content'
+            ]
+        chunks = [
+            event for event in _parse_events(self.body) if 'choices' in event
+        ]
         text = ''.join(
             chunk['choices'][0]['delta'].get('content', '') for chunk in chunks
         )
@@ -141,11 +147,11 @@
     transport.get_extra_info.return_value = None
     transport.get_write_buffer_size.return_value = 0
     protocol = Mock(_reading_paused=False)
-    payload = StreamReader(protocol, _LIMIT)
+    payload = StreamReader(protocol, _MAX_BODY_BYTES)
     payload.feed_data(request.body)
     payload.feed_eof()
     writer = RecordingWriter()
-    mocked = make_mocked_request(
+    mock_request = make_mocked_request(
         request.method,
         request.path,
         headers=request.headers,
@@ -153,20 +159,20 @@
         writer=writer,
         payload=payload,
         transport=transport,
-        client_max_size=_LIMIT,
+        client_max_size=_MAX_BODY_BYTES,
     )
-    response = await app._handle(mocked)
+    response = await app._handle(mock_request)
     body = b''.join(writer.chunks)
     if isinstance(response, Response) and isinstance(response.body, bytes):
         body = response.body
     return Reply(response.status, dict(response.headers), body)
 
 
-def _events(body: bytes) -> list[dict[str, Any]]:
+def _parse_events(body: bytes) -> list[dict[str, Any]]:
     """Return the events of a stream, without its terminal mark."""
     lines = [
         line.removeprefix(_DATA_FIELD)
         for line in body.split(b'\n')
         if line.startswith(_DATA_FIELD)
     ]
-    return [msgspec.json.decode(line) for line in lines if line != _DONE]
+    return [msgspec.json.decode(line) for line in lines if line != _STREAM_END]
--- a/experiments/soak/events.py
+++ b/experiments/soak/events.py
@@ -7,10 +7,10 @@
 from typing import Final
 
 from experiments.configuration.memory_platform import TableFaults
-from experiments.soak.hosts import SoakHost, Surroundings
+from experiments.soak.hosts import Environment, SoakHost
 from experiments.soak.judge import Judge
-from experiments.soak.operators import LONG, SHORT, Operators
-from experiments.soak.upstreams import Upstream, restarted
+from experiments.soak.operators import LONG_SPAN, SHORT_SPAN, Operators
+from experiments.soak.upstreams import Upstream, restart_upstream
 from nutmegroad.contracts.documents import Document
 from nutmegroad.contracts.platform import Listing
 from nutmegroad.foundations.clocks import Clock
@@ -24,16 +24,16 @@
 from nutmegroad.kernel.stops import GracefulStop
 
 #: Seconds between events, on average.
-GAP: Final = 6.0
+MEAN_EVENT_GAP: Final = 6.0
 #: Seconds after which hosts take a silent one for gone.
-SILENCE: Final = 3.0
+FAILURE_TIMEOUT: Final = 3.0
 
 #: Something that happens, from its beginning to its end.
-Event = Callable[[], Awaitable[None]]
+EventAction = Callable[[], Awaitable[None]]
 
 
 @dataclass(slots=True)
-class Events:
+class EventScheduler:
     """Draws and carries out events.
 
     Attributes:
@@ -47,13 +47,13 @@
     """
 
     document: Document
-    around: Surroundings
+    environment: Environment
     judge: Judge
     clock: Clock
     randomness: random.Random
     hosts: dict[HostId, SoakHost]
     pending: set[asyncio.Task[None]] = field(default_factory=set)
-    _busy: set[str] = field(default_factory=set)
+    _reserved: set[str] = field(default_factory=set)
     _operators: Operators = field(init=False)
 
     def __post_init__(self) -> None:
@@ -68,263 +68,279 @@
 
     async def run(self) -> None:
         """Let events happen until cancelled."""
-        events = self._events()
+        weights = self._event_weights()
         while True:
-            await self.clock.sleep(self.randomness.expovariate(1 / GAP))
-            drawn = self.randomness.choices(
-                tuple(events),
-                tuple(events.values()),
+            await self.clock.sleep(
+                self.randomness.expovariate(1 / MEAN_EVENT_GAP)
+            )
+            action = self.randomness.choices(
+                tuple(weights),
+                tuple(weights.values()),
             )[0]
-            self.start(drawn())
+            self.start(action())
 
-    def start(self, event: Awaitable[None]) -> None:
+    def start(self, disturbance: Awaitable[None]) -> None:
         """Run an event in a task of its own."""
-        task = asyncio.ensure_future(event)
+        task = asyncio.ensure_future(disturbance)
         self.pending.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
 
-    async def begin_host(self, host: HostId, domain: DomainId) -> SoakHost:
+    async def start_host(self, host: HostId, domain: DomainId) -> SoakHost:
         """Start a host, or a new run of one."""
         run = SoakHost(
             host,
             domain,
-            self.around,
+            self.environment,
             random.Random(self.randomness.getrandbits(64)),
         )
         self.hosts[host] = run
         # Cuts made or healed while it was away are not known for it.
         for other in self.hosts:
-            self.around.network.heal(host, other)
-        for cut in sorted(self.around.world.cut):
-            self.around.network.cut_domain(cut, noticed=True)
+            self.environment.network.heal(host, other)
+        for cut in sorted(
+            self.environment.upstream_network.partitioned_domains
+        ):
+            self.environment.network.cut_domain(cut, noticed=True)
         await run.open()
         return run
 
-    async def look_at_list(self) -> None:
+    async def refresh_host_list(self) -> None:
         """Keep the platform's host list in step, with a lag."""
         while True:
-            self.around.platform.listing = Listing(
+            self.environment.platform.listing = Listing(
                 (),
                 tuple(
                     upstream.info
-                    for upstream in self.around.world.upstreams.values()
+                    for upstream in self.environment.upstream_network.upstreams.values()
                 ),
             )
             await self.clock.sleep(self.randomness.uniform(0.5, 6))
 
-    def _events(self) -> dict[Event, int]:
+    def _event_weights(self) -> dict[EventAction, int]:
         """Return the events and how often each is drawn."""
         return {
-            self._kill: 3,
-            self._pause: 4,
-            self._cut: 3,
-            self._platform_down: 2,
-            self._platform_bad: 3,
-            self._stop: 3,
-            self._operators.operate: 12,
+            self._kill_host: 3,
+            self._pause_host: 4,
+            self._cut_domain: 3,
+            self._take_platform_down: 2,
+            self._degrade_platform: 3,
+            self._stop_host: 3,
+            self._operators.change_concurrently: 12,
             self._operators.withdraw: 3,
-            self._upstream_leaves: 4,
-            self._upstream_crashes: 3,
-            self._upstream_freezes: 2,
-            self._version_bad: 1,
+            self._drain_upstream: 4,
+            self._crash_upstream: 3,
+            self._freeze_upstream: 2,
+            self._degrade_version: 1,
         }
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         self.pending.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.judge.fault(f'an event failed: {task.exception()!r}')
+            self.judge.report_fault(f'an event failed: {task.exception()!r}')
 
-    def _one_in_two(self) -> bool:
+    def _coin_flip(self) -> bool:
         return bool(self.randomness.getrandbits(1))
 
-    async def _last(self, spans: tuple[float, float]) -> None:
-        await self.clock.sleep(self.randomness.uniform(*spans))
+    async def _sleep_within(self, bounds: tuple[float, float]) -> None:
+        await self.clock.sleep(self.randomness.uniform(*bounds))
 
-    def _take(self, names: list[str]) -> str | None:
+    def _reserve(self, names: list[str]) -> str | None:
         """Return one that nothing happens to now, and keep it."""
-        free = [name for name in names if name not in self._busy]
+        free = [name for name in names if name not in self._reserved]
         if not free:
             return None
         name = self.randomness.choice(sorted(free))
-        self._busy.add(name)
+        self._reserved.add(name)
         return name
 
-    def _take_host(self) -> SoakHost | None:
-        name = self._take(list(self.hosts))
+    def _reserve_host(self) -> SoakHost | None:
+        name = self._reserve(list(self.hosts))
         return None if name is None else self.hosts[HostId(name)]
 
-    async def _kill(self) -> None:
+    async def _kill_host(self) -> None:
         """Kill a host, and start another in its place."""
-        host = self._take_host()
+        host = self._reserve_host()
         if host is None:
             return
-        event = self.judge.disturb(f'killed {host.kernel.incarnation}')
+        disturbance = self.judge.record_disturbance(
+            f'killed {host.kernel.incarnation}'
+        )
         host.kill()
-        if self._one_in_two():
-            await self.clock.sleep(SILENCE)
-        self.around.network.remove(host.host)
-        await self._last(SHORT)
-        await self.begin_host(host.host, host.domain)
-        event.until = self.clock.now()
-        self._busy.discard(host.host)
-
-    async def _pause(self) -> None:
+        if self._coin_flip():
+            await self.clock.sleep(FAILURE_TIMEOUT)
+        self.environment.network.remove(host.host)
+        await self._sleep_within(SHORT_SPAN)
+        await self.start_host(host.host, host.domain)
+        disturbance.until = self.clock.now()
+        self._reserved.discard(host.host)
+
+    async def _pause_host(self) -> None:
         """Let a host stand still, shorter or longer than its lease."""
-        host = self._take_host()
+        host = self._reserve_host()
         if host is None:
             return
-        event = self.judge.disturb(f'paused {host.host}')
+        disturbance = self.judge.record_disturbance(f'paused {host.host}')
         host.pause()
-        await self._last(self.randomness.choice((SHORT, LONG)))
+        await self._sleep_within(
+            self.randomness.choice((SHORT_SPAN, LONG_SPAN))
+        )
         host.resume()
-        event.until = self.clock.now()
-        self._busy.discard(host.host)
+        disturbance.until = self.clock.now()
+        self._reserved.discard(host.host)
 
-    async def _stop(self) -> None:
+    async def _stop_host(self) -> None:
         """Stop a host gracefully, and start another in its place."""
-        host = self._take_host()
+        host = self._reserve_host()
         if host is None:
             return
-        event = self.judge.disturb(f'stopped {host.kernel.incarnation}')
-        host.stopping = True
-        left = await host.kernel.need(GracefulStop).run()
-        if left:
-            self.judge.fault(f'the stop of {host.host} cut {left} requests')
+        disturbance = self.judge.record_disturbance(
+            f'stopped {host.kernel.incarnation}'
+        )
+        host.is_stopping = True
+        cut_requests = await host.kernel.need(GracefulStop).run()
+        if cut_requests:
+            self.judge.report_fault(
+                f'the stop of {host.host} cut {cut_requests} requests'
+            )
         await host.close()
-        await self._last(SHORT)
-        await self.begin_host(host.host, host.domain)
-        event.until = self.clock.now()
-        self._busy.discard(host.host)
+        await self._sleep_within(SHORT_SPAN)
+        await self.start_host(host.host, host.domain)
+        disturbance.until = self.clock.now()
+        self._reserved.discard(host.host)
 
-    async def _cut(self) -> None:
+    async def _cut_domain(self) -> None:
         """Cut a domain off from the others and from the platform."""
-        if self._take(['cut']) is None:
+        if self._reserve(['cut']) is None:
             return
         domains = sorted({host.domain for host in self.hosts.values()})
         domain = self.randomness.choice(domains)
-        with_platform = self._one_in_two()
-        event = self.judge.disturb(f'cut {domain}')
-        self._part(domain, with_platform)
-        await self.clock.sleep(SILENCE)
-        self.around.network.cut_domain(domain, noticed=True)
-        await self._last(self.randomness.choice((SHORT, LONG)))
-        self._heal(domain)
-        event.until = self.clock.now()
-        self._busy.discard('cut')
-
-    def _part(self, domain: DomainId, with_platform: bool) -> None:
+        with_platform = self._coin_flip()
+        disturbance = self.judge.record_disturbance(f'cut {domain}')
+        self._partition(domain, with_platform)
+        await self.clock.sleep(FAILURE_TIMEOUT)
+        self.environment.network.cut_domain(domain, noticed=True)
+        await self._sleep_within(
+            self.randomness.choice((SHORT_SPAN, LONG_SPAN))
+        )
+        self._heal_partition(domain)
+        disturbance.until = self.clock.now()
+        self._reserved.discard('cut')
+
+    def _partition(self, domain: DomainId, with_platform: bool) -> None:
         """Part a domain from the others, maybe from the platform too."""
-        self.around.world.cut.add(domain)
-        self.around.network.cut_domain(domain)
+        self.environment.upstream_network.partitioned_domains.add(domain)
+        self.environment.network.cut_domain(domain)
         if with_platform:
-            self.around.platform.faults.cut.add(domain)
-            self.judge.unreachable[domain] = self.clock.now()
+            self.environment.platform.faults.cut.add(domain)
+            self.judge.unreachable_since[domain] = self.clock.now()
 
-    def _heal(self, domain: DomainId) -> None:
+    def _heal_partition(self, domain: DomainId) -> None:
         """Let a domain reach everything again."""
-        self.around.network.heal_domain(domain)
-        self.around.world.cut.discard(domain)
-        self.around.platform.faults.cut.discard(domain)
-        self.judge.unreachable.pop(domain, None)
+        self.environment.network.heal_domain(domain)
+        self.environment.upstream_network.partitioned_domains.discard(domain)
+        self.environment.platform.faults.cut.discard(domain)
+        self.judge.unreachable_since.pop(domain, None)
 
-    async def _platform_down(self) -> None:
+    async def _take_platform_down(self) -> None:
         """Let the platform be down."""
-        if self._take(['platform']) is None:
+        if self._reserve(['platform']) is None:
             return
-        event = self.judge.disturb('down platform')
-        self.judge.unreachable['platform'] = self.clock.now()
-        self.around.platform.faults.down = True
-        await self._last(self.randomness.choice((SHORT, LONG)))
-        self.around.platform.faults.down = False
-        self.judge.unreachable.pop('platform')
-        event.until = self.clock.now()
-        self._busy.discard('platform')
-
-    async def _platform_bad(self) -> None:
+        disturbance = self.judge.record_disturbance('down platform')
+        self.judge.unreachable_since['platform'] = self.clock.now()
+        self.environment.platform.faults.down = True
+        await self._sleep_within(
+            self.randomness.choice((SHORT_SPAN, LONG_SPAN))
+        )
+        self.environment.platform.faults.down = False
+        self.judge.unreachable_since.pop('platform')
+        disturbance.until = self.clock.now()
+        self._reserved.discard('platform')
+
+    async def _degrade_platform(self) -> None:
         """Let the platform be slow, lose calls and replies, and lag."""
-        if self._take(['platform']) is None:
+        if self._reserve(['platform']) is None:
             return
-        event = self.judge.disturb('bad platform')
-        self._spoil(self.around.platform.faults)
-        await self._last(LONG)
-        self._clear(self.around.platform.faults)
-        event.until = self.clock.now()
-        self._busy.discard('platform')
-
-    def _spoil(self, weather: TableFaults) -> None:
+        disturbance = self.judge.record_disturbance('bad platform')
+        self._set_platform_faults(self.environment.platform.faults)
+        await self._sleep_within(LONG_SPAN)
+        self._clear_platform_faults(self.environment.platform.faults)
+        disturbance.until = self.clock.now()
+        self._reserved.discard('platform')
+
+    def _set_platform_faults(self, faults: TableFaults) -> None:
         """Let the platform be slow, or lose things, or lag."""
-        weather.delay = self.randomness.choice(((0.001, 0.02), (0.1, 1.2)))
-        weather.drop = self.randomness.choice((0, 0.2))
-        weather.lose_reply = self.randomness.choice((0, 0.4))
-        weather.lag = self.judge.history.lag
-        weather.stale = 0.5 if weather.lag else 0
+        faults.delay = self.randomness.choice(((0.001, 0.02), (0.1, 1.2)))
+        faults.drop = self.randomness.choice((0, 0.2))
+        faults.lose_reply = self.randomness.choice((0, 0.4))
+        faults.lag = self.judge.history.max_lag
+        faults.stale = 0.5 if faults.lag else 0
 
-    def _clear(self, weather: TableFaults) -> None:
+    def _clear_platform_faults(self, faults: TableFaults) -> None:
         """Let the platform be well."""
-        weather.delay = (0.001, 0.02)
-        weather.drop = 0
-        weather.lose_reply = 0
-        weather.stale = 0
+        faults.delay = (0.001, 0.02)
+        faults.drop = 0
+        faults.lose_reply = 0
+        faults.stale = 0
 
-    def _take_upstream(self, kind: UpstreamKind | None) -> Upstream | None:
+    def _reserve_upstream(self, kind: UpstreamKind | None) -> Upstream | None:
         names = [
             str(name)
-            for name, upstream in self.around.world.upstreams.items()
+            for name, upstream in self.environment.upstream_network.upstreams.items()
             if kind is None or upstream.info.kind is kind
         ]
-        name = self._take(names)
+        name = self._reserve(names)
         if name is None:
             return None
-        return self.around.world.upstreams[UpstreamId(name)]
+        return self.environment.upstream_network.upstreams[UpstreamId(name)]
 
-    async def _upstream_leaves(self) -> None:
+    async def _drain_upstream(self) -> None:
         """Let an upstream leave, go, and come back elsewhere."""
-        upstream = self._take_upstream(None)
+        upstream = self._reserve_upstream(None)
         if upstream is None:
             return
-        self.judge.note(f'{upstream.info.upstream} leaves')
+        self.judge.log_event(f'{upstream.info.upstream} leaves')
         self.judge.counts['upstreams leaving'] += 1
         upstream.leaving = True
         upstream.info = replace(upstream.info, presence=Presence.LEAVING)
-        await self._last(LONG)
+        await self._sleep_within(LONG_SPAN)
         upstream.is_down = True
-        await self._last(SHORT)
-        self._bring_back(upstream)
+        await self._sleep_within(SHORT_SPAN)
+        self._restore_upstream(upstream)
 
-    async def _upstream_crashes(self) -> None:
+    async def _crash_upstream(self) -> None:
         """Let an upstream crash and come back elsewhere."""
-        upstream = self._take_upstream(None)
+        upstream = self._reserve_upstream(None)
         if upstream is None:
             return
-        self.judge.note(f'{upstream.info.upstream} crashes')
+        self.judge.log_event(f'{upstream.info.upstream} crashes')
         self.judge.counts['upstreams crashed'] += 1
         upstream.is_down = True
-        await self._last(SHORT)
-        self._bring_back(upstream)
+        await self._sleep_within(SHORT_SPAN)
+        self._restore_upstream(upstream)
 
-    async def _upstream_freezes(self) -> None:
+    async def _freeze_upstream(self) -> None:
         """Let an upstream stand still."""
-        upstream = self._take_upstream(None)
+        upstream = self._reserve_upstream(None)
         if upstream is None:
             return
-        self.judge.note(f'{upstream.info.upstream} freezes')
+        self.judge.log_event(f'{upstream.info.upstream} freezes')
         self.judge.counts['upstreams frozen'] += 1
         upstream.is_frozen = True
-        await self._last(SHORT)
+        await self._sleep_within(SHORT_SPAN)
         upstream.is_frozen = False
-        self._busy.discard(str(upstream.info.upstream))
+        self._reserved.discard(str(upstream.info.upstream))
 
-    def _bring_back(self, upstream: Upstream) -> None:
+    def _restore_upstream(self, upstream: Upstream) -> None:
         """Let an upstream be there again."""
-        restarted(upstream)
-        self.judge.returned(upstream.info.upstream)
-        self.judge.note(f'{upstream.info.upstream} is back')
-        self._busy.discard(str(upstream.info.upstream))
+        restart_upstream(upstream)
+        self.judge.upstream_restarted(upstream.info.upstream)
+        self.judge.log_event(f'{upstream.info.upstream} is back')
+        self._reserved.discard(str(upstream.info.upstream))
 
-    async def _version_bad(self) -> None:
+    async def _degrade_version(self) -> None:
         """Let a version turn bad: its answers are rated low."""
         version = self.randomness.choice(self.document.versions).id
-        self.judge.note(f'{version} turns bad')
-        self.around.platform.bad.add(version)
-        await self._last(LONG)
-        self.around.platform.bad.discard(version)
+        self.judge.log_event(f'{version} turns bad')
+        self.environment.platform.low_rated.add(version)
+        await self._sleep_within(LONG_SPAN)
+        self.environment.platform.low_rated.discard(version)
--- a/experiments/soak/history.py
+++ b/experiments/soak/history.py
@@ -22,11 +22,11 @@
 #: Seconds for which a confirmed configuration holds.
 LEASE: Final = 8.0
 #: Seconds beside the lease: rounding, and the step of a first byte.
-MARGIN: Final = 0.5
+TIMING_MARGIN: Final = 0.5
 
 
 @dataclass(slots=True)
-class Move:
+class RevisionRecord:
     """A revision, and when it was in force.
 
     Attributes:
@@ -44,7 +44,11 @@
     def workspace(self, name: WorkspaceId) -> WorkspaceEntry | None:
         """Return a workspace's entry."""
         return next(
-            (one for one in self.document.workspaces if one.name == name),
+            (
+                candidate
+                for candidate in self.document.workspaces
+                if candidate.name == name
+            ),
             None,
         )
 
@@ -70,18 +74,18 @@
     """
 
     def __init__(self, clock: Clock, objects: dict[str, bytes]) -> None:
-        self.moves: list[Move] = []
-        self.lag: float = 0
+        self.revisions: list[RevisionRecord] = []
+        self.max_lag: float = 0
         self._clock = clock
         self._objects = objects
         self._withdrawn: dict[tuple[str, int], float] = {}
 
     @property
-    def bound(self) -> float:
+    def propagation_bound(self) -> float:
         """Return seconds until a revision is in force on all that confirm."""
-        return LEASE + MARGIN + self.lag
+        return LEASE + TIMING_MARGIN + self.max_lag
 
-    def watch(self, row: Row) -> None:
+    def record_row(self, row: Row) -> None:
         """Take in a row that was written."""
         if row.key != HEAD_KEY:
             return
@@ -89,31 +93,33 @@
         head = msgspec.json.decode(row.text, type=Head)
         content = self._objects[f'configuration/{head.digest}']
         document = decode_document(content)
-        if self.moves:
-            self.moves[-1].until = now
-        self.moves.append(Move(now, head, document))
-        for fact in head.withdrawals:
-            self._withdrawn.setdefault((fact.version, fact.epoch), now)
-
-    def differs(self, accepted: Accepted) -> bool:
+        if self.revisions:
+            self.revisions[-1].until = now
+        self.revisions.append(RevisionRecord(now, head, document))
+        for withdrawal in head.withdrawals:
+            self._withdrawn.setdefault(
+                (withdrawal.version, withdrawal.epoch), now
+            )
+
+    def is_unwritten(self, accepted: Accepted) -> bool:
         """Tell whether a host has something else than was written."""
         return not any(
-            move.head.revision == accepted.revision
-            and move.head.preset == accepted.preset
-            and move.head.digest == accepted.digest
-            for move in self.moves[-200:]
+            record.head.revision == accepted.revision
+            and record.head.preset == accepted.preset
+            and record.head.digest == accepted.digest
+            for record in self.revisions[-200:]
         )
 
-    def recent(self) -> list[Move]:
+    def possibly_active(self) -> list[RevisionRecord]:
         """Return the revisions that a confirmed host may have in force."""
-        since = self._clock.now() - self.bound
-        return [move for move in self.moves if move.until >= since]
+        since = self._clock.now() - self.propagation_bound
+        return [record for record in self.revisions if record.until >= since]
 
-    def forbids_version(
+    def version_violation(
         self,
         name: WorkspaceId,
         version: VersionId,
-        held: int | None,
+        pinned_epoch: int | None,
     ) -> str:
         """Say why a confirmed host may not use a version; empty if it may.
 
@@ -123,48 +129,58 @@
             held: The epoch to which a session's token holds, if one does.
         """
         allowing = [
-            move
-            for move in self.recent()
-            if version in _versions(move.workspace(name))
+            record
+            for record in self.possibly_active()
+            if version in _allowed_versions(record.workspace(name))
         ]
         if not allowing:
             return f'{name} may not use {version} any more'
-        late = self._clock.now() - self.bound
-        for move in allowing:
-            epoch = move.epoch(version) if held is None else held
-            if not self._is_withdrawn(version, epoch, late):
+        cutoff = self._clock.now() - self.propagation_bound
+        for record in allowing:
+            epoch = (
+                record.epoch(version) if pinned_epoch is None else pinned_epoch
+            )
+            if not self._is_withdrawn(version, epoch, cutoff):
                 return ''
-        return f'{version} was withdrawn more than {self.bound} s ago'
+        return (
+            f'{version} was withdrawn more than {self.propagation_bound} s ago'
+        )
 
-    def forbids_service(self, name: WorkspaceId, service: str) -> str:
+    def service_violation(self, name: WorkspaceId, service: str) -> str:
         """Say why a confirmed host may not call a service."""
-        for move in self.recent():
-            entry = move.workspace(name)
+        for record in self.possibly_active():
+            entry = record.workspace(name)
             if entry is not None and service in entry.services:
                 return ''
         return f'{name} may not call {service} any more'
 
-    def isolated_version(
+    def isolated_version_violation(
         self,
         host: SoakHost,
         name: WorkspaceId,
         version: VersionId,
     ) -> str:
         """Say why an isolated host may not use a version."""
-        own = self._own(host)
-        if own is None:
+        active = self._active_revision(host)
+        if active is None:
             return 'the host has no revision that was ever written'
-        entry = next(one for one in own.document.versions if one.id == version)
+        entry = next(
+            candidate
+            for candidate in active.document.versions
+            if candidate.id == version
+        )
         if not entry.isolated or entry.stage is Stage.ROLLOUT:
             return f'{version} is not for isolated hosts'
-        if version not in _versions(own.workspace(name)):
+        if version not in _allowed_versions(active.workspace(name)):
             return f'{name} may not use {version}'
-        return self.isolated_service(host, name)
+        return self.isolated_service_violation(host, name)
 
-    def isolated_service(self, host: SoakHost, name: WorkspaceId) -> str:
+    def isolated_service_violation(
+        self, host: SoakHost, name: WorkspaceId
+    ) -> str:
         """Say why an isolated host may not serve a workspace at all."""
-        own = self._own(host)
-        entry = None if own is None else own.workspace(name)
+        active = self._active_revision(host)
+        entry = None if active is None else active.workspace(name)
         if entry is None:
             return f'there is no workspace {name}'
         if entry.isolation is not Isolation.SERVE:
@@ -175,33 +191,35 @@
 
     def newest_epoch(self, version: str) -> int:
         """Return a version's newest epoch."""
-        return self.moves[-1].epoch(VersionId(version))
+        return self.revisions[-1].epoch(VersionId(version))
 
     def is_withdrawn(self, version: VersionId) -> bool:
         """Tell whether the newest epoch of a version is withdrawn."""
         now = self._clock.now()
-        return self._is_withdrawn(version, self.moves[-1].epoch(version), now)
+        return self._is_withdrawn(
+            version, self.revisions[-1].epoch(version), now
+        )
 
-    def _own(self, host: SoakHost) -> Move | None:
+    def _active_revision(self, host: SoakHost) -> RevisionRecord | None:
         """Return the revision that a host has in force."""
-        for move in reversed(self.moves):
-            if move.head.revision == host.configuration.revision:
-                return move
+        for record in reversed(self.revisions):
+            if record.head.revision == host.configuration.revision:
+                return record
         return None
 
     def _is_withdrawn(
         self,
         version: VersionId,
         epoch: int,
-        by: float,
+        moment: float,
     ) -> bool:
         """Tell whether an epoch was withdrawn by a moment."""
         return any(
-            name == version and upto >= epoch and at <= by
-            for (name, upto), at in self._withdrawn.items()
+            name == version and withdrawn_epoch >= epoch and at <= moment
+            for (name, withdrawn_epoch), at in self._withdrawn.items()
         )
 
 
-def _versions(entry: WorkspaceEntry | None) -> tuple[str, ...]:
+def _allowed_versions(entry: WorkspaceEntry | None) -> tuple[str, ...]:
     """Return the versions of a workspace that may be gone."""
     return () if entry is None else entry.versions
--- a/experiments/soak/hosts.py
+++ b/experiments/soak/hosts.py
@@ -16,7 +16,11 @@
 from experiments.configuration.hosts import PausableMesh
 from experiments.deployment import BOOTSTRAP_TOKEN, CLUSTER_KEY
 from experiments.soak.platform import SoakHostPlatform, SoakPlatform
-from experiments.soak.upstreams import HostEngines, HostServices, World
+from experiments.soak.upstreams import (
+    HostEngines,
+    HostServices,
+    UpstreamNetwork,
+)
 from nutmegroad.callers._http_listener import Listener
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.contracts.peers import Mesh, Message
@@ -40,20 +44,20 @@
 from nutmegroad.testing.virtual import MemoryMesh, PausableClock
 
 #: Seconds that a graceful stop may take; no request is given longer.
-DRAIN: Final = 45.0
+DRAIN_TIMEOUT: Final = 45.0
 LAME_DUCK: Final = 1.0
 
-_NOWHERE: Final = Address('127.0.0.1', 0)
+_UNUSED_ADDRESS: Final = Address('127.0.0.1', 0)
 
 #: Things that a part provides, by type.
-_Things = dict[type[Any], Any]
+_Instances = dict[type[Any], Any]
 
 #: Told of each check of the program's own that failed.
-Alarm = Callable[[str, str], None]
+ViolationCallback = Callable[[str, str], None]
 
 
 @dataclass(slots=True)
-class Surroundings:
+class Environment:
     """What all hosts share.
 
     Attributes:
@@ -66,25 +70,25 @@
 
     network: MemoryMesh
     platform: SoakPlatform
-    world: World
-    alarm: Alarm
+    upstream_network: UpstreamNetwork
+    on_violation: ViolationCallback
     settings: dict[str, Any] = field(default_factory=dict)
 
 
-class AlarmingInvariants:
+class ReportingInvariants:
     """Reports a check that failed and lets the host go on, as a daemon does.
 
     Args:
         alarm: Told of it.
     """
 
-    def __init__(self, alarm: Alarm) -> None:
-        self._alarm = alarm
+    def __init__(self, on_violation: ViolationCallback) -> None:
+        self._on_violation = on_violation
 
     def check(self, name: str, held: bool, detail: str) -> bool:
         """Report a check that failed."""
         if not held:
-            self._alarm(name, detail)
+            self._on_violation(name, detail)
         return held
 
 
@@ -166,7 +170,7 @@
 
 
 @dataclass(slots=True)
-class _Provider:
+class _ProvidedPart:
     """A part that provides things that are there already.
 
     Attributes:
@@ -174,13 +178,13 @@
         needs: Nothing.
     """
 
-    provides: _Things
+    provides: _Instances
     needs: tuple[type[Any], ...] = ()
 
     async def open(self, kernel: Kernel) -> None:
         """Provide them."""
-        for kind, thing in self.provides.items():
-            kernel.provide(kind, thing)
+        for kind, instance in self.provides.items():
+            kernel.provide(kind, instance)
 
 
 class SoakHost:
@@ -205,36 +209,36 @@
         self,
         host: HostId,
         domain: DomainId,
-        around: Surroundings,
+        environment: Environment,
         randomness: random.Random,
     ) -> None:
         self.host = host
         self.domain = domain
-        self.clock = PausableClock(around.world.clock)
+        self.clock = PausableClock(environment.upstream_network.clock)
         self.is_alive = True
         self.is_open = False
-        self.paused = False
-        self.stopping = False
-        self.began = self.clock.now()
-        self.ended = asyncio.get_running_loop().create_future()
-        self._around = around
+        self.is_paused = False
+        self.is_stopping = False
+        self.started_at = self.clock.now()
+        self.terminated = asyncio.get_running_loop().create_future()
+        self._environment = environment
         settings = Settings(
             host=host,
             domain=domain,
-            callers=_NOWHERE,
-            operators=_NOWHERE,
-            peers=_NOWHERE,
-            platform=_NOWHERE,
+            callers=_UNUSED_ADDRESS,
+            operators=_UNUSED_ADDRESS,
+            peers=_UNUSED_ADDRESS,
+            platform=_UNUSED_ADDRESS,
             cluster_key=CLUSTER_KEY,
             bootstrap_token=BOOTSTRAP_TOKEN,
             lame_duck=LAME_DUCK,
-            drain=DRAIN,
-            **around.settings,
+            drain=DRAIN_TIMEOUT,
+            **environment.settings,
         )
         self.kernel = Kernel(settings, self.clock, randomness)
-        self.kernel.listening['peers'] = _NOWHERE
+        self.kernel.listening['peers'] = _UNUSED_ADDRESS
         self._listener = MemoryListener()
-        peer = around.network.join(host, domain, self.kernel.incarnation)
+        peer = environment.network.join(host, domain, self.kernel.incarnation)
         self._mesh = HostMesh(peer, self.clock)
 
     @property
@@ -254,24 +258,25 @@
     @property
     def is_running(self) -> bool:
         """Tell whether it is open, alive and not paused."""
-        return self.is_open and self.is_alive and not self.paused
+        return self.is_open and self.is_alive and not self.is_paused
 
     async def open(self) -> None:
         """Open all parts."""
-        replacing = {
-            name: _returning(part) for name, part in self._parts().items()
+        replacements = {
+            name: _factory_of(part)
+            for name, part in self._in_memory_parts().items()
         }
-        await self.kernel.start(replacing)
+        await self.kernel.start(replacements)
         self.is_open = True
 
     def pause(self) -> None:
         """Stand still, as by SIGSTOP."""
-        self.paused = True
+        self.is_paused = True
         self.clock.pause()
 
     def resume(self) -> None:
         """Go on, as by SIGCONT."""
-        self.paused = False
+        self.is_paused = False
         self.clock.resume()
 
     def kill(self) -> None:
@@ -282,35 +287,42 @@
         self.is_alive = False
         self._mesh.is_alive = False
         self.clock.pause()
-        self._end()
+        self._terminate()
 
     async def close(self) -> None:
         """Close all parts after a graceful stop, and leave the network."""
         await self.kernel.stack.aclose()
         self.is_alive = False
         self._mesh.is_alive = False
-        self._around.network.remove(self.host)
-        self._end()
+        self._environment.network.remove(self.host)
+        self._terminate()
 
-    def _end(self) -> None:
+    def _terminate(self) -> None:
         """Break the connections of callers."""
-        if not self.ended.done():
-            self.ended.set_result(None)
+        if not self.terminated.done():
+            self.terminated.set_result(None)
 
-    def _parts(self) -> dict[str, Part]:
+    def _in_memory_parts(self) -> dict[str, Part]:
         """Return the parts that stand on memory, by whose place they take."""
-        around = self._around
-        platform = SoakHostPlatform(around.platform, self.domain, self.clock)
-        members = MemoryMembers(self.host, self.domain, around.network)
-        names = (around.world, self.host, self.domain, self.clock)
+        environment = self._environment
+        platform = SoakHostPlatform(
+            environment.platform, self.domain, self.clock
+        )
+        members = MemoryMembers(self.host, self.domain, environment.network)
+        client_arguments = (
+            environment.upstream_network,
+            self.host,
+            self.domain,
+            self.clock,
+        )
         metrics, ledger = Metrics(float), Ledger(float)
-        provided: dict[str, _Things] = {
+        provided: dict[str, _Instances] = {
             'metrics': {
                 Metrics: metrics,
                 Account: ledger,
                 Ledger: ledger,
                 CostPublisher: CostPublisher(ledger, metrics),
-                Invariants: AlarmingInvariants(around.alarm),
+                Invariants: ReportingInvariants(environment.on_violation),
             },
             'platform': dict.fromkeys(
                 (Table, Objects, HostList, Ratings, Weights),
@@ -322,14 +334,17 @@
                 Duties: Duties(members),
             },
             'upstreams': {
-                EngineClient: HostEngines(*names),
-                ServiceClient: HostServices(*names),
+                EngineClient: HostEngines(*client_arguments),
+                ServiceClient: HostServices(*client_arguments),
             },
             'listener': {Listener: self._listener},
         }
-        return {name: _Provider(things) for name, things in provided.items()}
+        return {
+            name: _ProvidedPart(instances)
+            for name, instances in provided.items()
+        }
 
 
-def _returning(part: Part) -> MakePart:
+def _factory_of(part: Part) -> MakePart:
     """Return a factory of a part that is there already."""
     return lambda: part
--- a/experiments/soak/mutants.py
+++ b/experiments/soak/mutants.py
@@ -23,17 +23,19 @@
 _Patch = tuple[Any, str, Any]
 
 
-async def _no_claim(self: Any, order: Any) -> ExecutionGrant:
+async def _skip_claim(self: Any, order: Any) -> ExecutionGrant:
     """Let each request with a key run."""
     return ExecutionGrant(order, self._fence(order, None))
 
 
-def _no_ticket(self: Any, ticket: Any, request: Any, fingerprint: Any) -> Any:
+def _accept_spent_ticket(
+    self: Any, ticket: Any, request: Any, fingerprint: Any
+) -> Any:
     """Let a ticket be spent again and again."""
     return SpentTicket(ticket.number, request, fingerprint, ticket.until)
 
 
-async def _not_forward(self: Any, head: Any, host: Any) -> Any:
+async def _accept_older_revision(self: Any, head: Any, host: Any) -> Any:
     """Take whatever comes, also an older revision."""
     accepted = await self._accepted(head, host)
     if isinstance(accepted, Accepted):
@@ -42,17 +44,17 @@
     return accepted
 
 
-async def _no_pin(self: Any, intake: Any) -> Any:
+async def _skip_pin(self: Any, intake: Any) -> Any:
     """Hold no named session to a version."""
     return intake
 
 
-def _no_token(self: Any, headers: Any, workspace: Any) -> Any:
+def _ignore_token(self: Any, headers: Any, workspace: Any) -> Any:
     """Take no notice of a session's token."""
     return '', None
 
 
-def _any_attempt(self: Any, chunk: Any) -> Any:
+def _accept_any_attempt(self: Any, chunk: Any) -> Any:
     """Take a piece of any attempt."""
     if chunk.index < self.expected:
         return None
@@ -60,16 +62,16 @@
     return self._accept(chunk)
 
 
-async def _no_drain(self: Any, until: float) -> None:
+async def _skip_drain(self: Any, until: float) -> None:
     """Wait for no request."""
 
 
-async def _no_hand(self: Any, last: bool = False) -> bool:
+async def _skip_hand_over(self: Any, last: bool = False) -> bool:
     """Hand nothing to a peer."""
     return False
 
 
-def _says_not_run(self: Any, refusal: Refusal) -> Refusal:
+def _report_not_run(self: Any, refusal: Refusal) -> Refusal:
     """Say of all refusals that nothing ran."""
     return replace(refusal, ran=Ran.NOT_RUN)
 
@@ -81,20 +83,24 @@
         lambda configuration, version, epoch: False,
     ),
     'lease': (Configuration, 'isolated', property(lambda configuration: False)),
-    'claim': (AtMostOnce, '_claim_key', _no_claim),
-    'ticket': (TicketIssuer, 'spend', _no_ticket),
-    'forward only': (ConfigurationPoller, '_take', _not_forward),
-    'pin': (SessionPins, 'pin', _no_pin),
-    'token': (IntakeReader, '_session', _no_token),
-    'attempt id': (AnswerReader, '_read_chunk', _any_attempt),
-    'drain': (GracefulStop, '_wait', _no_drain),
-    'hand-over': (RecordSender, 'hand', _no_hand),
-    'leaving': (Directory, '_begin_leaving', lambda directory, *told: False),
-    'not run': (Fence, 'review', _says_not_run),
+    'claim': (AtMostOnce, '_claim_key', _skip_claim),
+    'ticket': (TicketIssuer, 'spend', _accept_spent_ticket),
+    'forward only': (ConfigurationPoller, '_take', _accept_older_revision),
+    'pin': (SessionPins, 'pin', _skip_pin),
+    'token': (IntakeReader, '_session', _ignore_token),
+    'attempt id': (AnswerReader, '_read_chunk', _accept_any_attempt),
+    'drain': (GracefulStop, '_wait', _skip_drain),
+    'hand-over': (RecordSender, 'hand', _skip_hand_over),
+    'leaving': (
+        Directory,
+        '_begin_leaving',
+        lambda directory, *arguments: False,
+    ),
+    'not run': (Fence, 'review', _report_not_run),
 }
 
 
 def mutant(name: str) -> '_patch[Callable[..., Any]]':
     """Return the patch that takes a mechanism out."""
-    owner, attribute, new = MUTANTS[name]
-    return patch.object(owner, attribute, new)
+    owner, attribute, replacement = MUTANTS[name]
+    return patch.object(owner, attribute, replacement)
--- a/experiments/soak/operators.py
+++ b/experiments/soak/operators.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from msgspec.structs import replace as changed
+from msgspec.structs import replace as replace_fields
 
 from experiments.soak.hosts import SoakHost
 from experiments.soak.judge import Judge
@@ -20,8 +20,8 @@
 )
 
 #: Seconds for which an event lasts, at least and at most.
-SHORT: Final = (1.0, 6.0)
-LONG: Final = (10.0, 30.0)
+SHORT_SPAN: Final = (1.0, 6.0)
+LONG_SPAN: Final = (10.0, 30.0)
 
 _OPERATORS: Final = (OperatorId('one'), OperatorId('other'))
 
@@ -45,17 +45,17 @@
     hosts: dict[HostId, SoakHost]
     _is_withdrawing: bool = False
 
-    async def operate(self) -> None:
+    async def change_concurrently(self) -> None:
         """Have two operators change something at once."""
         hosts = [host for host in self.hosts.values() if host.is_running]
         if len(hosts) < 2:
             return
         chosen = self.randomness.sample(hosts, 2)
-        works = [
+        tasks = [
             self._change(host, operator)
             for host, operator in zip(chosen, _OPERATORS, strict=True)
         ]
-        await asyncio.gather(*works)
+        await asyncio.gather(*tasks)
 
     async def _change(self, host: SoakHost, operator: OperatorId) -> None:
         """Switch the preset, or change or put back a workspace."""
@@ -68,13 +68,15 @@
         else:
             entry = self.randomness.choice(self.document.workspaces)
             if self.randomness.getrandbits(1):
-                out = self.randomness.choice(entry.versions)
-                left = tuple(one for one in entry.versions if one != out)
-                entry = changed(entry, versions=left)
+                removed = self.randomness.choice(entry.versions)
+                remaining = tuple(
+                    version for version in entry.versions if version != removed
+                )
+                entry = replace_fields(entry, versions=remaining)
             outcome = await changes.set_workspace(entry, operator, None)
-        what = type(outcome).__name__
-        self.judge.counts[f'changes {what}'] += 1
-        self.judge.note(f'{operator} at {host.host}: {what}')
+        outcome_type = type(outcome).__name__
+        self.judge.counts[f'changes {outcome_type}'] += 1
+        self.judge.log_event(f'{operator} at {host.host}: {outcome_type}')
 
     async def withdraw(self) -> None:
         """Withdraw a version, and allow it anew after a while."""
@@ -84,16 +86,16 @@
         self._is_withdrawing = True
         host = self.randomness.choice(hosts)
         version = VersionId(self.randomness.choice(self.document.versions).id)
-        self.judge.note(f'{version} withdrawn at {host.host}')
+        self.judge.log_event(f'{version} withdrawn at {host.host}')
         self.judge.counts['withdrawals'] += 1
         changes = host.kernel.need(Changes)
         await changes.withdraw(version, None, _OPERATORS[0])
-        await self._last(LONG)
-        while not await self._allow_again():
-            await self._last(SHORT)
+        await self._sleep_within(LONG_SPAN)
+        while not await self._reinstate_versions():
+            await self._sleep_within(SHORT_SPAN)
         self._is_withdrawing = False
 
-    async def _allow_again(self) -> bool:
+    async def _reinstate_versions(self) -> bool:
         """Allow all versions anew; false if that did not succeed."""
         hosts = [host for host in self.hosts.values() if host.is_running]
         if not hosts:
@@ -103,22 +105,24 @@
         if accepted is None:
             return False
         document = accepted.document
-        versions = tuple(self._renewed(entry) for entry in document.versions)
+        versions = tuple(
+            self._with_valid_epoch(entry) for entry in document.versions
+        )
         if versions == document.versions:
             return True
         head = await host.kernel.need(Changes).apply(
-            changed(document, versions=versions),
+            replace_fields(document, versions=versions),
             None,
             _OPERATORS[1],
             accepted.revision,
         )
         return bool(head)
 
-    def _renewed(self, entry: VersionEntry) -> VersionEntry:
+    def _with_valid_epoch(self, entry: VersionEntry) -> VersionEntry:
         """Return a version's entry under an epoch that is not withdrawn."""
         if self.judge.history.is_withdrawn(entry.version):
-            return changed(entry, epoch=entry.epoch + 1)
+            return replace_fields(entry, epoch=entry.epoch + 1)
         return entry
 
-    async def _last(self, spans: tuple[float, float]) -> None:
-        await self.clock.sleep(self.randomness.uniform(*spans))
+    async def _sleep_within(self, bounds: tuple[float, float]) -> None:
+        await self.clock.sleep(self.randomness.uniform(*bounds))
--- a/experiments/soak/platform.py
+++ b/experiments/soak/platform.py
@@ -24,9 +24,9 @@
 from nutmegroad.foundations.results import Refusal, ResultCode
 
 #: Versions of a row that reads which lag can still see.
-_KEPT: Final = 30
+_MAX_ROW_VERSIONS: Final = 30
 #: Ratings that are kept for their readers.
-_MOST_RATINGS: Final = 5_000
+_MAX_RATINGS: Final = 5_000
 _LOADS_PER_MINUTE: Final = 6.0
 
 
@@ -43,11 +43,11 @@
     def __init__(self, clock: Clock, randomness: random.Random) -> None:
         super().__init__(clock, randomness)
         self.listing = Listing((), ())
-        self.ratings: deque[Rating] = deque(maxlen=_MOST_RATINGS)
-        self.bad: set[str] = set()
-        self.watch: Callable[[Row], None] = _ignore
-        self._past: dict[RowKey, deque[Written]] = defaultdict(
-            lambda: deque(maxlen=_KEPT),
+        self.ratings: deque[Rating] = deque(maxlen=_MAX_RATINGS)
+        self.low_rated: set[str] = set()
+        self.on_row_written: Callable[[Row], None] = _ignore_row
+        self._row_history: dict[RowKey, deque[Written]] = defaultdict(
+            lambda: deque(maxlen=_MAX_ROW_VERSIONS),
         )
 
     def scan_rows(self, prefix: str) -> tuple[Row, ...]:
@@ -63,7 +63,7 @@
 
     def rate(self, answer: RatedAnswer) -> None:
         """Rate an answer at once; readers see it with their next read."""
-        is_bad = answer.version in self.bad
+        is_bad = answer.version in self.low_rated
         rating = Rating(
             (self.ratings[-1].position + 1) if self.ratings else 1,
             answer.request,
@@ -76,14 +76,14 @@
     def _put(self, write: RowWrite) -> Row:
         row = Row(write.key, write.text, RowVersion(write.expected + 1))
         self._rows[write.key] = row
-        self._past[write.key].append(Written(self._clock.now(), row))
-        self.watch(row)
+        self._row_history[write.key].append(Written(self._clock.now(), row))
+        self.on_row_written(row)
         return row
 
     def _row_at(self, key: RowKey, moment: float) -> Row:
         """Return a row as it was."""
         before = Row(key, '', ABSENT)
-        for written in self._past[key]:
+        for written in self._row_history[key]:
             if written.at <= moment:
                 before = written.row
         return before
@@ -133,5 +133,5 @@
         return await self._call(lambda: _LOADS_PER_MINUTE)
 
 
-def _ignore(row: Row) -> None:
+def _ignore_row(row: Row) -> None:
     """Watch nothing."""
--- a/experiments/soak/program.py
+++ b/experiments/soak/program.py
@@ -18,15 +18,15 @@
 from absl import logging
 
 from experiments.deployment import DOMAINS, read_example
-from experiments.soak.events import Events
+from experiments.soak.events import EventScheduler
 from experiments.soak.history import History
-from experiments.soak.hosts import Surroundings
+from experiments.soak.hosts import Environment
 from experiments.soak.judge import Judge
 from experiments.soak.mutants import MUTANTS, mutant
 from experiments.soak.platform import SoakPlatform
-from experiments.soak.records import read_bills
+from experiments.soak.records import count_billed
 from experiments.soak.traffic import Traffic
-from experiments.soak.upstreams import Upstream, World
+from experiments.soak.upstreams import Upstream, UpstreamNetwork
 from experiments.virtual_time import (
     VirtualClock,
     VirtualLoop,
@@ -52,24 +52,24 @@
 from nutmegroad.testing.virtual import MemoryMesh, NetworkFaults
 
 #: Hosts in each of the three domains.
-HOSTS: Final = 2
+HOSTS_PER_DOMAIN: Final = 2
 #: Upstreams in each of them.
-KINDS: Final = (
+UPSTREAM_KINDS: Final = (
     UpstreamKind.ENGINE,
     UpstreamKind.ENGINE,
     UpstreamKind.SERVICE,
 )
 #: Seconds that the fleet has to come to rest, and to store its bills.
-QUIET: Final = 60.0
+SETTLE_TIME: Final = 60.0
 #: Seconds for which reads of the table lag at most, in every second run.
-LAG: Final = 3.0
+MAX_READ_LAG: Final = 3.0
 
-_HOUR: Final = 3600.0
-_MOST_SHOWN: Final = 5
+_SECONDS_PER_HOUR: Final = 3600.0
+_MAX_FAULTS_SHOWN: Final = 5
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class SoakResult:
     """What a run found.
 
     Attributes:
@@ -100,12 +100,14 @@
         self._seed = seed
         self._seconds = seconds
         self._randomness = random.Random(seed)
-        self._name = ('lesen', 'cascade')[seed % 2]
-        self._document: Document = parse_document(read_example(self._name))
+        self._deployment = ('lesen', 'cascade')[seed % 2]
+        self._document: Document = parse_document(
+            read_example(self._deployment)
+        )
         self._clock = clock
         self._stack = AsyncExitStack()
 
-    async def run(self, limit: float = float('inf')) -> Result:
+    async def run(self, limit: float = float('inf')) -> SoakResult:
         """Run it.
 
         Args:
@@ -114,17 +116,17 @@
         async with self._stack:
             await self._open()
             steps = int(self._seconds)
-            began = time.monotonic()
+            started = time.monotonic()
             for _ in range(steps):
                 await self._clock.sleep(1)
-                self._judge.look()
-                stopped = time.monotonic() - began > limit
-                if self._judge.faults or stopped:
+                self._judge.check_hosts()
+                is_out_of_time = time.monotonic() - started > limit
+                if self._judge.faults or is_out_of_time:
                     break
             # A run that has failed is not worth its end.
             if not self._judge.faults:
-                await self._rest()
-            self._end()
+                await self._settle()
+            self._kill_hosts()
             return self._result()
 
     async def _open(self) -> None:
@@ -142,22 +144,24 @@
         )
         self._stack.push_async_callback(platform.aclose)
         history = History(self._clock, platform.objects)
-        history.lag = LAG * (self._seed // 2 % 2)
-        platform.watch = history.watch
+        history.max_lag = MAX_READ_LAG * (self._seed // 2 % 2)
+        platform.on_row_written = history.record_row
         self._judge = Judge(self._clock, history)
-        world = World(self._clock, self._randomness, self._judge)
-        self._add_upstreams(world)
-        infos = tuple(one.info for one in world.upstreams.values())
+        upstream_network = UpstreamNetwork(
+            self._clock, self._randomness, self._judge
+        )
+        self._add_upstreams(upstream_network)
+        infos = tuple(one.info for one in upstream_network.upstreams.values())
         platform.listing = Listing((), infos)
-        self._around = Surroundings(
+        self._environment = Environment(
             network,
             platform,
-            world,
-            self._judge.alarm,
+            upstream_network,
+            self._judge.report_violation,
         )
-        self._events = Events(
+        self._events = EventScheduler(
             self._document,
-            self._around,
+            self._environment,
             self._judge,
             self._clock,
             self._randomness,
@@ -172,21 +176,21 @@
             self._judge.hosts,
         )
         self._tasks = [
-            asyncio.ensure_future(work)
-            for work in (
+            asyncio.ensure_future(coroutine)
+            for coroutine in (
                 self._traffic.run(),
                 self._events.run(),
-                self._events.look_at_list(),
+                self._events.refresh_host_list(),
             )
         ]
 
-    def _add_upstreams(self, world: World) -> None:
+    def _add_upstreams(self, upstream_network: UpstreamNetwork) -> None:
         """Put engines and services into each domain."""
         versions = tuple(VersionId(one.id) for one in self._document.versions)
         service = ServiceName(self._document.services[0].name)
         number = 0
-        for domain in DOMAINS[self._name]:
-            for kind in KINDS:
+        for domain in DOMAINS[self._deployment]:
+            for kind in UPSTREAM_KINDS:
                 number += 1
                 name = UpstreamId(f'{domain}-{kind.value}-{number}')
                 is_engine = kind is UpstreamKind.ENGINE
@@ -197,21 +201,21 @@
                     Address('10.0.0.1', 1000 * number),
                     service=ServiceName('') if is_engine else service,
                 )
-                world.upstreams[name] = Upstream(
+                upstream_network.upstreams[name] = Upstream(
                     info,
                     versions if is_engine else (),
                 )
 
     async def _open_hosts(self) -> None:
         """Start all hosts, and put the document into force."""
-        for domain in DOMAINS[self._name]:
-            for number in range(HOSTS):
-                await self._events.begin_host(
+        for domain in DOMAINS[self._deployment]:
+            for number in range(HOSTS_PER_DOMAIN):
+                await self._events.start_host(
                     HostId(f'{domain}-{number}'),
                     DomainId(domain),
                 )
-        first = next(iter(self._judge.hosts.values()))
-        await first.kernel.need(Changes).apply(
+        first_host = next(iter(self._judge.hosts.values()))
+        await first_host.kernel.need(Changes).apply(
             self._document,
             None,
             OperatorId('first'),
@@ -219,40 +223,40 @@
         )
         await self._clock.sleep(5)
 
-    async def _rest(self) -> None:
+    async def _settle(self) -> None:
         """Let nothing more go wrong, and judge what is left."""
         for task in self._tasks[:2]:
             task.cancel()
-        deadline = self._clock.now() + QUIET
+        deadline = self._clock.now() + SETTLE_TIME
         while self._events.pending and self._clock.now() < deadline:
             await self._clock.sleep(1)
-        await self._clock.sleep(QUIET)
+        await self._clock.sleep(SETTLE_TIME)
         judge = self._judge
-        judge.look()
-        for task in self._traffic.open:
-            judge.fault(f'a request has not ended: {task!r}')
-        self._judge_agreement()
-        judge.judge_bills(
-            read_bills(self._around.platform.objects, BILLING_PREFIX),
+        judge.check_hosts()
+        for task in self._traffic.open_requests:
+            judge.report_fault(f'a request has not ended: {task!r}')
+        self._check_agreement()
+        judge.check_billing(
+            count_billed(self._environment.platform.objects, BILLING_PREFIX),
         )
 
-    def _end(self) -> None:
+    def _kill_hosts(self) -> None:
         """Let nothing of any host run on."""
         for host in self._judge.hosts.values():
             host.kill()
 
-    def _judge_agreement(self) -> None:
+    def _check_agreement(self) -> None:
         """Judge whether all hosts agree after a while of quiet."""
-        newest = self._judge.history.moves[-1].head.revision
+        newest = self._judge.history.revisions[-1].head.revision
         for host in self._judge.hosts.values():
             if host.configuration.revision != newest:
-                self._judge.fault(f'{host.host} does not have {newest}')
+                self._judge.report_fault(f'{host.host} does not have {newest}')
 
-    def _result(self) -> Result:
+    def _result(self) -> SoakResult:
         """Sum the run up."""
         judge = self._judge
-        judge.counts['revisions'] = len(judge.history.moves)
-        return Result(
+        judge.counts['revisions'] = len(judge.history.revisions)
+        return SoakResult(
             self._seed,
             self._clock.now(),
             judge.digest,
@@ -265,7 +269,7 @@
     seed: int,
     seconds: float,
     limit: float = float('inf'),
-) -> Result:
+) -> SoakResult:
     """Run one seed on a loop of its own."""
     load_plugins()
 
@@ -274,20 +278,20 @@
     return run_virtually(loop, soak.run(limit))
 
 
-def show(result: Result) -> None:
+def print_result(result: SoakResult) -> None:
     """Print what a run found."""
     counts = result.counts
-    _say(
+    _print_line(
         f'seed {result.seed}: {result.seconds:.0f} s, '
         f'{counts["requests"]} requests, {counts["first bytes"]} first bytes, '
         f'{counts["revisions"]} revisions, digest {result.digest[:16]}, '
         f'{len(result.faults)} faults',
     )
-    for fault in result.faults[:_MOST_SHOWN]:
-        _say(f'  {fault}')
+    for fault in result.faults[:_MAX_FAULTS_SHOWN]:
+        _print_line(f'  {fault}')
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
@@ -307,19 +311,21 @@
     """Run seeds until the limit."""
     args = _arguments()
     logging.set_verbosity(logging.INFO if args.log else logging.FATAL)
-    began = time.monotonic()
+    started = time.monotonic()
     total: Counter[str] = Counter()
     failed = 0
     with mutant(args.mutant) if args.mutant else nullcontext():
         for seed in range(args.seed, args.seed + args.seeds):
-            left = args.limit - (time.monotonic() - began)
+            left = args.limit - (time.monotonic() - started)
             if left <= 0:
                 break
-            result = run_seed(seed, args.hours * _HOUR, left)
-            show(result)
+            result = run_seed(seed, args.hours * _SECONDS_PER_HOUR, left)
+            print_result(result)
             total.update(result.counts)
             failed += bool(result.faults)
     for name, count in sorted(total.items()):
-        _say(f'  {name}: {count}')
-    _say(f'{failed} seeds failed, {time.monotonic() - began:.0f} s real')
+        _print_line(f'  {name}: {count}')
+    _print_line(
+        f'{failed} seeds failed, {time.monotonic() - started:.0f} s real'
+    )
     return 1 if failed else 0
--- a/experiments/soak/records.py
+++ b/experiments/soak/records.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class CallRecord:
     """A caller's request, as the judge knows it.
 
     Attributes:
@@ -24,7 +24,7 @@
         began: Seconds at which it was sent.
     """
 
-    mark: str
+    tag: str
     workspace: WorkspaceId
     task: str
     service: str
@@ -32,11 +32,11 @@
     words: int
     session: str
     deadline: float
-    began: float
+    sent_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class AnsweredRequest:
     """A request that was answered whole.
 
     Attributes:
@@ -61,11 +61,11 @@
     """
 
     at: float
-    what: str
+    description: str
     until: float = float('inf')
 
 
-def read_bills(objects: dict[str, bytes], prefix: str) -> dict[str, int]:
+def count_billed(objects: dict[str, bytes], prefix: str) -> dict[str, int]:
     """Return how often each request stands in the billing objects."""
     seen: Counter[str] = Counter()
     for name in sorted(objects):
@@ -81,6 +81,6 @@
     return f'{host}.{nonce}'
 
 
-def run_of(request: str) -> str:
+def incarnation_of(request: str) -> str:
     """Return the run of the host that named a request."""
     return request.rpartition('-')[0]
--- a/experiments/soak/traffic.py
+++ b/experiments/soak/traffic.py
@@ -9,35 +9,35 @@
 import msgspec
 
 from experiments.deployment import workspace_key
-from experiments.soak.answers import marked
+from experiments.soak.answers import tagged_text
 from experiments.soak.calls import CallerRequest, Reply, send
 from experiments.soak.hosts import SoakHost
-from experiments.soak.judge import HANG_BOUND, Judge
-from experiments.soak.records import Call
+from experiments.soak.judge import HANG_GRACE, Judge
+from experiments.soak.records import CallRecord
 from nutmegroad.contracts.documents import Document, WorkspaceEntry
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import HostId, WorkspaceId
 from nutmegroad.routing.services import is_repeatable
 
 #: Seconds between requests, on average.
-GAP: Final = 0.35
+MEAN_REQUEST_GAP: Final = 0.35
 #: Requests and sessions that are remembered for more.
-_REMEMBERED: Final = 30
+_MAX_REMEMBERED: Final = 30
 
 #: How a request is kept from running twice, and how often in ten: one
 #: that may be repeated, and one that may not.
-_GUARDS: Final = ('key', 'ticket', 'none')
-_OFTEN: Final = (1, 0, 9)
-_RISKY: Final = (4, 4, 2)
+_DUPLICATE_GUARDS: Final = ('key', 'ticket', 'none')
+_REPEATABLE_WEIGHTS: Final = (1, 0, 9)
+_UNREPEATABLE_WEIGHTS: Final = (4, 4, 2)
 
-_PATHS: Final = {
+_SERVICE_PATHS: Final = {
     'licence-portal': (('GET', 'status/'), ('POST', 'receipts')),
     'pack-desk': (('GET', 'swaps/'), ('POST', 'manifests')),
 }
 
 
 @dataclass(slots=True)
-class Sent:
+class SentRequest:
     """A request as it was sent, so that it can be sent again.
 
     Attributes:
@@ -45,7 +45,7 @@
         request: The request.
     """
 
-    call: Call
+    call: CallRecord
     request: CallerRequest
 
 
@@ -85,94 +85,98 @@
     clock: Clock
     randomness: random.Random
     hosts: dict[HostId, SoakHost]
-    open: set[asyncio.Task[None]] = field(default_factory=set)
+    open_requests: set[asyncio.Task[None]] = field(default_factory=set)
     _count: int = 0
-    _again: deque[Sent] = field(
-        default_factory=lambda: deque(maxlen=_REMEMBERED),
+    _resendable: deque[SentRequest] = field(
+        default_factory=lambda: deque(maxlen=_MAX_REMEMBERED),
     )
     _sessions: deque[Session] = field(
-        default_factory=lambda: deque(maxlen=_REMEMBERED),
+        default_factory=lambda: deque(maxlen=_MAX_REMEMBERED),
     )
 
     async def run(self) -> None:
         """Send requests until cancelled."""
         while True:
-            await self.clock.sleep(self.randomness.expovariate(1 / GAP))
-            self._start(self._act())
+            await self.clock.sleep(
+                self.randomness.expovariate(1 / MEAN_REQUEST_GAP)
+            )
+            self._start(self._send_next())
 
     def _start(self, work: Any) -> None:
         """Run a request in a task of its own."""
         task = asyncio.ensure_future(work)
-        self.open.add(task)
-        task.add_done_callback(self._ended)
+        self.open_requests.add(task)
+        task.add_done_callback(self._on_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         """Forget a request; a failure in it is the run's."""
-        self.open.discard(task)
+        self.open_requests.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.judge.fault(f'a caller failed: {task.exception()!r}')
+            self.judge.report_fault(f'a caller failed: {task.exception()!r}')
 
-    def _one_in(self, share: float) -> bool:
-        return self.randomness.random() < share
+    def _chance(self, probability: float) -> bool:
+        return self.randomness.random() < probability
 
-    def _host(self) -> SoakHost:
+    def _choose_host(self) -> SoakHost:
         """Return some host, as a balancer that lags might."""
         names = sorted(self.hosts)
-        fit = [
+        available = [
             name
             for name in names
-            if self.hosts[name].is_open and not self.hosts[name].stopping
+            if self.hosts[name].is_open and not self.hosts[name].is_stopping
+        ]
+        prefer_available = available and not self._chance(0.1)
+        return self.hosts[
+            self.randomness.choice(available if prefer_available else names)
         ]
-        usual = fit and not self._one_in(0.1)
-        return self.hosts[self.randomness.choice(fit if usual else names)]
 
-    async def _act(self) -> None:
+    async def _send_next(self) -> None:
         """Send one request, or two at once."""
-        if self._again and self._one_in(0.15):
-            sent = self.randomness.choice(self._again)
-            sent.call.began = self.clock.now()
-            await self._deliver(sent)
-        elif self._one_in(0.3):
+        if self._resendable and self._chance(0.15):
+            sent = self.randomness.choice(self._resendable)
+            sent.call.sent_at = self.clock.now()
+            await self._send_once(sent)
+        elif self._chance(0.3):
             await self._call_service()
         else:
-            await self._ask_model()
+            await self._request_model()
 
     async def _call_service(self) -> None:
         """Call the plain service."""
-        workspace = self._workspace()
+        workspace = self._choose_workspace()
         service = self.document.services[0]
-        method, path = self.randomness.choice(_PATHS[service.name])
-        call = self._call(workspace, service=service.name)
+        method, path = self.randomness.choice(_SERVICE_PATHS[service.name])
+        call = self._register_call(workspace, service=service.name)
         if method == 'GET':
-            path = f'{path}mark:{call.mark}'
+            path = f'{path}mark:{call.tag}'
         call.repeatable = is_repeatable(service, method, path)
-        body = marked(call.mark).encode() if method == 'POST' else b''
+        body = tagged_text(call.tag).encode() if method == 'POST' else b''
         request = CallerRequest(
             method,
             f'/v1/services/{service.name}/{path}',
-            self._headers(call, call.workspace),
+            self._common_headers(call, call.workspace),
             body,
         )
-        await self._guarded(Sent(call, request))
+        await self._send_guarded(SentRequest(call, request))
 
-    async def _ask_model(self) -> None:
+    async def _request_model(self) -> None:
         """Ask a model, in a session or in none."""
-        session = self._session()
-        workspace = self._workspace()
+        session = self._choose_session()
+        workspace = self._choose_workspace()
         if session is not None:
-            workspace = self._entry(session.workspace)
+            workspace = self._workspace_named(session.workspace)
         task = self.randomness.choice(self.document.tasks)
-        call = self._call(workspace, task=task.name)
+        call = self._register_call(workspace, task=task.name)
         call.repeatable = task.repeatable
-        headers = self._headers(call, call.workspace)
+        headers = self._common_headers(call, call.workspace)
         if session is not None and session.header:
             call.session = session.name
             headers['Nutmegroad-Session'] = session.header
         body = {
             'model': task.name,
-            'messages': [{'role': 'user', 'content': marked(call.mark)}],
+            'messages': [{'role': 'user', 'content': tagged_text(call.tag)}],
             'max_tokens': call.words,
-            'stream': self._one_in(0.5),
+            'stream': self._chance(0.5),
         }
         request = CallerRequest(
             'POST',
@@ -180,63 +184,71 @@
             headers,
             msgspec.json.encode(body),
         )
-        if call.session and self._one_in(0.2):
+        if call.session and self._chance(0.2):
             # Its requests come to two hosts at once.
-            twin = replace(call, mark=f'{call.mark}t')
-            self.judge.calls[twin.mark] = twin
-            self._start(self._deliver(self._twin(twin, request, body)))
-        reply = await self._guarded(Sent(call, request))
-        self._learn(session, reply)
-
-    def _twin(
+            sibling = replace(call, tag=f'{call.tag}t')
+            self.judge.calls[sibling.tag] = sibling
+            self._start(
+                self._send_once(self._sibling_request(sibling, request, body))
+            )
+        reply = await self._send_guarded(SentRequest(call, request))
+        self._store_session_token(session, reply)
+
+    def _sibling_request(
         self,
-        call: Call,
+        call: CallRecord,
         request: CallerRequest,
         body: dict[str, Any],
-    ) -> Sent:
+    ) -> SentRequest:
         """Return another request of the same session."""
-        messages = [{'role': 'user', 'content': marked(call.mark)}]
+        messages = [{'role': 'user', 'content': tagged_text(call.tag)}]
         content = msgspec.json.encode({**body, 'messages': messages})
-        return Sent(call, replace(request, body=content))
+        return SentRequest(call, replace(request, body=content))
 
-    def _learn(self, session: Session | None, reply: Reply | None) -> None:
+    def _store_session_token(
+        self, session: Session | None, reply: Reply | None
+    ) -> None:
         """Keep the session's token, if it goes by token."""
-        if session is None or reply is None or not reply.is_whole:
+        if session is None or reply is None or not reply.is_complete:
             return
         token = reply.headers.get('Nutmegroad-Session', '')
         if token and not session.header:
             session.header = token
-            self.judge.session_began(session.name, reply.answer()[0])
+            self.judge.session_pinned(session.name, reply.answer()[0])
 
-    async def _guarded(self, sent: Sent) -> Reply | None:
+    async def _send_guarded(self, sent: SentRequest) -> Reply | None:
         """Send a request, mostly with a key or a ticket if it needs one."""
         headers = dict(sent.request.headers)
-        weights = _OFTEN if sent.call.repeatable else _RISKY
-        guard = self.randomness.choices(_GUARDS, weights)[0]
+        weights = (
+            _REPEATABLE_WEIGHTS
+            if sent.call.repeatable
+            else _UNREPEATABLE_WEIGHTS
+        )
+        guard = self.randomness.choices(_DUPLICATE_GUARDS, weights)[0]
         if guard == 'key':
-            headers['Idempotency-Key'] = f'key-{sent.call.mark}'
+            headers['Idempotency-Key'] = f'key-{sent.call.tag}'
         elif guard == 'ticket':
-            ticket = await self._ticket(headers)
+            ticket = await self._request_ticket(headers)
             if not ticket:
                 return None
             headers['Nutmegroad-Ticket'] = ticket
         else:
-            return await self._deliver(sent)
+            return await self._send_once(sent)
         sent.request = replace(sent.request, headers=headers)
-        self._again.append(sent)
-        if self._one_in(0.15):
-            self._start(self._again_soon(sent))
-        return await self._deliver(sent)
+        self._resendable.append(sent)
+        if self._chance(0.15):
+            self._start(self._send_duplicate(sent))
+        return await self._send_once(sent)
 
-    async def _again_soon(self, sent: Sent) -> None:
+    async def _send_duplicate(self, sent: SentRequest) -> None:
         """Send a request at another host at about the same time."""
         await self.clock.sleep(self.randomness.choice((0, 0, 0.01, 0.5)))
-        await self._deliver(sent)
+        await self._send_once(sent)
 
-    async def _ticket(self, headers: dict[str, str]) -> str:
+    async def _request_ticket(self, headers: dict[str, str]) -> str:
         """Get a ticket; empty if there is none."""
         request = CallerRequest('POST', '/v1/tickets', headers)
-        host = self._host()
+        host = self._choose_host()
         if not host.is_running:
             return ''
         reply = await send(host.app, request)
@@ -244,89 +256,99 @@
             return ''
         return str(reply.json()['ticket'])
 
-    async def _deliver(self, sent: Sent) -> Reply | None:
+    async def _send_once(self, sent: SentRequest) -> Reply | None:
         """Send a request to some host and wait for its end."""
-        judge, call, host = self.judge, sent.call, self._host()
+        judge, call, host = self.judge, sent.call, self._choose_host()
         judge.counts['requests'] += 1
-        judge.note(f'{call.mark} goes to {host.host}')
+        judge.log_event(f'{call.tag} goes to {host.host}')
         if not host.is_open or not host.is_alive:
-            judge.broken(call, 'no connection')
+            judge.connection_lost(call, 'no connection')
             return None
-        task = asyncio.ensure_future(self._serve(host, sent.request))
-        limit = call.deadline + HANG_BOUND
-        leaves = self._one_in(0.03)
-        if leaves:
+        task = asyncio.ensure_future(
+            self._send_when_running(host, sent.request)
+        )
+        limit = call.deadline + HANG_GRACE
+        disconnects = self._chance(0.03)
+        if disconnects:
             limit = self.randomness.uniform(0, 2)
         await asyncio.wait(
-            (task, host.ended),
+            (task, host.terminated),
             timeout=limit,
             return_when=asyncio.FIRST_COMPLETED,
         )
         if task.done():
             reply = task.result()
-            judge.replied(call, host, reply)
+            judge.check_reply(call, host, reply)
             return reply
-        if host.ended.done():
-            judge.broken(call, 'connection broken')
+        if host.terminated.done():
+            judge.connection_lost(call, 'connection broken')
             return None
-        if leaves:
-            judge.broken(call, 'caller left')
+        if disconnects:
+            judge.connection_lost(call, 'caller left')
         else:
-            judge.hung(call, host)
-        self._start(self._leave(host, task))
+            judge.request_hung(call, host)
+        self._start(self._disconnect(host, task))
         return None
 
-    async def _serve(self, host: SoakHost, request: CallerRequest) -> Reply:
+    async def _send_when_running(
+        self, host: SoakHost, request: CallerRequest
+    ) -> Reply:
         """Have a host answer once it runs."""
         await host.clock.sleep(0)
         return await send(host.app, request)
 
-    async def _leave(self, host: SoakHost, task: asyncio.Task[Reply]) -> None:
+    async def _disconnect(
+        self, host: SoakHost, task: asyncio.Task[Reply]
+    ) -> None:
         """Let a host see, once it runs, that its caller has gone."""
-        running = asyncio.ensure_future(host.clock.sleep(0))
+        resumed = asyncio.ensure_future(host.clock.sleep(0))
         await asyncio.wait(
-            (running, host.ended),
+            (resumed, host.terminated),
             return_when=asyncio.FIRST_COMPLETED,
         )
-        if running.done():
+        if resumed.done():
             task.cancel()
-            await asyncio.wait((task, host.ended), timeout=HANG_BOUND)
+            await asyncio.wait((task, host.terminated), timeout=HANG_GRACE)
         else:
-            running.cancel()
+            resumed.cancel()
 
-    def _session(self) -> Session | None:
+    def _choose_session(self) -> Session | None:
         """Return a session, an old one or a new one, or none."""
-        if self._one_in(0.6):
+        if self._chance(0.6):
             return None
-        if self._sessions and self._one_in(0.75):
+        if self._sessions and self._chance(0.75):
             return self.randomness.choice(self._sessions)
         self._count += 1
         session = Session(
             f's{self._count}',
-            WorkspaceId(self._workspace().name),
+            WorkspaceId(self._choose_workspace().name),
             '',
         )
-        if self._one_in(0.5):
+        if self._chance(0.5):
             session.header = f'name-{self._count}'
         self._sessions.append(session)
         return session
 
-    def _workspace(self) -> WorkspaceEntry:
+    def _choose_workspace(self) -> WorkspaceEntry:
         return self.randomness.choice(self.document.workspaces)
 
-    def _entry(self, name: WorkspaceId) -> WorkspaceEntry:
-        return next(one for one in self.document.workspaces if one.name == name)
+    def _workspace_named(self, name: WorkspaceId) -> WorkspaceEntry:
+        return next(
+            workspace
+            for workspace in self.document.workspaces
+            if workspace.name == name
+        )
 
-    def _call(
+    def _register_call(
         self,
         workspace: WorkspaceEntry,
         task: str = '',
         service: str = '',
-    ) -> Call:
+    ) -> CallRecord:
         """Make a request known to the judge."""
         self._count += 1
-        call = Call(
-            mark=f'm{self._count}',
+        call = CallRecord(
+            tag=f'm{self._count}',
             workspace=WorkspaceId(workspace.name),
             task=task,
             service=service,
@@ -334,12 +356,14 @@
             words=self.randomness.randint(3, 10),
             session='',
             deadline=float(self.randomness.randint(4, 30)),
-            began=self.clock.now(),
+            sent_at=self.clock.now(),
         )
-        self.judge.calls[call.mark] = call
+        self.judge.calls[call.tag] = call
         return call
 
-    def _headers(self, call: Call, workspace: WorkspaceId) -> dict[str, str]:
+    def _common_headers(
+        self, call: CallRecord, workspace: WorkspaceId
+    ) -> dict[str, str]:
         """Return the headers that every request brings."""
         return {
             'Authorization': f'Bearer {workspace_key(workspace)}',
--- a/experiments/soak/upstreams.py
+++ b/experiments/soak/upstreams.py
@@ -12,7 +12,11 @@
 
 import msgspec
 
-from experiments.soak.answers import mark_of, plan_answer, spoil
+from experiments.soak.answers import (
+    extract_tag,
+    inject_stream_fault,
+    schedule_answer,
+)
 from nutmegroad.adapters._event_streams import AnswerReader
 from nutmegroad.contracts.upstreams import (
     AnswerEvent,
@@ -41,7 +45,7 @@
 #: Seconds after which a connection that gets no reply is given up.
 CONNECT_TIMEOUT: Final = 2.0
 #: Seconds between looks of what waits for a frozen upstream.
-LOOK: Final = 0.5
+FROZEN_POLL_INTERVAL: Final = 0.5
 
 
 @dataclass(slots=True)
@@ -66,7 +70,7 @@
 
 
 @dataclass(slots=True)
-class Faults:
+class FaultRates:
     """How often upstreams go wrong, as shares of requests.
 
     Attributes:
@@ -98,24 +102,24 @@
     attempt: str
     upstream: UpstreamId
     version: VersionId
-    mark: str
+    tag: str
 
 
-class Watcher(Protocol):
+class UpstreamObserver(Protocol):
     """Sees what truly happens."""
 
     def first_byte(self, sent: FirstByte) -> None:
         """See the first byte of an attempt."""
 
-    def unstarted(self, sent: FirstByte) -> None:
+    def attempt_refused(self, sent: FirstByte) -> None:
         """See that an upstream refused an attempt before it started."""
 
-    def told_leaving(self, host: HostId, upstream: UpstreamId) -> None:
+    def leaving_reported(self, host: HostId, upstream: UpstreamId) -> None:
         """See that a host was told that an upstream is leaving."""
 
 
 @dataclass(slots=True)
-class World:
+class UpstreamNetwork:
     """All upstreams, and who can reach them.
 
     Attributes:
@@ -130,31 +134,37 @@
 
     clock: Clock
     randomness: random.Random
-    watcher: Watcher
+    observer: UpstreamObserver
     upstreams: dict[UpstreamId, Upstream] = field(default_factory=dict)
-    cut: set[DomainId] = field(default_factory=set)
-    faults: Faults = field(default_factory=Faults)
+    partitioned_domains: set[DomainId] = field(default_factory=set)
+    fault_rates: FaultRates = field(default_factory=FaultRates)
     receipts: int = 0
 
-    def reach(self, domain: DomainId, info: UpstreamInfo) -> Upstream | None:
+    def find_reachable(
+        self, domain: DomainId, info: UpstreamInfo
+    ) -> Upstream | None:
         """Return an upstream if a host of a domain can reach it."""
         upstream = self.upstreams[info.upstream]
-        is_here = upstream.info.address == info.address
-        if upstream.is_down or not is_here or self.is_cut(domain, info):
+        address_matches = upstream.info.address == info.address
+        if (
+            upstream.is_down
+            or not address_matches
+            or self.is_partitioned(domain, info)
+        ):
             return None
         return upstream
 
-    def is_cut(self, domain: DomainId, info: UpstreamInfo) -> bool:
+    def is_partitioned(self, domain: DomainId, info: UpstreamInfo) -> bool:
         """Tell whether there is no way from a domain to an upstream."""
-        apart = {domain, info.domain}
-        return len(apart) > 1 and bool(apart & self.cut)
+        domains = {domain, info.domain}
+        return len(domains) > 1 and bool(domains & self.partitioned_domains)
 
-    def one_in(self, share: float) -> bool:
+    def chance(self, probability: float) -> bool:
         """Draw whether something of a share happens."""
-        return self.randomness.random() < share
+        return self.randomness.random() < probability
 
 
-def restarted(upstream: Upstream) -> None:
+def restart_upstream(upstream: Upstream) -> None:
     """Bring an upstream back, at another address."""
     address = upstream.info.address
     upstream.info = replace(
@@ -178,12 +188,12 @@
 
     def __init__(
         self,
-        world: World,
+        network: UpstreamNetwork,
         host: HostId,
         domain: DomainId,
         clock: Clock,
     ) -> None:
-        self._world = world
+        self._network = network
         self._host = host
         self._domain = domain
         self._clock = clock
@@ -207,9 +217,11 @@
             return engine
         if engine.is_frozen:
             await self._clock.sleep(CONNECT_TIMEOUT)
-            return _silent()
+            return _timeout_refusal()
         if engine.leaving:
-            self._world.watcher.told_leaving(self._host, upstream.upstream)
+            self._network.observer.leaving_reported(
+                self._host, upstream.upstream
+            )
         return EngineReport(
             versions=engine.versions,
             running=engine.running,
@@ -233,12 +245,12 @@
 
     async def _connect(self, info: UpstreamInfo) -> Upstream | Refusal:
         """Open a connection, or fail to."""
-        draw = self._world.randomness.uniform
-        await self._clock.sleep(draw(0.001, 0.01))
-        engine = self._world.reach(self._domain, info)
+        uniform = self._network.randomness.uniform
+        await self._clock.sleep(uniform(0.001, 0.01))
+        engine = self._network.find_reachable(self._domain, info)
         if engine is not None:
             return engine
-        if self._world.is_cut(self._domain, info):
+        if self._network.is_partitioned(self._domain, info):
             await self._clock.sleep(CONNECT_TIMEOUT)
         reason = f'No connection to {info.upstream}.'
         return Refusal(ResultCode.UPSTREAM_UNREACHABLE, reason)
@@ -257,25 +269,25 @@
             yield refusal
             return
         body = msgspec.json.decode(attempt.body)
-        mark = mark_of(body['messages'][-1]['content'])
+        tag = extract_tag(body['messages'][-1]['content'])
         sent = FirstByte(
-            self._world.clock.now(),
+            self._network.clock.now(),
             self._host,
             attempt.attempt,
             attempt.upstream.upstream,
             attempt.version,
-            mark,
+            tag,
         )
-        self._world.watcher.first_byte(sent)
-        refused = _refusal_of(engine, attempt)
-        if refused is not None:
-            self._world.watcher.unstarted(sent)
+        self._network.observer.first_byte(sent)
+        admission_refusal = _admission_refusal(engine, attempt)
+        if admission_refusal is not None:
+            self._network.observer.attempt_refused(sent)
             await self._clock.sleep(0.001)
-            yield refused
+            yield admission_refusal
             return
         engine.running += 1
         try:
-            async for event in self._stream(engine, attempt, mark, body):
+            async for event in self._stream(engine, attempt, tag, body):
                 yield event
         finally:
             engine.running -= 1
@@ -284,31 +296,31 @@
         self,
         engine: Upstream,
         attempt: Attempt,
-        mark: str,
+        tag: str,
         body: dict[str, Any],
     ) -> AsyncGenerator[AnswerEvent, None]:
         """Yield what the program's reader makes of an engine's chunks."""
-        world = self._world
-        if world.one_in(world.faults.error):
+        network = self._network
+        if network.chance(network.fault_rates.error):
             await self._clock.sleep(0.01)
             yield Refusal(ResultCode.UPSTREAM_ERROR, 'Status 500.', Ran.UNKNOWN)
             return
         reader = AnswerReader(attempt.attempt, attempt.skip)
-        plan = plan_answer(
-            world.randomness,
+        schedule = schedule_answer(
+            network.randomness,
             attempt,
-            mark,
+            tag,
             body['max_tokens'],
         )
-        if world.one_in(world.faults.stream):
-            spoil(plan, world.randomness)
-        for step in plan:
-            await self._clock.sleep(step.seconds)
+        if network.chance(network.fault_rates.stream):
+            inject_stream_fault(schedule, network.randomness)
+        for scheduled in schedule:
+            await self._clock.sleep(scheduled.delay)
             while engine.is_frozen:
-                await self._clock.sleep(LOOK)
-            if world.reach(self._domain, attempt.upstream) is None:
+                await self._clock.sleep(FROZEN_POLL_INTERVAL)
+            if network.find_reachable(self._domain, attempt.upstream) is None:
                 break
-            event = reader.read(msgspec.json.encode(step.chunk))
+            event = reader.read(msgspec.json.encode(scheduled.chunk))
             if event is not None:
                 yield event
             if reader.is_over:
@@ -328,52 +340,52 @@
 
     def __init__(
         self,
-        world: World,
+        network: UpstreamNetwork,
         host: HostId,
         domain: DomainId,
         clock: Clock,
     ) -> None:
-        self._world = world
+        self._network = network
         self._host = host
         self._domain = domain
         self._clock = clock
 
     async def call(self, call: ServiceCall) -> ServiceReply | Refusal:
         """Make a call, once."""
-        world = self._world
-        draw = world.randomness.uniform
-        await self._clock.sleep(draw(0.001, 0.01))
-        service = world.reach(self._domain, call.upstream)
+        network = self._network
+        uniform = network.randomness.uniform
+        await self._clock.sleep(uniform(0.001, 0.01))
+        service = network.find_reachable(self._domain, call.upstream)
         if service is None:
-            if world.is_cut(self._domain, call.upstream):
+            if network.is_partitioned(self._domain, call.upstream):
                 await self._clock.sleep(min(call.timeout, CONNECT_TIMEOUT))
             return Refusal(ResultCode.UPSTREAM_UNREACHABLE, 'No connection.')
         refusal = call.gate()
         if refusal is not None:
             return refusal
-        mark = mark_of(f'{call.path} {call.body.decode()}')
+        tag = extract_tag(f'{call.path} {call.body.decode()}')
         sent = FirstByte(
-            world.clock.now(),
+            network.clock.now(),
             self._host,
             call.attempt,
             call.upstream.upstream,
             VersionId(''),
-            mark,
+            tag,
         )
-        world.watcher.first_byte(sent)
-        world.receipts += 1
-        receipt = f'{mark}/receipt/{world.receipts}'
-        lost = service.is_frozen or world.one_in(world.faults.lost)
-        seconds = call.timeout if lost else draw(0.01, 0.3)
+        network.observer.first_byte(sent)
+        network.receipts += 1
+        receipt = f'{tag}/receipt/{network.receipts}'
+        lost = service.is_frozen or network.chance(network.fault_rates.lost)
+        seconds = call.timeout if lost else uniform(0.01, 0.3)
         await self._clock.sleep(min(seconds, call.timeout))
         if lost:
-            return _silent()
-        if world.reach(self._domain, call.upstream) is None:
+            return _timeout_refusal()
+        if network.find_reachable(self._domain, call.upstream) is None:
             return Refusal(ResultCode.UPSTREAM_ERROR, 'Cut.', Ran.UNKNOWN)
         return ServiceReply(200, receipt.encode(), 'text/plain')
 
 
-def _refusal_of(engine: Upstream, attempt: Attempt) -> Refusal | None:
+def _admission_refusal(engine: Upstream, attempt: Attempt) -> Refusal | None:
     """Return why an engine does not start an attempt, if it does not."""
     if engine.is_frozen:
         return None
@@ -386,7 +398,7 @@
     return None
 
 
-def _silent() -> Refusal:
+def _timeout_refusal() -> Refusal:
     """Say that nothing came back."""
     reason = 'The upstream fell silent.'
     return Refusal(ResultCode.UPSTREAM_TIMEOUT, reason, Ran.UNKNOWN)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,10 +11,10 @@
 
 #: Seeds of both deployments, without and with reads that lag.
 SEEDS = (1, 2)
-SECONDS = 30.0
+DURATION = 30.0
 
 #: Mechanisms, and what the judge says where they are missing.
-CAUGHT = (
+EXPECTED_FAULTS = (
     ('claim', 'ran twice'),
     ('ticket', 'ran twice'),
     ('token', 'went elsewhere'),
@@ -23,7 +23,7 @@
 )
 #: Seeds of which one at least shows each; a change of the program gives
 #: other runs, so that no single one can be relied on.
-MOST_SEEDS = 10
+MAX_SEEDS = 10
 
 
 class SoakTest(unittest.TestCase):
@@ -38,24 +38,24 @@
     def test_nothing_breaks_in_fixed_seeds(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                result = run_seed(seed, SECONDS)
+                result = run_seed(seed, DURATION)
                 self.assertEqual((), result.faults)
                 self.assertGreater(result.counts['answered'], 0)
 
     def test_the_same_seed_gives_the_same_run(self) -> None:
-        one, other = (run_seed(3, SECONDS) for _ in range(2))
-        self.assertEqual(one, other)
-        self.assertNotEqual(one.digest, run_seed(5, SECONDS).digest)
+        first, second = (run_seed(3, DURATION) for _ in range(2))
+        self.assertEqual(first, second)
+        self.assertNotEqual(first.digest, run_seed(5, DURATION).digest)
 
     def test_the_judge_misses_each_mechanism(self) -> None:
-        for name, said in CAUGHT:
+        for name, expected in EXPECTED_FAULTS:
             with self.subTest(name), mutant(name):
-                self.assertIn(said, self.first_fault())
+                self.assertIn(expected, self.first_fault())
 
     def first_fault(self) -> str:
         """Return what is found first in some seeds."""
-        for seed in range(1, MOST_SEEDS + 1):
-            faults = run_seed(seed, SECONDS).faults
+        for seed in range(1, MAX_SEEDS + 1):
+            faults = run_seed(seed, DURATION).faults
             if faults:
                 return faults[0]
         return ''
