--- a/experiments/soak/__init__.py
+++ b/experiments/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A long randomised run of our own daemon, on virtual time."""
+"""Randomized long run of whole hosts under faults, on virtual time."""
--- a/experiments/soak/__main__.py
+++ b/experiments/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the soak of our own daemon, on virtual time."""
+"""Command line entry point: ``python -m experiments.soak``."""
 
 import sys
 
--- a/experiments/soak/answers.py
+++ b/experiments/soak/answers.py
@@ -1,4 +1,4 @@
-"""What engines of a randomised run write, and how it goes wrong."""
+"""Answers of simulated engines, and the faults injected into them."""
 
 import random
 from dataclasses import dataclass
@@ -6,30 +6,30 @@
 
 from nutmegroad.contracts.upstreams import Attempt
 
-#: Seconds that stand for never.
+#: Delay in seconds of a chunk that is never sent during a run.
 NEVER: Final = 10_000.0
 
 _TAG_PREFIX: Final = 'mark:'
 
 
 def extract_tag(text: str) -> str:
-    """Return the mark that a request carries in its text."""
+    """Return the tag that a request carries in its text, empty if none."""
     _, _, remainder = text.partition(_TAG_PREFIX)
     return remainder.split(maxsplit=1)[0] if remainder else ''
 
 
 def tagged_text(tag: str) -> str:
-    """Return a text that carries a mark."""
+    """Return a request text that carries a tag."""
     return f'{_TAG_PREFIX}{tag} please'
 
 
 def answer_piece(tag: str, version: str, position: int) -> str:
-    """Return one piece of the answer that an engine writes."""
+    """Return the text of one chunk of an engine's answer."""
     return f'{tag}/{version}/{position} '
 
 
 def answer_text(tag: str, version: str, words: int) -> str:
-    """Return the whole answer that an engine writes."""
+    """Return the complete text of an engine's answer."""
     return ''.join(
         answer_piece(tag, version, position) for position in range(words)
     )
@@ -37,10 +37,10 @@
 
 @dataclass(slots=True)
 class ScheduledChunk:
-    """A chunk that an engine sends.
+    """A chunk of an answer, with the time at which the engine sends it.
 
     Attributes:
-        seconds: Seconds after the one before.
+        delay: Seconds since the preceding chunk.
         chunk: The chunk, before it is encoded.
     """
 
@@ -54,7 +54,15 @@
     tag: str,
     words: int,
 ) -> list[ScheduledChunk]:
-    """Return the steps of a whole answer, from where it is to go on."""
+    """Return the chunks of a complete answer.
+
+    Args:
+        randomness: Draws the delays between chunks.
+        attempt: The attempt; its ``skip`` chunks are left out, since the
+            answer is resumed after them.
+        tag: Tag of the request.
+        words: Number of content chunks of the whole answer.
+    """
     attempt_id = attempt.attempt
     schedule = [
         ScheduledChunk(
@@ -74,7 +82,7 @@
 def inject_stream_fault(
     schedule: list[ScheduledChunk], randomness: random.Random
 ) -> None:
-    """Let an answer go wrong somewhere, in some way."""
+    """Apply one randomly chosen fault at a random position of an answer."""
     fault_kinds = (
         _truncate,
         _drop_chunk,
@@ -89,33 +97,33 @@
 
 
 def _truncate(schedule: list[ScheduledChunk], position: int) -> None:
-    """End the stream before its end."""
+    """End the stream before its terminal chunk."""
     while len(schedule) > position:
         schedule.pop()
 
 
 def _drop_chunk(schedule: list[ScheduledChunk], position: int) -> None:
-    """Leave a piece out."""
+    """Leave out a chunk."""
     schedule.pop(position)
 
 
 def _duplicate_chunk(schedule: list[ScheduledChunk], position: int) -> None:
-    """Send a piece twice."""
+    """Send a chunk twice."""
     schedule.insert(position, schedule[position])
 
 
 def _delay_chunk(schedule: list[ScheduledChunk], position: int) -> None:
-    """Send a piece late."""
+    """Send a chunk 3 seconds after the preceding one."""
     schedule[position].delay = 3.0
 
 
 def _stall(schedule: list[ScheduledChunk], position: int) -> None:
-    """Send no more, and keep the stream open."""
+    """Send no more chunks, but keep the stream open."""
     schedule[position].delay = NEVER
 
 
 def _substitute_chunk(schedule: list[ScheduledChunk], position: int) -> None:
-    """Send a piece of another answer."""
+    """Replace a chunk by one that belongs to another attempt."""
     index = schedule[position].chunk['index']
     schedule[position].chunk = _content_chunk(
         'another', index, 'of another answer '
@@ -123,7 +131,7 @@
 
 
 def _content_chunk(attempt: str, position: int, text: str) -> dict[str, Any]:
-    """Return one piece as it is sent."""
+    """Return a chunk with content, as a JSON object."""
     return {
         'id': attempt,
         'index': position,
@@ -132,7 +140,7 @@
 
 
 def _final_chunk(attempt: str, words: int) -> dict[str, Any]:
-    """Return the chunk with the end."""
+    """Return the terminal chunk, as a JSON object."""
     return {
         'id': attempt,
         'index': words,
--- a/experiments/soak/calls.py
+++ b/experiments/soak/calls.py
@@ -1,7 +1,7 @@
-"""Callers of a randomised run: requests handed to a host's application.
+"""Client that passes caller requests to a host's application in process.
 
-They enter at the host's aiohttp application, with its middleware, and need
-no socket.
+Requests enter at the aiohttp application of the host, including its
+middleware, so that no sockets are needed.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """What a caller sends.
+    """An HTTP request of a caller.
 
     Attributes:
         method: HTTP method.
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What a caller got.
+    """The HTTP response that a caller received.
 
     Attributes:
         status: HTTP status.
@@ -56,26 +56,25 @@
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether it came as server-sent events."""
+        """Whether the body consists of server-sent events."""
         return self.body.startswith((b'data:', b'event:'))
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether it claims to be a whole answer."""
+        """Whether the response is marked as a complete answer."""
         if self.is_stream:
             return self.body.rstrip().endswith(_STREAM_END)
         return self.status == _OK
 
     def json(self) -> Any:
-        """Return the body of a reply that is no stream."""
+        """Return the decoded body of a response that is not a stream."""
         return msgspec.json.decode(self.body)
 
     def refusal(self) -> dict[str, Any] | None:
-        """Return the refusal in it, if it holds one."""
+        """Return the refusal in the response, or None if there is none."""
         if self.is_stream:
-            last = (
-                _parse_events(self.body)[-1] if _parse_events(self.body) else {}
-            )
+            events = _parse_events(self.body)
+            last = events[-1] if events else {}
             return last.get('error')
         if self.status == _OK:
             return None
@@ -86,7 +85,7 @@
         return error if isinstance(error, dict) else None
 
     def answer(self) -> tuple[str, str]:
-        """Return the version and the text of a model's answer."""
+        """Return the model version and the text of a model's answer."""
         if not self.is_stream:
             completion = self.json()
             return completion['model'], completion['choices'][0]['message'][
@@ -103,45 +102,45 @@
 
 @dataclass(eq=False, slots=True)
 class RecordingWriter(AbstractStreamWriter):
-    """Keeps what a host writes to a caller.
+    """Response writer that records the body that a host sends.
 
     Attributes:
-        chunks: What was written.
+        chunks: The chunks of the body, in order.
     """
 
     chunks: list[bytes] = field(default_factory=list)
 
     async def write(self, chunk: Any) -> None:
-        """Keep a chunk."""
+        """Record a chunk."""
         self.chunks.append(bytes(chunk))
 
     async def write_eof(self, chunk: bytes = b'') -> None:
-        """Keep the last chunk."""
+        """Record the last chunk."""
         self.chunks.append(chunk)
 
     async def drain(self) -> None:
-        """Wait for nothing."""
+        """Return immediately; the chunks are kept in memory."""
 
     def enable_compression(
         self,
         encoding: str = 'deflate',
         strategy: int | None = None,
     ) -> None:
-        """Compress nothing."""
+        """Ignore the request to compress the body."""
 
     def enable_chunking(self) -> None:
-        """Frame nothing."""
+        """Ignore the request to use chunked encoding."""
 
     async def write_headers(
         self,
         status_line: str,
         headers: CIMultiDict[str],
     ) -> None:
-        """Leave the headers to the reply."""
+        """Ignore the headers; they are read from the response object."""
 
 
 async def send(app: Application, request: CallerRequest) -> Reply:
-    """Hand a request to an application and return its reply."""
+    """Pass a request to an application and return its response."""
     transport = Mock(spec=asyncio.Transport)
     transport.is_closing.return_value = False
     transport.get_extra_info.return_value = None
@@ -169,7 +168,7 @@
 
 
 def _parse_events(body: bytes) -> list[dict[str, Any]]:
-    """Return the events of a stream, without its terminal mark."""
+    """Return the events of a stream, without its terminal event."""
     lines = [
         line.removeprefix(_DATA_FIELD)
         for line in body.split(b'\n')
--- a/experiments/soak/events.py
+++ b/experiments/soak/events.py
@@ -1,4 +1,4 @@
-"""What happens to a deployment in a randomised run."""
+"""Faults and operator actions that occur during a randomized run."""
 
 import asyncio
 import random
@@ -23,27 +23,27 @@
 )
 from nutmegroad.kernel.stops import GracefulStop
 
-#: Seconds between events, on average.
+#: Mean number of seconds between events.
 MEAN_EVENT_GAP: Final = 6.0
-#: Seconds after which hosts take a silent one for gone.
+#: Seconds without contact after which hosts regard a peer as unresponsive.
 FAILURE_TIMEOUT: Final = 3.0
 
-#: Something that happens, from its beginning to its end.
+#: Carries out an event, from its beginning to its end.
 EventAction = Callable[[], Awaitable[None]]
 
 
 @dataclass(slots=True)
 class EventScheduler:
-    """Draws and carries out events.
+    """Draws events at random and carries them out.
 
     Attributes:
-        document: The document at the start.
-        around: What all hosts share.
-        judge: Told of each event.
-        clock: The time of all.
-        randomness: Draws them.
-        hosts: The present run of each host.
-        pending: Events that are not over.
+        document: The initial configuration document.
+        environment: The resources that all hosts share.
+        judge: Notified of each event.
+        clock: Virtual clock.
+        randomness: Source of the random choices.
+        hosts: The present incarnation of each host.
+        pending: Tasks of events that have not ended.
     """
 
     document: Document
@@ -57,7 +57,7 @@
     _operators: Operators = field(init=False)
 
     def __post_init__(self) -> None:
-        """Let operators change things, too."""
+        """Create the operators, whose actions are events, too."""
         self._operators = Operators(
             self.document,
             self.judge,
@@ -67,7 +67,7 @@
         )
 
     async def run(self) -> None:
-        """Let events happen until cancelled."""
+        """Start events at random times until cancelled."""
         weights = self._event_weights()
         while True:
             await self.clock.sleep(
@@ -79,45 +79,44 @@
             )[0]
             self.start(action())
 
-    def start(self, disturbance: Awaitable[None]) -> None:
-        """Run an event in a task of its own."""
-        task = asyncio.ensure_future(disturbance)
+    def start(self, action: Awaitable[None]) -> None:
+        """Carry out an event in a task of its own."""
+        task = asyncio.ensure_future(action)
         self.pending.add(task)
         task.add_done_callback(self._on_done)
 
     async def start_host(self, host: HostId, domain: DomainId) -> SoakHost:
-        """Start a host, or a new run of one."""
-        run = SoakHost(
+        """Start a host, or a new incarnation of one."""
+        incarnation = SoakHost(
             host,
             domain,
             self.environment,
             random.Random(self.randomness.getrandbits(64)),
         )
-        self.hosts[host] = run
-        # Cuts made or healed while it was away are not known for it.
+        self.hosts[host] = incarnation
+        # The links of a new incarnation do not reflect partitions that began
+        # or ended while the host was down.
         for other in self.hosts:
             self.environment.network.heal(host, other)
         for cut in sorted(
             self.environment.upstream_network.partitioned_domains
         ):
             self.environment.network.cut_domain(cut, noticed=True)
-        await run.open()
-        return run
+        await incarnation.open()
+        return incarnation
 
     async def refresh_host_list(self) -> None:
-        """Keep the platform's host list in step, with a lag."""
+        """Update the platform's host list at intervals of 0.5 to 6 seconds."""
         while True:
+            upstreams = self.environment.upstream_network.upstreams.values()
             self.environment.platform.listing = Listing(
                 (),
-                tuple(
-                    upstream.info
-                    for upstream in self.environment.upstream_network.upstreams.values()
-                ),
+                tuple(upstream.info for upstream in upstreams),
             )
             await self.clock.sleep(self.randomness.uniform(0.5, 6))
 
     def _event_weights(self) -> dict[EventAction, int]:
-        """Return the events and how often each is drawn."""
+        """Return the events with their relative frequencies."""
         return {
             self._kill_host: 3,
             self._pause_host: 4,
@@ -136,7 +135,7 @@
     def _on_done(self, task: asyncio.Task[None]) -> None:
         self.pending.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.judge.report_fault(f'an event failed: {task.exception()!r}')
+            self.judge.fail(f'an event failed: {task.exception()!r}')
 
     def _coin_flip(self) -> bool:
         return bool(self.randomness.getrandbits(1))
@@ -145,7 +144,7 @@
         await self.clock.sleep(self.randomness.uniform(*bounds))
 
     def _reserve(self, names: list[str]) -> str | None:
-        """Return one that nothing happens to now, and keep it."""
+        """Reserve a target of no present event; None if there is none."""
         free = [name for name in names if name not in self._reserved]
         if not free:
             return None
@@ -158,7 +157,7 @@
         return None if name is None else self.hosts[HostId(name)]
 
     async def _kill_host(self) -> None:
-        """Kill a host, and start another in its place."""
+        """Kill a host, and start a new incarnation of it."""
         host = self._reserve_host()
         if host is None:
             return
@@ -175,7 +174,7 @@
         self._reserved.discard(host.host)
 
     async def _pause_host(self) -> None:
-        """Let a host stand still, shorter or longer than its lease."""
+        """Pause a host, for a time shorter or longer than its lease."""
         host = self._reserve_host()
         if host is None:
             return
@@ -189,7 +188,7 @@
         self._reserved.discard(host.host)
 
     async def _stop_host(self) -> None:
-        """Stop a host gracefully, and start another in its place."""
+        """Stop a host gracefully, and start a new incarnation of it."""
         host = self._reserve_host()
         if host is None:
             return
@@ -199,7 +198,7 @@
         host.is_stopping = True
         cut_requests = await host.kernel.need(GracefulStop).run()
         if cut_requests:
-            self.judge.report_fault(
+            self.judge.fail(
                 f'the stop of {host.host} cut {cut_requests} requests'
             )
         await host.close()
@@ -209,7 +208,7 @@
         self._reserved.discard(host.host)
 
     async def _cut_domain(self) -> None:
-        """Cut a domain off from the others and from the platform."""
+        """Cut a domain off from the others, and maybe from the platform."""
         if self._reserve(['cut']) is None:
             return
         domains = sorted({host.domain for host in self.hosts.values()})
@@ -227,7 +226,7 @@
         self._reserved.discard('cut')
 
     def _partition(self, domain: DomainId, with_platform: bool) -> None:
-        """Part a domain from the others, maybe from the platform too."""
+        """Cut the links of a domain, optionally also those to the platform."""
         self.environment.upstream_network.partitioned_domains.add(domain)
         self.environment.network.cut_domain(domain)
         if with_platform:
@@ -235,14 +234,14 @@
             self.judge.unreachable_since[domain] = self.clock.now()
 
     def _heal_partition(self, domain: DomainId) -> None:
-        """Let a domain reach everything again."""
+        """Restore all links of a domain."""
         self.environment.network.heal_domain(domain)
         self.environment.upstream_network.partitioned_domains.discard(domain)
         self.environment.platform.faults.cut.discard(domain)
         self.judge.unreachable_since.pop(domain, None)
 
     async def _take_platform_down(self) -> None:
-        """Let the platform be down."""
+        """Make the platform unavailable."""
         if self._reserve(['platform']) is None:
             return
         disturbance = self.judge.record_disturbance('down platform')
@@ -257,7 +256,7 @@
         self._reserved.discard('platform')
 
     async def _degrade_platform(self) -> None:
-        """Let the platform be slow, lose calls and replies, and lag."""
+        """Slow the platform down, lose calls and replies, and add lag."""
         if self._reserve(['platform']) is None:
             return
         disturbance = self.judge.record_disturbance('bad platform')
@@ -268,7 +267,7 @@
         self._reserved.discard('platform')
 
     def _set_platform_faults(self, faults: TableFaults) -> None:
-        """Let the platform be slow, or lose things, or lag."""
+        """Choose the faults of the platform at random."""
         faults.delay = self.randomness.choice(((0.001, 0.02), (0.1, 1.2)))
         faults.drop = self.randomness.choice((0, 0.2))
         faults.lose_reply = self.randomness.choice((0, 0.4))
@@ -276,25 +275,26 @@
         faults.stale = 0.5 if faults.lag else 0
 
     def _clear_platform_faults(self, faults: TableFaults) -> None:
-        """Let the platform be well."""
+        """Restore the normal behaviour of the platform."""
         faults.delay = (0.001, 0.02)
         faults.drop = 0
         faults.lose_reply = 0
         faults.stale = 0
 
     def _reserve_upstream(self, kind: UpstreamKind | None) -> Upstream | None:
+        upstreams = self.environment.upstream_network.upstreams
         names = [
             str(name)
-            for name, upstream in self.environment.upstream_network.upstreams.items()
+            for name, upstream in upstreams.items()
             if kind is None or upstream.info.kind is kind
         ]
         name = self._reserve(names)
         if name is None:
             return None
-        return self.environment.upstream_network.upstreams[UpstreamId(name)]
+        return upstreams[UpstreamId(name)]
 
     async def _drain_upstream(self) -> None:
-        """Let an upstream leave, go, and come back elsewhere."""
+        """Drain an upstream, shut it down, restart it at another address."""
         upstream = self._reserve_upstream(None)
         if upstream is None:
             return
@@ -308,7 +308,7 @@
         self._restore_upstream(upstream)
 
     async def _crash_upstream(self) -> None:
-        """Let an upstream crash and come back elsewhere."""
+        """Crash an upstream and restart it at another address."""
         upstream = self._reserve_upstream(None)
         if upstream is None:
             return
@@ -319,7 +319,7 @@
         self._restore_upstream(upstream)
 
     async def _freeze_upstream(self) -> None:
-        """Let an upstream stand still."""
+        """Freeze an upstream: it accepts connections, but does not answer."""
         upstream = self._reserve_upstream(None)
         if upstream is None:
             return
@@ -331,14 +331,14 @@
         self._reserved.discard(str(upstream.info.upstream))
 
     def _restore_upstream(self, upstream: Upstream) -> None:
-        """Let an upstream be there again."""
+        """Restart an upstream that was shut down or crashed."""
         restart_upstream(upstream)
         self.judge.upstream_restarted(upstream.info.upstream)
         self.judge.log_event(f'{upstream.info.upstream} is back')
         self._reserved.discard(str(upstream.info.upstream))
 
     async def _degrade_version(self) -> None:
-        """Let a version turn bad: its answers are rated low."""
+        """Give the answers of a version low ratings."""
         version = self.randomness.choice(self.document.versions).id
         self.judge.log_event(f'{version} turns bad')
         self.environment.platform.low_rated.add(version)
--- a/experiments/soak/history.py
+++ b/experiments/soak/history.py
@@ -1,4 +1,4 @@
-"""What was in force when, as the platform's head row tells it."""
+"""History of the configuration, reconstructed from writes to its head row."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -19,21 +19,22 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import VersionId, WorkspaceId
 
-#: Seconds for which a confirmed configuration holds.
+#: Seconds for which a confirmed configuration is valid.
 LEASE: Final = 8.0
-#: Seconds beside the lease: rounding, and the step of a first byte.
+#: Tolerance in seconds in addition to the lease: for rounding, and for the
+#: step in which a first byte is sent.
 TIMING_MARGIN: Final = 0.5
 
 
 @dataclass(slots=True)
 class RevisionRecord:
-    """A revision, and when it was in force.
+    """A revision of the configuration, and when it was in force.
 
     Attributes:
-        at: Seconds of the write.
+        at: Time at which it was written, in seconds.
         head: The head row.
-        document: The document that it names.
-        until: Seconds at which the next revision was written.
+        document: The document that the head row refers to.
+        until: Time at which the next revision was written, in seconds.
     """
 
     at: float
@@ -42,7 +43,7 @@
     until: float = float('inf')
 
     def workspace(self, name: WorkspaceId) -> WorkspaceEntry | None:
-        """Return a workspace's entry."""
+        """Return the entry of a workspace, or None if there is none."""
         return next(
             (
                 candidate
@@ -53,7 +54,7 @@
         )
 
     def epoch(self, version: VersionId) -> int:
-        """Return a version's epoch."""
+        """Return the epoch of a version."""
         return next(
             entry.epoch
             for entry in self.document.versions
@@ -62,15 +63,15 @@
 
 
 class History:
-    """All revisions, in order.
+    """All revisions of the configuration, in order.
 
     Args:
-        clock: The time of all.
+        clock: Virtual clock.
         objects: Stored objects by name.
 
     Attributes:
-        moves: The revisions.
-        lag: Seconds by which reads of the table lag at most.
+        revisions: The revisions.
+        max_lag: Maximum age of the rows that a read may return, in seconds.
     """
 
     def __init__(self, clock: Clock, objects: dict[str, bytes]) -> None:
@@ -82,11 +83,11 @@
 
     @property
     def propagation_bound(self) -> float:
-        """Return seconds until a revision is in force on all that confirm."""
+        """Seconds until a revision is in force on all confirmed hosts."""
         return LEASE + TIMING_MARGIN + self.max_lag
 
     def record_row(self, row: Row) -> None:
-        """Take in a row that was written."""
+        """Record a row that was written to the platform."""
         if row.key != HEAD_KEY:
             return
         now = self._clock.now()
@@ -102,7 +103,7 @@
             )
 
     def is_unwritten(self, accepted: Accepted) -> bool:
-        """Tell whether a host has something else than was written."""
+        """Return whether a host's configuration was never written."""
         return not any(
             record.head.revision == accepted.revision
             and record.head.preset == accepted.preset
@@ -121,12 +122,12 @@
         version: VersionId,
         pinned_epoch: int | None,
     ) -> str:
-        """Say why a confirmed host may not use a version; empty if it may.
+        """Return why a confirmed host may not use a version, else ''.
 
         Args:
             name: The workspace.
             version: The version.
-            held: The epoch to which a session's token holds, if one does.
+            pinned_epoch: The epoch that a session's token is bound to, if any.
         """
         allowing = [
             record
@@ -147,7 +148,7 @@
         )
 
     def service_violation(self, name: WorkspaceId, service: str) -> str:
-        """Say why a confirmed host may not call a service."""
+        """Return why a confirmed host may not call a service, else ''."""
         for record in self.possibly_active():
             entry = record.workspace(name)
             if entry is not None and service in entry.services:
@@ -160,7 +161,7 @@
         name: WorkspaceId,
         version: VersionId,
     ) -> str:
-        """Say why an isolated host may not use a version."""
+        """Return why an isolated host may not use a version, else ''."""
         active = self._active_revision(host)
         if active is None:
             return 'the host has no revision that was ever written'
@@ -178,7 +179,7 @@
     def isolated_service_violation(
         self, host: SoakHost, name: WorkspaceId
     ) -> str:
-        """Say why an isolated host may not serve a workspace at all."""
+        """Return why an isolated host may not serve a workspace, else ''."""
         active = self._active_revision(host)
         entry = None if active is None else active.workspace(name)
         if entry is None:
@@ -190,11 +191,11 @@
         return ''
 
     def newest_epoch(self, version: str) -> int:
-        """Return a version's newest epoch."""
+        """Return the newest epoch of a version."""
         return self.revisions[-1].epoch(VersionId(version))
 
     def is_withdrawn(self, version: VersionId) -> bool:
-        """Tell whether the newest epoch of a version is withdrawn."""
+        """Return whether the newest epoch of a version is withdrawn."""
         now = self._clock.now()
         return self._is_withdrawn(
             version, self.revisions[-1].epoch(version), now
@@ -213,7 +214,7 @@
         epoch: int,
         moment: float,
     ) -> bool:
-        """Tell whether an epoch was withdrawn by a moment."""
+        """Return whether an epoch had been withdrawn at a given time."""
         return any(
             name == version and withdrawn_epoch >= epoch and at <= moment
             for (name, withdrawn_epoch), at in self._withdrawn.items()
@@ -221,5 +222,5 @@
 
 
 def _allowed_versions(entry: WorkspaceEntry | None) -> tuple[str, ...]:
-    """Return the versions of a workspace that may be gone."""
+    """Return the versions of a workspace; none if the workspace is missing."""
     return () if entry is None else entry.versions
--- a/experiments/soak/hosts.py
+++ b/experiments/soak/hosts.py
@@ -1,8 +1,8 @@
-"""Whole hosts of a randomised run: the kernel with every part.
+"""Whole hosts of a randomized run: the kernel with every part.
 
-The parts that would open sockets stand on memory instead; everything else
-is what the daemon runs. Each host has a clock of its own, under which it
-can be paused, and with which it stops for good when it is killed.
+Parts that would open sockets are replaced by in-memory implementations;
+everything else is the code of the daemon. Each host has its own clock. A host
+is paused by pausing that clock, and killed by stopping it permanently.
 """
 
 import asyncio
@@ -43,29 +43,30 @@
 from nutmegroad.membership.members import Members
 from nutmegroad.testing.virtual import MemoryMesh, PausableClock
 
-#: Seconds that a graceful stop may take; no request is given longer.
+#: Maximum duration of a graceful stop, in seconds; no request has a longer
+#: deadline.
 DRAIN_TIMEOUT: Final = 45.0
 LAME_DUCK: Final = 1.0
 
 _UNUSED_ADDRESS: Final = Address('127.0.0.1', 0)
 
-#: Things that a part provides, by type.
+#: Instances that a part provides, by type.
 _Instances = dict[type[Any], Any]
 
-#: Told of each check of the program's own that failed.
+#: Called with the name and the details of each invariant that is violated.
 ViolationCallback = Callable[[str, str], None]
 
 
 @dataclass(slots=True)
 class Environment:
-    """What all hosts share.
+    """Resources that all hosts share.
 
     Attributes:
         network: Links between hosts.
         platform: The platform.
-        world: The upstreams.
-        alarm: Told of checks that failed.
-        settings: Settings that differ from the usual.
+        upstream_network: The upstreams and their reachability.
+        on_violation: Called when an invariant of the daemon is violated.
+        settings: Further settings, with values other than their defaults.
     """
 
     network: MemoryMesh
@@ -76,42 +77,42 @@
 
 
 class ReportingInvariants:
-    """Reports a check that failed and lets the host go on, as a daemon does.
+    """Reports violated invariants and lets the host continue, like a daemon.
 
     Args:
-        alarm: Told of it.
+        on_violation: Called for each violated invariant.
     """
 
     def __init__(self, on_violation: ViolationCallback) -> None:
         self._on_violation = on_violation
 
     def check(self, name: str, held: bool, detail: str) -> bool:
-        """Report a check that failed."""
+        """Report the invariant if it is violated; return whether it holds."""
         if not held:
             self._on_violation(name, detail)
         return held
 
 
 class HostMesh(PausableMesh):
-    """A host's links, which fall silent when it is killed.
+    """Links of a host, which send nothing any more once it has been killed.
 
     Attributes:
-        is_alive: Whether the host was not killed.
+        is_alive: Whether the host has neither been killed nor closed.
     """
 
     is_alive = True
 
     def tell(self, host: HostId, message: Message) -> bool:
-        """Queue a message."""
+        """Queue a message to one host."""
         return self.is_alive and super().tell(host, message)
 
     def tell_all(self, message: Message) -> int:
-        """Queue a message to all."""
+        """Queue a message to all hosts."""
         return super().tell_all(message) if self.is_alive else 0
 
 
 class MemoryMembers:
-    """The membership, as the network in memory has it.
+    """Membership of a host, derived from the in-memory network.
 
     Args:
         host: This host.
@@ -141,16 +142,16 @@
         return tuple(sorted({self.host, *linked}))
 
     def leave(self) -> None:
-        """Tell all that this host takes no new work."""
+        """Announce to all peers that this host takes no new work."""
         if self._network.peer(self.host) is not None:
             self._network.leave(self.host)
 
 
 class MemoryListener:
-    """Keeps the applications that a host would serve.
+    """Records the applications that a host would serve over HTTP.
 
     Attributes:
-        apps: Applications, in the order in which they came.
+        apps: The applications, in the order in which they were passed.
     """
 
     def __init__(self) -> None:
@@ -162,7 +163,7 @@
         app: Application,
         address: Address,
     ) -> Address:
-        """Make an application ready."""
+        """Start an application without opening a socket."""
         app.freeze()
         await app.startup()
         self.apps.append(app)
@@ -171,38 +172,39 @@
 
 @dataclass(slots=True)
 class _ProvidedPart:
-    """A part that provides things that are there already.
+    """A part that provides existing instances.
 
     Attributes:
-        provides: Things by type.
-        needs: Nothing.
+        provides: The instances by type.
+        needs: Types that the part requires: none.
     """
 
     provides: _Instances
     needs: tuple[type[Any], ...] = ()
 
     async def open(self, kernel: Kernel) -> None:
-        """Provide them."""
+        """Provide the instances."""
         for kind, instance in self.provides.items():
             kernel.provide(kind, instance)
 
 
 class SoakHost:
-    """One run of a host.
+    """One incarnation of a host.
 
     Args:
         host: Its id.
         domain: Its failure domain.
-        around: What all hosts share.
+        environment: The resources that all hosts share.
         randomness: Its source of random numbers.
 
     Attributes:
         clock: Its clock.
-        is_alive: It was neither killed nor has it stopped.
-        paused: It stands still.
-        began: Seconds at which this run began.
-        stopping: Its graceful stop has begun.
-        ended: Done once it is killed or closed.
+        is_alive: Whether it has neither been killed nor stopped.
+        is_open: Whether all parts have been started.
+        is_paused: Whether it is paused.
+        started_at: Time at which this incarnation started, in seconds.
+        is_stopping: Whether its graceful stop has begun.
+        terminated: Done once it is killed or closed.
     """
 
     def __init__(
@@ -243,7 +245,7 @@
 
     @property
     def app(self) -> Application:
-        """Return the application for callers."""
+        """The application for callers."""
         return next(
             app
             for app in self._listener.apps
@@ -252,16 +254,16 @@
 
     @property
     def configuration(self) -> Configuration:
-        """Return what is in force on this host."""
+        """The configuration in force on this host."""
         return self.kernel.need(Configuration)
 
     @property
     def is_running(self) -> bool:
-        """Tell whether it is open, alive and not paused."""
+        """Whether it is open, alive and not paused."""
         return self.is_open and self.is_alive and not self.is_paused
 
     async def open(self) -> None:
-        """Open all parts."""
+        """Start all parts."""
         replacements = {
             name: _factory_of(part)
             for name, part in self._in_memory_parts().items()
@@ -270,19 +272,19 @@
         self.is_open = True
 
     def pause(self) -> None:
-        """Stand still, as by SIGSTOP."""
+        """Pause the host, as SIGSTOP does."""
         self.is_paused = True
         self.clock.pause()
 
     def resume(self) -> None:
-        """Go on, as by SIGCONT."""
+        """Resume the host, as SIGCONT does."""
         self.is_paused = False
         self.clock.resume()
 
     def kill(self) -> None:
-        """End at once, as by kill -9: nothing of it ever runs again.
+        """Terminate immediately, as SIGKILL does: none of its code runs again.
 
-        The others learn of it later, when the network removes it.
+        Its peers notice this later, when the host is removed from the network.
         """
         self.is_alive = False
         self._mesh.is_alive = False
@@ -303,7 +305,7 @@
             self.terminated.set_result(None)
 
     def _in_memory_parts(self) -> dict[str, Part]:
-        """Return the parts that stand on memory, by whose place they take."""
+        """Return the in-memory parts by the names of those they replace."""
         environment = self._environment
         platform = SoakHostPlatform(
             environment.platform, self.domain, self.clock
@@ -346,5 +348,5 @@
 
 
 def _factory_of(part: Part) -> MakePart:
-    """Return a factory of a part that is there already."""
+    """Return a factory that returns an existing part."""
     return lambda: part
--- a/experiments/soak/mutants.py
+++ b/experiments/soak/mutants.py
@@ -1,4 +1,7 @@
-"""Mechanisms taken out one by one, to see that the run's judge needs them."""
+"""Patches that disable single mechanisms of the daemon.
+
+They serve to check that the judge detects the absence of each mechanism.
+"""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -19,24 +22,24 @@
 from nutmegroad.records.tickets import SpentTicket, TicketIssuer
 from nutmegroad.routing.directory import Directory
 
-#: An owner, its attribute, and what takes the attribute's place.
+#: The patched owner, the name of its attribute, and the replacement.
 _Patch = tuple[Any, str, Any]
 
 
 async def _skip_claim(self: Any, order: Any) -> ExecutionGrant:
-    """Let each request with a key run."""
+    """Execute requests with an idempotency key without claiming the key."""
     return ExecutionGrant(order, self._fence(order, None))
 
 
 def _accept_spent_ticket(
     self: Any, ticket: Any, request: Any, fingerprint: Any
 ) -> Any:
-    """Let a ticket be spent again and again."""
+    """Accept a ticket that has been spent already."""
     return SpentTicket(ticket.number, request, fingerprint, ticket.until)
 
 
 async def _accept_older_revision(self: Any, head: Any, host: Any) -> Any:
-    """Take whatever comes, also an older revision."""
+    """Accept any revision, including older ones."""
     accepted = await self._accepted(head, host)
     if isinstance(accepted, Accepted):
         self._configuration._accepted = accepted
@@ -45,17 +48,17 @@
 
 
 async def _skip_pin(self: Any, intake: Any) -> Any:
-    """Hold no named session to a version."""
+    """Leave named sessions without a pinned version."""
     return intake
 
 
 def _ignore_token(self: Any, headers: Any, workspace: Any) -> Any:
-    """Take no notice of a session's token."""
+    """Ignore the token of a session."""
     return '', None
 
 
 def _accept_any_attempt(self: Any, chunk: Any) -> Any:
-    """Take a piece of any attempt."""
+    """Accept chunks of any attempt."""
     if chunk.index < self.expected:
         return None
     self.expected += 1
@@ -63,16 +66,16 @@
 
 
 async def _skip_drain(self: Any, until: float) -> None:
-    """Wait for no request."""
+    """Return without waiting for open requests."""
 
 
 async def _skip_hand_over(self: Any, last: bool = False) -> bool:
-    """Hand nothing to a peer."""
+    """Send no copies of billing records to peers."""
     return False
 
 
 def _report_not_run(self: Any, refusal: Refusal) -> Refusal:
-    """Say of all refusals that nothing ran."""
+    """Mark each refusal as not run."""
     return replace(refusal, ran=Ran.NOT_RUN)
 
 
@@ -82,7 +85,11 @@
         'is_withdrawn',
         lambda configuration, version, epoch: False,
     ),
-    'lease': (Configuration, 'isolated', property(lambda configuration: False)),
+    'lease': (
+        Configuration,
+        'isolated',
+        property(lambda configuration: False),
+    ),
     'claim': (AtMostOnce, '_claim_key', _skip_claim),
     'ticket': (TicketIssuer, 'spend', _accept_spent_ticket),
     'forward only': (ConfigurationPoller, '_take', _accept_older_revision),
@@ -101,6 +108,6 @@
 
 
 def mutant(name: str) -> '_patch[Callable[..., Any]]':
-    """Return the patch that takes a mechanism out."""
+    """Return a patch that disables a mechanism."""
     owner, attribute, replacement = MUTANTS[name]
     return patch.object(owner, attribute, replacement)
--- a/experiments/soak/operators.py
+++ b/experiments/soak/operators.py
@@ -1,4 +1,4 @@
-"""The operators of a randomised run, who change things at the same moment."""
+"""Operators that change the configuration concurrently."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
     VersionId,
 )
 
-#: Seconds for which an event lasts, at least and at most.
+#: Minimum and maximum duration of an event, in seconds.
 SHORT_SPAN: Final = (1.0, 6.0)
 LONG_SPAN: Final = (10.0, 30.0)
 
@@ -28,14 +28,14 @@
 
 @dataclass(slots=True)
 class Operators:
-    """Two operators, each at some host.
+    """Two operators, each connected to a randomly chosen host.
 
     Attributes:
-        document: The document at the start.
-        judge: Told of what they do.
-        clock: The time of all.
-        randomness: Draws what they do.
-        hosts: The present run of each host.
+        document: The initial configuration document.
+        judge: Notified of the changes.
+        clock: Virtual clock.
+        randomness: Source of the random choices.
+        hosts: The present incarnation of each host.
     """
 
     document: Document
@@ -46,7 +46,7 @@
     _is_withdrawing: bool = False
 
     async def change_concurrently(self) -> None:
-        """Have two operators change something at once."""
+        """Make two changes concurrently, at different hosts."""
         hosts = [host for host in self.hosts.values() if host.is_running]
         if len(hosts) < 2:
             return
@@ -58,7 +58,7 @@
         await asyncio.gather(*tasks)
 
     async def _change(self, host: SoakHost, operator: OperatorId) -> None:
-        """Switch the preset, or change or put back a workspace."""
+        """Switch the preset, or change or restore the entry of a workspace."""
         changes = host.kernel.need(Changes)
         preset = PresetName(
             self.randomness.choice(self.document.presets).name,
@@ -79,7 +79,7 @@
         self.judge.log_event(f'{operator} at {host.host}: {outcome_type}')
 
     async def withdraw(self) -> None:
-        """Withdraw a version, and allow it anew after a while."""
+        """Withdraw a version, and reinstate it after a while."""
         hosts = [host for host in self.hosts.values() if host.is_running]
         if not hosts or self._is_withdrawing:
             return
@@ -96,7 +96,7 @@
         self._is_withdrawing = False
 
     async def _reinstate_versions(self) -> bool:
-        """Allow all versions anew; false if that did not succeed."""
+        """Reinstate all withdrawn versions; return whether that succeeded."""
         hosts = [host for host in self.hosts.values() if host.is_running]
         if not hosts:
             return False
@@ -119,7 +119,7 @@
         return bool(head)
 
     def _with_valid_epoch(self, entry: VersionEntry) -> VersionEntry:
-        """Return a version's entry under an epoch that is not withdrawn."""
+        """Return a version's entry with an epoch that is not withdrawn."""
         if self.judge.history.is_withdrawn(entry.version):
             return replace_fields(entry, epoch=entry.epoch + 1)
         return entry
--- a/experiments/soak/platform.py
+++ b/experiments/soak/platform.py
@@ -1,4 +1,4 @@
-"""The platform of a randomised run: rows, objects, lists and ratings."""
+"""In-memory platform of a randomized run: rows, objects, lists and ratings."""
 
 import random
 from collections import defaultdict, deque
@@ -23,9 +23,9 @@
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.results import Refusal, ResultCode
 
-#: Versions of a row that reads which lag can still see.
+#: Maximum number of past versions of a row that stale reads can return.
 _MAX_ROW_VERSIONS: Final = 30
-#: Ratings that are kept for their readers.
+#: Maximum number of retained ratings.
 _MAX_RATINGS: Final = 5_000
 _LOADS_PER_MINUTE: Final = 6.0
 
@@ -34,10 +34,10 @@
     """All services of the platform, shared by all hosts.
 
     Attributes:
-        listing: The host list as it is read now; it lags.
-        ratings: Ratings so far.
-        bad: Versions whose answers are rated low.
-        watch: Called with each row that is written.
+        listing: The host list that reads return; it may be out of date.
+        ratings: The most recent ratings.
+        low_rated: Versions whose answers receive low ratings.
+        on_row_written: Called with each row that is written.
     """
 
     def __init__(self, clock: Clock, randomness: random.Random) -> None:
@@ -51,18 +51,18 @@
         )
 
     def scan_rows(self, prefix: str) -> tuple[Row, ...]:
-        """Return the rows whose keys begin with a prefix."""
+        """Return the rows whose keys start with a prefix."""
         keys = sorted(key for key in self._rows if key.startswith(prefix))
         return tuple(self._rows[key] for key in keys)
 
     def object_names(self, prefix: str) -> tuple[str, ...]:
-        """Return the names of objects that begin with a prefix."""
+        """Return the names of the objects that start with a prefix."""
         return tuple(
             sorted(name for name in self.objects if name.startswith(prefix)),
         )
 
     def rate(self, answer: RatedAnswer) -> None:
-        """Rate an answer at once; readers see it with their next read."""
+        """Rate an answer immediately; the next read returns the rating."""
         is_bad = answer.version in self.low_rated
         rating = Rating(
             (self.ratings[-1].position + 1) if self.ratings else 1,
@@ -81,7 +81,7 @@
         return row
 
     def _row_at(self, key: RowKey, moment: float) -> Row:
-        """Return a row as it was."""
+        """Return a row as it was at a given time."""
         before = Row(key, '', ABSENT)
         for written in self._row_history[key]:
             if written.at <= moment:
@@ -90,16 +90,16 @@
 
 
 class SoakHostPlatform(HostPlatform):
-    """The platform as one host sees it, all its services."""
+    """The platform as accessed by one host, with all its services."""
 
     _platform: SoakPlatform
 
     async def scan(self, prefix: str) -> tuple[Row, ...] | Refusal:
-        """Return rows by prefix."""
+        """Return the rows whose keys start with a prefix."""
         return await self._call(lambda: self._platform.scan_rows(prefix))
 
     async def fetch(self, name: str) -> bytes | Refusal:
-        """Return an object's content."""
+        """Return the content of an object."""
         found = await self._call(lambda: self._platform.objects.get(name))
         if found is None:
             reason = f'There is no object {name}.'
@@ -107,7 +107,7 @@
         return found
 
     async def names(self, prefix: str) -> tuple[str, ...] | Refusal:
-        """Return names of objects by prefix."""
+        """Return the names of the objects that start with a prefix."""
         return await self._call(lambda: self._platform.object_names(prefix))
 
     async def listing(self) -> Listing | Refusal:
@@ -115,11 +115,11 @@
         return await self._call(lambda: self._platform.listing)
 
     async def submit(self, answer: RatedAnswer) -> Refusal | None:
-        """Have an answer rated."""
+        """Submit an answer for rating."""
         return await self._call(lambda: self._platform.rate(answer))
 
     async def feed(self, after: int) -> tuple[Rating, ...] | Refusal:
-        """Return later ratings."""
+        """Return the ratings after a position."""
         return await self._call(
             lambda: tuple(
                 rating
@@ -129,9 +129,9 @@
         )
 
     async def loads_per_minute(self) -> float | Refusal:
-        """Return the weight store's rate."""
+        """Return the throughput of the weight store, in loads per minute."""
         return await self._call(lambda: _LOADS_PER_MINUTE)
 
 
 def _ignore_row(row: Row) -> None:
-    """Watch nothing."""
+    """Ignore a written row; the default of ``on_row_written``."""
--- a/experiments/soak/program.py
+++ b/experiments/soak/program.py
@@ -1,8 +1,9 @@
-"""A long randomised run over whole hosts, on a virtual time.
+"""Long randomized runs of whole hosts under faults, on virtual time.
 
-``python -m experiments.soak --seed 1 --hours 1`` runs one seed; with
-``--seeds 20`` it runs that many, one after the other. ``--limit`` bounds
-the real time. The same seed gives the same run; its digest is printed.
+``python -m experiments.soak --seed 1 --hours 1`` runs one seed;
+``--seeds 20`` runs 20 seeds, one after the other. ``--limit`` bounds the real
+time in seconds. Runs of the same seed are identical; the digest of the event
+log is printed.
 """
 
 import argparse
@@ -51,17 +52,17 @@
 from nutmegroad.records.billing import BILLING_PREFIX
 from nutmegroad.testing.virtual import MemoryMesh, NetworkFaults
 
-#: Hosts in each of the three domains.
+#: Number of hosts in each of the three failure domains.
 HOSTS_PER_DOMAIN: Final = 2
-#: Upstreams in each of them.
+#: Kinds of the upstreams in each failure domain.
 UPSTREAM_KINDS: Final = (
     UpstreamKind.ENGINE,
     UpstreamKind.ENGINE,
     UpstreamKind.SERVICE,
 )
-#: Seconds that the fleet has to come to rest, and to store its bills.
+#: Seconds in which the fleet must settle, and store its billing records.
 SETTLE_TIME: Final = 60.0
-#: Seconds for which reads of the table lag at most, in every second run.
+#: Maximum lag of table reads, in seconds, for every second pair of seeds.
 MAX_READ_LAG: Final = 3.0
 
 _SECONDS_PER_HOUR: Final = 3600.0
@@ -70,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What a run found.
+    """Outcome of a run.
 
     Attributes:
         seed: Its seed.
-        seconds: Seconds of virtual time.
-        digest: Hash of its log of events.
-        counts: What happened, by kind.
-        faults: What did not hold.
+        seconds: Duration in seconds of virtual time.
+        digest: Hash of its event log.
+        counts: Number of occurrences, by kind.
+        faults: Violated invariants.
     """
 
     seed: int
@@ -92,8 +93,8 @@
 
     Args:
         seed: Its seed.
-        seconds: Seconds of virtual time in which things go wrong.
-        clock: The virtual time.
+        seconds: Seconds of virtual time during which faults are injected.
+        clock: Virtual clock.
     """
 
     def __init__(self, seed: int, seconds: float, clock: Clock) -> None:
@@ -108,10 +109,10 @@
         self._stack = AsyncExitStack()
 
     async def run(self, limit: float = float('inf')) -> SoakResult:
-        """Run it.
+        """Run until the end, the limit or the first violated invariant.
 
         Args:
-            limit: Real seconds after which it comes to its end early.
+            limit: Seconds of real time after which the run ends early.
         """
         async with self._stack:
             await self._open()
@@ -123,14 +124,14 @@
                 is_out_of_time = time.monotonic() - started > limit
                 if self._judge.faults or is_out_of_time:
                     break
-            # A run that has failed is not worth its end.
+            # The checks at rest have no value after a failure.
             if not self._judge.faults:
                 await self._settle()
             self._kill_hosts()
             return self._result()
 
     async def _open(self) -> None:
-        """Open everything, and begin."""
+        """Start the hosts, the traffic and the events."""
         network = await self._stack.enter_async_context(
             MemoryMesh(
                 self._clock,
@@ -151,7 +152,8 @@
             self._clock, self._randomness, self._judge
         )
         self._add_upstreams(upstream_network)
-        infos = tuple(one.info for one in upstream_network.upstreams.values())
+        upstreams = upstream_network.upstreams.values()
+        infos = tuple(upstream.info for upstream in upstreams)
         platform.listing = Listing((), infos)
         self._environment = Environment(
             network,
@@ -185,8 +187,10 @@
         ]
 
     def _add_upstreams(self, upstream_network: UpstreamNetwork) -> None:
-        """Put engines and services into each domain."""
-        versions = tuple(VersionId(one.id) for one in self._document.versions)
+        """Create engines and a service in each domain."""
+        versions = tuple(
+            VersionId(version.id) for version in self._document.versions
+        )
         service = ServiceName(self._document.services[0].name)
         number = 0
         for domain in DOMAINS[self._deployment]:
@@ -207,7 +211,7 @@
                 )
 
     async def _open_hosts(self) -> None:
-        """Start all hosts, and put the document into force."""
+        """Start all hosts, and apply the configuration document."""
         for domain in DOMAINS[self._deployment]:
             for number in range(HOSTS_PER_DOMAIN):
                 await self._events.start_host(
@@ -224,7 +228,7 @@
         await self._clock.sleep(5)
 
     async def _settle(self) -> None:
-        """Let nothing more go wrong, and judge what is left."""
+        """Stop traffic and events, and check the fleet once it has settled."""
         for task in self._tasks[:2]:
             task.cancel()
         deadline = self._clock.now() + SETTLE_TIME
@@ -234,26 +238,26 @@
         judge = self._judge
         judge.check_hosts()
         for task in self._traffic.open_requests:
-            judge.report_fault(f'a request has not ended: {task!r}')
+            judge.fail(f'a request has not ended: {task!r}')
         self._check_agreement()
         judge.check_billing(
             count_billed(self._environment.platform.objects, BILLING_PREFIX),
         )
 
     def _kill_hosts(self) -> None:
-        """Let nothing of any host run on."""
+        """Kill all hosts, so that none of their tasks continues."""
         for host in self._judge.hosts.values():
             host.kill()
 
     def _check_agreement(self) -> None:
-        """Judge whether all hosts agree after a while of quiet."""
+        """Check that all hosts have the newest revision."""
         newest = self._judge.history.revisions[-1].head.revision
         for host in self._judge.hosts.values():
             if host.configuration.revision != newest:
-                self._judge.report_fault(f'{host.host} does not have {newest}')
+                self._judge.fail(f'{host.host} does not have {newest}')
 
     def _result(self) -> SoakResult:
-        """Sum the run up."""
+        """Return the outcome of the run."""
         judge = self._judge
         judge.counts['revisions'] = len(judge.history.revisions)
         return SoakResult(
@@ -270,7 +274,7 @@
     seconds: float,
     limit: float = float('inf'),
 ) -> SoakResult:
-    """Run one seed on a loop of its own."""
+    """Run one seed on an event loop of its own."""
     load_plugins()
 
     loop = VirtualLoop()
@@ -279,7 +283,7 @@
 
 
 def print_result(result: SoakResult) -> None:
-    """Print what a run found."""
+    """Print the outcome of a run."""
     counts = result.counts
     _print_line(
         f'seed {result.seed}: {result.seconds:.0f} s, '
@@ -308,7 +312,7 @@
 
 
 def main() -> int:
-    """Run seeds until the limit."""
+    """Run the seeds one after the other until the time limit."""
     args = _arguments()
     logging.set_verbosity(logging.INFO if args.log else logging.FATAL)
     started = time.monotonic()
--- a/experiments/soak/records.py
+++ b/experiments/soak/records.py
@@ -1,4 +1,4 @@
-"""What the judge of a randomised run keeps of requests and events."""
+"""Records of requests and disturbances that the judge keeps."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -9,19 +9,19 @@
 
 
 @dataclass(slots=True)
-class CallRecord:
-    """A caller's request, as the judge knows it.
+class Call:
+    """A caller's request.
 
     Attributes:
-        mark: What it carries; repeats of a request carry the same.
-        workspace: Who asks.
-        task: Its task class; empty for a service's call.
+        tag: Identifies the request; its duplicates carry the same tag.
+        workspace: The workspace that sends it.
+        task: Its task class; empty for a call of a service.
         service: The service; empty for a model request.
         repeatable: Whether its work may run twice.
-        words: Words of the answer that it asks for.
-        session: What names its session; empty for none.
-        deadline: Seconds that it gives.
-        began: Seconds at which it was sent.
+        words: Number of words of the requested answer.
+        session: Name of its session; empty for none.
+        deadline: Its deadline in seconds after it is sent.
+        sent_at: Time at which it was sent, in seconds.
     """
 
     tag: str
@@ -37,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AnsweredRequest:
-    """A request that was answered whole.
+    """A request that was answered completely.
 
     Attributes:
         request: Its id.
-        host: The host that was asked.
-        at: Seconds.
+        host: The host that answered it.
+        at: Time of the answer, in seconds.
     """
 
     request: str
@@ -52,12 +52,12 @@
 
 @dataclass(slots=True)
 class Disturbance:
-    """Something that went wrong with hosts or their links.
+    """A fault injected into hosts, their links or the platform.
 
     Attributes:
-        at: Seconds.
-        what: What it was.
-        until: Seconds at which it was over.
+        at: Time at which it began, in seconds.
+        description: Its kind, followed by its target.
+        until: Time at which it ended, in seconds.
     """
 
     at: float
@@ -66,7 +66,7 @@
 
 
 def count_billed(objects: dict[str, bytes], prefix: str) -> dict[str, int]:
-    """Return how often each request stands in the billing objects."""
+    """Return the number of stored billing records of each request."""
     seen: Counter[str] = Counter()
     for name in sorted(objects):
         if name.startswith(prefix):
@@ -76,11 +76,11 @@
 
 
 def request_of(attempt: str) -> str:
-    """Return the request to which an attempt belongs."""
+    """Return the id of the request to which an attempt belongs."""
     host, nonce, *_ = attempt.split('.')
     return f'{host}.{nonce}'
 
 
 def incarnation_of(request: str) -> str:
-    """Return the run of the host that named a request."""
+    """Return the incarnation of the host that created a request id."""
     return request.rpartition('-')[0]
--- a/experiments/soak/traffic.py
+++ b/experiments/soak/traffic.py
@@ -1,4 +1,4 @@
-"""The callers of a randomised run: what they send, and again, and where."""
+"""Callers of a randomized run: requests, duplicates and sessions."""
 
 import asyncio
 import random
@@ -13,19 +13,19 @@
 from experiments.soak.calls import CallerRequest, Reply, send
 from experiments.soak.hosts import SoakHost
 from experiments.soak.judge import HANG_GRACE, Judge
-from experiments.soak.records import CallRecord
+from experiments.soak.records import Call
 from nutmegroad.contracts.documents import Document, WorkspaceEntry
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.types import HostId, WorkspaceId
 from nutmegroad.routing.services import is_repeatable
 
-#: Seconds between requests, on average.
+#: Mean number of seconds between requests.
 MEAN_REQUEST_GAP: Final = 0.35
-#: Requests and sessions that are remembered for more.
+#: Maximum number of requests and sessions that are kept for reuse.
 _MAX_REMEMBERED: Final = 30
 
-#: How a request is kept from running twice, and how often in ten: one
-#: that may be repeated, and one that may not.
+#: Means against executing a request twice, and the weights (of ten) with
+#: which each is chosen: for requests that are repeatable, and for others.
 _DUPLICATE_GUARDS: Final = ('key', 'ticket', 'none')
 _REPEATABLE_WEIGHTS: Final = (1, 0, 9)
 _UNREPEATABLE_WEIGHTS: Final = (4, 4, 2)
@@ -38,27 +38,27 @@
 
 @dataclass(slots=True)
 class SentRequest:
-    """A request as it was sent, so that it can be sent again.
+    """A request, kept so that it can be sent again.
 
     Attributes:
-        call: What the judge knows of it.
-        request: The request.
+        call: The judge's record of it.
+        request: The HTTP request.
     """
 
-    call: CallRecord
+    call: Call
     request: CallerRequest
 
 
 @dataclass(slots=True)
 class Session:
-    """A caller's session.
+    """A session of a caller.
 
     Attributes:
-        name: How the judge calls it.
-        workspace: Whose it is.
-        task: What it asks for.
-        header: What its requests bring; empty before the first answer of
-            a session that goes by token.
+        name: Identifies it to the judge.
+        workspace: The workspace that it belongs to.
+        task: Its task class.
+        header: The session header of its requests; empty before the first
+            answer of a session that is identified by a token.
     """
 
     name: str
@@ -72,12 +72,12 @@
     """Callers of one deployment.
 
     Attributes:
-        document: Names workspaces, tasks and services.
-        judge: Judges what they get.
-        clock: The time of all.
-        randomness: Draws what they do.
-        hosts: The present run of each host.
-        open: Requests that have not ended.
+        document: Defines workspaces, tasks and services.
+        judge: Checks the replies.
+        clock: Virtual clock.
+        randomness: Source of the random choices.
+        hosts: The present incarnation of each host.
+        open_requests: Tasks of requests that have not ended.
     """
 
     document: Document
@@ -95,7 +95,7 @@
     )
 
     async def run(self) -> None:
-        """Send requests until cancelled."""
+        """Send requests at random times until cancelled."""
         while True:
             await self.clock.sleep(
                 self.randomness.expovariate(1 / MEAN_REQUEST_GAP)
@@ -103,22 +103,26 @@
             self._start(self._send_next())
 
     def _start(self, work: Any) -> None:
-        """Run a request in a task of its own."""
+        """Send a request in a task of its own."""
         task = asyncio.ensure_future(work)
         self.open_requests.add(task)
         task.add_done_callback(self._on_done)
 
     def _on_done(self, task: asyncio.Task[None]) -> None:
-        """Forget a request; a failure in it is the run's."""
+        """Remove the task of a request; report an exception as a fault."""
         self.open_requests.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.judge.report_fault(f'a caller failed: {task.exception()!r}')
+            self.judge.fail(f'a caller failed: {task.exception()!r}')
 
     def _chance(self, probability: float) -> bool:
         return self.randomness.random() < probability
 
     def _choose_host(self) -> SoakHost:
-        """Return some host, as a balancer that lags might."""
+        """Choose a host, usually one that takes new work.
+
+        One in ten choices is made among all hosts, as by a load balancer whose
+        information is outdated.
+        """
         names = sorted(self.hosts)
         available = [
             name
@@ -131,7 +135,7 @@
         ]
 
     async def _send_next(self) -> None:
-        """Send one request, or two at once."""
+        """Send a new request, or an earlier one again."""
         if self._resendable and self._chance(0.15):
             sent = self.randomness.choice(self._resendable)
             sent.call.sent_at = self.clock.now()
@@ -160,7 +164,7 @@
         await self._send_guarded(SentRequest(call, request))
 
     async def _request_model(self) -> None:
-        """Ask a model, in a session or in none."""
+        """Send a model request, within a session or without one."""
         session = self._choose_session()
         workspace = self._choose_workspace()
         if session is not None:
@@ -185,7 +189,7 @@
             msgspec.json.encode(body),
         )
         if call.session and self._chance(0.2):
-            # Its requests come to two hosts at once.
+            # Two requests of the session are sent concurrently.
             sibling = replace(call, tag=f'{call.tag}t')
             self.judge.calls[sibling.tag] = sibling
             self._start(
@@ -196,7 +200,7 @@
 
     def _sibling_request(
         self,
-        call: CallRecord,
+        call: Call,
         request: CallerRequest,
         body: dict[str, Any],
     ) -> SentRequest:
@@ -208,7 +212,7 @@
     def _store_session_token(
         self, session: Session | None, reply: Reply | None
     ) -> None:
-        """Keep the session's token, if it goes by token."""
+        """Keep the token from the first answer of a session without a name."""
         if session is None or reply is None or not reply.is_complete:
             return
         token = reply.headers.get('Nutmegroad-Session', '')
@@ -217,7 +221,10 @@
             self.judge.session_pinned(session.name, reply.answer()[0])
 
     async def _send_guarded(self, sent: SentRequest) -> Reply | None:
-        """Send a request, mostly with a key or a ticket if it needs one."""
+        """Send a request, with a key, a ticket or neither.
+
+        Requests with either are also kept, to be sent again later.
+        """
         headers = dict(sent.request.headers)
         weights = (
             _REPEATABLE_WEIGHTS
@@ -241,12 +248,12 @@
         return await self._send_once(sent)
 
     async def _send_duplicate(self, sent: SentRequest) -> None:
-        """Send a request at another host at about the same time."""
+        """Send a duplicate of a request at nearly the same time."""
         await self.clock.sleep(self.randomness.choice((0, 0, 0.01, 0.5)))
         await self._send_once(sent)
 
     async def _request_ticket(self, headers: dict[str, str]) -> str:
-        """Get a ticket; empty if there is none."""
+        """Obtain a ticket; return an empty text if there is none."""
         request = CallerRequest('POST', '/v1/tickets', headers)
         host = self._choose_host()
         if not host.is_running:
@@ -257,7 +264,7 @@
         return str(reply.json()['ticket'])
 
     async def _send_once(self, sent: SentRequest) -> Reply | None:
-        """Send a request to some host and wait for its end."""
+        """Send a request to a host and wait until it ends."""
         judge, call, host = self.judge, sent.call, self._choose_host()
         judge.counts['requests'] += 1
         judge.log_event(f'{call.tag} goes to {host.host}')
@@ -293,14 +300,14 @@
     async def _send_when_running(
         self, host: SoakHost, request: CallerRequest
     ) -> Reply:
-        """Have a host answer once it runs."""
+        """Pass a request to a host as soon as the host is not paused."""
         await host.clock.sleep(0)
         return await send(host.app, request)
 
     async def _disconnect(
         self, host: SoakHost, task: asyncio.Task[Reply]
     ) -> None:
-        """Let a host see, once it runs, that its caller has gone."""
+        """Disconnect the caller as soon as the host is not paused."""
         resumed = asyncio.ensure_future(host.clock.sleep(0))
         await asyncio.wait(
             (resumed, host.terminated),
@@ -313,7 +320,7 @@
             resumed.cancel()
 
     def _choose_session(self) -> Session | None:
-        """Return a session, an old one or a new one, or none."""
+        """Return an existing or a new session, or None."""
         if self._chance(0.6):
             return None
         if self._sessions and self._chance(0.75):
@@ -344,10 +351,10 @@
         workspace: WorkspaceEntry,
         task: str = '',
         service: str = '',
-    ) -> CallRecord:
-        """Make a request known to the judge."""
+    ) -> Call:
+        """Create the record of a request and register it with the judge."""
         self._count += 1
-        call = CallRecord(
+        call = Call(
             tag=f'm{self._count}',
             workspace=WorkspaceId(workspace.name),
             task=task,
@@ -362,9 +369,9 @@
         return call
 
     def _common_headers(
-        self, call: CallRecord, workspace: WorkspaceId
+        self, call: Call, workspace: WorkspaceId
     ) -> dict[str, str]:
-        """Return the headers that every request brings."""
+        """Return the headers that all requests have."""
         return {
             'Authorization': f'Bearer {workspace_key(workspace)}',
             'Nutmegroad-Deadline-Ms': str(int(call.deadline * 1000)),
--- a/experiments/soak/upstreams.py
+++ b/experiments/soak/upstreams.py
@@ -1,7 +1,7 @@
-"""Engines and plain services of a randomised run, without sockets.
+"""Simulated engines and plain services, without sockets.
 
-Each host has clients of its own that call the gate in the step in which
-the first byte goes out, and read answers through the program's own reader.
+Each host has clients of its own. They call the gate in the same step in
+which the first byte is sent, and parse answers with the daemon's reader.
 """
 
 import random
@@ -40,25 +40,25 @@
     VersionId,
 )
 
-#: Requests that an engine's batch holds.
+#: Maximum number of requests in an engine's batch.
 SLOTS: Final = 16
-#: Seconds after which a connection that gets no reply is given up.
+#: Seconds after which a connection attempt without a reply is abandoned.
 CONNECT_TIMEOUT: Final = 2.0
-#: Seconds between looks of what waits for a frozen upstream.
+#: Seconds between checks whether an upstream is still frozen.
 FROZEN_POLL_INTERVAL: Final = 0.5
 
 
 @dataclass(slots=True)
 class Upstream:
-    """An upstream as it truly is.
+    """The actual state of an upstream.
 
     Attributes:
-        info: How the host list has it at most.
-        versions: What an engine has loaded.
-        leaving: It says that it is leaving.
-        is_down: Nothing listens.
-        is_frozen: It takes connections and does nothing.
-        running: Requests that it is at work on.
+        info: Its current host list entry; the platform's list may lag.
+        versions: Versions that an engine has loaded.
+        leaving: Whether it reports that it is draining.
+        is_down: Whether nothing listens at its address.
+        is_frozen: Whether it accepts connections, but does not answer.
+        running: Number of requests in execution.
     """
 
     info: UpstreamInfo
@@ -71,12 +71,13 @@
 
 @dataclass(slots=True)
 class FaultRates:
-    """How often upstreams go wrong, as shares of requests.
+    """Probabilities of upstream faults, as fractions of requests.
 
     Attributes:
-        stream: Answers that are cut, crossed, late and so on.
-        error: Requests that end with an error after the first byte.
-        lost: Replies of services that are lost after the call ran.
+        stream: Answers with a fault in their stream, such as a missing or
+            late chunk.
+        error: Requests that fail after the first byte.
+        lost: Replies of services that are lost after the call was executed.
     """
 
     stream: float = 0.03
@@ -89,12 +90,12 @@
     """The first byte of an attempt at an upstream.
 
     Attributes:
-        at: Seconds.
+        at: Time at which it was sent, in seconds.
         host: The host that sent it.
         attempt: The attempt.
-        upstream: Where it went.
+        upstream: The upstream to which it was sent.
         version: The version; empty for a service.
-        mark: The mark of the caller's request.
+        tag: Tag of the caller's request.
     """
 
     at: float
@@ -106,30 +107,30 @@
 
 
 class UpstreamObserver(Protocol):
-    """Sees what truly happens."""
+    """Notified of what happens at the upstreams."""
 
     def first_byte(self, sent: FirstByte) -> None:
-        """See the first byte of an attempt."""
+        """Handle the first byte of an attempt."""
 
     def attempt_refused(self, sent: FirstByte) -> None:
-        """See that an upstream refused an attempt before it started."""
+        """Handle an attempt that an upstream refused before starting it."""
 
     def leaving_reported(self, host: HostId, upstream: UpstreamId) -> None:
-        """See that a host was told that an upstream is leaving."""
+        """Handle the report of an upstream to a host that it is draining."""
 
 
 @dataclass(slots=True)
 class UpstreamNetwork:
-    """All upstreams, and who can reach them.
+    """All upstreams, and the domains from which they can be reached.
 
     Attributes:
-        clock: The time of all.
+        clock: Virtual clock.
         randomness: Draws faults and delays.
-        watcher: Sees first bytes.
-        upstreams: By id.
-        cut: Domains that are cut off from the others.
-        faults: How often upstreams go wrong.
-        runs: How often the work of each mark was started.
+        observer: Notified of first bytes.
+        upstreams: The upstreams by id.
+        partitioned_domains: Domains that are cut off from the others.
+        fault_rates: Probabilities of upstream faults.
+        receipts: Number of service calls executed so far.
     """
 
     clock: Clock
@@ -143,7 +144,7 @@
     def find_reachable(
         self, domain: DomainId, info: UpstreamInfo
     ) -> Upstream | None:
-        """Return an upstream if a host of a domain can reach it."""
+        """Return an upstream, or None if the domain can not reach it."""
         upstream = self.upstreams[info.upstream]
         address_matches = upstream.info.address == info.address
         if (
@@ -155,17 +156,17 @@
         return upstream
 
     def is_partitioned(self, domain: DomainId, info: UpstreamInfo) -> bool:
-        """Tell whether there is no way from a domain to an upstream."""
+        """Return whether a partition separates a domain from an upstream."""
         domains = {domain, info.domain}
         return len(domains) > 1 and bool(domains & self.partitioned_domains)
 
     def chance(self, probability: float) -> bool:
-        """Draw whether something of a share happens."""
+        """Return true with the given probability."""
         return self.randomness.random() < probability
 
 
 def restart_upstream(upstream: Upstream) -> None:
-    """Bring an upstream back, at another address."""
+    """Restart an upstream at another address."""
     address = upstream.info.address
     upstream.info = replace(
         upstream.info,
@@ -177,10 +178,10 @@
 
 
 class HostEngines:
-    """A host's client of engines.
+    """A host's client for engines.
 
     Args:
-        world: The upstreams.
+        network: The upstreams.
         host: The host.
         domain: Its failure domain.
         clock: Its clock.
@@ -200,10 +201,9 @@
 
     @asynccontextmanager
     async def answer(
-        self,
-        attempt: Attempt,
+        self, attempt: Attempt
     ) -> AsyncIterator[AsyncIterator[AnswerEvent]]:
-        """Open an answer."""
+        """Open the stream of an answer."""
         events = self._events(attempt)
         try:
             yield events
@@ -211,7 +211,7 @@
             await events.aclose()
 
     async def report(self, upstream: UpstreamInfo) -> EngineReport | Refusal:
-        """Ask an engine for its load."""
+        """Request the load report of an engine."""
         engine = await self._connect(upstream)
         if isinstance(engine, Refusal):
             return engine
@@ -233,18 +233,16 @@
         )
 
     async def order(
-        self,
-        upstream: UpstreamInfo,
-        order: EngineOrder,
+        self, upstream: UpstreamInfo, order: EngineOrder
     ) -> Refusal | None:
-        """Tell an engine to load a version; it has all that it may have."""
+        """Accept an order to load a version; all are loaded already."""
         engine = await self._connect(upstream)
         if isinstance(engine, Refusal):
             return engine
         return order.gate()
 
     async def _connect(self, info: UpstreamInfo) -> Upstream | Refusal:
-        """Open a connection, or fail to."""
+        """Open a connection; return a refusal if that fails."""
         uniform = self._network.randomness.uniform
         await self._clock.sleep(uniform(0.001, 0.01))
         engine = self._network.find_reachable(self._domain, info)
@@ -256,10 +254,9 @@
         return Refusal(ResultCode.UPSTREAM_UNREACHABLE, reason)
 
     async def _events(
-        self,
-        attempt: Attempt,
+        self, attempt: Attempt
     ) -> AsyncGenerator[AnswerEvent, None]:
-        """Send an attempt and yield what comes."""
+        """Send an attempt and yield the events of its answer."""
         engine = await self._connect(attempt.upstream)
         if isinstance(engine, Refusal):
             yield engine
@@ -299,19 +296,16 @@
         tag: str,
         body: dict[str, Any],
     ) -> AsyncGenerator[AnswerEvent, None]:
-        """Yield what the program's reader makes of an engine's chunks."""
+        """Yield the events that the daemon's reader parses from an answer."""
         network = self._network
         if network.chance(network.fault_rates.error):
             await self._clock.sleep(0.01)
-            yield Refusal(ResultCode.UPSTREAM_ERROR, 'Status 500.', Ran.UNKNOWN)
+            reason = 'Status 500.'
+            yield Refusal(ResultCode.UPSTREAM_ERROR, reason, Ran.UNKNOWN)
             return
         reader = AnswerReader(attempt.attempt, attempt.skip)
-        schedule = schedule_answer(
-            network.randomness,
-            attempt,
-            tag,
-            body['max_tokens'],
-        )
+        words = body['max_tokens']
+        schedule = schedule_answer(network.randomness, attempt, tag, words)
         if network.chance(network.fault_rates.stream):
             inject_stream_fault(schedule, network.randomness)
         for scheduled in schedule:
@@ -329,10 +323,10 @@
 
 
 class HostServices:
-    """A host's client of plain services.
+    """A host's client for plain services.
 
     Args:
-        world: The upstreams.
+        network: The upstreams.
         host: The host.
         domain: Its failure domain.
         clock: Its clock.
@@ -351,7 +345,7 @@
         self._clock = clock
 
     async def call(self, call: ServiceCall) -> ServiceReply | Refusal:
-        """Make a call, once."""
+        """Make a call, without trying again."""
         network = self._network
         uniform = network.randomness.uniform
         await self._clock.sleep(uniform(0.001, 0.01))
@@ -386,19 +380,20 @@
 
 
 def _admission_refusal(engine: Upstream, attempt: Attempt) -> Refusal | None:
-    """Return why an engine does not start an attempt, if it does not."""
+    """Return why an engine does not start an attempt, or None if it does."""
     if engine.is_frozen:
         return None
     if engine.leaving:
         return Refusal(ResultCode.UPSTREAM_LEAVING, 'Leaving.', Ran.NOT_RUN)
     if attempt.version not in engine.versions:
-        return Refusal(ResultCode.VERSION_NOT_LOADED, 'Not there.', Ran.NOT_RUN)
+        reason = 'Not there.'
+        return Refusal(ResultCode.VERSION_NOT_LOADED, reason, Ran.NOT_RUN)
     if engine.running >= SLOTS:
         return Refusal(ResultCode.UPSTREAM_BUSY, 'Busy.', Ran.NOT_RUN, 0.2)
     return None
 
 
 def _timeout_refusal() -> Refusal:
-    """Say that nothing came back."""
+    """Return the refusal for an upstream that did not answer."""
     reason = 'The upstream fell silent.'
     return Refusal(ResultCode.UPSTREAM_TIMEOUT, reason, Ran.UNKNOWN)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,6 +1,6 @@
-"""The long run over whole hosts: fixed seeds, and mutants that it catches.
+"""Randomized runs of whole hosts: fixed seeds, and mutants to be detected.
 
-``make soak`` runs more, and longer.
+``make soak-virtual`` runs more seeds for a longer time.
 """
 
 import unittest
@@ -9,11 +9,11 @@
 from experiments.soak.mutants import mutant
 from experiments.soak.program import run_seed
 
-#: Seeds of both deployments, without and with reads that lag.
+#: Seeds of both deployments, without and with lag of table reads.
 SEEDS = (1, 2)
 DURATION = 30.0
 
-#: Mechanisms, and what the judge says where they are missing.
+#: Mechanisms, and a part of the fault reported when each is disabled.
 EXPECTED_FAULTS = (
     ('claim', 'ran twice'),
     ('ticket', 'ran twice'),
@@ -21,16 +21,16 @@
     ('pin', 'went elsewhere'),
     ('attempt id', 'not whole'),
 )
-#: Seeds of which one at least shows each; a change of the program gives
-#: other runs, so that no single one can be relied on.
+#: Maximum number of seeds that are tried until a mutant is detected. A change
+#: of the program changes all runs, so that no single seed can be relied on.
 MAX_SEEDS = 10
 
 
 class SoakTest(unittest.TestCase):
-    """Whole hosts under drawn faults."""
+    """Whole hosts under random faults."""
 
     def setUp(self) -> None:
-        """Keep the many logs of what goes wrong out of the report."""
+        """Suppress the many expected log messages."""
         before = logging.get_verbosity()
         logging.set_verbosity(logging.FATAL)
         self.addCleanup(logging.set_verbosity, before)
@@ -53,7 +53,7 @@
                 self.assertIn(expected, self.first_fault())
 
     def first_fault(self) -> str:
-        """Return what is found first in some seeds."""
+        """Return the first fault of the first seed that has one."""
         for seed in range(1, MAX_SEEDS + 1):
             faults = run_seed(seed, DURATION).faults
             if faults:
