--- a/experiments/soak/__init__.py
+++ b/experiments/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized long run of whole hosts under faults, on virtual time."""
+"""Long randomized runs of complete hosts under faults, on virtual time."""
--- a/experiments/soak/answers.py
+++ b/experiments/soak/answers.py
@@ -61,7 +61,7 @@
         attempt: The attempt; its ``skip`` chunks are left out, since the
             answer is resumed after them.
         tag: Tag of the request.
-        words: Number of content chunks of the whole answer.
+        words: Number of content chunks of the complete answer.
     """
     attempt_id = attempt.attempt
     schedule = [
--- a/experiments/soak/calls.py
+++ b/experiments/soak/calls.py
@@ -88,9 +88,8 @@
         """Return the model version and the text of a model's answer."""
         if not self.is_stream:
             completion = self.json()
-            return completion['model'], completion['choices'][0]['message'][
-                'content'
-            ]
+            message = completion['choices'][0]['message']
+            return completion['model'], message['content']
         chunks = [
             event for event in _parse_events(self.body) if 'choices' in event
         ]
--- a/experiments/soak/events.py
+++ b/experiments/soak/events.py
@@ -98,9 +98,8 @@
         # or ended while the host was down.
         for other in self.hosts:
             self.environment.network.heal(host, other)
-        for cut in sorted(
-            self.environment.upstream_network.partitioned_domains
-        ):
+        upstream_network = self.environment.upstream_network
+        for cut in sorted(upstream_network.partitioned_domains):
             self.environment.network.cut_domain(cut, noticed=True)
         await incarnation.open()
         return incarnation
--- a/experiments/soak/hosts.py
+++ b/experiments/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Whole hosts of a randomized run: the kernel with every part.
+"""Complete hosts of a randomized run: the kernel with every part.
 
 Parts that would open sockets are replaced by in-memory implementations;
 everything else is the code of the daemon. Each host has its own clock. A host
--- a/experiments/soak/judge.py
+++ b/experiments/soak/judge.py
@@ -55,7 +55,7 @@
         hosts: The present incarnation of each host.
         calls: Requests by tag.
         answered: Requests that were answered completely.
-        disturbances: Faults injected into hosts and links, in order.
+        disturbances: Faults of hosts, links and the platform, in order.
         unreachable_since: Domains whose hosts can not reach anything that
             could confirm their configuration, and the platform while it is
             unavailable, with the time since which that has been so.
--- a/experiments/soak/program.py
+++ b/experiments/soak/program.py
@@ -1,4 +1,4 @@
-"""Long randomized runs of whole hosts under faults, on virtual time.
+"""Long randomized runs of complete hosts under faults, on virtual time.
 
 ``python -m experiments.soak --seed 1 --hours 1`` runs one seed;
 ``--seeds 20`` runs 20 seeds, one after the other. ``--limit`` bounds the real
@@ -89,7 +89,7 @@
 
 
 class Soak:
-    """One run.
+    """A run of one seed.
 
     Args:
         seed: Its seed.
@@ -228,7 +228,7 @@
         await self._clock.sleep(5)
 
     async def _settle(self) -> None:
-        """Stop traffic and events, and check the fleet once it has settled."""
+        """Stop traffic and events, then check the fleet after it settles."""
         for task in self._tasks[:2]:
             task.cancel()
         deadline = self._clock.now() + SETTLE_TIME
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Randomized runs of whole hosts: fixed seeds, and mutants to be detected.
+"""Randomized runs of complete hosts: fixed seeds, and detection of mutants.
 
 ``make soak-virtual`` runs more seeds for a longer time.
 """
@@ -27,7 +27,7 @@
 
 
 class SoakTest(unittest.TestCase):
-    """Whole hosts under random faults."""
+    """Complete hosts under random faults."""
 
     def setUp(self) -> None:
         """Suppress the many expected log messages."""
