--- a/experiments/soak/__init__.py
+++ b/experiments/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A long randomised run of our own daemon, on virtual time."""
+"""Long randomized runs of complete hosts under faults, on virtual time."""
--- a/experiments/soak/mutants.py
+++ b/experiments/soak/mutants.py
@@ -1,4 +1,7 @@
-"""Mechanisms taken out one by one, to see that the run's judge needs them."""
+"""Patches that disable single mechanisms of the daemon.
+
+They serve to check that the judge detects the absence of each mechanism.
+"""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -19,22 +22,24 @@
 from nutmegroad.records.tickets import SpentTicket, TicketIssuer
 from nutmegroad.routing.directory import Directory
 
-#: An owner, its attribute, and what takes the attribute's place.
+#: The patched owner, the name of its attribute, and the replacement.
 _Patch = tuple[Any, str, Any]
 
 
-async def _no_claim(self: Any, order: Any) -> ExecutionGrant:
-    """Let each request with a key run."""
+async def _skip_claim(self: Any, order: Any) -> ExecutionGrant:
+    """Execute requests with an idempotency key without claiming the key."""
     return ExecutionGrant(order, self._fence(order, None))
 
 
-def _no_ticket(self: Any, ticket: Any, request: Any, fingerprint: Any) -> Any:
-    """Let a ticket be spent again and again."""
+def _accept_spent_ticket(
+    self: Any, ticket: Any, request: Any, fingerprint: Any
+) -> Any:
+    """Accept a ticket that has been spent already."""
     return SpentTicket(ticket.number, request, fingerprint, ticket.until)
 
 
-async def _not_forward(self: Any, head: Any, host: Any) -> Any:
-    """Take whatever comes, also an older revision."""
+async def _accept_older_revision(self: Any, head: Any, host: Any) -> Any:
+    """Accept any revision, including older ones."""
     accepted = await self._accepted(head, host)
     if isinstance(accepted, Accepted):
         self._configuration._accepted = accepted
@@ -42,35 +47,35 @@
     return accepted
 
 
-async def _no_pin(self: Any, intake: Any) -> Any:
-    """Hold no named session to a version."""
+async def _skip_pin(self: Any, intake: Any) -> Any:
+    """Leave named sessions without a pinned version."""
     return intake
 
 
-def _no_token(self: Any, headers: Any, workspace: Any) -> Any:
-    """Take no notice of a session's token."""
+def _ignore_token(self: Any, headers: Any, workspace: Any) -> Any:
+    """Ignore the token of a session."""
     return '', None
 
 
-def _any_attempt(self: Any, chunk: Any) -> Any:
-    """Take a piece of any attempt."""
+def _accept_any_attempt(self: Any, chunk: Any) -> Any:
+    """Accept chunks of any attempt."""
     if chunk.index < self.expected:
         return None
     self.expected += 1
     return self._accept(chunk)
 
 
-async def _no_drain(self: Any, until: float) -> None:
-    """Wait for no request."""
+async def _skip_drain(self: Any, until: float) -> None:
+    """Return without waiting for open requests."""
 
 
-async def _no_hand(self: Any, last: bool = False) -> bool:
-    """Hand nothing to a peer."""
+async def _skip_hand_over(self: Any, last: bool = False) -> bool:
+    """Send no copies of billing records to peers."""
     return False
 
 
-def _says_not_run(self: Any, refusal: Refusal) -> Refusal:
-    """Say of all refusals that nothing ran."""
+def _report_not_run(self: Any, refusal: Refusal) -> Refusal:
+    """Mark each refusal as not run."""
     return replace(refusal, ran=Ran.NOT_RUN)
 
 
@@ -80,21 +85,29 @@
         'is_withdrawn',
         lambda configuration, version, epoch: False,
     ),
-    'lease': (Configuration, 'isolated', property(lambda configuration: False)),
-    'claim': (AtMostOnce, '_claim_key', _no_claim),
-    'ticket': (TicketIssuer, 'spend', _no_ticket),
-    'forward only': (ConfigurationPoller, '_take', _not_forward),
-    'pin': (SessionPins, 'pin', _no_pin),
-    'token': (IntakeReader, '_session', _no_token),
-    'attempt id': (AnswerReader, '_read_chunk', _any_attempt),
-    'drain': (GracefulStop, '_wait', _no_drain),
-    'hand-over': (RecordSender, 'hand', _no_hand),
-    'leaving': (Directory, '_begin_leaving', lambda directory, *told: False),
-    'not run': (Fence, 'review', _says_not_run),
+    'lease': (
+        Configuration,
+        'isolated',
+        property(lambda configuration: False),
+    ),
+    'claim': (AtMostOnce, '_claim_key', _skip_claim),
+    'ticket': (TicketIssuer, 'spend', _accept_spent_ticket),
+    'forward only': (ConfigurationPoller, '_take', _accept_older_revision),
+    'pin': (SessionPins, 'pin', _skip_pin),
+    'token': (IntakeReader, '_session', _ignore_token),
+    'attempt id': (AnswerReader, '_read_chunk', _accept_any_attempt),
+    'drain': (GracefulStop, '_wait', _skip_drain),
+    'hand-over': (RecordSender, 'hand', _skip_hand_over),
+    'leaving': (
+        Directory,
+        '_begin_leaving',
+        lambda directory, *arguments: False,
+    ),
+    'not run': (Fence, 'review', _report_not_run),
 }
 
 
 def mutant(name: str) -> '_patch[Callable[..., Any]]':
-    """Return the patch that takes a mechanism out."""
-    owner, attribute, new = MUTANTS[name]
-    return patch.object(owner, attribute, new)
+    """Return a patch that disables a mechanism."""
+    owner, attribute, replacement = MUTANTS[name]
+    return patch.object(owner, attribute, replacement)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,6 +1,6 @@
-"""The long run over whole hosts: fixed seeds, and mutants that it catches.
+"""Randomized runs of complete hosts: fixed seeds, and detection of mutants.
 
-``make soak`` runs more, and longer.
+``make soak-virtual`` runs more seeds for a longer time.
 """
 
 import unittest
@@ -9,53 +9,53 @@
 from experiments.soak.mutants import mutant
 from experiments.soak.program import run_seed
 
-#: Seeds of both deployments, without and with reads that lag.
+#: Seeds of both deployments, without and with lag of table reads.
 SEEDS = (1, 2)
-SECONDS = 30.0
+DURATION = 30.0
 
-#: Mechanisms, and what the judge says where they are missing.
-CAUGHT = (
-    ('claim', 'ran twice'),
-    ('ticket', 'ran twice'),
-    ('token', 'went elsewhere'),
-    ('pin', 'went elsewhere'),
-    ('attempt id', 'not whole'),
+#: Mechanisms, and a part of the fault reported when each is disabled.
+EXPECTED_FAULTS = (
+    ('claim', 'executed twice'),
+    ('ticket', 'executed twice'),
+    ('token', 'which is not pinned'),
+    ('pin', 'which is not pinned'),
+    ('attempt id', 'incorrect answer'),
 )
-#: Seeds of which one at least shows each; a change of the program gives
-#: other runs, so that no single one can be relied on.
-MOST_SEEDS = 10
+#: Maximum number of seeds that are tried until a mutant is detected. A change
+#: of the program changes all runs, so that no single seed can be relied on.
+MAX_SEEDS = 10
 
 
 class SoakTest(unittest.TestCase):
-    """Whole hosts under drawn faults."""
+    """Complete hosts under random faults."""
 
     def setUp(self) -> None:
-        """Keep the many logs of what goes wrong out of the report."""
+        """Suppress the many expected log messages."""
         before = logging.get_verbosity()
         logging.set_verbosity(logging.FATAL)
         self.addCleanup(logging.set_verbosity, before)
 
-    def test_nothing_breaks_in_fixed_seeds(self) -> None:
+    def test_fixed_seeds_violate_no_invariant(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                result = run_seed(seed, SECONDS)
+                result = run_seed(seed, DURATION)
                 self.assertEqual((), result.faults)
                 self.assertGreater(result.counts['answered'], 0)
 
-    def test_the_same_seed_gives_the_same_run(self) -> None:
-        one, other = (run_seed(3, SECONDS) for _ in range(2))
-        self.assertEqual(one, other)
-        self.assertNotEqual(one.digest, run_seed(5, SECONDS).digest)
+    def test_runs_of_the_same_seed_are_identical(self) -> None:
+        first, second = (run_seed(3, DURATION) for _ in range(2))
+        self.assertEqual(first, second)
+        self.assertNotEqual(first.digest, run_seed(5, DURATION).digest)
 
-    def test_the_judge_misses_each_mechanism(self) -> None:
-        for name, said in CAUGHT:
+    def test_judge_detects_each_disabled_mechanism(self) -> None:
+        for name, expected in EXPECTED_FAULTS:
             with self.subTest(name), mutant(name):
-                self.assertIn(said, self.first_fault())
+                self.assertIn(expected, self.first_fault())
 
     def first_fault(self) -> str:
-        """Return what is found first in some seeds."""
-        for seed in range(1, MOST_SEEDS + 1):
-            faults = run_seed(seed, SECONDS).faults
+        """Return the first fault of the first seed that has one."""
+        for seed in range(1, MAX_SEEDS + 1):
+            faults = run_seed(seed, DURATION).faults
             if faults:
                 return faults[0]
         return ''
