--- a/src/nutmegroad/kernel/_setting_specs.py
+++ b/src/nutmegroad/kernel/_setting_specs.py
@@ -182,16 +182,16 @@
 
 
 _NAME_FORMAT: Final = (
-    'a name of small letters, digits, dots, dashes and underscores, '
-    'at most 63, such as "kent-hall-2"'
+    'a name of at most 63 lowercase letters, digits, dots, hyphens and '
+    'underscores, such as "kent-hall-2"'
 )
 _LISTENER_FORMAT: Final = (
-    'an IPv4 number and a port, such as "127.0.0.1:8080"; '
-    'names of hosts are not looked up'
+    'an IPv4 address and a port, such as "127.0.0.1:8080"; '
+    'host names are not resolved'
 )
 _TARGET_FORMAT: Final = (
-    'an IPv4 number, other than 0.0.0.0, and a port that others can reach, '
-    'such as "10.0.0.7:8090"; names of hosts are not looked up'
+    'an IPv4 address, other than 0.0.0.0, and a port that others can reach, '
+    'such as "10.0.0.7:8090"; host names are not resolved'
 )
 _SECRET_FORMAT: Final = f'at least {_MIN_SECRET_LENGTH} characters'
 
@@ -213,22 +213,22 @@
         'cluster_key',
         parse_secret,
         _SECRET_FORMAT,
-        'secret that hosts share',
+        'secret that all hosts share',
         secret=True,
     ),
     Spec(
         'cluster_key_old',
         lambda text: parse_secret(text) if text else text,
         f'{_SECRET_FORMAT}, or nothing',
-        'another key that holds while the cluster key is changed',
+        'second key that is accepted while the cluster key is rotated',
         '',
         secret=True,
     ),
     Spec(
         'seeds',
         read_targets,
-        'addresses divided by commas, each an IPv4 number and a port',
-        'peer addresses to start from',
+        'comma-separated addresses, each an IPv4 address and a port',
+        'peer addresses for joining the mesh',
         '',
     ),
     Spec(
@@ -239,36 +239,45 @@
         '',
         secret=True,
     ),
-    _seconds_spec('lease', 'a confirmation holds so long', '8', 600),
-    _seconds_spec('poll', 'time between reads of the head', '2', 600),
+    _seconds_spec(
+        'lease', 'validity of a configuration confirmation', '8', 600
+    ),
+    _seconds_spec(
+        'poll', 'time between reads of the configuration head', '2', 600
+    ),
     _seconds_spec('heartbeat', 'time between heartbeats', '1', 600),
     _seconds_spec(
         'lame_duck',
-        'time to go on serving after readiness has fallen',
+        'time for which a stopping host still accepts requests',
         '1',
         600,
     ),
-    _seconds_spec('drain', 'time for a graceful stop', '30', 86400),
+    _seconds_spec('drain', 'maximum time for a graceful stop', '30', 86400),
     Spec(
         'max_body',
         bounded_int(1024, 1 << 30),
         'a whole number of bytes from 1024 to 1073741824',
-        "bytes that a caller's body may have",
+        "maximum size of a caller's request body, in bytes",
         '4000000',
     ),
-    _seconds_spec('body_timeout', 'time to send a body', '20', 3600),
+    _seconds_spec(
+        'body_timeout',
+        'time within which a caller must send its body',
+        '20',
+        3600,
+    ),
     Spec(
         'log_format',
         one_of('text', 'json'),
         '"text" or "json"',
-        'form of log lines',
+        'format of log lines',
         'text',
     ),
     Spec(
         'seed',
         optional(bounded_int(0, (1 << 63) - 1)),
         'a whole number from 0 to 9223372036854775807, or nothing',
-        'seed for randomness',
+        'random seed',
         '',
     ),
     _policy_spec('planner', 'adaptive', 'policy that chooses versions'),
@@ -277,14 +286,14 @@
         'expected',
         'policy that chooses upstreams',
     ),
-    _policy_spec('admitter', 'fair', 'policy that lets requests in'),
-    _policy_spec('retries', 'share', 'policy that bounds retries'),
+    _policy_spec('admitter', 'fair', 'policy that admits requests'),
+    _policy_spec('retries', 'share', 'policy that limits retries'),
     _policy_spec('quarantine', 'evidence', 'policy that blocks versions'),
     Spec(
         'plugins',
         parse_modules,
-        'names of Python modules, divided by commas',
-        'more plug-in modules to import',
+        'comma-separated names of Python modules',
+        'additional plug-in modules to import',
         '',
     ),
 )
--- a/src/nutmegroad/kernel/settings_page.py
+++ b/src/nutmegroad/kernel/settings_page.py
@@ -12,8 +12,8 @@
 # Settings
 
 Generated from `src/nutmegroad/kernel/_setting_specs.py` by
-`python -m nutmegroad.kernel.settings_page > docs/SETTINGS.md`; a test holds
-the page to it.
+`python -m nutmegroad.kernel.settings_page > docs/SETTINGS.md`; a test
+checks that the page is up to date.
 
 ```sh
 # runs beside `make serve`
@@ -24,11 +24,11 @@
 ```
 
 Each setting of `nutmegroadd` is a flag or an environment variable; the flag
-wins. Secrets come by the environment only, since others on the machine can read
-a program's flags, and are never printed. All settings are checked at start: if
-any is wrong, each is named with its value and what is expected, nothing is
-started, and the exit code is 2. `--print-settings` shows what is in force and
-whence, and stops.
+takes precedence. Secrets are read from the environment only, since other users
+of the machine can see the flags of a process, and are never printed. All
+settings are validated at start: if any is invalid, each one is reported with
+its value and what is expected, nothing is started, and the exit code is 2.
+`--print-settings` prints each setting with its source and exits.
 
 | flag | variable | what it is for | expected | default |
 | --- | --- | --- | --- | --- |
