--- a/tests/once_processes.py
+++ b/tests/once_processes.py
@@ -1,4 +1,4 @@
-"""Processes that promise at most once and billed once, and what to ask them."""
+"""Test case with the processes that at-most-once execution depends on."""
 
 import asyncio
 import signal
@@ -25,33 +25,41 @@
 from nutmegroad.records.billing import BILLING_PREFIX, BillingRecord, read_bills
 
 RIG: Final = Rig('lesen', engines=(), hosts=1)
-LOOK_UP: Final = '/v1/services/licence-portal/status/1'
-RECEIPTS: Final = '/v1/services/licence-portal/receipts'
-#: Seconds after which a test is given up; none of them waits so long.
-LIMIT: Final = 60
+STATUS_PATH: Final = '/v1/services/licence-portal/status/1'
+RECEIPTS_PATH: Final = '/v1/services/licence-portal/receipts'
+#: Seconds after which a wait fails the test; a passing test waits less.
+WAIT_TIMEOUT: Final = 60
 AUTHORIZATION: Final = {'Authorization': f'Bearer {workspace_key("training")}'}
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a caller got; status 0 if the connection broke."""
+    """A reply to a caller.
+
+    Attributes:
+        status: The HTTP status; 0 if the connection broke.
+        request: The id of the request.
+        first_request: The id of the request whose answer is repeated, or ''.
+        body: The content.
+    """
 
     status: int
     request: str = ''
-    first: str = ''
+    first_request: str = ''
     body: bytes = b''
 
     @property
     def error(self) -> dict[str, Any]:
-        """Return the refusal."""
+        """Return the body's error object."""
         decoded: dict[str, Any] = msgspec.json.decode(self.body)['error']
         return decoded
 
 
-class OnceProcessCase(unittest.TestCase):
-    """Three hosts, three upstreams of a plain service, one platform.
+class AtMostOnceProcessCase(unittest.TestCase):
+    """Three hosts, three upstreams of a plain service and one platform.
 
-    They are started once, on a loop that all tests share.
+    The processes are started once per class, on an event loop that all its
+    tests share.
     """
 
     runner: asyncio.Runner
@@ -65,16 +73,16 @@
 
     @classmethod
     def setUpClass(cls) -> None:
-        """Start all processes."""
+        """Create the event loop and start all processes."""
         cls.runner = asyncio.Runner()
         cls.addClassCleanup(cls.runner.close)
         cls.stack = AsyncExitStack()
         cls.addClassCleanup(lambda: cls.runner.run(cls.stack.aclose()))
-        cls.runner.run(cls.open())
+        cls.runner.run(cls.start_processes())
 
     @classmethod
-    async def open(cls) -> None:
-        """Start all processes, on the loop."""
+    async def start_processes(cls) -> None:
+        """Start all processes."""
         cls.processes = await cls.stack.enter_async_context(Processes())
         cls.session = await cls.stack.enter_async_context(ClientSession())
         cls.running = await start(cls.processes, RIG)
@@ -83,42 +91,45 @@
         cls.answered = []
 
     def setUp(self) -> None:
-        """Wait until the hosts know each other."""
-        self.runner.run(self.linked(self.running))
+        """Wait until the hosts are connected to each other."""
+        self.runner.run(self.wait_for_links(self.running))
 
-    async def linked(self, running: Deployment) -> None:
-        """Wait until each host knows the others."""
+    async def wait_for_links(self, running: Deployment) -> None:
+        """Wait until each host forwards requests to all others."""
         for issuer in running.callers:
             for other in running.callers:
-                await self.until(self.is_forwarded, issuer, other)
+                await self.wait_until(self.is_forwarded, issuer, other)
 
     async def is_forwarded(self, issuer: Address, other: Address) -> bool:
-        """Tell whether a host hands a ticket's request on to its issuer."""
-        ticket = await self.ticket(str(issuer))
-        url = f'http://{other}{LOOK_UP}'
+        """Return whether a host forwards a ticket's request to the issuer."""
+        ticket = await self.issue_ticket(str(issuer))
+        url = f'http://{other}{STATUS_PATH}'
         headers = {**AUTHORIZATION, 'Nutmegroad-Ticket': ticket}
         async with self.session.get(url, headers=headers) as response:
             return response.status == 200
 
-    async def has_ticket(self, address: str) -> bool:
-        """Tell whether a host issues tickets."""
-        return bool(await self.ticket(address))
+    async def issues_tickets(self, address: str) -> bool:
+        """Return whether a host issues tickets."""
+        return bool(await self.issue_ticket(address))
 
-    async def until(self, check: Any, *args: Any) -> None:
-        """Wait until something holds."""
-        async with asyncio.timeout(LIMIT):
+    async def wait_until(self, check: Any, *args: Any) -> None:
+        """Wait until a check returns true."""
+        async with asyncio.timeout(WAIT_TIMEOUT):
             while not await check(*args):
                 await asyncio.sleep(0.05)
 
-    async def call(self, host: int, **headers: str) -> Reply:
-        """Ask a host for a receipt."""
-        named = {key.replace('_', '-'): text for key, text in headers.items()}
-        url = f'http://{self.running.callers[host]}{RECEIPTS}'
+    async def post_receipt(self, host: int, **headers: str) -> Reply:
+        """Request a receipt from a host, with additional headers.
+
+        The ids of successful first replies are added to ``answered``.
+        """
+        extra = {key.replace('_', '-'): text for key, text in headers.items()}
+        url = f'http://{self.running.callers[host]}{RECEIPTS_PATH}'
         try:
             async with self.session.post(
                 url,
                 data=b'{"fee": 7}',
-                headers={**AUTHORIZATION, **named},
+                headers={**AUTHORIZATION, **extra},
             ) as response:
                 reply = Reply(
                     response.status,
@@ -128,40 +139,40 @@
                 )
         except ClientError:
             return Reply(0)
-        if reply.status == 200 and not reply.first:
+        if reply.status == 200 and not reply.first_request:
             self.answered.append(reply.request)
         return reply
 
-    async def keyed(self, host: int, key: str) -> Reply:
-        """Ask with a key."""
-        return await self.call(host, Idempotency_Key=key)
+    async def call_with_key(self, host: int, key: str) -> Reply:
+        """Request a receipt with an idempotency key."""
+        return await self.post_receipt(host, Idempotency_Key=key)
 
-    async def ticket(self, address: str) -> str:
-        """Take a ticket at a host."""
+    async def issue_ticket(self, address: str) -> str:
+        """Return a ticket that a host issued, or '' if it refused."""
         url = f'http://{address}/v1/tickets'
         async with self.session.post(url, headers=AUTHORIZATION) as response:
             if response.status != 200:
                 return ''
             return str(msgspec.json.decode(await response.read())['ticket'])
 
-    async def fault(self, running: Running, **wanted: Any) -> None:
-        """Switch a fault of a stand-in on, or all off."""
+    async def set_fault(self, running: Running, **fault: Any) -> None:
+        """Enable a fault of a stand-in; without arguments, clear all."""
         url = f'http://{running.listening["main"]}/admin/faults'
-        method = 'POST' if wanted else 'DELETE'
+        method = 'POST' if fault else 'DELETE'
         async with self.session.request(
             method,
             url,
-            json=wanted or None,
+            json=fault or None,
         ) as response:
             self.assertEqual(204, response.status)
 
-    async def service_fault(self, **wanted: Any) -> None:
-        """Switch a fault of all plain services on, or all off."""
+    async def set_service_faults(self, **fault: Any) -> None:
+        """Enable a fault of all plain services, or clear all."""
         for service in self.running.services.values():
-            await self.fault(service, **wanted)
+            await self.set_fault(service, **fault)
 
-    async def runs(self, key: str = '') -> int:
-        """Return how often a receipt was issued."""
+    async def count_runs(self, key: str = '') -> int:
+        """Return the number of receipts issued for an idempotency key."""
         total = 0
         for service in self.running.services.values():
             url = f'http://{service.listening["main"]}/admin/runs'
@@ -171,36 +182,36 @@
             total += sum(1 for run in ran if run['key'] == key)
         return total
 
-    async def commits(self) -> int:
-        """Return how many commits have reached the table."""
+    async def count_commits(self) -> int:
+        """Return the number of commits that have reached the table."""
         url = f'http://{self.platform}/admin/counts'
         async with self.session.get(url) as response:
             counts = await response.json()
         return int(counts.get('POST /table/commit', 0))
 
-    async def more_commits(self, than: int) -> bool:
-        """Tell whether more commits have reached the table."""
-        return await self.commits() > than
+    async def has_more_commits(self, than: int) -> bool:
+        """Return whether more commits have reached the table."""
+        return await self.count_commits() > than
 
-    async def has_row(self, key: str) -> bool:
-        """Tell whether an intent is written."""
+    async def has_intent(self, key: str) -> bool:
+        """Return whether the intent of a key has been written."""
         url = f'http://{self.platform}/table/row'
         query = {'key': f'intent/training/{key}'}
         async with self.session.get(url, params=query) as response:
             return bool((await response.json())['version'])
 
     async def has_run(self, key: str) -> bool:
-        """Tell whether a receipt was issued."""
-        return bool(await self.runs(key))
+        """Return whether a receipt was issued for a key."""
+        return bool(await self.count_runs(key))
 
     async def kill(self, host: int) -> None:
-        """End a host at once."""
+        """Kill a host without a graceful stop."""
         process = self.running.hosts[host].process
         process.send_signal(signal.SIGKILL)
         await process.wait()
 
     async def restart(self, host: int) -> None:
-        """Start a host that was killed again, under its name."""
+        """Restart a stopped host under the same name."""
         name = self.running.hosts[host].name
         self.running.hosts[host] = await start_host(
             self.processes,
@@ -209,24 +220,26 @@
             name,
         )
         await publish(self.running, RIG)
-        await self.until(self.has_ticket, str(self.running.callers[host]))
+        await self.wait_until(
+            self.issues_tickets, str(self.running.callers[host])
+        )
 
-    async def gives_up(self, host: int, key: str) -> bool:
-        """Tell whether a host says that the outcome is unknown."""
-        reply = await self.keyed(host, key)
+    async def has_unknown_outcome(self, host: int, key: str) -> bool:
+        """Return whether a host reports that the outcome is unknown."""
+        reply = await self.call_with_key(host, key)
         self.assertEqual(409, reply.status, reply.body)
         self.assertFalse(reply.error['not_run'])
         return bool(reply.error['name'] == 'OUTCOME_UNKNOWN')
 
     async def is_billed(self, request: str) -> bool:
-        """Tell whether a request has a record."""
+        """Return whether a request has a billing record."""
         bills = await read_bills(self.objects)
         return isinstance(bills, dict) and request in bills
 
     async def check_bills(self) -> None:
-        """Hold the bills to the answers: one record for each."""
+        """Check that each answered request is billed once."""
         for request in self.answered:
-            await self.until(self.is_billed, request)
+            await self.wait_until(self.is_billed, request)
         names = await self.objects.names(BILLING_PREFIX)
         assert isinstance(names, tuple)
         written: Counter[str] = Counter()
@@ -235,8 +248,8 @@
             assert isinstance(content, bytes)
             decoded = msgspec.json.decode(content, type=list[BillingRecord])
             written.update({one.request for one in decoded})
-            # No batch holds a request twice; a host and its receiver may both
-            # have stored it.
+            # No batch contains a request twice, but a host and the receiver
+            # of its record copies may both have stored it.
             self.assertEqual(
                 len(decoded),
                 len({one.request for one in decoded}),
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -1,4 +1,4 @@
-"""What tests of the request path share: a host's objects, without sockets."""
+"""Test rig: the request path of one host over scripted engines."""
 
 import random
 from collections.abc import AsyncIterator, Callable
@@ -59,12 +59,13 @@
 WORDS = tuple(f'w{number} ' for number in range(10))
 ENDING = Ending('stop', 5, len(WORDS))
 
-#: What an engine in a test does with an attempt.
+#: Returns the events of an engine's answer to an attempt. Events that are
+#: callable are awaited instead of being sent.
 Script = Callable[[Attempt], list[Any]]
 
 
 def engine_info(name: str, port: int = 1) -> UpstreamInfo:
-    """Return a listed engine."""
+    """Return the host list's entry of an engine."""
     return UpstreamInfo(
         UpstreamId(name),
         DomainId('shah-alam'),
@@ -77,23 +78,24 @@
     *versions: VersionId,
     leaving: bool = False,
 ) -> EngineReport:
-    """Return an engine's report."""
+    """Return the report of an idle engine that has loaded versions."""
     return EngineReport(versions, 0, 0, 4, leaving, True, FencingNumber(0))
 
 
 def whole(attempt: Attempt) -> list[Any]:
-    """Answer from where the attempt wants to go on."""
+    """Return a complete answer without the pieces that the attempt skips."""
     pieces = [Piece(index, text) for index, text in enumerate(WORDS)]
     return [*pieces[attempt.skip :], ENDING]
 
 
 class ScriptedEngines:
-    """Engines that do what each test says, and look at the gate first.
+    """An engine client with scripted answers; it asks each attempt's gate.
 
     Attributes:
-        scripts: What happens to one attempt after another.
-        sent: Attempts whose first byte went out.
-        cancelled: Attempts that were left before their end.
+        scripts: Scripts of the next attempts, in order. Attempts without a
+            script get a complete answer.
+        sent: Attempts that passed their gate.
+        cancelled: Attempts that were closed before their final event.
     """
 
     def __init__(self) -> None:
@@ -106,7 +108,7 @@
         self,
         attempt: Attempt,
     ) -> AsyncIterator[AsyncIterator[AnswerEvent]]:
-        """Open an answer."""
+        """Open the stream of an answer's events."""
         events = self._events(attempt)
         try:
             yield events
@@ -114,11 +116,11 @@
             await events.aclose()  # type: ignore[attr-defined]
 
     async def report(self, upstream: UpstreamInfo) -> EngineReport | Refusal:
-        """Be there, and say nothing new."""
+        """Report that all versions of the rig are loaded."""
         return report_of(SMALL, MEDIUM)
 
     async def order(self, upstream: UpstreamInfo, order: Any) -> None:
-        """Take no orders."""
+        """Orders are not supported."""
         raise NotImplementedError
 
     async def _events(self, attempt: Attempt) -> AsyncIterator[AnswerEvent]:
@@ -141,8 +143,8 @@
                 self.cancelled.append(attempt)
 
 
-class Caller:
-    """A sink that remembers what it was shown."""
+class RecordingSink:
+    """An answer sink that records what the caller receives."""
 
     def __init__(self) -> None:
         self.pieces: list[str] = []
@@ -150,32 +152,42 @@
 
     @property
     def text(self) -> str:
-        """Return all of it."""
+        """Return the received text."""
         return ''.join(self.pieces)
 
     def begin_version(self, version: VersionId) -> None:
-        """Note the version."""
+        """Record the version of the pieces that follow."""
         self.versions.append(version)
 
     async def write(self, text: str) -> None:
-        """Note a piece."""
+        """Record a piece."""
         self.pieces.append(text)
 
 
 @dataclass
 class HostRig:
-    """The request path of one host, on engines that a test scripts."""
+    """The request path of one host over scripted engines.
+
+    Attributes:
+        clock: The clock of all components.
+        planner: Plans requests; a ``CheapestPlanner`` by default.
+        engines: The engines that answer.
+        spent: Resources that the requests have used.
+        caller: Receives the answers.
+        observers: Are notified of attempts.
+        harmful: Decides which requests are kept from engines.
+    """
 
     clock: ManualClock
     planner: Planner | None = None
     engines: ScriptedEngines = field(default_factory=ScriptedEngines)
     spent: RequestUsage = field(default_factory=RequestUsage)
-    caller: Caller = field(default_factory=Caller)
+    caller: RecordingSink = field(default_factory=RecordingSink)
     observers: Observers = field(default_factory=Observers)
     harmful: HarmfulRequests | None = None
 
     def __post_init__(self) -> None:
-        """Put the objects together."""
+        """Create the components."""
         document = parse_document(read_example('lesen'))
         self.configuration = Configuration(self.clock, 8)
         self.configuration.take(
@@ -202,12 +214,12 @@
             NoQuarantine(),
         )
         self.metrics = Metrics(float)
-        self.dispatcher = self._dispatcher()
+        self.dispatcher = self._make_dispatcher()
         self.explanation = Explanation(RequestId('r'), self.clock)
 
     def request(self, **changes: Any) -> ModelRequest:
-        """Return a request of the first workspace."""
-        usual: dict[str, Any] = {
+        """Return a default request of the workspace, with changes."""
+        defaults: dict[str, Any] = {
             'request': RequestId('r'),
             'workspace': WorkspaceId(self.workspace.name),
             'concern': Concern.LATENCY,
@@ -224,10 +236,10 @@
             'session': None,
             'body': {},
         }
-        return ModelRequest(**{**usual, **changes})
+        return ModelRequest(**{**defaults, **changes})
 
     async def ask(self, **changes: Any) -> Answer | Refusal:
-        """Have a request answered."""
+        """Dispatch a default request with changes, and return its outcome."""
         return await self.dispatcher.answer(
             self.request(**changes),
             self.caller,
@@ -235,7 +247,7 @@
             self.spent,
         )
 
-    def _dispatcher(self) -> Dispatcher:
+    def _make_dispatcher(self) -> Dispatcher:
         randomness = random.Random(3)
         if self.harmful is None:
             self.harmful = HarmfulRequests(self.engines, self.clock)
--- a/tests/tables.py
+++ b/tests/tables.py
@@ -1,4 +1,4 @@
-"""A table in memory that can be down and can lose replies."""
+"""An in-memory table that can be unavailable and can lose replies."""
 
 from collections.abc import Awaitable, Callable
 
@@ -15,24 +15,32 @@
 
 
 class MemoryTable:
-    """The table service, as one dictionary."""
+    """A fake of the table service.
+
+    Attributes:
+        rows: The stored rows.
+        down: Whether the table is unavailable.
+        lost_replies: Number of the next commits whose replies are lost.
+        writes: Number of rows written.
+        before_reply: Awaited after a commit has been applied and before its
+            reply is sent.
+    """
 
     def __init__(self) -> None:
         self.rows: dict[RowKey, Row] = {}
         self.down = False
         self.lost_replies = 0
         self.writes = 0
-        #: Awaited when a write has taken effect, before the reply.
         self.before_reply: Callable[[], Awaitable[None]] | None = None
 
     async def read(self, key: RowKey) -> Row | Refusal:
-        """Return a row."""
+        """Return a row; a row that was never written has no text."""
         if self.down:
             return _refusal(Ran.NOT_RUN)
         return self.rows.get(key) or Row(key, '', ABSENT)
 
     async def scan(self, prefix: str) -> tuple[Row, ...] | Refusal:
-        """Return the rows of a prefix."""
+        """Return the rows whose keys start with a prefix, in key order."""
         if self.down:
             return _refusal(Ran.NOT_RUN)
         rows = [row for key, row in self.rows.items() if key.startswith(prefix)]
@@ -42,7 +50,7 @@
         self,
         writes: tuple[RowWrite, ...],
     ) -> tuple[Row, ...] | Conflict | Refusal:
-        """Write all or nothing, then perhaps lose the reply."""
+        """Write all rows or none; the reply may be lost afterwards."""
         if self.down:
             return _refusal(Ran.UNKNOWN)
         for write in writes:
@@ -62,5 +70,5 @@
 
 
 def _refusal(ran: Ran) -> Refusal:
-    """Say that the table gave no answer."""
+    """Return a refusal for a call without a reply from the table."""
     return Refusal(ResultCode.TABLE_UNAVAILABLE, 'The table is down.', ran)
--- a/tests/test_leaving_upstreams.py
+++ b/tests/test_leaving_upstreams.py
@@ -1,4 +1,7 @@
-"""An engine that leaves gets no new work, while the list says nothing."""
+"""Tests that a draining engine process gets no new requests.
+
+Either the engine's reports or the host list alone say that it is leaving.
+"""
 
 import asyncio
 import unittest
@@ -30,7 +33,7 @@
 
 
 class LeavingTest(unittest.IsolatedAsyncioTestCase):
-    """Three hosts and three engines."""
+    """Three hosts and three engines, of which one drains and returns."""
 
     async def asyncSetUp(self) -> None:
         stack = AsyncExitStack()
@@ -40,37 +43,39 @@
         self.session = await stack.enter_async_context(ClientSession())
         self.token = operator_token(self.running.document.operators[0].name)
         self.engine = 'petaling-engine-0'
-        await self.until_all_say('live')
+        await self.wait_for_presence('live')
 
     @property
     def address(self) -> Address:
-        """Where the engine listens."""
+        """The address of the engine under test."""
         return self.running.engines[self.engine].listening['main']
 
     async def presence_at(self, operators: Address) -> str:
-        listed: Any = await operate(operators, 'upstreams', token=self.token)
-        found = (row for row in listed if row['upstream'] == self.engine)
+        rows: Any = await operate(operators, 'upstreams', token=self.token)
+        found = (row for row in rows if row['upstream'] == self.engine)
         row = next(found, {'presence': '', 'versions': ()})
         return str(row['presence']) if row['versions'] else ''
 
-    async def until_all_say(self, presence: str) -> None:
+    async def wait_for_presence(self, presence: str) -> None:
         async with asyncio.timeout(20):
             for operators in self.running.operators:
                 while await self.presence_at(operators) != presence:
                     await asyncio.sleep(0.05)
 
-    async def say(self, *, leaving: bool) -> None:
+    async def set_engine_leaving(self, *, leaving: bool) -> None:
         url = f'http://{self.address}/admin/leave'
-        async with self.session.post(url, json={'leaving': leaving}) as said:
-            said.raise_for_status()
+        async with self.session.post(
+            url, json={'leaving': leaving}
+        ) as response:
+            response.raise_for_status()
 
-    async def runs(self) -> int:
+    async def count_runs(self) -> int:
         url = f'http://{self.address}/admin/runs'
         async with self.session.get(url) as response:
             content = await response.read()
         return len(msgspec.json.decode(content)['runs'])
 
-    async def ask(self, number: int) -> None:
+    async def send(self, number: int) -> None:
         callers = self.running.callers
         url = f'http://{callers[number % len(callers)]}/v1/chat/completions'
         body = {
@@ -79,39 +84,40 @@
             'nutmegroad_tokens': 3,
         }
         headers = {'Authorization': f'Bearer {workspace_key("head-office")}'}
-        async with self.session.post(url, json=body, headers=headers) as reply:
-            content = await reply.read()
-            self.assertEqual(reply.status, 200, content)
+        async with self.session.post(
+            url, json=body, headers=headers
+        ) as response:
+            content = await response.read()
+            self.assertEqual(response.status, 200, content)
 
     async def count_new_runs(self) -> int:
-        """Send requests to all hosts; count those that come to the engine."""
-        before = await self.runs()
-        await self.ask_all()
-        return await self.runs() - before
-
-    async def ask_all(self) -> None:
-        # One at each host at a time: how many a host admits at once depends
-        # on how fast the machine is, and is no matter of this test.
+        """Send requests to all hosts; return how many the engine runs."""
+        before = await self.count_runs()
+        await self.send_to_all()
+        return await self.count_runs() - before
+
+    async def send_to_all(self) -> None:
+        # Each host gets one request at a time: how many it admits
+        # concurrently depends on the speed of the machine.
         hosts = len(self.running.callers)
         for first in range(0, 45, hosts):
-            asks = (self.ask(first + host) for host in range(hosts))
-            await asyncio.gather(*asks)
+            requests = (self.send(first + host) for host in range(hosts))
+            await asyncio.gather(*requests)
 
-    async def list_it(self, *, leaving: bool) -> None:
-        named = frozenset((self.engine,) if leaving else ())
-        await publish(self.running, RIG, named)
+    async def set_listed_leaving(self, *, leaving: bool) -> None:
+        leaving_names = frozenset((self.engine,) if leaving else ())
+        await publish(self.running, RIG, leaving_names)
 
     async def test_each_word_alone_takes_work_away_and_gives_it_back(
         self,
     ) -> None:
         self.assertGreater(await self.count_new_runs(), 0)
-        # The engine says that it leaves and the list does not, and then
-        # the other way about.
-        for say in (self.say, self.list_it):
-            with self.subTest(say.__name__):
-                await say(leaving=True)
-                await self.until_all_say('leaving')
+        # First only the engine says that it is leaving, then only the list.
+        for set_leaving in (self.set_engine_leaving, self.set_listed_leaving):
+            with self.subTest(set_leaving.__name__):
+                await set_leaving(leaving=True)
+                await self.wait_for_presence('leaving')
                 self.assertEqual(await self.count_new_runs(), 0)
-                await say(leaving=False)
-                await self.until_all_say('live')
+                await set_leaving(leaving=False)
+                await self.wait_for_presence('live')
                 self.assertGreater(await self.count_new_runs(), 0)
--- a/tests/test_once_processes.py
+++ b/tests/test_once_processes.py
@@ -1,4 +1,7 @@
-"""At most once and billed once, with real processes that die and freeze."""
+"""Tests of at-most-once execution and billing with real processes.
+
+Hosts are killed, paused and stopped, and the platform becomes unavailable.
+"""
 
 import asyncio
 import signal
@@ -12,25 +15,27 @@
 from nutmegroad.adapters._platform_bodies import CommitBody
 from nutmegroad.contracts.platform import ABSENT, RowKey, RowWrite
 from nutmegroad.records.at_most_once import LEASE
-from tests.once_processes import OnceProcessCase
+from tests.once_processes import AtMostOnceProcessCase
 
-SLOW: Final = 1.2
+#: Seconds by which the table delays each call under the `slow` fault.
+TABLE_DELAY: Final = 1.2
 
 
-class OnceProcessTest(OnceProcessCase):
-    """What callers and bills see as hosts die, freeze and stop."""
+class AtMostOnceProcessTest(AtMostOnceProcessCase):
+    """Replies and bills while hosts are killed, paused and stopped."""
 
     def test_a_host_is_killed_at_each_moment(self) -> None:
-        self.runner.run(self.before())
-        self.runner.run(self.between())
-        self.runner.run(self.flush())
-
-    async def before(self) -> None:
-        """Kill a host between intent and dispatch."""
-        # The reply to the intent is lost, and the read that would find it
-        # is under way. Hosts renew leases meanwhile: replies to those aren't.
+        self.runner.run(self.check_kill_before_dispatch())
+        self.runner.run(self.check_kill_before_reply())
+        self.runner.run(self.check_kill_before_flush())
+
+    async def check_kill_before_dispatch(self) -> None:
+        """Kill a host between the write of its intent and the dispatch."""
+        # The reply to the intent's write is lost, and the host is killed
+        # during the read that would find the row. Hosts also renew leases
+        # meanwhile; the replies to those writes are not lost.
         platform = self.running.platform
-        await self.fault(
+        await self.set_fault(
             platform,
             kind='lose_reply',
             scope='table',
@@ -38,21 +43,24 @@
             count=1,
         )
         await self.renew_a_lease()
-        await self.fault(platform, kind='slow', scope='table', delay=SLOW)
-        before = await self.commits()
-        asking = asyncio.ensure_future(self.keyed(0, 'before'))
-        # This look is behind the write, and the host's own behind this.
-        await self.until(self.more_commits, before)
-        await self.until(self.has_row, 'before')
+        await self.set_fault(
+            platform, kind='slow', scope='table', delay=TABLE_DELAY
+        )
+        before = await self.count_commits()
+        pending = asyncio.ensure_future(self.call_with_key(0, 'before'))
+        # The table answers the read of the intent below after the write and
+        # before the host's own read.
+        await self.wait_until(self.has_more_commits, before)
+        await self.wait_until(self.has_intent, 'before')
         await self.kill(0)
-        self.assertEqual(0, (await asking).status)
-        await self.fault(platform)
+        self.assertEqual(0, (await pending).status)
+        await self.set_fault(platform)
         await self.restart(0)
-        await self.until(self.gives_up, 1, 'before')
-        self.assertEqual(0, await self.runs('before'))
+        await self.wait_until(self.has_unknown_outcome, 1, 'before')
+        self.assertEqual(0, await self.count_runs('before'))
 
     async def renew_a_lease(self) -> None:
-        """Write a row beside the intent, as a host does for its lease."""
+        """Write a row that is no intent, as a host does to renew a lease."""
         row = RowWrite(RowKey('lease/elsewhere'), '', ABSENT)
         url = f'http://{self.platform}/table/commit'
         async with self.session.post(
@@ -61,86 +69,88 @@
         ) as response:
             self.assertEqual(200, response.status)
 
-    async def between(self) -> None:
-        """Kill a host between dispatch and reply."""
-        await self.service_fault(kind='late', delay=30, count=1)
-        asking = asyncio.ensure_future(self.keyed(0, 'between'))
-        await self.until(self.has_run, 'between')
+    async def check_kill_before_reply(self) -> None:
+        """Kill a host between the dispatch and the reply."""
+        await self.set_service_faults(kind='late', delay=30, count=1)
+        pending = asyncio.ensure_future(self.call_with_key(0, 'between'))
+        await self.wait_until(self.has_run, 'between')
         await self.kill(0)
-        self.assertEqual(0, (await asking).status)
-        await self.service_fault()
+        self.assertEqual(0, (await pending).status)
+        await self.set_service_faults()
         await self.restart(0)
-        await self.until(self.gives_up, 1, 'between')
-        self.assertEqual(1, await self.runs('between'))
+        await self.wait_until(self.has_unknown_outcome, 1, 'between')
+        self.assertEqual(1, await self.count_runs('between'))
 
-    async def flush(self) -> None:
-        """Kill a host before it could store anything."""
+    async def check_kill_before_flush(self) -> None:
+        """Kill a host that could not store its billing records."""
         platform = self.running.platform
-        await self.fault(platform, kind='down', scope='objects')
-        reply = await self.keyed(0, 'flush')
+        await self.set_fault(platform, kind='down', scope='objects')
+        reply = await self.call_with_key(0, 'flush')
         self.assertEqual(200, reply.status)
         await self.kill(0)
-        await self.fault(platform)
+        await self.set_fault(platform)
         await self.restart(0)
-        await self.until(self.is_billed, reply.request)
-        again = await self.keyed(2, 'flush')
-        self.assertEqual(reply.request, again.first)
-        self.assertEqual(1, await self.runs('flush'))
+        await self.wait_until(self.is_billed, reply.request)
+        again = await self.call_with_key(2, 'flush')
+        self.assertEqual(reply.request, again.first_request)
+        self.assertEqual(1, await self.count_runs('flush'))
         await self.check_bills()
 
     def test_a_host_is_paused_for_longer_than_its_lease(self) -> None:
-        self.runner.run(self.pause())
+        self.runner.run(self.check_pause())
 
-    async def pause(self) -> None:
-        """Stop a host that has written its intent."""
+    async def check_pause(self) -> None:
+        """Pause a host for longer than its lease after its intent's write."""
         platform = self.running.platform
-        await self.fault(platform, kind='slow', scope='table', delay=SLOW)
-        before = await self.commits()
-        asking = asyncio.ensure_future(self.keyed(0, 'paused'))
-        await self.until(self.more_commits, before)
+        await self.set_fault(
+            platform, kind='slow', scope='table', delay=TABLE_DELAY
+        )
+        before = await self.count_commits()
+        pending = asyncio.ensure_future(self.call_with_key(0, 'paused'))
+        await self.wait_until(self.has_more_commits, before)
         self.running.hosts[0].signal(signal.SIGSTOP)
         stopped = time.monotonic()
-        await self.fault(platform)
-        await self.until(self.has_row, 'paused')
-        other = await self.keyed(1, 'paused')
+        await self.set_fault(platform)
+        await self.wait_until(self.has_intent, 'paused')
+        other = await self.call_with_key(1, 'paused')
         self.assertEqual('STILL_RUNNING', other.error['name'])
         self.assertFalse(other.error['not_run'])
         await asyncio.sleep(stopped + LEASE + 0.5 - time.monotonic())
         self.running.hosts[0].signal(signal.SIGCONT)
-        refused = await asking
+        refused = await pending
         self.assertEqual('HOST_PAUSED', refused.error['name'])
         self.assertTrue(refused.error['not_run'])
-        self.assertEqual(0, await self.runs('paused'))
-        self.assertEqual(200, (await self.keyed(1, 'paused')).status)
-        self.assertEqual(1, await self.runs('paused'))
+        self.assertEqual(0, await self.count_runs('paused'))
+        self.assertEqual(200, (await self.call_with_key(1, 'paused')).status)
+        self.assertEqual(1, await self.count_runs('paused'))
 
     def test_the_same_key_at_three_hosts_at_once(self) -> None:
-        self.runner.run(self.race())
+        self.runner.run(self.check_race())
 
     def test_the_platform_down_for_a_while(self) -> None:
-        self.runner.run(self.outage())
+        self.runner.run(self.check_outage())
 
     def test_a_graceful_stop_while_nothing_can_be_stored(self) -> None:
-        self.runner.run(self.graceful())
+        self.runner.run(self.check_graceful_stop())
 
-    async def graceful(self) -> None:
-        """Stop a host whose bills can not be stored."""
+    async def check_graceful_stop(self) -> None:
+        """Stop a host while its billing records cannot be stored."""
         platform = self.running.platform
-        await self.fault(platform, kind='down', scope='objects')
-        reply = await self.keyed(2, 'stop')
+        await self.set_fault(platform, kind='down', scope='objects')
+        reply = await self.call_with_key(2, 'stop')
         self.assertEqual(200, reply.status)
         code = await self.processes.stop(self.running.hosts[2])
         self.assertEqual(0, code)
-        await self.fault(platform)
-        await self.until(self.is_billed, reply.request)
+        await self.set_fault(platform)
+        await self.wait_until(self.is_billed, reply.request)
         await self.restart(2)
 
-    async def race(self) -> None:
-        """Use one key at all hosts at once."""
+    async def check_race(self) -> None:
+        """Send one key to all hosts concurrently."""
         replies = await asyncio.gather(
-            *(self.keyed(number % 3, 'race') for number in range(9)),
+            *(self.call_with_key(number % 3, 'race') for number in range(9)),
         )
-        self.assertEqual(1, await self.runs('race'))
+        self.assertEqual(1, await self.count_runs('race'))
         firsts = [reply for reply in replies if reply.status == 200]
         self.assertTrue(firsts)
         self.assertEqual(1, len({reply.body for reply in firsts}))
@@ -148,38 +158,38 @@
             if reply.status != 200:
                 self.assertFalse(reply.error['not_run'])
 
-    async def outage(self) -> None:
-        """Take the platform down; a ticket's issuer dies at the end."""
+    async def check_outage(self) -> None:
+        """Make the platform unavailable, then kill a ticket's issuer."""
         platform = self.running.platform
-        await self.fault(platform, kind='down')
-        refused = await self.keyed(0, 'down')
+        await self.set_fault(platform, kind='down')
+        refused = await self.call_with_key(0, 'down')
         self.assertEqual('INTENT_UNAVAILABLE', refused.error['name'])
         self.assertTrue(refused.error['not_run'])
         self.assertGreater(refused.error['retry_after_ms'], 0)
-        self.assertEqual(0, await self.runs('down'))
-        # Work goes on by ticket, whichever host it comes to.
-        ticket = await self.ticket(str(self.running.callers[0]))
+        self.assertEqual(0, await self.count_runs('down'))
+        # Requests with a ticket still run, whichever host receives them.
+        ticket = await self.issue_ticket(str(self.running.callers[0]))
         spent = [
-            await self.call(host, Nutmegroad_Ticket=ticket)
+            await self.post_receipt(host, Nutmegroad_Ticket=ticket)
             for host in (1, 2, 0)
         ]
         self.assertEqual({200}, {reply.status for reply in spent})
-        self.assertEqual(1, await self.runs())
-        await self.fault(platform)
-        await self.until(self.runs_at_last, 'down')
-        self.assertEqual(1, await self.runs('down'))
-        # Its issuer gone, a ticket's request may have run.
+        self.assertEqual(1, await self.count_runs())
+        await self.set_fault(platform)
+        await self.wait_until(self.runs_now, 'down')
+        self.assertEqual(1, await self.count_runs('down'))
+        # Without the ticket's issuer, the request may have run already.
         await self.kill(0)
-        gone = await self.call(1, Nutmegroad_Ticket=ticket)
+        gone = await self.post_receipt(1, Nutmegroad_Ticket=ticket)
         self.assertFalse(gone.error['not_run'])
-        self.assertEqual(1, await self.runs())
+        self.assertEqual(1, await self.count_runs())
         await self.restart(0)
         await self.check_bills()
 
-    async def runs_at_last(self, key: str) -> bool:
-        """Tell whether a request that was refused as not run runs now."""
+    async def runs_now(self, key: str) -> bool:
+        """Return whether a request that was refused as not run runs now."""
         with suppress(KeyError):
-            return (await self.keyed(0, key)).status == 200
+            return (await self.call_with_key(0, key)).status == 200
         return False
 
 
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -1,4 +1,4 @@
-"""The page of proofs names tests and modules that exist."""
+"""Tests that docs/PROOFS.md names existing tests and files."""
 
 import re
 import unittest
@@ -6,11 +6,12 @@
 
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / 'docs' / 'PROOFS.md').read_text()
+#: Promises on the page, one row of the table each.
 PROMISES = 10
 
 
 class ProofsTest(unittest.TestCase):
-    """What stands on the page."""
+    """The references on the page."""
 
     def test_every_file_that_is_named_exists(self) -> None:
         named = set(re.findall(r'(?:tests|models|experiments)/\w+\.py', PAGE))
--- a/tests/test_rolling_replacement.py
+++ b/tests/test_rolling_replacement.py
@@ -1,4 +1,4 @@
-"""Every host is replaced under load, as processes, and nothing is lost."""
+"""Tests that replacing all host processes under load loses no request."""
 
 import asyncio
 import signal
@@ -34,25 +34,27 @@
 
 @dataclass
 class Balancer:
-    """Knows which hosts are ready, a little late, as a balancer does.
+    """Polls which hosts are ready; lags a little, as a load balancer does.
 
     Attributes:
         running: The deployment.
-        ready: Hosts to which requests may go.
+        ready: Hosts that were ready at the last poll.
     """
 
     running: Deployment
     ready: list[Running] = field(default_factory=list)
 
     async def watch(self, session: ClientSession) -> None:
-        """Look at readiness again and again."""
+        """Poll the readiness of all hosts until cancelled."""
         while True:
             hosts = tuple(self.running.hosts)
-            looks = await asyncio.gather(
+            results = await asyncio.gather(
                 *(self._is_ready(session, host) for host in hosts),
             )
             self.ready = [
-                host for host, good in zip(hosts, looks, strict=True) if good
+                host
+                for host, is_ready in zip(hosts, results, strict=True)
+                if is_ready
             ]
             await asyncio.sleep(0.1)
 
@@ -70,8 +72,10 @@
     """Callers that each send one request after another.
 
     Attributes:
-        balancer: Says where to.
-        outcomes: What came of them.
+        balancer: Knows the hosts that are ready.
+        outcomes: Number of requests by outcome; 'whole' is a complete
+            answer.
+        stopped: Whether the callers send no further requests.
     """
 
     balancer: Balancer
@@ -79,19 +83,19 @@
     stopped: bool = False
 
     async def run(self, session: ClientSession, caller: int) -> None:
-        """Send until told to stop."""
+        """Send requests as one caller until the load is stopped."""
         number = caller
         while not self.stopped:
             number += CALLERS
             ready = self.balancer.ready
             host = ready[number % len(ready)]
             try:
-                outcome = await self._ask(session, host, number)
+                outcome = await self._send(session, host, number)
             except ClientError as error:
                 outcome = f'{host.name}: {type(error).__name__} {error}'
             self.outcomes[outcome] += 1
 
-    async def _ask(
+    async def _send(
         self,
         session: ClientSession,
         host: Running,
@@ -112,12 +116,12 @@
             return f'{response.status} {content.decode()}'
         if not content.endswith(b'data: [DONE]\n\n'):
             return f'cut: {content[-200:].decode()}'
-        words = content.count(b'"content":')
-        return 'whole' if words == TOKENS else f'{words} words'
+        pieces = content.count(b'"content":')
+        return 'whole' if pieces == TOKENS else f'{pieces} pieces'
 
 
 class ReplacementTest(unittest.IsolatedAsyncioTestCase):
-    """Six hosts, replaced one after another."""
+    """Six hosts in three domains, replaced one after another."""
 
     async def asyncSetUp(self) -> None:
         self.stack = AsyncExitStack()
@@ -126,30 +130,32 @@
         self.running = await start(self.processes, RIG)
         self.session = await self.stack.enter_async_context(ClientSession())
         self.balancer = Balancer(self.running)
-        watching = asyncio.create_task(self.balancer.watch(self.session))
-        self.stack.callback(watching.cancel)
+        polling = asyncio.create_task(self.balancer.watch(self.session))
+        self.stack.callback(polling.cancel)
         async with asyncio.timeout(10):
             while len(self.balancer.ready) < len(self.running.hosts):
                 await asyncio.sleep(0.05)
 
-    async def add(self, old: Running) -> Running:
-        """Start a host's successor."""
+    async def start_successor(self, old: Running) -> Running:
+        """Start the successor of a host."""
         name = f'{old.name}x'
         return await start_host(self.processes, RIG, self.running, name)
 
-    async def add_all(self) -> None:
-        """Start all successors, and wait until callers may go to them."""
+    async def start_successors(self) -> None:
+        """Start all successors, and wait until they are ready."""
         hosts = self.running.hosts
-        fresh = await asyncio.gather(*(self.add(old) for old in hosts))
-        hosts.extend(fresh)
+        successors = await asyncio.gather(
+            *(self.start_successor(old) for old in hosts)
+        )
+        hosts.extend(successors)
         await publish(self.running, RIG)
         while len(self.balancer.ready) < len(hosts):
             await asyncio.sleep(0.05)
 
     async def stop(self, old: Running) -> int:
-        """Stop a host that has a successor."""
+        """Stop a host that has a successor; return its exit code."""
         old.signal(signal.SIGTERM)
-        # A second one must not cut what is still open.
+        # A second signal must not interrupt requests in progress.
         await asyncio.sleep(0.3)
         old.signal(signal.SIGTERM)
         code = await old.process.wait()
@@ -163,19 +169,19 @@
             for number in range(CALLERS)
         ]
         hosts = tuple(self.running.hosts)
-        await self.add_all()
+        await self.start_successors()
         codes = [await self.stop(host) for host in hosts]
         load.stopped = True
         await asyncio.gather(*callers)
-        whole = load.outcomes.pop('whole')
-        # In full: what went wrong has to be told by the one run that shows it.
+        complete = load.outcomes.pop('whole')
+        # The message lists all outcomes, since a failure may not recur.
         self.assertEqual(load.outcomes, Counter(), str(load.outcomes))
         self.assertEqual(set(codes), {0})
-        self.assertGreater(whole, 50)
-        self.assertEqual(await self.count_runs(), whole)
+        self.assertGreater(complete, 50)
+        self.assertEqual(await self.count_runs(), complete)
 
     async def count_runs(self) -> int:
-        """Return how many answers the engines wrote."""
+        """Return the number of requests that the engines have run."""
         total = 0
         for engine in self.running.engines.values():
             url = f'http://{engine.listening["main"]}/admin/runs'
