--- a/tests/records_rig.py
+++ b/tests/records_rig.py
@@ -130,7 +130,7 @@
         return Host(peer, intents, issuer, once, biller, sender, keeper)
 
     def fault(self, kind: FaultKind, scope: str, **more: object) -> None:
-        """Enable a fault of the platform."""
+        """Enable a fault in a part of the platform."""
         self.platform.faults.add(
             FaultOrder(kind, scope, **more)  # type: ignore[arg-type]
         )
--- a/tests/test_billing.py
+++ b/tests/test_billing.py
@@ -29,7 +29,7 @@
     return BillingRecord(request, 'head-office', 'dossier', 1, cost=cost)
 
 
-def attempt(biller: Biller, request: str, cost: float) -> None:
+def record_attempt(biller: Biller, request: str, cost: float) -> None:
     """Start and end an attempt of a request."""
     start = AttemptStart(
         AttemptId(f'{request}.{cost}'),
@@ -57,23 +57,23 @@
         self.one = self.rig.host('one')
         self.two = self.rig.host('two')
 
-    async def hand(self, host: Host) -> bool:
+    async def copy_records(self, host: Host) -> bool:
         """Copy records to a peer while the clock advances."""
-        handing = asyncio.ensure_future(host.sender.hand())
+        copying = asyncio.ensure_future(host.sender.hand())
         # Peers reply over real sockets, which the manual clock does not
-        # drive. On a busy host the timeout would expire before they reply.
-        await asyncio.wait((handing,), timeout=REPLY_TIMEOUT)
-        while not handing.done():
+        # drive. On a busy machine the timeout would expire before they reply.
+        await asyncio.wait((copying,), timeout=REPLY_TIMEOUT)
+        while not copying.done():
             await self.rig.clock.advance(2 * HAND_TIMEOUT)
-        return await handing
+        return await copying
 
-    async def billed(self) -> dict[str, float]:
+    async def billed_costs(self) -> dict[str, float]:
         """Return the cost by request that a reader finds."""
         bills = await read_bills(self.rig.objects)
         assert isinstance(bills, dict)
         return {request: record.cost for request, record in bills.items()}
 
-    async def objects(self) -> int:
+    async def count_objects(self) -> int:
         """Return the number of stored objects."""
         names = await self.rig.objects.names('billing/')
         assert isinstance(names, tuple)
@@ -81,13 +81,13 @@
 
     async def test_all_attempts_of_a_request_are_summed(self) -> None:
         for cost in (1, 2, 4):
-            attempt(self.one.biller, 'r1', cost)
-        attempt(self.one.biller, 'r2', 8)
+            record_attempt(self.one.biller, 'r1', cost)
+        record_attempt(self.one.biller, 'r2', 8)
         self.one.biller.record(bill('r1'))
-        attempt(self.one.biller, 'r2', 16)
+        record_attempt(self.one.biller, 'r2', 16)
         self.one.biller.record(bill('r2'))
         await self.one.sender.flush()
-        self.assertEqual({'r1': 7, 'r2': 24}, await self.billed())
+        self.assertEqual({'r1': 7, 'r2': 24}, await self.billed_costs())
 
     async def test_a_request_is_recorded_once(self) -> None:
         self.one.biller.record(bill('r1'))
@@ -102,61 +102,61 @@
         self.assertIsNotNone(await self.one.biller.flush())
         self.one.biller.record(bill('r2', 2))
         self.assertIsNone(await self.one.biller.flush())
-        self.assertEqual({'r1': 1, 'r2': 2}, await self.billed())
-        self.assertEqual(2, await self.objects())
+        self.assertEqual({'r1': 1, 'r2': 2}, await self.billed_costs())
+        self.assertEqual(2, await self.count_objects())
         self.assertEqual(0, self.one.biller.pending)
 
     async def test_the_receiver_stores_records_of_a_terminated_host(
         self,
     ) -> None:
         self.one.biller.record(bill('r1', 1))
-        self.assertTrue(await self.hand(self.one))
+        self.assertTrue(await self.copy_records(self.one))
         self.one.biller.record(bill('r2', 2))
-        self.assertTrue(await self.hand(self.one))
+        self.assertTrue(await self.copy_records(self.one))
         self.assertEqual(
             (2, 0), (self.two.keeper.held, self.remote.keeper.held)
         )
         # The batch of a briefly unresponsive host is not taken over.
         self.two.keeper.take_over()
         await self.two.sender.flush()
-        self.assertEqual({}, await self.billed())
+        self.assertEqual({}, await self.billed_costs())
         self.rig.mesh.remove(self.one.peer.host)
         await self.rig.clock.jump(TERMINATED_AFTER)
         self.two.keeper.take_over()
         await self.two.sender.flush()
-        self.assertEqual({'r1': 1, 'r2': 2}, await self.billed())
+        self.assertEqual({'r1': 1, 'r2': 2}, await self.billed_costs())
         self.assertEqual(0, self.two.keeper.held)
 
     async def test_a_receiver_has_a_receiver_while_nothing_can_be_stored(
         self,
     ) -> None:
         self.one.biller.record(bill('r1', 1))
-        await self.hand(self.one)
+        await self.copy_records(self.one)
         self.rig.mesh.remove(self.one.peer.host)
         await self.rig.clock.jump(TERMINATED_AFTER)
         self.two.keeper.take_over()
-        await self.hand(self.two)
+        await self.copy_records(self.two)
         self.rig.mesh.remove(self.two.peer.host)
         await self.rig.clock.jump(TERMINATED_AFTER)
         self.remote.keeper.take_over()
         await self.remote.sender.flush()
-        self.assertEqual({'r1': 1}, await self.billed())
+        self.assertEqual({'r1': 1}, await self.billed_costs())
 
     async def test_receivers_of_each_other_hold_a_batch_once(self) -> None:
         self.one.biller.record(bill('r1', 1))
-        await self.hand(self.one)
+        await self.copy_records(self.one)
         self.rig.mesh.remove(self.one.peer.host)
         for _ in range(3):
             await self.rig.clock.jump(TERMINATED_AFTER)
             for host in (self.two, self.remote):
                 host.keeper.take_over()
-                await self.hand(host)
+                await self.copy_records(host)
         self.assertEqual(1, self.two.biller.pending)
         self.assertEqual(1, self.remote.biller.pending)
 
     async def test_both_storing_a_batch_doubles_nothing(self) -> None:
         self.one.biller.record(bill('r1', 1))
-        await self.hand(self.one)
+        await self.copy_records(self.one)
         # The owner was only cut off, and its receiver stored a part of the
         # batch.
         self.rig.mesh.cut(self.one.peer.host, self.two.peer.host, noticed=True)
@@ -165,31 +165,31 @@
         await self.two.sender.flush()
         self.one.biller.record(bill('r2', 2))
         await self.one.sender.flush()
-        self.assertEqual({'r1': 1, 'r2': 2}, await self.billed())
+        self.assertEqual({'r1': 1, 'r2': 2}, await self.billed_costs())
 
     async def test_the_same_batch_is_the_same_object(self) -> None:
         self.one.biller.record(bill('r1', 1))
-        await self.hand(self.one)
+        await self.copy_records(self.one)
         self.rig.mesh.cut(self.one.peer.host, self.two.peer.host, noticed=True)
         await self.rig.clock.jump(TERMINATED_AFTER)
         self.two.keeper.take_over()
         await self.two.sender.flush()
         await self.one.sender.flush()
-        self.assertEqual(1, await self.objects())
+        self.assertEqual(1, await self.count_objects())
 
     async def test_a_stored_batch_is_released(self) -> None:
         self.one.biller.record(bill('r1', 1))
-        await self.hand(self.one)
+        await self.copy_records(self.one)
         await self.one.sender.flush()
         await self.rig.clock.advance(HAND_TIMEOUT)
         self.assertEqual(0, self.two.keeper.held)
 
     async def test_a_new_receiver_gets_everything(self) -> None:
         self.one.biller.record(bill('r1', 1))
-        await self.hand(self.one)
+        await self.copy_records(self.one)
         self.rig.mesh.remove(self.two.peer.host)
         self.one.biller.record(bill('r2', 2))
-        self.assertTrue(await self.hand(self.one))
+        self.assertTrue(await self.copy_records(self.one))
         self.assertEqual(2, self.remote.keeper.held)
 
     async def test_an_unresponsive_receiver_is_waited_for_once(self) -> None:
@@ -197,18 +197,18 @@
         self.one.biller.record(bill('r1', 1))
         # Another peer accepts this record, and all later ones while the
         # unresponsive peer is excluded.
-        self.assertTrue(await self.hand(self.one))
+        self.assertTrue(await self.copy_records(self.one))
         self.rig.mesh.heal_all()
         self.one.biller.record(bill('r2', 2))
-        self.assertTrue(await self.hand(self.one))
+        self.assertTrue(await self.copy_records(self.one))
         self.assertEqual(2, self.remote.keeper.held)
         self.assertEqual(0, self.two.keeper.held)
 
     async def test_a_stop_copies_unstored_records_to_two_peers(self) -> None:
         self.one.biller.record(bill('r1', 1))
         self.rig.fault(FaultKind.DOWN, 'objects', count=2)
-        ending = asyncio.ensure_future(self.one.sender.close())
-        while not ending.done():
+        stopping = asyncio.ensure_future(self.one.sender.close())
+        while not stopping.done():
             await asyncio.sleep(0)
             await self.rig.clock.advance(HAND_TIMEOUT / 5)
         # Right after the stop, the local one of the two peers terminates.
@@ -216,19 +216,19 @@
         self.rig.mesh.remove(self.two.peer.host)
         self.remote.keeper.take_over()
         await self.remote.sender.flush()
-        self.assertEqual({'r1': 1}, await self.billed())
+        self.assertEqual({'r1': 1}, await self.billed_costs())
 
     async def test_a_stop_copies_unstored_records_to_a_peer(self) -> None:
         self.one.biller.record(bill('r1', 1))
         self.rig.fault(FaultKind.DOWN, 'objects', count=2)
-        ending = asyncio.ensure_future(self.one.sender.close())
-        while not ending.done():
+        stopping = asyncio.ensure_future(self.one.sender.close())
+        while not stopping.done():
             await asyncio.sleep(0)
             await self.rig.clock.advance(HAND_TIMEOUT / 5)
         self.rig.mesh.remove(self.one.peer.host)
         self.two.keeper.take_over()
         await self.two.sender.flush()
-        self.assertEqual({'r1': 1}, await self.billed())
+        self.assertEqual({'r1': 1}, await self.billed_costs())
 
     async def test_a_long_outage_is_bounded_and_logged(self) -> None:
         biller = Biller(
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -43,7 +43,9 @@
     def open_engines(self) -> set[str]:
         return {state.info.upstream for state in self.directory.engines(A1)}
 
-    async def test_each_source_of_draining_stops_new_work_at_once(self) -> None:
+    async def test_each_source_of_draining_stops_new_work_immediately(
+        self,
+    ) -> None:
         def listed() -> None:
             leaving = replace(engine_info('one'), presence=Presence.LEAVING)
             self.directory.update((leaving, engine_info('two', 2)))
@@ -68,12 +70,12 @@
         for name, drain in sources.items():
             with self.subTest(name):
                 await self.asyncSetUp()
-                held = self.directory.state(ONE)
+                state = self.directory.state(ONE)
                 self.assertEqual(self.open_engines(), {'one', 'two'})
                 drain()
                 self.assertEqual(self.open_engines(), {'two'})
-                assert held is not None
-                self.assertTrue(held.leaving)
+                assert state is not None
+                self.assertTrue(state.leaving)
 
     async def test_its_own_reports_do_not_overrule_the_list(self) -> None:
         leaving = replace(engine_info('one'), presence=Presence.LEAVING)
@@ -118,7 +120,9 @@
         self.directory.reported(UpstreamId('n'), report_of(A1))
         self.assertEqual(self.open_engines(), set())
 
-    async def test_a_service_that_refused_is_tried_again_later(self) -> None:
+    async def test_a_service_that_refused_gets_requests_again_later(
+        self,
+    ) -> None:
         name = ServiceName('desk')
         desk = replace(
             engine_info('desk', 5),
@@ -143,11 +147,11 @@
         self.mesh = MemoryMesh(self.clock, random.Random(1))
         await self.enterAsyncContext(self.mesh)
         self.directories = [
-            self.host(name, domain)
+            self.add_host(name, domain)
             for name, domain in (('a', 'east'), ('b', 'east'), ('c', 'west'))
         ]
 
-    def host(self, name: str, domain: str) -> Directory:
+    def add_host(self, name: str, domain: str) -> Directory:
         directory = Directory(self.clock)
         directory.update((engine_info('one'),))
         peer = self.mesh.join(HostId(name), DomainId(domain))
@@ -163,12 +167,12 @@
         for directory in others:
             directory.reported(ONE, report_of(A1))
         first.reported(ONE, report_of(A1), self.clock.now() - REPORT_LAG - 1)
-        self.assertEqual(self.leaving(), [True, False, False])
+        self.assertEqual(self.draining_states(), [True, False, False])
         first.reported(ONE, report_of(A1, leaving=True))
         await self.clock.advance(0.1)
-        self.assertEqual(self.leaving(), [True, True, True])
+        self.assertEqual(self.draining_states(), [True, True, True])
 
-    def leaving(self) -> list[bool]:
+    def draining_states(self) -> list[bool]:
         states = [directory.state(ONE) for directory in self.directories]
         return [state is not None and state.leaving for state in states]
 
@@ -179,13 +183,13 @@
         self.mesh.cut(HostId('a'), HostId('c'))
         self.directories[0].reported(ONE, report_of(A1, leaving=True))
         await self.clock.advance(0.1)
-        self.assertEqual(self.leaving(), [True, True, True])
+        self.assertEqual(self.draining_states(), [True, True, True])
 
     async def test_a_refused_connection_is_not_broadcast(self) -> None:
         self.directories[0].refused(ONE)
         self.directories[0].refused(ONE)
         await self.clock.advance(0.1)
-        self.assertEqual(self.leaving(), [True, False, False])
+        self.assertEqual(self.draining_states(), [True, False, False])
 
 
 class FrozenEngines:
@@ -193,11 +197,11 @@
 
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
-        self.asked: list[str] = []
+        self.polled: list[str] = []
 
     async def report(self, upstream: UpstreamInfo) -> EngineReport | Refusal:
         """Answer for all engines but one."""
-        self.asked.append(upstream.upstream)
+        self.polled.append(upstream.upstream)
         if upstream.upstream == 'one':
             await self.clock.sleep(2)
             return Refusal(ResultCode.UPSTREAM_TIMEOUT, 'frozen')
@@ -222,7 +226,9 @@
         clock = ManualClock()
         directory = Directory(clock)
         notices: list[tuple[str, DrainingSource]] = []
-        directory.listen(lambda info, how: notices.append((info.upstream, how)))
+        directory.listen(
+            lambda info, source: notices.append((info.upstream, source))
+        )
         engines = FrozenEngines(clock)
         infos = [engine_info('one')]
         infos.extend(engine_info(f'e{number}', number) for number in range(99))
@@ -238,4 +244,4 @@
             await clock.advance(1.3)
             self.assertEqual(len(notices), 99)
             await asyncio.sleep(0)
-            self.assertIn('one', engines.asked)
+            self.assertIn('one', engines.polled)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Tests the versions and upstreams that a request gets, and its end."""
+"""Tests of the versions and upstreams that requests are dispatched to."""
 
 import unittest
 from dataclasses import replace
@@ -23,14 +23,14 @@
     return [Refusal(ResultCode.UPSTREAM_UNREACHABLE, 'gone')]
 
 
-class Cascade:
+class CascadePlanner:
     """A planner of cascades with a fixed estimate of the first answer."""
 
     def __init__(self, estimate: float) -> None:
         self.fixed_estimate = estimate
 
     def plan(self, request: ModelRequest) -> Plan:
-        """Return a step for each version that is allowed."""
+        """Return a plan with one step for each allowed version."""
         steps = request.versions
         return Plan(steps, (0.5,) * (len(steps) - 1), 1, 1, 'test')
 
@@ -42,37 +42,37 @@
 class CascadeTest(unittest.IsolatedAsyncioTestCase):
     """A cheap first step whose answer is withheld until it is estimated."""
 
-    def rig(self, estimate: float) -> HostRig:
-        return HostRig(ManualClock(), Cascade(estimate))
+    def make_rig(self, estimate: float) -> HostRig:
+        return HostRig(ManualClock(), CascadePlanner(estimate))
 
-    async def ask(self, rig: HostRig, **changes: Any) -> Answer | Refusal:
+    async def send(self, rig: HostRig, **changes: Any) -> Answer | Refusal:
         return await rig.ask(versions=(SMALL, MEDIUM), **changes)
 
     async def test_a_good_first_answer_is_shown_as_its_own_version(
         self,
     ) -> None:
-        rig = self.rig(0.9)
-        answer = await self.ask(rig)
+        rig = self.make_rig(0.9)
+        answer = await self.send(rig)
         assert isinstance(answer, Answer)
         self.assertEqual(answer.version, SMALL)
         self.assertEqual(rig.caller.versions[-1], SMALL)
         self.assertEqual(rig.caller.text, answer.text)
 
     async def test_nothing_of_a_bad_first_answer_is_shown(self) -> None:
-        rig = self.rig(0.1)
+        rig = self.make_rig(0.1)
 
-        def words(attempt: Attempt) -> list[Any]:
+        def script(attempt: Attempt) -> list[Any]:
             return [Piece(0, 'bad'), ENDING]
 
-        rig.engines.scripts = [words]
-        answer = await self.ask(rig)
+        rig.engines.scripts = [script]
+        answer = await self.send(rig)
         assert isinstance(answer, Answer)
         self.assertEqual(answer.version, MEDIUM)
         self.assertNotIn('bad', rig.caller.text)
         self.assertEqual(rig.spent.attempts, 2)
 
-    async def test_the_last_step_is_held_to_a_withdrawal_too(self) -> None:
-        rig = self.rig(0.1)
+    async def test_a_withdrawal_applies_to_the_last_step_too(self) -> None:
+        rig = self.make_rig(0.1)
 
         async def withdraw() -> None:
             withdrawal = Withdrawal(version=MEDIUM, epoch=0)
@@ -82,17 +82,17 @@
             return [Piece(0, 'bad'), withdraw, ENDING]
 
         rig.engines.scripts = [script]
-        answer = await self.ask(rig)
+        answer = await self.send(rig)
         assert isinstance(answer, Answer)
         self.assertEqual(answer.version, SMALL)
         versions = {sent.version for sent in rig.engines.sent}
         self.assertEqual(versions, {SMALL})
 
-    async def test_what_may_not_run_twice_takes_the_last_step_only(
+    async def test_a_non_repeatable_request_takes_the_last_step_only(
         self,
     ) -> None:
-        rig = self.rig(0.1)
-        answer = await self.ask(rig, repeatable=False)
+        rig = self.make_rig(0.1)
+        answer = await self.send(rig, repeatable=False)
         assert isinstance(answer, Answer)
         self.assertEqual([sent.version for sent in rig.engines.sent], [MEDIUM])
 
@@ -104,14 +104,14 @@
         self.rig = HostRig(ManualClock())
         self.session = SessionClaim('s', SMALL, Epoch(0))
 
-    async def ask(self) -> Answer | Refusal:
+    async def send(self) -> Answer | Refusal:
         return await self.rig.ask(session=self.session)
 
     async def test_a_withdrawal_of_its_version_ends_a_session_not_run(
         self,
     ) -> None:
         self.rig.configuration.withdraw(WITHDRAWN)
-        outcome = await self.ask()
+        outcome = await self.send()
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.code, ResultCode.SESSION_ENDED)
         self.assertIs(outcome.ran, Ran.NOT_RUN)
@@ -123,7 +123,7 @@
         for name in ('one', 'two'):
             self.rig.directory.reported(UpstreamId(name), report_of(MEDIUM))
         self.rig.configuration.withdraw(WITHDRAWN)
-        outcome = await self.ask()
+        outcome = await self.send()
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.code, ResultCode.SESSION_ENDED)
 
@@ -134,7 +134,7 @@
             self.rig.configuration.withdraw(WITHDRAWN)
 
         self.rig.engines.scripts = [lambda attempt: [withdraw, CUT]]
-        outcome = await self.ask()
+        outcome = await self.send()
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.code, ResultCode.SESSION_ENDED)
         self.assertIs(outcome.ran, Ran.UNKNOWN)
@@ -169,7 +169,7 @@
     async def test_another_epoch_is_another_version(self) -> None:
         self.rig.configuration.withdraw(WITHDRAWN)
         self.session = replace(self.session, epoch=Epoch(1))
-        answer = await self.ask()
+        answer = await self.send()
         self.assertIsInstance(answer, Answer)
 
 
@@ -179,14 +179,14 @@
     async def asyncSetUp(self) -> None:
         self.rig = HostRig(ManualClock())
 
-    async def test_what_may_not_run_twice_is_sent_once(self) -> None:
+    async def test_a_non_repeatable_request_is_sent_once(self) -> None:
         self.rig.engines.scripts = [lambda attempt: [CUT]]
         outcome = await self.rig.ask(repeatable=False)
         assert isinstance(outcome, Refusal)
         self.assertIs(outcome.ran, Ran.UNKNOWN)
         self.assertEqual(len(self.rig.engines.sent), 1)
 
-    async def test_what_is_proved_not_run_is_tried_elsewhere(self) -> None:
+    async def test_a_request_proved_not_run_is_retried_elsewhere(self) -> None:
         busy = Refusal(ResultCode.UPSTREAM_BUSY, 'busy')
         self.rig.engines.scripts = [lambda attempt: [busy]]
         answer = await self.rig.ask(repeatable=False)
@@ -203,7 +203,7 @@
         assert isinstance(answer, Answer)
         self.assertEqual(answer.version, VersionId(MEDIUM))
 
-    async def test_upstreams_that_refuse_connections_get_no_more(
+    async def test_upstreams_that_refuse_connections_get_no_requests(
         self,
     ) -> None:
         for _ in range(2):
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence counters add up to the same sums on all hosts."""
+"""Tests that evidence counters add up to the same sums on all hosts."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 )
 from nutmegroad.testing.virtual import ManualClock
 from tests.rigs import SMALL, WORDS, HostRig, Script
-from tests.rigs import TASK as ASKED
+from tests.rigs import TASK as RIG_TASK
 
 VERSION = VersionId('a@1')
 TASK = TaskName('tag')
@@ -52,18 +52,18 @@
 
 
 class EvidenceTest(unittest.TestCase):
-    def test_lost_doubled_and_crossed_messages_do_no_harm(self) -> None:
-        chance = random.Random(5)
+    def test_lost_duplicated_and_reordered_messages_do_no_harm(self) -> None:
+        rng = random.Random(5)
         stores = [EvidenceStore(name) for name in NAMES]
-        under_way: list[EvidenceMessage] = []
+        in_flight: list[EvidenceMessage] = []
         for _ in range(300):
-            store = chance.choice(stores)
-            code = chance.choice((ResultCode.OK, ResultCode.UPSTREAM_ERROR))
+            store = rng.choice(stores)
+            code = rng.choice((ResultCode.OK, ResultCode.UPSTREAM_ERROR))
             store.ended(end_of(code))
-            under_way.append(store.next_message())
-            for message in chance.sample(under_way, min(2, len(under_way))):
-                if chance.getrandbits(1):
-                    chance.choice(stores).merge(message.cells)
+            in_flight.append(store.next_message())
+            for message in rng.sample(in_flight, min(2, len(in_flight))):
+                if rng.getrandbits(1):
+                    rng.choice(stores).merge(message.cells)
         for sender in stores * 2:
             message = sender.next_message()
             for store in stores:
@@ -89,13 +89,13 @@
         store = EvidenceStore(NAMES[0])
         for number in range(200):
             store.ended(end_of(task=f'task-{number}'))
-        most = MESSAGE_CELLS + REPEATED_CELLS
-        self.assertLessEqual(len(store.next_message().cells), most)
+        max_cells = MESSAGE_CELLS + REPEATED_CELLS
+        self.assertLessEqual(len(store.next_message().cells), max_cells)
 
     def test_ended_incarnations_are_folded_and_not_counted_again(self) -> None:
-        gone = EvidenceStore(NAMES[0])
-        gone.ended(end_of())
-        message = gone.next_message()
+        sender = EvidenceStore(NAMES[0])
+        sender.ended(end_of())
+        message = sender.next_message()
         store = EvidenceStore(NAMES[1])
         store.merge(message.cells)
         store.fold(frozenset((NAMES[1],)))
@@ -104,10 +104,10 @@
         self.assertEqual(store.total(VERSION, TASK).attempts, 1)
 
     def test_listeners_receive_each_attempt_once(self) -> None:
-        heard: list[Tally] = []
+        received: list[Tally] = []
         sender = EvidenceStore(NAMES[0])
         store = EvidenceStore(NAMES[1])
-        store.listen(lambda _key, fresh: heard.append(fresh))
+        store.listen(lambda _key, fresh: received.append(fresh))
         messages = []
         for _ in range(3):
             sender.ended(end_of())
@@ -115,7 +115,7 @@
         for message in (*messages, *messages):
             store.merge(message.cells)
         # No attempt is counted twice, and an old message removes none.
-        self.assertEqual([tally.attempts for tally in heard], [1, 1, 1])
+        self.assertEqual([tally.attempts for tally in received], [1, 1, 1])
 
 
 class DeadlineTest(unittest.IsolatedAsyncioTestCase):
@@ -127,7 +127,7 @@
         self.store = EvidenceStore(NAMES[0])
         self.rig.observers.add(self.store)
 
-    def slowly(self, *pauses: float) -> Script:
+    def pausing_script(self, *pauses: float) -> Script:
         """Return a script that writes a word after each pause."""
 
         def script(attempt: Attempt) -> list[object]:
@@ -139,23 +139,23 @@
 
         return script
 
-    async def failures(self, *pauses: float) -> int:
+    async def count_failures(self, *pauses: float) -> int:
         """Return the failures counted for an attempt with a deadline of 3 s."""
-        self.rig.engines.scripts = [self.slowly(*pauses)]
+        self.rig.engines.scripts = [self.pausing_script(*pauses)]
         deadline = self.clock.now() + 3
         task = asyncio.create_task(self.rig.ask(deadline=deadline))
         await self.clock.advance(4)
         await task
-        return self.store.total(SMALL, ASKED).failures
+        return self.store.total(SMALL, RIG_TASK).failures
 
     async def test_attempt_that_was_writing_does_not_count(self) -> None:
-        self.assertEqual(await self.failures(*repeat(0.5, 8)), 0)
+        self.assertEqual(await self.count_failures(*repeat(0.5, 8)), 0)
 
     async def test_unresponsive_attempt_counts(self) -> None:
-        self.assertEqual(await self.failures(0.5, 9), 1)
+        self.assertEqual(await self.count_failures(0.5, 9), 1)
 
     async def test_attempt_without_output_counts(self) -> None:
-        self.assertEqual(await self.failures(9), 1)
+        self.assertEqual(await self.count_failures(9), 1)
 
     async def test_attempt_that_waits_at_full_engines_does_not_count(
         self,
@@ -164,12 +164,12 @@
             assert state.report is not None
             full = replace(state.report, running=4)
             self.rig.directory.reported(state.info.upstream, full)
-        self.assertEqual(await self.failures(9), 0)
+        self.assertEqual(await self.count_failures(9), 0)
 
     async def test_attempt_whose_caller_left_does_not_count(self) -> None:
-        self.rig.engines.scripts = [self.slowly(*repeat(0.5, 8))]
+        self.rig.engines.scripts = [self.pausing_script(*repeat(0.5, 8))]
         task = asyncio.create_task(self.rig.ask())
         await self.clock.advance(2)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        self.assertEqual(self.store.total(SMALL, ASKED).attempts, 0)
+        self.assertEqual(self.store.total(SMALL, RIG_TASK).attempts, 0)
--- a/tests/test_fuzz_datagrams.py
+++ b/tests/test_fuzz_datagrams.py
@@ -94,19 +94,21 @@
 )
 
 
-def a_host() -> tuple[PeerGossip, ManualClock]:
+def make_host() -> tuple[PeerGossip, ManualClock]:
     """Return a host that knows one local and seventeen remote hosts."""
     clock = ManualClock(start=100)
-    told = new_shared_state(HostId('me'), HostIncarnation(1), clock, 5)
-    host = PeerGossip(HostId('me'), row('north'), told, clock)
+    shared_state = new_shared_state(HostId('me'), HostIncarnation(1), clock, 5)
+    host = PeerGossip(HostId('me'), row('north'), shared_state, clock)
     host.connection_made(Mock())
     host.add_host(HostId('near'), row('north'))
     for number in range(17):
         name = f'far-{number}' if number else 'far'
         host.add_host(HostId(name), row('south'))
-    told.sessions.record(SessionFingerprint(1))
-    told.evidence.count(ServiceName('near'), 1, KIND, of_new=True, poor=True)
-    told.ledger.begin(UpstreamIncarnation('near'), Load(1, 0, 9))
+    shared_state.sessions.record(SessionFingerprint(1))
+    shared_state.evidence.count(
+        ServiceName('near'), 1, KIND, of_new=True, poor=True
+    )
+    shared_state.ledger.begin(UpstreamIncarnation('near'), Load(1, 0, 9))
     return host, clock
 
 
@@ -126,15 +128,15 @@
 class DatagramTest(unittest.TestCase):
     """A host that receives arbitrary datagrams."""
 
-    def receive(self, *texts: bytes) -> PeerGossip:
+    def receive(self, *datagrams: bytes) -> PeerGossip:
         """Let a host receive datagrams and run for some rounds."""
-        host, clock = a_host()
-        for text in texts:
-            host.datagram_received(text, ('127.0.0.9', 9))
-            host.datagram_received(text, ('127.0.0.9', 9))
-        for turn in range(12):
+        host, clock = make_host()
+        for datagram in datagrams:
+            host.datagram_received(datagram, ('127.0.0.9', 9))
+            host.datagram_received(datagram, ('127.0.0.9', 9))
+        for number in range(12):
             clock._now += 1
-            host._send_round(turn)
+            host._send_round(number)
             self.assertLess(len(host.encode_report()), 65_000)
         host._domains.is_suspected(DomainId('south'))
         return host
@@ -164,19 +166,19 @@
         load = host._ledger.load(UpstreamIncarnation('near'))
         self.assertFalse(math.isnan(load.running))
 
-    def test_made_up_fingerprints_are_bounded(self) -> None:
+    def test_invented_fingerprints_are_bounded(self) -> None:
         """Guards: a broken host fills its peers' memory with fingerprints."""
-        texts = []
+        datagrams = []
         for begin in range(0, MAX_SESSIONS * 2, BATCH):
             ages = dict.fromkeys(range(begin, begin + BATCH), 1)
-            texts.append(encode([1, 'near', [[ages, {}], [[], []]]]))
-        host, _ = a_host()
-        for text in texts:
-            host.datagram_received(text, ('127.0.0.9', 9))
-        marks = host._digests._sessions
-        self.assertLessEqual(len(marks), MAX_SESSIONS)
-        marks.record(SessionFingerprint(2**31))
-        self.assertTrue(marks.is_live(SessionFingerprint(2**31)))
+            datagrams.append(encode([1, 'near', [[ages, {}], [[], []]]]))
+        host, _ = make_host()
+        for datagram in datagrams:
+            host.datagram_received(datagram, ('127.0.0.9', 9))
+        sessions = host._digests._sessions
+        self.assertLessEqual(len(sessions), MAX_SESSIONS)
+        sessions.record(SessionFingerprint(2**31))
+        self.assertTrue(sessions.is_live(SessionFingerprint(2**31)))
 
     def test_messages_are_decoded(self) -> None:
         """Otherwise the tests above would exercise nothing."""
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -22,7 +22,7 @@
         self.clock = ManualClock()
         self.rig = HostRig(self.clock)
 
-    async def refused_as(self, code: ResultCode) -> None:
+    async def assert_refused(self, code: ResultCode) -> None:
         outcome = await self.rig.ask()
         self.assertIsInstance(outcome, Refusal)
         assert isinstance(outcome, Refusal)
@@ -34,9 +34,9 @@
         self.rig.configuration.withdraw(
             (Withdrawal(version='brief-small@2', epoch=0),),
         )
-        await self.refused_as(ResultCode.VERSION_WITHDRAWN)
+        await self.assert_refused(ResultCode.VERSION_WITHDRAWN)
 
-    async def test_a_retry_is_held_to_a_withdrawal_that_came_since(
+    async def test_a_withdrawal_applies_to_later_retries(
         self,
     ) -> None:
         async def withdraw() -> None:
@@ -50,7 +50,7 @@
         self.assertIs(outcome.ran, Ran.UNKNOWN)
         self.assertEqual(len(self.rig.engines.sent), 1)
 
-    async def test_a_resumption_is_held_to_a_withdrawal_too(self) -> None:
+    async def test_a_withdrawal_applies_to_later_resumptions(self) -> None:
         async def withdraw() -> None:
             withdrawal = Withdrawal(version='brief-small@2', epoch=0)
             self.rig.configuration.withdraw((withdrawal,))
@@ -69,12 +69,12 @@
         self.assertEqual(outcome.code, ResultCode.DEADLINE_PASSED)
         self.assertEqual(self.rig.engines.sent, [])
 
-    async def test_a_condition_of_the_host_holds_back_everything(self) -> None:
+    async def test_a_condition_of_the_host_refuses_all_requests(self) -> None:
         stopping = Refusal(ResultCode.HOST_STOPPING, 'stopping')
         self.rig.gatekeeper.add_condition(lambda: stopping)
-        await self.refused_as(ResultCode.HOST_STOPPING)
+        await self.assert_refused(ResultCode.HOST_STOPPING)
 
-    async def test_an_upstream_that_leaves_is_passed_over(self) -> None:
+    async def test_a_draining_upstream_is_skipped(self) -> None:
         info = engine_info('one')
         leaving = replace(info, presence=Presence.LEAVING)
         self.rig.directory.update((leaving, engine_info('two', 2)))
@@ -92,7 +92,8 @@
         self.detector = PauseDetector(self.clock, self.rig.configuration, 8)
         self.rig.gatekeeper.add_condition(self.detector.refusal)
 
-    async def code(self) -> ResultCode:
+    async def send(self) -> ResultCode:
+        """Send a request, and return the code of its outcome."""
         outcome = await self.rig.ask()
         return outcome.code if isinstance(outcome, Refusal) else ResultCode.OK
 
@@ -100,29 +101,31 @@
         configuration = self.rig.configuration
         await self.clock.jump(2)
         # The detector has not ticked since, so the gate must notice.
-        self.assertEqual(await self.code(), ResultCode.HOST_PAUSED)
+        self.assertEqual(await self.send(), ResultCode.HOST_PAUSED)
         configuration.confirm(Revision(1), self.clock.now() - 1)
-        self.assertEqual(await self.code(), ResultCode.HOST_PAUSED)
+        self.assertEqual(await self.send(), ResultCode.HOST_PAUSED)
         configuration.confirm(Revision(1), self.clock.now())
-        self.assertEqual(await self.code(), ResultCode.OK)
+        self.assertEqual(await self.send(), ResultCode.OK)
 
-    async def test_without_a_platform_the_rules_of_isolation_hold(self) -> None:
+    async def test_isolation_ends_a_pause_without_a_platform(self) -> None:
         await self.clock.jump(2)
-        self.assertEqual(await self.code(), ResultCode.HOST_PAUSED)
+        self.assertEqual(await self.send(), ResultCode.HOST_PAUSED)
         for _ in range(90):
             await self.clock.advance(0.1)
             self.detector.tick()
         self.assertTrue(self.rig.configuration.isolated)
         self.assertIsNone(self.detector.refusal())
 
-    async def test_a_pause_is_followed_by_a_confirmation_at_once(self) -> None:
+    async def test_a_pause_is_followed_by_an_immediate_confirmation(
+        self,
+    ) -> None:
         reads: list[float] = []
 
-        async def ask() -> None:
+        async def confirm() -> None:
             reads.append(self.clock.now())
             self.rig.configuration.confirm(Revision(1), self.clock.now())
 
-        task = asyncio.create_task(self.detector.confirm_after(ask))
+        task = asyncio.create_task(self.detector.confirm_after(confirm))
         await self.clock.settle()
         await self.clock.jump(2)
         self.assertIsNotNone(self.detector.refusal())
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -1,4 +1,4 @@
-"""The HTTP adapters say truthfully what ran."""
+"""Tests that the HTTP adapters report correctly what an upstream has run."""
 
 import asyncio
 import unittest
@@ -45,21 +45,21 @@
 )
 from tests.quick import ENDLESS, quick_settings
 
-CLOSED = Refusal(ResultCode.HOST_PAUSED, 'The host was paused.')
+GATE_REFUSAL = Refusal(ResultCode.HOST_PAUSED, 'The host was paused.')
 BODY = b'{"messages":[{"role":"user","content":"hi"}],"nutmegroad_tokens":8}'
 
 
 def open_gate() -> None:
-    """Let everything through."""
+    """Admit every request."""
 
 
 def closed_gate() -> Refusal:
-    """Let nothing through."""
-    return CLOSED
+    """Refuse every request."""
+    return GATE_REFUSAL
 
 
 def upstream_at(address: Address) -> UpstreamInfo:
-    """Return an upstream that listens there."""
+    """Return an upstream with an address."""
     return UpstreamInfo(
         UpstreamId('u'),
         DomainId('d'),
@@ -69,8 +69,8 @@
 
 
 def attempt_at(address: Address, **changes: Any) -> Attempt:
-    """Return an attempt at having eight words written."""
-    usual: dict[str, Any] = {
+    """Return an attempt that asks for eight words, with changes."""
+    defaults: dict[str, Any] = {
         'attempt': AttemptId('at'),
         'upstream': upstream_at(address),
         'version': VersionId('a@1'),
@@ -78,12 +78,12 @@
         'gate': open_gate,
         'timeout': 10,
     }
-    return Attempt(**{**usual, **changes})
+    return Attempt(**{**defaults, **changes})
 
 
 def call_at(address: Address, **changes: Any) -> ServiceCall:
-    """Return a call to a service."""
-    usual: dict[str, Any] = {
+    """Return a call to a plain service, with changes."""
+    defaults: dict[str, Any] = {
         'attempt': AttemptId('at'),
         'upstream': upstream_at(address),
         'method': 'POST',
@@ -94,7 +94,7 @@
         'timeout': 10,
         'key': 'k1',
     }
-    return ServiceCall(**{**usual, **changes})
+    return ServiceCall(**{**defaults, **changes})
 
 
 class ByteCounter:
@@ -105,12 +105,12 @@
         self.requests = 0
 
     async def open(self, stack: AsyncExitStack) -> Address:
-        """Begin to listen."""
-        server = await asyncio.start_server(self._take, '127.0.0.1', 0)
+        """Start to listen, and return the address."""
+        server = await asyncio.start_server(self._receive, '127.0.0.1', 0)
         stack.callback(server.close)
         return Address(*server.sockets[0].getsockname())
 
-    async def _take(
+    async def _receive(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -122,18 +122,18 @@
 
 
 class UpstreamCase(unittest.IsolatedAsyncioTestCase):
-    """Opens the clients."""
+    """Test case with a client for engines and one for services."""
 
     async def asyncSetUp(self) -> None:
-        """Open both clients."""
+        """Open the clients."""
         self.stack = AsyncExitStack()
         self.addAsyncCleanup(self.stack.aclose)
         enter = self.stack.enter_async_context
         self.engines = await enter(HttpEngineClient())
         self.services = await enter(HttpServiceClient())
 
-    async def engine(self, **changes: Any) -> FakeEngine:
-        """Open an engine."""
+    async def start_engine(self, **changes: Any) -> FakeEngine:
+        """Start a fake engine with changed settings."""
         engine = FakeEngine(quick_settings(**changes))
         return await self.stack.enter_async_context(engine)
 
@@ -148,23 +148,23 @@
         code: ResultCode,
         ran: Ran,
     ) -> None:
-        """Check a refusal's code and what is known."""
+        """Check a refusal's code and what it says about the execution."""
         self.assertIsInstance(refusal, Refusal)
         if isinstance(refusal, Refusal):
             self.assertEqual((code, ran), (refusal.code, refusal.ran))
 
 
 class GateTest(UpstreamCase):
-    """The gate is asked with the first byte, and only then."""
+    """The gate is asked when the first byte is sent, and only then."""
 
     async def test_a_closed_gate_sends_nothing(self) -> None:
         counter = ByteCounter()
         address = await counter.open(self.stack)
         events = await self.answer(attempt_at(address, gate=closed_gate))
-        self.assertEqual([CLOSED], events)
+        self.assertEqual([GATE_REFUSAL], events)
         for body in (b'', b'{}'):
             call = call_at(address, gate=closed_gate, body=body)
-            self.assertEqual(CLOSED, await self.services.call(call))
+            self.assertEqual(GATE_REFUSAL, await self.services.call(call))
         order = EngineOrder(
             OrderAction.LOAD,
             VersionId('a@2'),
@@ -172,7 +172,7 @@
             closed_gate,
         )
         reply = await self.engines.order(upstream_at(address), order)
-        self.assertEqual(CLOSED, reply)
+        self.assertEqual(GATE_REFUSAL, reply)
         self.assertEqual(0, counter.received)
 
     async def test_the_gate_is_asked_in_the_step_of_the_first_byte(
@@ -181,28 +181,28 @@
         counter = ByteCounter()
         address = await counter.open(self.stack)
         write = StreamWriter._write
-        write_all = StreamWriter._writelines
+        writelines = StreamWriter._writelines
         steps: list[str] = []
 
         def gate() -> None:
-            """Note the call, and which step of the loop comes next."""
+            """Record the call, and the start of the loop's next step."""
             steps.append('gate')
             asyncio.get_running_loop().call_soon(steps.append, 'next step')
 
-        def note_write(writer: StreamWriter, chunk: Any) -> None:
-            """Note the first byte of a request without a body."""
+        def record_write(writer: StreamWriter, chunk: Any) -> None:
+            """Record the first byte of a request without a body."""
             steps.append('write')
             write(writer, chunk)
 
-        def note_all(writer: StreamWriter, chunks: Any) -> None:
-            """Note the first byte of a request with a body."""
+        def record_writelines(writer: StreamWriter, chunks: Any) -> None:
+            """Record the first byte of a request with a body."""
             steps.append('write')
-            write_all(writer, chunks)
+            writelines(writer, chunks)
 
         with patch.multiple(
             StreamWriter,
-            _write=note_write,
-            _writelines=note_all,
+            _write=record_write,
+            _writelines=record_writelines,
         ):
             for body in (b'', b'{}'):
                 steps.clear()
@@ -225,10 +225,10 @@
 
 
 class AnswerTest(UpstreamCase):
-    """Answers, and each way in which they go wrong."""
+    """Complete answers, and each kind of failure."""
 
-    async def test_a_whole_answer(self) -> None:
-        engine = await self.engine()
+    async def test_a_complete_answer(self) -> None:
+        engine = await self.start_engine()
         events = await self.answer(attempt_at(engine.address))
         pieces = [event for event in events if isinstance(event, Piece)]
         self.assertEqual(list(range(8)), [piece.index for piece in pieces])
@@ -245,12 +245,13 @@
             (FaultKind.FREEZE, ResultCode.UPSTREAM_TIMEOUT),
             (FaultKind.LATE, ResultCode.UPSTREAM_TIMEOUT),
         )
-        engine = await self.engine()
+        engine = await self.start_engine()
         for kind, code in cases:
             with self.subTest(kind):
                 engine.faults.clear()
                 engine.faults.add(FaultOrder(kind, delay=600, scope='answers'))
-                # A name of its own: the last case's cancel may be on its way.
+                # Each case has its own id, since the cancellation of the last
+                # case may still be in flight.
                 attempt = attempt_at(
                     engine.address,
                     attempt=AttemptId(kind.value),
@@ -260,14 +261,14 @@
                 self.assert_refused(events[-1], code, Ran.UNKNOWN)
 
     async def test_duplicates_are_dropped_and_counted(self) -> None:
-        engine = await self.engine()
+        engine = await self.start_engine()
         engine.faults.add(FaultOrder(FaultKind.DUPLICATE))
         events = await self.answer(attempt_at(engine.address))
         self.assertEqual(9, len(events))
         self.assertEqual(8, self.engines.duplicates)
 
-    async def test_what_is_proved_not_to_have_run(self) -> None:
-        engine = await self.engine(speed=ENDLESS)
+    async def test_refusals_before_execution_report_not_run(self) -> None:
+        engine = await self.start_engine(speed=ENDLESS)
         unloaded = attempt_at(engine.address, version=VersionId('a@9'))
         events = await self.answer(unloaded)
         code = ResultCode.VERSION_NOT_LOADED
@@ -284,7 +285,7 @@
         code = ResultCode.UPSTREAM_BUSY
         self.assert_refused(events[0], code, Ran.NOT_RUN)
 
-    async def test_a_reply_that_it_leaves_proves_that_nothing_ran(self) -> None:
+    async def test_a_reply_of_a_draining_engine_reports_not_run(self) -> None:
         async def refuse(http: Request) -> Response:
             await http.read()
             return error_reply(HTTPStatus.SERVICE_UNAVAILABLE, 'leaving')
@@ -296,7 +297,7 @@
         code = ResultCode.UPSTREAM_LEAVING
         self.assert_refused(events[0], code, Ran.NOT_RUN)
 
-    async def test_an_upstream_that_is_not_there(self) -> None:
+    async def test_an_unreachable_upstream_reports_not_run(self) -> None:
         async with FakeEngine(quick_settings()) as engine:
             address = engine.address
         events = await self.answer(attempt_at(address))
@@ -305,8 +306,8 @@
         reply = await self.services.call(call_at(address))
         self.assert_refused(reply, code, Ran.NOT_RUN)
 
-    async def test_leaving_early_cancels(self) -> None:
-        engine = await self.engine()
+    async def test_closing_an_answer_early_cancels_it(self) -> None:
+        engine = await self.start_engine()
         engine.faults.add(FaultOrder(FaultKind.FREEZE))
         async with self.engines.answer(attempt_at(engine.address)) as events:
             async for _ in events:
@@ -316,7 +317,7 @@
 
 
 class ReaderTest(unittest.TestCase):
-    """The stream's parser."""
+    """The parsers of event streams and answers."""
 
     def test_bytes_may_be_split_anywhere(self) -> None:
         stream = ': hello\r\n\r\ndata: {"é":1}\r\n\r\ndata: x\n\n'.encode()
@@ -329,7 +330,7 @@
             ]
             self.assertEqual(['{"é":1}'.encode(), b'x'], lines)
 
-    def test_a_gap_is_a_cut(self) -> None:
+    def test_a_missing_piece_ends_the_answer(self) -> None:
         reader = AnswerReader(AttemptId('at'))
         event = reader.read(b'{"id":"at","index":1}')
         self.assertEqual(Refusal, type(event))
@@ -337,10 +338,10 @@
 
 
 class OtherCallTest(UpstreamCase):
-    """Reports, orders and plain calls."""
+    """Reports and orders of engines, and calls to plain services."""
 
     async def test_reports_and_orders(self) -> None:
-        engine = await self.engine()
+        engine = await self.start_engine()
         info = upstream_at(engine.address)
         report = await self.engines.report(info)
         self.assertIsInstance(report, EngineReport)
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -19,7 +19,7 @@
     RecordsRig,
 )
 
-AGAIN = replace(INTENT_SPEC, request=RequestId('r2'))
+REPEATED_SPEC = replace(INTENT_SPEC, request=RequestId('r2'))
 
 
 class IntentTest(unittest.IsolatedAsyncioTestCase):
@@ -37,15 +37,15 @@
         assert isinstance(claim, Claim)
         return claim
 
-    async def refused(self) -> Refusal:
+    async def claim_refused(self) -> Refusal:
         """Claim the key on the second host and expect a refusal."""
-        refusal = await self.two.intents.claim(AGAIN)
+        refusal = await self.two.intents.claim(REPEATED_SPEC)
         assert isinstance(refusal, Refusal)
         return refusal
 
     async def test_a_key_is_claimed_once(self) -> None:
         await self.claim()
-        refusal = await self.refused()
+        refusal = await self.claim_refused()
         self.assertIs(ResultCode.STILL_RUNNING, refusal.code)
         self.assertIs(Ran.UNKNOWN, refusal.ran)
         self.assertGreater(refusal.retry_after, 0)
@@ -55,33 +55,35 @@
         await self.claim()
         self.assertIs(
             ResultCode.STILL_RUNNING,
-            (await self.refused()).code,
+            (await self.claim_refused()).code,
         )
 
     async def test_a_repeat_gets_the_first_answer_anywhere(self) -> None:
         large = replace(ANSWER, body=bytes(range(256)) * MAX_INLINE_ANSWER)
         for answer, key in ((ANSWER, 'small'), (large, 'large')):
             with self.subTest(key):
-                wish = replace(INTENT_SPEC, key=key)
-                claim = await self.one.intents.claim(wish)
+                spec = replace(INTENT_SPEC, key=key)
+                claim = await self.one.intents.claim(spec)
                 assert isinstance(claim, Claim)
                 await self.one.intents.settle(claim, answer)
-                first = await self.two.intents.claim(replace(AGAIN, key=key))
+                first = await self.two.intents.claim(
+                    replace(REPEATED_SPEC, key=key)
+                )
                 self.assertEqual(
                     FirstAnswer(INTENT_SPEC.request, answer), first
                 )
 
-    async def test_a_lost_reply_to_the_answer_is_no_harm(self) -> None:
+    async def test_a_lost_reply_to_the_answer_is_harmless(self) -> None:
         claim = await self.claim()
         self.rig.fault(FaultKind.LOSE_REPLY, 'table', count=1)
         await self.one.intents.settle(claim, ANSWER)
         await self.one.intents.settle(claim, ANSWER)
-        first = await self.two.intents.claim(AGAIN)
+        first = await self.two.intents.claim(REPEATED_SPEC)
         self.assertEqual(FirstAnswer(INTENT_SPEC.request, ANSWER), first)
 
-    async def test_a_key_is_not_for_another_body(self) -> None:
+    async def test_a_key_is_refused_for_another_body(self) -> None:
         await self.claim()
-        other = replace(AGAIN, fingerprint='f2')
+        other = replace(REPEATED_SPEC, fingerprint='f2')
         refusal = await self.two.intents.claim(other)
         assert isinstance(refusal, Refusal)
         self.assertIs(ResultCode.KEY_REUSED, refusal.code)
@@ -89,17 +91,19 @@
     async def test_a_request_not_executed_may_be_claimed_again(self) -> None:
         claim = await self.claim()
         await self.one.intents.settle(claim, NOT_RUN)
-        self.assertIsInstance(await self.two.intents.claim(AGAIN), Claim)
+        self.assertIsInstance(
+            await self.two.intents.claim(REPEATED_SPEC), Claim
+        )
         self.assertIs(
             ResultCode.STILL_RUNNING,
-            (await self.refused()).code,
+            (await self.claim_refused()).code,
         )
 
     async def test_an_unknown_outcome_is_never_claimed_again(self) -> None:
         claim = await self.claim()
         await self.one.intents.settle(claim, UNKNOWN)
         await self.rig.clock.jump(3600)
-        refusal = await self.refused()
+        refusal = await self.claim_refused()
         self.assertIs(ResultCode.OUTCOME_UNKNOWN, refusal.code)
         self.assertIs(Ran.UNKNOWN, refusal.ran)
 
@@ -109,19 +113,19 @@
         self.rig.mesh.remove(self.one.peer.host)
         self.assertIs(
             ResultCode.STILL_RUNNING,
-            (await self.refused()).code,
+            (await self.claim_refused()).code,
         )
         self.rig.host('one')
         self.assertIs(
             ResultCode.OUTCOME_UNKNOWN,
-            (await self.refused()).code,
+            (await self.claim_refused()).code,
         )
 
     async def test_a_repeatable_request_is_taken_over(self) -> None:
-        wish = replace(INTENT_SPEC, repeatable=True)
-        self.assertIsInstance(await self.one.intents.claim(wish), Claim)
+        spec = replace(INTENT_SPEC, repeatable=True)
+        self.assertIsInstance(await self.one.intents.claim(spec), Claim)
         self.rig.host('one')
-        again = replace(AGAIN, repeatable=True)
+        again = replace(REPEATED_SPEC, repeatable=True)
         self.assertIsInstance(await self.two.intents.claim(again), Claim)
 
     async def test_a_write_with_unknown_outcome_is_released(self) -> None:
@@ -134,11 +138,13 @@
         self.assertIs(Ran.NOT_RUN, refusal.ran)
         self.assertIs(
             ResultCode.STILL_RUNNING,
-            (await self.refused()).code,
+            (await self.claim_refused()).code,
         )
         for claim in self.one.intents.take_abandoned():
             await self.one.intents.release(claim)
-        self.assertIsInstance(await self.two.intents.claim(AGAIN), Claim)
+        self.assertIsInstance(
+            await self.two.intents.claim(REPEATED_SPEC), Claim
+        )
 
     async def test_a_release_leaves_the_claim_of_another_alone(self) -> None:
         # The write never arrives, so the later row with the same version
@@ -151,21 +157,22 @@
         self.assertIsInstance(await self.two.intents.claim(other), Claim)
         lost = replace(claim, row=other.row)
         self.assertIsNone(await self.one.intents.release(lost))
-        refusal = await self.one.intents.claim(replace(AGAIN, key='k2'))
+        again = replace(REPEATED_SPEC, key='k2')
+        refusal = await self.one.intents.claim(again)
         assert isinstance(refusal, Refusal)
         self.assertIs(ResultCode.STILL_RUNNING, refusal.code)
 
-    async def test_a_write_that_comes_late_finds_it_released(self) -> None:
-        wish = replace(INTENT_SPEC, key='k3')
+    async def test_a_write_after_the_release_conflicts(self) -> None:
+        spec = replace(INTENT_SPEC, key='k3')
         self.rig.fault(FaultKind.LOSE_REPLY, 'table', count=1)
         self.rig.fault(FaultKind.STALE, 'table', count=1)
         await self.one.intents.claim(INTENT_SPEC)
         (claim,) = self.one.intents.take_abandoned()
-        late = replace(claim, row=wish.row)
+        late = replace(claim, row=spec.row)
         # The row does not exist yet. The release creates it, so that the
         # late write conflicts.
         self.assertIsNone(await self.one.intents.release(late))
-        self.assertIsInstance(await self.two.intents.claim(wish), Claim)
+        self.assertIsInstance(await self.two.intents.claim(spec), Claim)
 
 
 if __name__ == '__main__':
--- a/tests/test_records_random.py
+++ b/tests/test_records_random.py
@@ -51,100 +51,112 @@
         self.randomness = randomness
         self.hosts = {name: rig.host(name) for name in NAMES}
         self.runs: Counter[str] = Counter()
-        self.billed: set[str] = set()
+        self.must_be_billed: set[str] = set()
         self.tickets: list[tuple[str, str]] = []
-        self.numbers = 0
+        self.request_count = 0
 
     async def step(self) -> None:
         """Perform one random action."""
         act = self.randomness.choices(
-            (self.call, self.call_twice, self.fault, self.die, self.wait),
+            (
+                self.send,
+                self.send_twice,
+                self.inject_fault,
+                self.terminate,
+                self.advance_clock,
+            ),
             (8, 4, 3, 1, 2),
         )[0]
         await act()
 
-    async def fault(self) -> None:
+    async def inject_fault(self) -> None:
         """Enable a random platform fault for one to three calls."""
         kind, scope = self.randomness.choice(FAULTS)
         self._rig.fault(kind, scope, count=self.randomness.randint(1, 3))
 
-    async def die(self) -> None:
+    async def terminate(self) -> None:
         """Terminate a host, which loses its memory, and restart it.
 
         If a host and its receiver terminate within one flush period, their
         records are lost. This is the known cost of a single receiver, so all
         hosts store and copy their records before each termination.
         """
-        await self.do_duties()
+        await self.run_periodic_duties()
         name = self.randomness.choice(NAMES)
         self._rig.mesh.remove(self.hosts[name].peer.host)
         self.hosts[name] = self._rig.host(name)
 
-    async def wait(self) -> None:
+    async def advance_clock(self) -> None:
         """Advance the clock and perform the periodic duties of all hosts."""
         await self._rig.clock.jump(self.randomness.choice((1, LEASE, 30)))
-        await self.do_duties()
+        await self.run_periodic_duties()
 
-    async def do_duties(self) -> None:
+    async def run_periodic_duties(self) -> None:
         """Let each host store or copy its records and outcomes."""
         for host in self.hosts.values():
             await timed(self._rig, host.once.settle_pending())
             host.keeper.take_over()
             await timed(self._rig, host.sender.flush())
 
-    async def call(self) -> None:
+    async def send(self) -> None:
         """Send a request with a key or a ticket, often a used one."""
-        wanted, work = self.order()
-        await self.make(self.host(), wanted, work)
+        claim, work = self.random_claim()
+        await self.send_to(self.random_host(), claim, work)
 
-    async def call_twice(self) -> None:
+    async def send_twice(self) -> None:
         """Send the same request to two hosts concurrently."""
-        wanted, work = self.order()
-        self.numbers += 1
-        again = order(self.numbers, key=wanted.key, ticket=wanted.ticket)
+        claim, work = self.random_claim()
+        self.request_count += 1
+        again = order(self.request_count, key=claim.key, ticket=claim.ticket)
         await asyncio.gather(
-            self.make(self.host(), wanted, work),
-            self.make(self.host(), again, work),
+            self.send_to(self.random_host(), claim, work),
+            self.send_to(self.random_host(), again, work),
         )
 
-    def one_in(self, many: int) -> bool:
-        """Return True with a probability of one in ``many``."""
-        return not self.randomness.randrange(many)
+    def one_in(self, number: int) -> bool:
+        """Return True with a probability of one in ``number``."""
+        return not self.randomness.randrange(number)
 
-    def host(self) -> Host:
+    def random_host(self) -> Host:
         """Return a random host."""
         return self.hosts[self.randomness.choice(NAMES)]
 
-    def order(self) -> tuple[ClaimRequest, str]:
-        """Return an order and the name of its piece of work."""
-        self.numbers += 1
+    def random_claim(self) -> tuple[ClaimRequest, str]:
+        """Return a random claim and the name of its work.
+
+        Claims with the same key or ticket have the same work, which must be
+        executed at most once.
+        """
+        self.request_count += 1
         deadline = self._rig.clock.now() + 20
         if self.one_in(2):
             key = self.randomness.choice(KEYS)
-            return order(self.numbers, key=key, deadline=deadline), key
+            return order(self.request_count, key=key, deadline=deadline), key
         if not self.tickets or self.one_in(3):
-            ticket = str(self.host().issuer.issue(WORKSPACE))
-            self.tickets.append((ticket, f't{self.numbers}'))
+            ticket = str(self.random_host().issuer.issue(WORKSPACE))
+            self.tickets.append((ticket, f't{self.request_count}'))
         ticket, work = self.randomness.choice(self.tickets)
-        wanted = order(self.numbers, key='', ticket=ticket, deadline=deadline)
-        return wanted, work
+        claim = order(
+            self.request_count, key='', ticket=ticket, deadline=deadline
+        )
+        return claim, work
 
-    async def make(self, host: Host, wanted: ClaimRequest, work: str) -> None:
+    async def send_to(self, host: Host, claim: ClaimRequest, work: str) -> None:
         """Send a request to a host; record whether it must be billed."""
         runner = Runner(host.once, host.biller, host.sender)
 
         async def attempt(fence: Fence) -> RequestResult:
-            """Act as the upstream."""
-            return RequestResult(self.attempt(fence, work), record)
+            """Send one attempt and return its result."""
+            return RequestResult(self.send_attempt(fence, work), record)
 
-        record = BillingRecord(wanted.request, WORKSPACE, 'portal', 1)
-        coming = runner.run(wanted, attempt, lambda: record)
-        outcome = await timed(self._rig, coming)
+        record = BillingRecord(claim.request, WORKSPACE, 'portal', 1)
+        coroutine = runner.run(claim, attempt, lambda: record)
+        outcome = await timed(self._rig, coroutine)
         if isinstance(outcome, RequestResult):
-            self.billed.add(wanted.request)
+            self.must_be_billed.add(claim.request)
 
-    def attempt(self, fence: Fence, work: str) -> ServiceReply | Refusal:
-        """Send one attempt; its reply may be lost before or after execution."""
+    def send_attempt(self, fence: Fence, work: str) -> ServiceReply | Refusal:
+        """Send one attempt, whose reply may be lost before or after it ran."""
         attempt_fence = fence.attempt()
         refusal = attempt_fence.check()
         if refusal is not None:
@@ -160,9 +172,9 @@
         return ServiceReply(200, work.encode(), 'text/plain')
 
 
-async def timed(rig: RecordsRig, coming: object) -> object:
+async def timed(rig: RecordsRig, coroutine: object) -> object:
     """Await a coroutine while the clock advances in small steps."""
-    task = asyncio.ensure_future(coming)  # type: ignore[call-overload]
+    task = asyncio.ensure_future(coroutine)  # type: ignore[call-overload]
     while not task.done():
         await asyncio.sleep(0.0005)
         await rig.clock.advance(0.01)
@@ -172,7 +184,7 @@
 class RandomRecordsTest(unittest.IsolatedAsyncioTestCase):
     """Runs all seeds."""
 
-    async def test_nothing_runs_twice_and_all_that_ended_is_billed(
+    async def test_nothing_runs_twice_and_every_answer_is_billed(
         self,
     ) -> None:
         calls = 0
@@ -190,11 +202,11 @@
                 self.assertLessEqual(max(fleet.runs.values(), default=0), 1)
             rig.platform.faults.clear()
             await rig.clock.jump(TERMINATED_AFTER)
-            await fleet.do_duties()
+            await fleet.run_periodic_duties()
             bills = await read_bills(rig.objects)
             assert isinstance(bills, dict)
-            self.assertLessEqual(fleet.billed, set(bills))
-            return fleet.numbers
+            self.assertLessEqual(fleet.must_be_billed, set(bills))
+            return fleet.request_count
 
 
 if __name__ == '__main__':
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -23,23 +23,23 @@
         self.clock = ManualClock()
         self.budget = ProportionalRetries(self.clock)
 
-    def test_retries_of_an_outage_are_a_share_of_the_traffic(self) -> None:
+    def test_retries_in_an_outage_are_a_fraction_of_the_traffic(self) -> None:
         requests = 1000
         retried = sum(self._fail(number) for number in range(requests))
         allowed = MAX_SAVED_RETRIES + RETRY_FRACTION * requests
         self.assertLessEqual(retried, allowed)
         self.assertGreaterEqual(retried, allowed - 1)
 
-    def test_a_quiet_host_may_retry_now_and_then(self) -> None:
+    def test_an_exhausted_budget_allows_no_retry(self) -> None:
         self._exhaust()
         self.assertFalse(self._fail(0))
 
-    async def test_the_floor_comes_back_with_time(self) -> None:
+    async def test_the_budget_is_replenished_over_time(self) -> None:
         self._exhaust()
         await self.clock.advance(1 / MIN_RETRY_RATE)
         self.assertTrue(self._fail(0))
 
-    def test_what_is_saved_up_is_bounded(self) -> None:
+    def test_saved_retries_are_bounded(self) -> None:
         for number in range(1000):
             self.budget.started(start_of(ask(number), 'e'))
         retried = sum(self.budget.spend(ask()) for _ in range(100))
@@ -82,5 +82,6 @@
         self.budget.started(start_of(ask(number, workspace=workspace), 'e'))
 
     def _exhaust(self) -> None:
-        # Bounded, so that an unlimited budget fails the test.
+        # The number of requests is bounded, so that an unlimited budget fails
+        # the test.
         sum(self.budget.spend(ask()) for _ in range(100))
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -53,11 +53,12 @@
 
 OPERATOR = OperatorId('op')
 ROLLOUT = document_of(version_of(OLD), version_of(NEW, Stage.ROLLOUT))
-TERM = 8
+#: Seconds for which a lease is valid.
+LEASE_TERM = 8
 
 
 def request_of(name: str) -> ModelRequest:
-    """Return a request."""
+    """Return a request with an id."""
     return ModelRequest(
         request=RequestId(name),
         workspace=WorkspaceId('w'),
@@ -96,10 +97,12 @@
         self._evidence = evidence
         store = RolloutStore(table, nonce)
         self.shares = RolloutShares(configuration, peer)
-        leases = LeaseKeeper(peer.incarnation, table, mesh.clock, nonce, TERM)
-        self.held = leases.held
-        self.rate = guard.add_ratings
-        parts = RolloutDependencies(
+        leases = LeaseKeeper(
+            peer.incarnation, table, mesh.clock, nonce, LEASE_TERM
+        )
+        self.valid_lease = leases.held
+        self._add_ratings = guard.add_ratings
+        dependencies = RolloutDependencies(
             configuration,
             store,
             self.shares,
@@ -109,20 +112,22 @@
             self.quarantines,
         )
         self.controller = RolloutController(
-            parts, mesh.clock, random.Random(name), 2
+            dependencies, mesh.clock, random.Random(name), 2
         )
         self.service = RolloutService(
             configuration, store, self.shares, self.quarantines
         )
 
-    async def turn(self) -> None:
+    async def advance_rollouts(self) -> None:
         """Read the rollouts, and advance them if the lease is available."""
         await self.controller.advance(await self.controller.read())
 
-    def see(self, version: VersionId, score: float, count: int = 60) -> None:
+    def add_rated_answers(
+        self, version: VersionId, score: float, count: int = 60
+    ) -> None:
         """Add rated answers of a version."""
         for _ in range(count):
-            self.rate(RatingTally(version, TAG).plus(score))
+            self._add_ratings(RatingTally(version, TAG).plus(score))
         tally = self._evidence.total(version, TAG)
         key = (version, TAG)
         answers = Tally(answers=tally.answers + count)
@@ -142,17 +147,17 @@
         self.one = Host(self.mesh, self.table, 'one')
         self.two = Host(self.mesh, self.table, 'two')
 
-    async def act(self, host: Host, action: Action) -> Refusal | None:
+    async def send_action(self, host: Host, action: Action) -> Refusal | None:
         """Send an operator's request."""
         refusal = await host.service.act(NEW, action, OPERATOR)
         await self.clock.advance(1)
         return refusal
 
-    async def turns(self, *hosts: Host, seconds: float) -> None:
+    async def advance(self, *hosts: Host, seconds: float) -> None:
         """Let hosts read and advance rollouts every two seconds."""
         for _ in range(round(seconds / 2)):
             for host in hosts:
-                await host.turn()
+                await host.advance_rollouts()
             await self.clock.advance(2)
 
     def state(self, host: Host) -> RolloutState:
@@ -160,54 +165,54 @@
         return host.shares.known[0].state
 
 
-class MovingTest(RolloutCase):
+class GrowthTest(RolloutCase):
     async def test_it_grows_on_good_evidence_up_to_its_bound(self) -> None:
-        await self.act(self.one, Action.START)
+        await self.send_action(self.one, Action.START)
         self.assertEqual(self.two.shares.share(NEW), FIRST_SHARE)
         for _ in range(8):
-            await self.turns(self.one, seconds=8)
-            self.one.see(OLD, GOOD)
-            self.one.see(NEW, GOOD)
-            await self.turns(self.one, seconds=64)
+            await self.advance(self.one, seconds=8)
+            self.one.add_rated_answers(OLD, GOOD)
+            self.one.add_rated_answers(NEW, GOOD)
+            await self.advance(self.one, seconds=64)
         self.assertEqual(self.state(self.one).share, 0.5)
         self.assertEqual(self.two.shares.share(NEW), 0.5)
         self.assertIn('ratings', self.state(self.two).steps[-1].reason)
 
     async def test_without_evidence_it_stays_as_it_is(self) -> None:
-        await self.act(self.one, Action.START)
-        await self.turns(self.one, seconds=600)
+        await self.send_action(self.one, Action.START)
+        await self.advance(self.one, seconds=600)
         self.assertEqual(self.state(self.one).share, FIRST_SHARE)
 
     async def test_a_bad_version_is_halted_for_all(self) -> None:
-        await self.act(self.one, Action.START)
-        await self.turns(self.one, seconds=8)
-        self.one.see(OLD, GOOD)
-        self.one.see(NEW, GOOD - 0.5)
-        await self.turns(self.one, seconds=4)
+        await self.send_action(self.one, Action.START)
+        await self.advance(self.one, seconds=8)
+        self.one.add_rated_answers(OLD, GOOD)
+        self.one.add_rated_answers(NEW, GOOD - 0.5)
+        await self.advance(self.one, seconds=4)
         self.assertIs(self.state(self.two).phase, Phase.HALTED)
         self.assertEqual(self.two.shares.share(NEW), 0)
 
-    async def test_halted_half_way_another_host_picks_it_up(self) -> None:
-        await self.act(self.one, Action.START)
-        await self.turns(self.one, self.two, seconds=8)
+    async def test_another_host_takes_over_a_rollout(self) -> None:
+        await self.send_action(self.one, Action.START)
+        await self.advance(self.one, self.two, seconds=8)
         first = self.state(self.two).fencing
-        # The first host stops here.
-        await self.turns(self.two, seconds=2 * TERM)
-        self.two.see(OLD, GOOD)
-        self.two.see(NEW, GOOD)
-        await self.turns(self.two, seconds=70)
+        # The first host stops advancing the rollout here.
+        await self.advance(self.two, seconds=2 * LEASE_TERM)
+        self.two.add_rated_answers(OLD, GOOD)
+        self.two.add_rated_answers(NEW, GOOD)
+        await self.advance(self.two, seconds=70)
         self.assertGreater(self.state(self.two).fencing, first)
         self.assertGreater(self.state(self.two).share, FIRST_SHARE)
 
-    async def test_a_holder_that_was_paused_moves_nothing(self) -> None:
-        await self.act(self.one, Action.START)
-        await self.turns(self.one, self.two, seconds=8)
-        lease = self.one.held('rollouts')
+    async def test_a_holder_that_was_paused_changes_nothing(self) -> None:
+        await self.send_action(self.one, Action.START)
+        await self.advance(self.one, self.two, seconds=8)
+        lease = self.one.valid_lease('rollouts')
         rollouts = await self.one.controller.read()
-        await self.turns(self.two, seconds=2 * TERM)
+        await self.advance(self.two, seconds=2 * LEASE_TERM)
         claimed = self.state(self.two)
-        # It resumes with what it read before, and believes that it holds the
-        # lease.
+        # The first host resumes with the state that it read before the pause,
+        # and with a lease that it still considers valid.
         if lease is None:
             self.fail('The first host held no lease.')
         await self.one.controller._write(
@@ -219,9 +224,9 @@
         self.assertEqual(self.state(self.two), claimed)
 
     async def test_the_claim_alone_stops_a_late_write(self) -> None:
-        await self.act(self.one, Action.START)
+        await self.send_action(self.one, Action.START)
         old = (await self.one.controller.read())[0]
-        await self.turns(self.two, seconds=4)
+        await self.advance(self.two, seconds=4)
         late = old.state.after(Step(1, Phase.RUNNING, 'late'))
         store = RolloutStore(self.table, lambda: 'late')
         moved = await store.write(old.row, late)
@@ -232,52 +237,52 @@
 
 class OperatorTest(RolloutCase):
     async def test_with_the_table_down_halting_still_works(self) -> None:
-        await self.act(self.one, Action.START)
+        await self.send_action(self.one, Action.START)
         self.table.down = True
-        refusal = await self.act(self.one, Action.ABORT)
+        refusal = await self.send_action(self.one, Action.ABORT)
         self.assertIsNotNone(refusal)
         self.assertIsNotNone(self.one.quarantines.blocked(NEW, TAG))
 
-    async def test_a_paused_one_keeps_its_share(self) -> None:
-        await self.act(self.one, Action.START)
-        await self.act(self.one, Action.PAUSE)
-        self.one.see(OLD, GOOD)
-        self.one.see(NEW, GOOD)
-        await self.turns(self.one, seconds=200)
+    async def test_a_paused_rollout_keeps_its_share(self) -> None:
+        await self.send_action(self.one, Action.START)
+        await self.send_action(self.one, Action.PAUSE)
+        self.one.add_rated_answers(OLD, GOOD)
+        self.one.add_rated_answers(NEW, GOOD)
+        await self.advance(self.one, seconds=200)
         self.assertEqual(self.state(self.two).share, FIRST_SHARE)
-        await self.act(self.two, Action.RESUME)
+        await self.send_action(self.two, Action.RESUME)
         self.assertIs(self.state(self.one).phase, Phase.RUNNING)
 
     async def test_a_lost_reply_is_read_back(self) -> None:
         self.table.lost_replies = 1
-        self.assertIsNone(await self.act(self.one, Action.START))
+        self.assertIsNone(await self.send_action(self.one, Action.START))
         self.assertEqual(self.one.shares.share(NEW), FIRST_SHARE)
 
-    async def test_a_quarantined_version_has_to_be_lifted_first(self) -> None:
-        await self.act(self.one, Action.START)
-        await self.act(self.one, Action.ABORT)
-        self.assertIsNotNone(await self.act(self.one, Action.START))
-        await self.act(self.one, Action.LIFT)
-        self.assertIsNone(await self.act(self.one, Action.START))
+    async def test_a_quarantine_must_be_lifted_before_a_start(self) -> None:
+        await self.send_action(self.one, Action.START)
+        await self.send_action(self.one, Action.ABORT)
+        self.assertIsNotNone(await self.send_action(self.one, Action.START))
+        await self.send_action(self.one, Action.LIFT)
+        self.assertIsNone(await self.send_action(self.one, Action.START))
 
 
 class ShareTest(RolloutCase):
     async def test_hosts_draw_alike_and_growth_takes_nothing_away(
         self,
     ) -> None:
-        await self.act(self.one, Action.START)
+        await self.send_action(self.one, Action.START)
         requests = [request_of(f'r{number}') for number in range(5000)]
         small = self.allowed(self.one, requests)
         self.assertEqual(small, self.allowed(self.two, requests))
         self.assertAlmostEqual(len(small) / len(requests), 0.01, delta=0.006)
-        found = await self.one.controller.read()
-        state = found[0].state.after(Step(0.3, Phase.RUNNING, 'test'))
+        rollouts = await self.one.controller.read()
+        state = rollouts[0].state.after(Step(0.3, Phase.RUNNING, 'test'))
         store = RolloutStore(self.table, lambda: 'n')
-        await store.write(found[0].row, state)
+        await store.write(rollouts[0].row, state)
         await self.one.controller.read()
         self.assertLess(small, self.allowed(self.one, requests))
 
-    async def test_nothing_before_it_is_started(self) -> None:
+    async def test_there_is_no_share_before_the_start(self) -> None:
         self.assertEqual(self.one.shares.share(NEW), 0)
         self.assertEqual(self.one.shares.share(OLD), 1)
 
@@ -291,7 +296,7 @@
 
 
 class DecisionTest(unittest.TestCase):
-    def test_what_holds_a_step(self) -> None:
+    def test_conditions_that_prevent_a_step(self) -> None:
         good = Moments(100, 90, 81.5)
         worse = Moments(100, 84, 71)
         ready = Findings('', 0.5, 61, 100, good, good, 0)
@@ -306,10 +311,10 @@
             {'strength': 5},
         ):
             with self.subTest(change=change):
-                held = dataclasses.replace(ready, **change)
-                self.assertIsNone(decide(state, held))
+                findings = dataclasses.replace(ready, **change)
+                self.assertIsNone(decide(state, findings))
 
-    def test_a_smaller_bound_is_kept_at_once(self) -> None:
+    def test_a_smaller_bound_applies_immediately(self) -> None:
         findings = Findings('', 0.005, 0, 0, Moments(), Moments(), 0)
         step = decide(RolloutState(NEW, Epoch(0), FIRST_SHARE), findings)
         self.assertEqual(step and step.share, 0.005)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -58,13 +58,13 @@
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
         self.metrics = Metrics(float)
-        self.clients = ScriptedServices()
+        self.client = ScriptedServices()
         configuration = configure(self.clock, 1)
         directory = Directory(self.clock)
         directory.update(tuple(self.upstream(name) for name in 'abc'))
         retries = ProportionalRetries(self.clock)
         self.caller = ServiceCaller(
-            self.clients,
+            self.client,
             directory,
             Gatekeeper(configuration, self.clock, NoQuarantine()),
             configuration,
@@ -116,9 +116,9 @@
         ]
         return sum(samples)
 
-    async def test_a_retry_is_counted_with_what_it_led_to(self) -> None:
+    async def test_a_retry_and_its_outcome_are_counted(self) -> None:
         reply = ServiceReply(200, b'', 'text/plain')
-        self.clients.replies = [_FAILED, reply]
+        self.client.replies = [_FAILED, reply]
         self.assertEqual(await self.call(), reply)
         failed = {'outcome': 'UPSTREAM_ERROR'}
         self.assertEqual(self.counter('retries', code='UPSTREAM_ERROR'), 1)
@@ -127,16 +127,18 @@
         self.assertEqual(self.counter('requests', task='portal'), 1)
         self.assertEqual(self.counter('requests', outcome='OK'), 1)
 
-    async def test_what_may_not_be_repeated_counts_no_retry(self) -> None:
+    async def test_a_non_repeatable_call_counts_no_retry(self) -> None:
         self.assertIsInstance(await self.call(method='POST'), Refusal)
         self.assertEqual(self.counter('retries'), 0)
         self.assertEqual(self.counter('requests', outcome='UPSTREAM_ERROR'), 1)
 
-    async def test_retries_in_an_outage_are_a_share_of_the_calls(self) -> None:
+    async def test_retries_in_an_outage_are_a_fraction_of_the_calls(
+        self,
+    ) -> None:
         calls = 300
         for number in range(calls):
             self.assertIsInstance(await self.call(number), Refusal)
-        retried = len(self.clients.calls) - calls
+        retried = len(self.client.calls) - calls
         self.assertLessEqual(
             retried, MAX_SAVED_RETRIES + RETRY_FRACTION * calls
         )
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -58,9 +58,9 @@
     def test_the_borrower_returns_before_the_lender_reclaims(self) -> None:
         lender, borrower = ShareLedger(), ShareLedger()
         # The reply may be delayed; the loan counts from the request.
-        asked, lent = 10.0, 10.3
+        requested, lent = 10.0, 10.3
         lender.lend(4, lent)
-        borrower.borrow(4, asked)
+        borrower.borrow(4, requested)
         for tenth in range(103, 160):
             now = tenth / 10
             total = lender.balance(now) + borrower.balance(now)
@@ -127,34 +127,34 @@
         task = asyncio.create_task(exchange.run())
         self.addCleanup(task.cancel)
 
-    async def test_slots_move_to_where_they_are_needed(self) -> None:
+    async def test_slots_move_to_the_host_that_needs_them(self) -> None:
         await self.clock.advance(2)
-        await self._load('a', 20)
+        await self._send_requests('a', 20)
         await self.clock.advance(2)
-        self.assertGreater(self._holding('a'), 18)
+        self.assertGreater(self._allotment('a'), 18)
         self.assertEqual(self.hosts['a'].admitter.permits.running, 20)
-        self.assertLessEqual(self._total(), self._whole())
+        self.assertLessEqual(self._total_allotment(), self._capacity())
 
     async def test_a_host_cut_off_falls_back_to_its_static_part(self) -> None:
         await self.clock.advance(2)
-        static = self._holding('a')
-        await self._load('a', 20)
+        static = self._allotment('a')
+        await self._send_requests('a', 20)
         await self.clock.advance(2)
         self.mesh.cut(HostId('a'), HostId('b'))
         self.mesh.cut(HostId('a'), HostId('c'))
         await self.clock.advance(LOAN_DURATION + 1)
-        self.assertEqual(self._holding('a'), static)
+        self.assertEqual(self._allotment('a'), static)
 
     async def test_network_faults_create_no_slots(self) -> None:
         self.mesh.faults = NetworkFaults((0.01, 1.5), 0.2, 0.2, 0.3)
         draws = random.Random(3)
         for _ in range(60):
-            await self._load(draws.choice(_HOSTS), draws.randrange(4))
+            await self._send_requests(draws.choice(_HOSTS), draws.randrange(4))
             await self.clock.advance(draws.uniform(0.1, 0.9))
-            if self._settled():
-                self.assertLessEqual(self._total(), self._whole())
+            if self._all_digests_received():
+                self.assertLessEqual(self._total_allotment(), self._capacity())
 
-    async def _load(self, name: str, requests: int) -> None:
+    async def _send_requests(self, name: str, requests: int) -> None:
         for number in range(requests):
             request = ask(number, deadline=self.clock.now() + 500)
             admitter = self.hosts[name].admitter
@@ -162,17 +162,17 @@
             self.addCleanup(task.cancel)
         await self.clock.settle()
 
-    def _holding(self, name: str) -> int:
+    def _allotment(self, name: str) -> int:
         return self.hosts[name].slots.allotment
 
-    def _settled(self) -> bool:
+    def _all_digests_received(self) -> bool:
         known = [len(host.fleet.hosts(HOME)) for host in self.hosts.values()]
         return min(known) == len(_HOSTS) - 1
 
-    def _total(self) -> int:
-        return sum(self._holding(name) for name in _HOSTS)
+    def _total_allotment(self) -> int:
+        return sum(self._allotment(name) for name in _HOSTS)
 
-    def _whole(self) -> int:
+    def _capacity(self) -> int:
         return self.hosts['a'].slots.permits
 
 
@@ -192,8 +192,8 @@
 def _member(name: str) -> Member:
     """Return a host of a remote domain."""
     address = Address('127.0.0.1', 1)
-    run = Incarnation(f'{name}.1')
-    return Member(HostId(name), run, AWAY, address, Presence.LIVE, 0)
+    incarnation = Incarnation(f'{name}.1')
+    return Member(HostId(name), incarnation, AWAY, address, Presence.LIVE, 0)
 
 
 def _digest(host: str, *, shedding: bool) -> LoadDigest:
--- a/tests/test_watch_sharing.py
+++ b/tests/test_watch_sharing.py
@@ -47,7 +47,7 @@
 
 
 class FakeDeployment:
-    """Engines and a host list that count the requests to them."""
+    """Engines and a host list that count how often they are polled."""
 
     def __init__(self, engines: int) -> None:
         self.infos = [info_of(number) for number in range(engines)]
@@ -92,7 +92,7 @@
             1,
         )
         randomness = random.Random(name)
-        self.far = RemoteLoads(
+        self.remote_loads = RemoteLoads(
             self.peer,
             self.directory,
             self.sharer,
@@ -164,7 +164,7 @@
 
     async def fetch_remote(self) -> None:
         """Let the host of the other domain fetch reports."""
-        fetching = asyncio.create_task(self.hosts[-1].far.fetch())
+        fetching = asyncio.create_task(self.hosts[-1].remote_loads.fetch())
         await self.clock.advance(0.5)
         await fetching
 
@@ -178,16 +178,16 @@
 
     async def test_two_hosts_poll_and_all_receive_the_load(self) -> None:
         before = self.deployment.polls[ONE]
-        reads = self.deployment.polls['list']
+        list_reads = self.deployment.polls['list']
         self.deployment.load = 5
         await self.clock.advance(10)
         # One host polls each second, another one every other second. All
         # eight would make 80 polls, or 90 with the host of the other domain.
         self.assertLessEqual(self.deployment.polls[ONE] - before, 20)
         self.assertEqual({host.load() for host in self.local_hosts}, {5})
-        # The hosts of a domain take turns with the list: 10 reads for each
+        # The hosts of a domain share the reads of the list: 10 for each
         # of the two domains.
-        self.assertLessEqual(self.deployment.polls['list'] - reads, 30)
+        self.assertLessEqual(self.deployment.polls['list'] - list_reads, 30)
 
     async def drain_without(self, failed: Host | None) -> None:
         """Let an engine drain while a host has failed unnoticed."""
@@ -214,18 +214,20 @@
         for holder in self.holders():
             await holder.stack.aclose()
         self.deployment.load = 7
-        left = [host for host in self.local_hosts if host not in self.holders()]
+        others = [
+            host for host in self.local_hosts if host not in self.holders()
+        ]
         await self.clock.advance(UNRESPONSIVE_PERIODS + 4)
-        self.assertEqual({host.load() for host in left}, {7})
+        self.assertEqual({host.load() for host in others}, {7})
 
-    async def test_duties_move_when_a_host_goes(self) -> None:
+    async def test_duties_move_when_a_host_leaves(self) -> None:
         first, _ = self.holders()
         await first.stack.aclose()
         self.mesh.leave(first.host)
         self.deployment.load = 6
         await self.clock.advance(UNRESPONSIVE_PERIODS)
-        left = [host for host in self.local_hosts if host is not first]
-        self.assertEqual({host.load() for host in left}, {6})
+        others = [host for host in self.local_hosts if host is not first]
+        self.assertEqual({host.load() for host in others}, {6})
 
     async def test_a_failure_is_checked_by_others(self) -> None:
         before = self.deployment.polls[ONE]
@@ -252,7 +254,7 @@
         self.assertEqual(west.load(), 5)
         self.assertLess(poll_count, 40)
 
-    async def test_only_its_own_report_gives_work_back(self) -> None:
+    async def test_only_its_own_report_clears_draining(self) -> None:
         west = self.hosts[-1]
         west.directory.mark_draining(ONE)
         await self.clock.advance(DRAINING_BOUND + 1)
