--- a/tests/once_processes.py
+++ b/tests/once_processes.py
@@ -1,4 +1,4 @@
-"""Test case with the processes that at-most-once execution depends on."""
+"""Test case for at-most-once execution and billing with real processes."""
 
 import asyncio
 import signal
@@ -247,12 +247,12 @@
             content = await self.objects.fetch(name)
             assert isinstance(content, bytes)
             decoded = msgspec.json.decode(content, type=list[BillingRecord])
-            written.update({one.request for one in decoded})
+            written.update({record.request for record in decoded})
             # No batch contains a request twice, but a host and the receiver
             # of its record copies may both have stored it.
             self.assertEqual(
                 len(decoded),
-                len({one.request for one in decoded}),
+                len({record.request for record in decoded}),
             )
         self.assertLessEqual(max(written.values()), 2)
         bills = await read_bills(self.objects)
--- a/tests/records_rig.py
+++ b/tests/records_rig.py
@@ -58,7 +58,7 @@
 
 
 def order(number: int = 1, **changes: object) -> ClaimRequest:
-    """Return the default order with another request id and changes."""
+    """Return the default claim with another request id and changes."""
     request = RequestId(f'r{number}')
     return replace(ORDER, request=request, **changes)  # type: ignore[arg-type]
 
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -56,7 +56,9 @@
 SMALL = VersionId('brief-small@2')
 MEDIUM = VersionId('brief-medium@4')
 TASK = TaskName('checklist-tag')
+#: Pieces of a complete answer.
 WORDS = tuple(f'w{number} ' for number in range(10))
+#: Final event of a complete answer.
 ENDING = Ending('stop', 5, len(WORDS))
 
 #: Returns the events of an engine's answer to an attempt. Events that are
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -193,14 +193,14 @@
 
 
 class FrozenEngines:
-    """Engines of which one never answers."""
+    """Engines of which one does not answer before the timeout."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
         self.polled: list[str] = []
 
     async def report(self, upstream: UpstreamInfo) -> EngineReport | Refusal:
-        """Answer for all engines but one."""
+        """Return a report, or a timeout for one engine."""
         self.polled.append(upstream.upstream)
         if upstream.upstream == 'one':
             await self.clock.sleep(2)
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -107,7 +107,7 @@
         received: list[Tally] = []
         sender = EvidenceStore(NAMES[0])
         store = EvidenceStore(NAMES[1])
-        store.listen(lambda _key, fresh: received.append(fresh))
+        store.listen(lambda _key, added: received.append(added))
         messages = []
         for _ in range(3):
             sender.ended(end_of())
--- a/tests/test_fuzz_datagrams.py
+++ b/tests/test_fuzz_datagrams.py
@@ -54,6 +54,7 @@
 )
 
 SIGNED = st.integers(-(2**63), 2**63 - 1)
+#: Names of a local, a remote and an unknown host, and of the host itself.
 NAMES = st.sampled_from(('near', 'far', 'nobody', 'me', ''))
 LOAD = st.tuples(SIGNED, st.floats(), SIGNED)
 LOADS = st.dictionaries(NAMES, LOAD, max_size=3)
--- a/tests/test_rolling_replacement.py
+++ b/tests/test_rolling_replacement.py
@@ -48,12 +48,12 @@
         """Poll the readiness of all hosts until cancelled."""
         while True:
             hosts = tuple(self.running.hosts)
-            results = await asyncio.gather(
+            readiness = await asyncio.gather(
                 *(self._is_ready(session, host) for host in hosts),
             )
             self.ready = [
                 host
-                for host, is_ready in zip(hosts, results, strict=True)
+                for host, is_ready in zip(hosts, readiness, strict=True)
                 if is_ready
             ]
             await asyncio.sleep(0.1)
