--- a/tests/records_rig.py
+++ b/tests/records_rig.py
@@ -58,7 +58,7 @@
 
 
 def order(number: int = 1, **changes: object) -> ClaimRequest:
-    """Return the default order with another request id and changes."""
+    """Return the default claim with another request id and changes."""
     request = RequestId(f'r{number}')
     return replace(ORDER, request=request, **changes)  # type: ignore[arg-type]
 
@@ -130,7 +130,7 @@
         return Host(peer, intents, issuer, once, biller, sender, keeper)
 
     def fault(self, kind: FaultKind, scope: str, **more: object) -> None:
-        """Enable a fault of the platform."""
+        """Enable a fault in a part of the platform."""
         self.platform.faults.add(
             FaultOrder(kind, scope, **more)  # type: ignore[arg-type]
         )
