--- a/experiments/costs/__init__.py
+++ b/experiments/costs/__init__.py
@@ -1,1 +1,1 @@
-"""What one request or one decision costs."""
+"""Measures the cost of single requests and single decisions."""
--- a/experiments/costs/decision_speed.py
+++ b/experiments/costs/decision_speed.py
@@ -1,9 +1,10 @@
-"""Time of one decision: ``python -m experiments.costs.decision_speed``.
+"""Measures the time of a routing decision.
 
-A whole host is put together in this process, with an empty platform beside
-it. It is then told of many upstreams and of 22 versions, and asked to plan,
-to choose and to pass the gate, with nothing sent. The steps of the event loop
-between are none, so the host's own tasks do not disturb the figures.
+Run ``python -m experiments.costs.decision_speed``. A complete host runs in
+this process, with an empty platform next to it. The host gets a list of many
+upstreams and a configuration with 22 versions. Each decision plans a request,
+chooses an upstream and passes the gate; nothing is sent. The event loop does
+not run between decisions, so the host's own tasks do not affect the figures.
 """
 
 import asyncio
@@ -48,24 +49,25 @@
 from nutmegroad.routing.gates import GateContext, Gatekeeper
 from nutmegroad.routing.steps import Policies
 
-#: Sizes of the brief, between, and of the developers' page.
+#: Numbers of upstreams: that of the requirements, one in between, and that of
+#: the developers' page.
 SIZES: Final = (12, 100, 890)
 #: Decisions that are timed.
 DECISIONS: Final = 4000
-#: Decisions before those that are timed.
+#: Decisions that are made before those that are timed.
 WARM_UP: Final = 500
 
-_MICROSECONDS: Final = 1_000_000
+_MICROSECONDS_PER_SECOND: Final = 1_000_000
 
 
 @dataclass(slots=True)
 class Timing:
-    """Seconds that decisions took.
+    """Durations of decisions, in seconds.
 
     Attributes:
-        plan: To plan.
-        choose: To choose an upstream.
-        gate: To make and pass the gate.
+        plan: Durations of planning.
+        choose: Durations of choosing an upstream.
+        gate: Durations of creating and passing the gate.
         refused: Decisions that ended in a refusal.
     """
 
@@ -74,19 +76,19 @@
     gate: list[float]
     refused: int = 0
 
-    def whole(self) -> Percentiles:
-        """Return percentiles of whole decisions."""
+    def total(self) -> Percentiles:
+        """Return percentiles of the durations of complete decisions."""
         parts = zip(self.plan, self.choose, self.gate, strict=True)
-        return percentiles(sum(three) for three in parts)
+        return percentiles(sum(durations) for durations in parts)
 
 
-class Bench:
-    """A host that decides and sends nothing.
+class DecisionTimer:
+    """Makes and times decisions at a host; sends nothing.
 
     Args:
         kernel: The host.
         document: The configuration.
-        randomness: Draws requests.
+        randomness: Source of random requests.
     """
 
     def __init__(
@@ -102,7 +104,11 @@
         self._gatekeeper = kernel.need(Gatekeeper)
 
     def prepare(self, size: int) -> None:
-        """Tell the host of its configuration and of its upstreams."""
+        """Give the host its configuration and upstreams.
+
+        Args:
+            size: Number of upstreams.
+        """
         configuration = self._kernel.need(Configuration)
         preset = PresetName('peak')
         configuration.take(
@@ -117,27 +123,27 @@
             )
 
     def time(self, count: int) -> Timing:
-        """Make some decisions and time each."""
+        """Make a number of decisions and time each."""
         timing = Timing([], [], [])
         for number in range(count):
             self._decide(self._request(number), timing)
         return timing
 
     def _decide(self, request: ModelRequest, timing: Timing) -> None:
-        """Make one decision."""
-        begun = time.perf_counter()
+        """Make one decision and add its durations."""
+        started_at = time.perf_counter()
         plan = self._policies.planner.plan(request)
-        planned = time.perf_counter()
+        planned_at = time.perf_counter()
         if isinstance(plan, Refusal):
             timing.refused += 1
             return
         version = plan.steps[0]
         choice = self._policies.selector.choose(request, version, frozenset())
-        chosen = time.perf_counter()
+        chosen_at = time.perf_counter()
         if isinstance(choice, Refusal):
             timing.refused += 1
             return
-        passage = GateContext(
+        context = GateContext(
             request.workspace,
             request.task,
             version,
@@ -146,33 +152,39 @@
             choice.state,
             request.deadline,
         )
-        refusal = self._gatekeeper.gate(passage)()
-        passed = time.perf_counter()
+        refusal = self._gatekeeper.gate(context)()
+        passed_at = time.perf_counter()
         timing.refused += refusal is not None
-        timing.plan.append(planned - begun)
-        timing.choose.append(chosen - planned)
-        timing.gate.append(passed - chosen)
+        timing.plan.append(planned_at - started_at)
+        timing.choose.append(chosen_at - planned_at)
+        timing.gate.append(passed_at - chosen_at)
 
     def _request(self, number: int) -> ModelRequest:
-        """Draw a request."""
+        """Return a random request."""
         task = self._randomness.choice(self._document.tasks)
         workspace = self._randomness.choice(self._document.workspaces)
         return request_of(number, task, workspace, self._kernel.clock.now())
 
 
 async def measure(arm: Arm, size: int, seed: int) -> Timing:
-    """Time decisions before so many upstreams."""
+    """Time decisions of a host with a number of upstreams.
+
+    Args:
+        arm: Variant of the host's settings.
+        size: Number of upstreams.
+        seed: Seeds all random draws.
+    """
     clock = SystemClock()
-    nowhere = f'{LOOPBACK}:0'
+    any_port = f'{LOOPBACK}:0'
     async with AsyncExitStack() as stack:
         platform = FakePlatform(PlatformOptions(), clock)
         await stack.enter_async_context(platform)
         argv = [
             '--host=bench-host-0',
             '--domain=shah-alam',
-            f'--callers={nowhere}',
-            f'--operators={nowhere}',
-            f'--peers={nowhere}',
+            f'--callers={any_port}',
+            f'--operators={any_port}',
+            f'--peers={any_port}',
             f'--platform={platform.address}',
             *arm.flags,
         ]
@@ -181,36 +193,38 @@
         kernel = Kernel(settings, clock, random.Random(seed))
         await stack.enter_async_context(kernel)
         await kernel.start()
-        bench = Bench(kernel, large_document(), random.Random(seed))
-        bench.prepare(size)
-        bench.time(WARM_UP)
-        return bench.time(DECISIONS)
+        timer = DecisionTimer(kernel, large_document(), random.Random(seed))
+        timer.prepare(size)
+        timer.time(WARM_UP)
+        return timer.time(DECISIONS)
 
 
-def row(arm: Arm, size: int, timing: Timing) -> list[str]:
-    """Return the table's row of one measurement."""
-    whole = timing.whole()
+def table_row(arm: Arm, size: int, timing: Timing) -> list[str]:
+    """Return the table row of one measurement."""
+    total = timing.total()
     parts = [timing.plan, timing.choose, timing.gate]
-    middles = [_microseconds(percentiles(part).p50) for part in parts]
+    medians = [_microseconds(percentiles(part).p50) for part in parts]
     return [
         arm.name,
         str(size),
-        *middles,
-        _microseconds(whole.p50),
-        _microseconds(whole.p95),
-        _microseconds(whole.p99),
+        *medians,
+        _microseconds(total.p50),
+        _microseconds(total.p95),
+        _microseconds(total.p99),
         str(timing.refused),
     ]
 
 
 def _microseconds(seconds: float | None) -> str:
-    """Return a cell."""
-    return '-' if seconds is None else f'{seconds * _MICROSECONDS:.1f}'
+    """Return a table cell in microseconds."""
+    return (
+        '-' if seconds is None else f'{seconds * _MICROSECONDS_PER_SECOND:.1f}'
+    )
 
 
-def _parse() -> Namespace:
-    """Read the command line."""
-    flags = ArgumentParser(description='Time decisions.')
+def _parse_flags() -> Namespace:
+    """Return the parsed command line."""
+    flags = ArgumentParser(description='Time routing decisions.')
     flags.add_argument('--arms', nargs='+', default=[], metavar='ARM')
     flags.add_argument('--seed', type=int, default=1)
     flags.add_argument('--sizes', nargs='+', type=int, default=list(SIZES))
@@ -218,22 +232,22 @@
 
 
 def main() -> int:
-    """Time decisions and print a table, in microseconds."""
-    flags = _parse()
+    """Time decisions and print a table in microseconds."""
+    flags = _parse_flags()
     try:
         arms = choose(flags.arms)
-    except ArmError as problem:
-        sys.stderr.write(f'{problem}\n')
+    except ArmError as error:
+        sys.stderr.write(f'{error}\n')
         return 2
     rows = []
     for arm in arms:
         for size in flags.sizes:
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 timing = runner.run(measure(arm, size, flags.seed))
-            rows.append(row(arm, size, timing))
-    heads = ('arm', 'upstreams', 'plan p50', 'choose p50', 'gate p50')
-    wholes = ('whole p50', 'whole p95', 'whole p99', 'refused')
-    sys.stdout.write(f'{table((*heads, *wholes), rows)}\n')
+            rows.append(table_row(arm, size, timing))
+    part_heads = ('arm', 'upstreams', 'plan p50', 'choose p50', 'gate p50')
+    total_heads = ('whole p50', 'whole p95', 'whole p99', 'refused')
+    sys.stdout.write(f'{table((*part_heads, *total_heads), rows)}\n')
     average = os.getloadavg()[0]
     sys.stdout.write(f'\nMicroseconds; load average {average:.1f}.\n')
     return 0
--- a/experiments/costs/planner_speed.py
+++ b/experiments/costs/planner_speed.py
@@ -1,8 +1,9 @@
-"""Microseconds that the adaptive planner takes for a plan.
+"""Measures the time that the adaptive planner takes for a plan.
 
-Run ``python -m experiments.costs.planner_speed``. *Kept* is a plan while
-nothing changes; *anew* one after each change of an estimate, which is at most
-one in five seconds for each task class and length of request.
+Run ``python -m experiments.costs.planner_speed``; it prints microseconds.
+*Kept* is the time of a plan while nothing changes, *anew* that of a plan after
+an estimate has changed, which happens at most once in five seconds for each
+task class and length of request.
 """
 
 import random
@@ -14,8 +15,12 @@
 
 from msgspec import structs
 
-from experiments.trials.planner_worlds import SCENARIOS, SteppedClock, accepted
-from experiments.trials.planner_worlds import make_request as make
+from experiments.trials.planner_worlds import (
+    SCENARIOS,
+    SteppedClock,
+    accepted,
+    make_request,
+)
 from nutmegroad.configuration.in_force import Accepted, Configuration
 from nutmegroad.contracts.documents import VersionEntry
 from nutmegroad.contracts.platform import Rating
@@ -24,19 +29,22 @@
 from nutmegroad.quality.plans import AdaptivePlanner
 from nutmegroad.quality.trials import PresetShares, Trials
 
-COUNTS: Final = (2, 8, 22)
+#: Numbers of versions.
+VERSION_COUNTS: Final = (2, 8, 22)
+#: Plans that are timed, without and with a rating before each.
 RUNS: Final = 5000
-_ANEW_RUNS: Final = 500
+_REPLANNED_RUNS: Final = 500
+#: Seconds for which a confirmation of the configuration holds.
 _LEASE: Final = 8.0
-_MICROSECONDS: Final = 1e6
+_MICROSECONDS_PER_SECOND: Final = 1e6
 _TASK: Final = TaskName('checklist-tag')
 
 
-class Subject:
-    """A planner that knows so many versions, all of them rated.
+class RatedPlanner:
+    """An adaptive planner with a number of versions, all of them rated.
 
     Args:
-        count: How many versions.
+        count: Number of versions.
     """
 
     def __init__(self, count: int) -> None:
@@ -50,7 +58,7 @@
             random.Random(1),
         )
         versions = tuple(_entry(number).version for number in range(count))
-        self._request = make(1, _TASK, 800, versions=versions)
+        self._request = make_request(1, _TASK, 800, versions=versions)
         self._position = 0
         for _ in range(60):
             self._rate(versions)
@@ -59,37 +67,37 @@
         """Plan a request."""
         return self._planner.plan(self._request)
 
-    def plan_anew(self) -> object:
+    def plan_after_rating(self) -> object:
         """Plan a request after a new rating."""
         self._rate(self._request.versions[:1])
         return self.plan()
 
     def _rate(self, versions: tuple[VersionId, ...]) -> None:
-        """Take in a rating of each of some versions."""
+        """Add one rating of each version."""
         first = self._position + 1
         self._position += len(versions)
         ratings = [
-            _rating(first + place, version)
-            for place, version in enumerate(versions)
+            _rating(first + offset, version)
+            for offset, version in enumerate(versions)
         ]
         self._estimates.take(tuple(ratings))
 
 
 def main() -> None:
-    """Print a line for each count of versions."""
-    for count in COUNTS:
-        subject = Subject(count)
-        kept = _measure(subject.plan, RUNS)
-        anew = _measure(subject.plan_anew, _ANEW_RUNS)
+    """Print a line for each number of versions."""
+    for count in VERSION_COUNTS:
+        planner = RatedPlanner(count)
+        cached = _measure(planner.plan, RUNS)
+        replanned = _measure(planner.plan_after_rating, _REPLANNED_RUNS)
         sys.stdout.write(
-            f'{count:3} versions: kept {kept[0]:6.1f} us '
-            f'(p99 {kept[1]:6.1f}), anew {anew[0]:6.1f} us '
-            f'(p99 {anew[1]:6.1f})\n',
+            f'{count:3} versions: kept {cached[0]:6.1f} us '
+            f'(p99 {cached[1]:6.1f}), anew {replanned[0]:6.1f} us '
+            f'(p99 {replanned[1]:6.1f})\n',
         )
 
 
 def _accepted(count: int) -> Accepted:
-    """Return the trial's configuration with so many versions."""
+    """Return a configuration with a number of versions."""
     base = accepted(SCENARIOS[0])
     versions = tuple(_entry(number) for number in range(count))
     document = structs.replace(base.document, versions=versions)
@@ -97,7 +105,7 @@
 
 
 def _entry(number: int) -> VersionEntry:
-    """Return a version that is dearer and better than the one before."""
+    """Return a version; higher numbers are more expensive and better."""
     return VersionEntry(
         id=f'model-{number}@1',
         price_in=0.1 + number / 10,
@@ -107,21 +115,25 @@
 
 
 def _rating(position: int, version: VersionId) -> Rating:
-    """Return a rating near what the version's owner says."""
+    """Return a rating close to the version's declared quality."""
     number = int(version.removeprefix('model-').removesuffix('@1'))
     score = min(0.99, 0.85 + number / 100) + (position % 5 - 2) / 50
-    return Rating(position, make(1, _TASK, 1).request, _TASK, version, score)
+    return Rating(
+        position, make_request(1, _TASK, 1).request, _TASK, version, score
+    )
 
 
 def _measure(call: Callable[[], object], runs: int) -> tuple[float, float]:
-    """Return the mean and the 99th percentile in microseconds."""
-    taken = []
+    """Return mean and 99th percentile of a call, in microseconds."""
+    durations = []
     for _ in range(runs):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         call()
-        taken.append((time.perf_counter() - began) * _MICROSECONDS)
-    taken.sort()
-    return sum(taken) / runs, taken[runs * 99 // 100]
+        durations.append(
+            (time.perf_counter() - started_at) * _MICROSECONDS_PER_SECOND
+        )
+    durations.sort()
+    return sum(durations) / runs, durations[runs * 99 // 100]
 
 
 if __name__ == '__main__':
--- a/experiments/costs/records_cost.py
+++ b/experiments/costs/records_cost.py
@@ -1,9 +1,10 @@
-"""What records cost a request: intent, ticket, hand-off, in time and work.
+"""Measures the cost of a request's records: intent, ticket and billing.
 
-``python -m experiments.costs.records_cost`` has one host's records in this
-process, the platform's stand-in in another, and two hosts linked over
-loopback. It prints, for each way, the median and the spread over several
-rounds of the added milliseconds and of this process's processor time.
+Run ``python -m experiments.costs.records_cost``. This process holds the
+records of one host, and the links of two hosts over loopback; the platform's
+stand-in runs in another process. For each operation, it prints the median and
+the range over several rounds: the milliseconds that a request waits, and the
+processor time of this process.
 """
 
 import asyncio
@@ -51,6 +52,7 @@
 from nutmegroad.records.record_copies import RecordCopyStore, RecordSender
 from nutmegroad.records.tickets import TicketIssuer, TicketSigner
 
+#: Rounds, and requests of each operation in a round.
 ROUNDS: Final = 7
 REQUESTS: Final = 300
 WORKSPACE: Final = WorkspaceId('measured')
@@ -58,82 +60,90 @@
 OWN: Final = Incarnation('one.1')
 KEY: Final = 'a-cluster-key-for-measuring'
 ANSWER: Final = ServiceReply(200, b'x' * 400, 'application/json')
-MILLION: Final = 1e6
-THOUSAND: Final = 1e3
+MICROSECONDS_PER_SECOND: Final = 1e6
+MILLISECONDS_PER_SECOND: Final = 1e3
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What one round cost for each request.
+    """Cost per request in one round.
 
     Attributes:
-        waited: Milliseconds that a request waited, the median.
-        worked: Microseconds of this process's processor time.
+        latency_ms: Median of the milliseconds that a request waited.
+        processor_us: Microseconds of this process's processor time.
     """
 
-    waited: float
-    worked: float
+    latency_ms: float
+    processor_us: float
 
 
 @dataclass(slots=True)
-class Bench:
-    """What is measured."""
+class RecordingHost:
+    """The operations that are measured, on one host's objects.
+
+    Attributes:
+        once: Claims and settles requests.
+        issuer: Issues tickets.
+        biller: Records what is billed.
+        sender: Sends copies of billing records to another host.
+        count: Number of requests and records so far.
+    """
 
     once: AtMostOnce
     issuer: TicketIssuer
     biller: Biller
     sender: RecordSender
-    numbers: int = 0
+    count: int = 0
 
-    def order(self) -> ClaimRequest:
-        """Return a request that may not be repeated."""
-        self.numbers += 1
+    def new_claim(self) -> ClaimRequest:
+        """Return the claim of a new request that may not be repeated."""
+        self.count += 1
         return ClaimRequest(
-            request=RequestId(f'r{self.numbers}'),
+            request=RequestId(f'r{self.count}'),
             workspace=WORKSPACE,
             fingerprint='f' * 64,
             repeatable=False,
             deadline=time.monotonic() + 10,
         )
 
-    async def settle(self, order: ClaimRequest) -> None:
-        """Claim and settle one request."""
-        run = await self.once.claim(order)
-        if isinstance(run, ExecutionGrant):
-            await self.once.settle(run, ANSWER)
+    async def settle(self, claim: ClaimRequest) -> None:
+        """Claim a request and settle it if its execution is granted."""
+        grant = await self.once.claim(claim)
+        if isinstance(grant, ExecutionGrant):
+            await self.once.settle(grant, ANSWER)
 
-    async def bare(self) -> None:
-        """Let a request through the fence alone."""
-        await self.settle(self.order())
+    async def claim_and_settle(self) -> None:
+        """Claim and settle a request that needs neither intent nor ticket."""
+        await self.settle(self.new_claim())
 
-    async def intent(self) -> None:
-        """Write and settle an intent."""
-        order = self.order()
-        key = IdempotencyKey(f'{order.request}.{random.random()}')
-        await self.settle(replace(order, key=key))
+    async def claim_with_key(self) -> None:
+        """Write and settle the intent of a request with an idempotency key."""
+        claim = self.new_claim()
+        key = IdempotencyKey(f'{claim.request}.{random.random()}')
+        await self.settle(replace(claim, key=key))
 
-    async def ticket(self) -> None:
-        """Issue and spend a ticket."""
+    async def claim_with_ticket(self) -> None:
+        """Issue a ticket and spend it on a request."""
         ticket = str(self.issuer.issue(WORKSPACE))
-        await self.settle(replace(self.order(), ticket=ticket))
+        await self.settle(replace(self.new_claim(), ticket=ticket))
 
-    async def record(self) -> None:
-        """Record without handing on."""
-        self.numbers += 1
-        self.biller.record(_record(self.numbers))
+    async def record_only(self) -> None:
+        """Record one request for billing, without sending the record."""
+        self.count += 1
+        self.biller.record(_record(self.count))
 
-    async def hand(self) -> None:
-        """Record and hand on."""
-        await self.record()
+    async def record_and_send(self) -> None:
+        """Record one request for billing, and send the record to a peer."""
+        await self.record_only()
         await self.sender.hand()
 
-    async def hand_eight(self) -> None:
-        """Record and hand on eight at a time."""
-        await asyncio.gather(*(self.hand() for _ in range(8)))
+    async def record_and_send_eight(self) -> None:
+        """Record and send eight requests concurrently."""
+        await asyncio.gather(*(self.record_and_send() for _ in range(8)))
 
 
 def _record(number: int) -> BillingRecord:
-    """Return a record of a usual size."""
+    """Return a billing record of typical size."""
     return BillingRecord(
         f'petaling-host-0.0123456789abcdef-{number:016x}',
         'head-office',
@@ -146,20 +156,25 @@
     )
 
 
-async def measure(way: Callable[[], Awaitable[None]], requests: int) -> Cost:
-    """Measure one round of one way."""
-    waits = []
-    began = time.process_time()
+async def measure_round(
+    operation: Callable[[], Awaitable[None]], requests: int
+) -> Cost:
+    """Measure one round of an operation."""
+    latencies = []
+    processor_started_at = time.process_time()
     for _ in range(requests):
-        start = time.perf_counter()
-        await way()
-        waits.append(time.perf_counter() - start)
-    worked = (time.process_time() - began) / requests
-    return Cost(statistics.median(waits) * THOUSAND, worked * MILLION)
+        started_at = time.perf_counter()
+        await operation()
+        latencies.append(time.perf_counter() - started_at)
+    processor_seconds = (time.process_time() - processor_started_at) / requests
+    return Cost(
+        statistics.median(latencies) * MILLISECONDS_PER_SECOND,
+        processor_seconds * MICROSECONDS_PER_SECOND,
+    )
 
 
-async def link(stack: AsyncExitStack, name: str) -> tuple[Links, Address]:
-    """Open the links of one host; return them, and where they listen."""
+async def open_links(stack: AsyncExitStack, name: str) -> tuple[Links, Address]:
+    """Open the links of one host; return them and their listening address."""
     clock = SystemClock()
     identity = Identity(
         HostId(name),
@@ -183,7 +198,12 @@
 
 
 class OnePeer:
-    """A mesh with one other host, whose links are real."""
+    """A mesh with one other host, over real links.
+
+    Args:
+        links: The own host's links.
+        other: The other host.
+    """
 
     def __init__(self, links: Links, other: HostId) -> None:
         self._links = links
@@ -201,22 +221,22 @@
         self.ask = links.ask
 
     def members(self) -> tuple[Member, ...]:
-        """Return the other host."""
+        """Return the member of the other host."""
         return (self._member,)
 
 
-async def link_two(stack: AsyncExitStack) -> tuple[OnePeer, OnePeer]:
-    """Link two hosts over loopback."""
-    one, _ = await link(stack, 'one')
-    two, near = await link(stack, 'two')
-    one.keep_links((near,))
+async def link_hosts(stack: AsyncExitStack) -> tuple[OnePeer, OnePeer]:
+    """Link two hosts over loopback; return the mesh of each."""
+    one, _ = await open_links(stack, 'one')
+    two, address = await open_links(stack, 'two')
+    one.keep_links((address,))
     while not one.linked():
         await asyncio.sleep(0.01)
     return OnePeer(one, HostId('two')), OnePeer(two, HostId('one'))
 
 
 async def open_stores(stack: AsyncExitStack) -> tuple[HttpTable, HttpObjects]:
-    """Start a platform in another process."""
+    """Start the platform's stand-in; return its table and its objects."""
     processes = await stack.enter_async_context(Processes())
     platform = await processes.start_fake('platform', 'fakes.platform')
     session = await stack.enter_async_context(ClientSession())
@@ -224,18 +244,18 @@
     return HttpTable(session, address), HttpObjects(session, address)
 
 
-async def make_bench(stack: AsyncExitStack) -> Bench:
-    """Open everything; what is opened is closed with the stack."""
+async def make_recording_host(stack: AsyncExitStack) -> RecordingHost:
+    """Create the objects to measure; the stack closes what they need."""
     table, objects = await open_stores(stack)
     clock = SystemClock()
     metrics = Metrics(time.thread_time)
     invariants = CountedInvariants(metrics)
-    meshes = await link_two(stack)
+    meshes = await link_hosts(stack)
     biller = Biller(objects, OWN, metrics, invariants)
     for mesh in meshes:
         RecordCopyStore(biller, mesh, clock, metrics).listen()
     sender = RecordSender(biller, meshes[0], DOMAIN, clock, metrics)
-    return Bench(
+    return RecordingHost(
         *make_once(table, objects, metrics, invariants), biller, sender
     )
 
@@ -246,7 +266,7 @@
     metrics: Metrics,
     invariants: CountedInvariants,
 ) -> tuple[AtMostOnce, TicketIssuer]:
-    """Return what lets requests run, and what issues its tickets."""
+    """Return the at-most-once fence, and the issuer of its tickets."""
     clock = SystemClock()
     issuer = TicketIssuer(HostId('one'), OWN, TicketSigner(KEY), clock)
     owner = IntentOwner(OWN, _nonce, _is_gone)
@@ -255,47 +275,49 @@
 
 
 def _nonce() -> str:
+    """Return a random nonce."""
     return f'{random.getrandbits(96):024x}'
 
 
 def _is_gone(incarnation: Incarnation) -> bool:
+    """Return False: no incarnation has terminated."""
     return False
 
 
 async def report() -> None:
-    """Measure all ways in turn, several rounds, and print them."""
+    """Measure all operations in each round and print their costs."""
     async with AsyncExitStack() as stack:
-        bench = await make_bench(stack)
-        ways = {
-            'fence alone': bench.bare,
-            'intent, claim and settle': bench.intent,
-            'ticket, issue and spend': bench.ticket,
-            'record, not handed on': bench.record,
-            'record, handed on': bench.hand,
-            'eight records, handed on at once': bench.hand_eight,
+        host = await make_recording_host(stack)
+        operations = {
+            'fence alone': host.claim_and_settle,
+            'intent, claim and settle': host.claim_with_key,
+            'ticket, issue and spend': host.claim_with_ticket,
+            'record, not handed on': host.record_only,
+            'record, handed on': host.record_and_send,
+            'eight records, handed on at once': host.record_and_send_eight,
         }
-        costs: dict[str, list[Cost]] = {name: [] for name in ways}
+        costs: dict[str, list[Cost]] = {name: [] for name in operations}
         for _ in range(ROUNDS):
-            for name, way in ways.items():
-                costs[name].append(await measure(way, REQUESTS))
-                # What was recorded is stored between the rounds.
-                await bench.sender.flush()
+            for name, operation in operations.items():
+                costs[name].append(await measure_round(operation, REQUESTS))
+                # The records of a round are stored before the next one.
+                await host.sender.flush()
     record = msgspec.msgpack.encode(_record(1))
     sys.stdout.write(f'{ROUNDS} rounds of {REQUESTS} requests\n')
     for name, rounds in costs.items():
-        sys.stdout.write(f'{name:34}{_line(rounds)}\n')
+        sys.stdout.write(f'{name:34}{_format_row(rounds)}\n')
     sys.stdout.write(f'a record on the wire: {len(record)} bytes\n')
 
 
-def _line(rounds: list[Cost]) -> str:
-    """Return the medians of the rounds with their spread."""
-    waited = sorted(cost.waited for cost in rounds)
-    worked = sorted(cost.worked for cost in rounds)
+def _format_row(rounds: list[Cost]) -> str:
+    """Return the medians over the rounds, with their ranges."""
+    latencies = sorted(cost.latency_ms for cost in rounds)
+    processor_times = sorted(cost.processor_us for cost in rounds)
     return (
-        f'{statistics.median(waited):8.3f} ms'
-        f' ({waited[0]:.3f} to {waited[-1]:.3f})'
-        f'{statistics.median(worked):8.0f} us of processor'
-        f' ({worked[0]:.0f} to {worked[-1]:.0f})'
+        f'{statistics.median(latencies):8.3f} ms'
+        f' ({latencies[0]:.3f} to {latencies[-1]:.3f})'
+        f'{statistics.median(processor_times):8.0f} us of processor'
+        f' ({processor_times[0]:.0f} to {processor_times[-1]:.0f})'
     )
 
 
--- a/experiments/costs/request_cost.py
+++ b/experiments/costs/request_cost.py
@@ -1,14 +1,13 @@
-"""What a request costs its entry host.
+"""Measures the cost of a request at its entry host.
 
-``python -m experiments.costs.request_cost``
-
-Starts one host before two engines that write as fast as they can, and
-measures on loopback, several times over:
+Run ``python -m experiments.costs.request_cost``. It starts one host with two
+engines that generate as fast as they can, and measures over loopback, in
+several runs:
 
 - the host's own processor time for a request and for a streamed token, from
   answers of two lengths;
-- the latency that the host adds to a whole short answer, against the same
-  request sent to an engine directly, one at a time.
+- the latency that the host adds to a complete short answer, compared with the
+  same request sent directly to an engine, one request at a time.
 """
 
 import asyncio
@@ -26,16 +25,21 @@
 from experiments.processes import Processes
 
 RUNS: Final = 5
-SHORT: Final = 2
-LONG: Final = 62
+#: Numbers of tokens of short and of long answers.
+SHORT_TOKENS: Final = 2
+LONG_TOKENS: Final = 62
+#: Requests for each measurement of processor time, and how many run
+#: concurrently.
 REQUESTS: Final = 150
 CONCURRENCY: Final = 10
+#: Requests for each measurement of latency, sent one at a time.
 SEQUENTIAL: Final = 60
-LIMIT: Final = 58
+#: Seconds within which all runs must end.
+TIME_LIMIT: Final = 58
 
-_TICKS: Final = sysconf('SC_CLK_TCK')
-_MICRO: Final = 1e6
-_MILLI: Final = 1e3
+_TICKS_PER_SECOND: Final = sysconf('SC_CLK_TCK')
+_MICROSECONDS_PER_SECOND: Final = 1e6
+_MILLISECONDS_PER_SECOND: Final = 1e3
 _RIG: Final = Rig(
     'lesen',
     (('brief-small@2',), ('brief-small@2',)),
@@ -52,13 +56,13 @@
 
 @dataclass(slots=True)
 class Figures:
-    """What the runs gave, one value a run.
+    """Figures of all runs, one value for each run.
 
     Attributes:
-        request: Processor microseconds a request, without its tokens.
-        token: Processor microseconds a streamed token.
-        added: Milliseconds added at the median.
-        added_tail: Milliseconds added at the 95th percentile.
+        request: Processor microseconds per request, without its tokens.
+        token: Processor microseconds per streamed token.
+        added: Milliseconds added to the median latency.
+        added_tail: Milliseconds added to the 95th percentile of latency.
     """
 
     request: list[float] = field(default_factory=list)
@@ -72,33 +76,33 @@
 
     Args:
         session: HTTP client.
-        running: The deployment.
+        deployment: The deployment.
     """
 
-    def __init__(self, session: ClientSession, running: Deployment) -> None:
+    def __init__(self, session: ClientSession, deployment: Deployment) -> None:
         self._session = session
-        self._host = running.hosts[0]
-        engine = next(iter(running.engines.values()))
+        self._host = deployment.hosts[0]
+        engine = next(iter(deployment.engines.values()))
         self._direct = f'http://{engine.listening["main"]}'
         self._routed = f'http://{self._host.listening["callers"]}'
 
     async def wait(self) -> None:
-        """Wait until the host knows its engines."""
+        """Wait until the host can answer requests."""
         while True:
             try:
-                await self._ask(self._routed, SHORT, 0)
+                await self._send(self._routed, SHORT_TOKENS, 0)
             except RuntimeError:
                 await asyncio.sleep(0.2)
             else:
                 return
 
     async def measure(self, figures: Figures) -> None:
-        """Make one run."""
-        short = await self._spent(SHORT)
-        long = await self._spent(LONG)
-        token = (long - short) / (LONG - SHORT)
+        """Make one run and add its figures."""
+        short = await self._time_per_request(SHORT_TOKENS)
+        long = await self._time_per_request(LONG_TOKENS)
+        token = (long - short) / (LONG_TOKENS - SHORT_TOKENS)
         figures.token.append(token)
-        figures.request.append(short - SHORT * token)
+        figures.request.append(short - SHORT_TOKENS * token)
         direct = await self._latencies(self._direct)
         routed = await self._latencies(self._routed)
         figures.added.append(_quantile(routed, 0.5) - _quantile(direct, 0.5))
@@ -106,31 +110,44 @@
             _quantile(routed, 0.95) - _quantile(direct, 0.95),
         )
 
-    async def _spent(self, tokens: int) -> float:
-        """Return the processor microseconds of the host a request."""
+    async def _time_per_request(self, tokens: int) -> float:
+        """Return the host's processor time per request, in microseconds.
+
+        Args:
+            tokens: Tokens of each answer.
+        """
         before = self._processor_time()
-        todo = iter(range(REQUESTS))
+        numbers = iter(range(REQUESTS))
 
-        async def work() -> None:
+        async def send_requests() -> None:
             """Send one request after another."""
-            for number in todo:
-                await self._ask(self._routed, tokens, number)
+            for number in numbers:
+                await self._send(self._routed, tokens, number)
 
-        await asyncio.gather(*(work() for _ in range(CONCURRENCY)))
-        spent = self._processor_time() - before
-        return spent * _MICRO / REQUESTS
+        await asyncio.gather(*(send_requests() for _ in range(CONCURRENCY)))
+        used = self._processor_time() - before
+        return used * _MICROSECONDS_PER_SECOND / REQUESTS
 
     async def _latencies(self, base: str) -> list[float]:
-        """Return the milliseconds of requests sent one at a time."""
-        found = []
-        for number in range(SEQUENTIAL):
-            began = time.perf_counter()
-            await self._ask(base, SHORT, number)
-            found.append((time.perf_counter() - began) * _MILLI)
-        return found
+        """Return the latencies of requests sent one at a time.
 
-    async def _ask(self, base: str, tokens: int, number: int) -> None:
-        """Send one request and read all of its answer."""
+        Args:
+            base: URL of the host or of an engine.
+
+        Returns:
+            Milliseconds of each request.
+        """
+        samples = []
+        for number in range(SEQUENTIAL):
+            started_at = time.perf_counter()
+            await self._send(base, SHORT_TOKENS, number)
+            samples.append(
+                (time.perf_counter() - started_at) * _MILLISECONDS_PER_SECOND
+            )
+        return samples
+
+    async def _send(self, base: str, tokens: int, number: int) -> None:
+        """Send one request and read the complete answer."""
         body: dict[str, Any] = {
             'model': 'brief-small@2',
             'messages': [{'role': 'user', 'content': f'form {number}'}],
@@ -148,25 +165,26 @@
             raise RuntimeError(content[:500])
 
     def _processor_time(self) -> float:
-        """Return the seconds that the host's process has used."""
+        """Return the processor seconds that the host's process has used."""
         stat = Path(f'/proc/{self._host.process.pid}/stat').read_text()
-        # Fields 14 and 15, counted behind the name in brackets.
+        # Fields 14 and 15, counted from the end of the process name, which is
+        # in brackets.
         fields = stat.rpartition(')')[2].split()
-        return (int(fields[11]) + int(fields[12])) / _TICKS
+        return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
 
-def _quantile(found: list[float], share: float) -> float:
+def _quantile(samples: list[float], fraction: float) -> float:
     """Return a quantile of some values."""
-    return sorted(found)[int(share * (len(found) - 1))]
+    return sorted(samples)[int(fraction * (len(samples) - 1))]
 
 
 async def run() -> Figures:
-    """Start a host and measure it."""
+    """Start a deployment and measure its host."""
     figures = Figures()
     async with Processes() as processes:
-        running = await start(processes, _RIG)
+        deployment = await start(processes, _RIG)
         async with ClientSession() as session:
-            meter = Meter(session, running)
+            meter = Meter(session, deployment)
             await meter.wait()
             await meter.measure(Figures())
             for _ in range(RUNS):
@@ -177,22 +195,23 @@
 def main() -> int:
     """Print the median and the spread of each figure."""
 
-    async def bounded() -> Figures:
-        """Measure within the limit."""
-        async with asyncio.timeout(LIMIT):
+    async def run_with_limit() -> Figures:
+        """Measure within the time limit."""
+        async with asyncio.timeout(TIME_LIMIT):
             return await run()
 
-    figures = asyncio.run(bounded())
+    figures = asyncio.run(run_with_limit())
     rows = (
         ('processor time a request', figures.request, 'us'),
         ('processor time a token', figures.token, 'us'),
         ('added latency, median', figures.added, 'ms'),
         ('added latency, 95 in 100', figures.added_tail, 'ms'),
     )
-    for title, found, unit in rows:
+    for title, samples, unit in rows:
         sys.stdout.write(
-            f'{title:26} {statistics.median(found):9.2f} {unit}'
-            f'  ({min(found):.2f} to {max(found):.2f}, {len(found)} runs)\n',
+            f'{title:26} {statistics.median(samples):9.2f} {unit}'
+            f'  ({min(samples):.2f} to {max(samples):.2f}, '
+            f'{len(samples)} runs)\n',
         )
     return 0
 
--- a/experiments/costs/selection_speed.py
+++ b/experiments/costs/selection_speed.py
@@ -1,8 +1,8 @@
-"""Microseconds that a choice and an admission take.
+"""Measures the time that selection and admission take.
 
-Run ``python -m experiments.costs.selection_speed``. It makes one host's objects
-before 12, 100 and 890 upstreams with 22 versions, nine domains, and measures
-the median and the 99th percentile of many calls.
+Run ``python -m experiments.costs.selection_speed``. It creates one host's
+policies with 12, 100 and 890 upstreams, 22 versions and nine failure domains,
+and prints the median and the 99th percentile of many calls, in microseconds.
 """
 
 import asyncio
@@ -46,16 +46,18 @@
 from nutmegroad.routing.selection import ExpectedSelector
 from nutmegroad.routing.shares import ShareLedger
 
+#: Numbers of upstreams.
 SIZES: Final = (12, 100, 890)
 VERSIONS: Final = tuple(VersionId(f'model-{n}@1') for n in range(22))
 DOMAINS: Final = tuple(DomainId(f'domain-{n}') for n in range(9))
+#: Calls that are timed, and calls made before those.
 CALLS: Final = 2000
 WARM_UP: Final = 100
-_MICROSECONDS: Final = 1e6
+_MICROSECONDS_PER_SECOND: Final = 1e6
 
 
-def fill(directory: Directory, upstreams: int) -> None:
-    """Have a directory know engines, each with four of the versions."""
+def add_engines(directory: Directory, upstreams: int) -> None:
+    """Add engines to a directory, each with four of the versions."""
     infos = tuple(
         UpstreamInfo(
             UpstreamId(f'engine-{number}'),
@@ -82,7 +84,7 @@
 
 
 def make_request(number: int) -> ModelRequest:
-    """Return a request that may use one version."""
+    """Return a request that may only use one version."""
     return ModelRequest(
         request=RequestId(f'r{number}'),
         workspace=WorkspaceId(f'outlet-{number % 10}'),
@@ -105,28 +107,30 @@
 def time_calls(call: Callable[[ModelRequest], Any]) -> tuple[float, float]:
     """Return median and 99th percentile of a call, in microseconds.
 
-    The first calls, which list each version's engines, are not measured.
+    The first calls are not measured, since they list each version's engines.
     """
     for number in range(WARM_UP):
         call(make_request(number))
-    found = []
+    durations = []
     for number in range(CALLS):
         request = make_request(number)
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         call(request)
-        found.append((time.perf_counter() - began) * _MICROSECONDS)
-    return percentile(found, 0.5), percentile(found, 0.99)
+        durations.append(
+            (time.perf_counter() - started_at) * _MICROSECONDS_PER_SECOND
+        )
+    return percentile(durations, 0.5), percentile(durations, 0.99)
 
 
 def measure_selector(selector: Selector) -> tuple[float, float]:
-    """Measure a choice, with the notes of its attempt if it takes them."""
-    notes = selector if isinstance(selector, ExpectedSelector) else None
+    """Measure a choice, including attempt events if the selector uses them."""
+    observer = selector if isinstance(selector, ExpectedSelector) else None
 
     def decide(request: ModelRequest) -> None:
-        """Choose, begin and end."""
+        """Choose an upstream; report the start and end of the attempt."""
         version = request.versions[0]
         choice = selector.choose(request, version, frozenset())
-        if isinstance(choice, Refusal) or notes is None:
+        if isinstance(choice, Refusal) or observer is None:
             return
         start = AttemptStart(
             AttemptId(request.request),
@@ -136,8 +140,8 @@
             version,
             choice.state.info.upstream,
         )
-        notes.started(start)
-        notes.ended(_ended(start))
+        observer.started(start)
+        observer.ended(_attempt_end(start))
 
     return time_calls(decide)
 
@@ -145,51 +149,57 @@
 async def measure_admitter(
     admitter: FairAdmitter,
     *,
-    crowded: bool,
+    is_full: bool,
 ) -> tuple[float, float]:
-    """Measure an admission, with room or with a full queue.
+    """Measure an admission, with free slots or with a full queue.
 
-    With a full queue the request has a deadline that is over, so that it is
-    refused and does not wait.
+    With a full queue, the request's deadline is so near that it is refused
+    and does not wait.
     """
-    fillers = []
-    patience = 60.0
-    if crowded:
-        patience = 0.001
-        fillers = [
-            asyncio.create_task(_enter(admitter, make_request(number), 60))
+    waiting = []
+    timeout = 60.0
+    if is_full:
+        timeout = 0.001
+        waiting = [
+            asyncio.create_task(
+                _admit_and_hold(admitter, make_request(number), 60)
+            )
             for number in range(CALLS)
         ]
         await asyncio.sleep(0.01)
-    found = []
+    durations = []
     for number in range(CALLS):
-        late = time.monotonic() + patience
-        request = replace(make_request(number), deadline=late)
-        began = time.perf_counter()
-        await _enter(admitter, request, 0)
-        found.append((time.perf_counter() - began) * _MICROSECONDS)
-    for task in fillers:
+        deadline = time.monotonic() + timeout
+        request = replace(make_request(number), deadline=deadline)
+        started_at = time.perf_counter()
+        await _admit_and_hold(admitter, request, 0)
+        durations.append(
+            (time.perf_counter() - started_at) * _MICROSECONDS_PER_SECOND
+        )
+    for task in waiting:
         task.cancel()
-    return percentile(found, 0.5), percentile(found, 0.99)
+    return percentile(durations, 0.5), percentile(durations, 0.99)
 
 
 async def measure(upstreams: int) -> None:
-    """Measure one size and print it."""
+    """Measure a number of upstreams and print the results."""
     clock = SystemClock()
     directory = Directory(clock)
-    fill(directory, upstreams)
+    add_engines(directory, upstreams)
     fleet = FleetLoad(clock)
-    draws = random.Random(1)
-    expected = ExpectedSelector(directory, fleet, clock, draws, DOMAINS[0])
+    randomness = random.Random(1)
+    expected = ExpectedSelector(directory, fleet, clock, randomness, DOMAINS[0])
     figures = {
-        'least-in-flight': measure_selector(LeastInFlight(directory, draws)),
+        'least-in-flight': measure_selector(
+            LeastInFlight(directory, randomness)
+        ),
         'expected': measure_selector(expected),
     }
-    admitter = make_admitter(directory, fleet, clock, draws)
-    figures['fair, room'] = await measure_admitter(admitter, crowded=False)
-    figures['fair, full'] = await measure_admitter(admitter, crowded=True)
-    for name, found in figures.items():
-        cells = ' '.join(f'{one:8.1f}' for one in found)
+    admitter = make_admitter(directory, fleet, clock, randomness)
+    figures['fair, room'] = await measure_admitter(admitter, is_full=False)
+    figures['fair, full'] = await measure_admitter(admitter, is_full=True)
+    for name, percentiles in figures.items():
+        cells = ' '.join(f'{microseconds:8.1f}' for microseconds in percentiles)
         sys.stdout.write(f'{upstreams:4} {name:16} {cells}\n')
 
 
@@ -197,30 +207,30 @@
     directory: Directory,
     fleet: FleetLoad,
     clock: SystemClock,
-    draws: random.Random,
+    randomness: random.Random,
 ) -> FairAdmitter:
-    """Return an admitter of one of ten hosts."""
+    """Return the admitter of a host, for ten workspaces."""
     configuration = Configuration(clock, 8)
     configuration.take(accepted_for((1,) * 10, 0.5))
     identity = Identity(HostId('a'), DOMAINS[0])
     slots = HostSlots(identity, directory, fleet, ShareLedger(), clock)
     demand = Demand(configuration, fleet, identity)
-    return FairAdmitter(slots, configuration, demand, clock, draws)
+    return FairAdmitter(slots, configuration, demand, clock, randomness)
 
 
 async def main() -> None:
-    """Measure all sizes."""
+    """Measure all numbers of upstreams."""
     sys.stdout.write('size policy               p50 us   p99 us\n')
     for upstreams in SIZES:
         await measure(upstreams)
 
 
-async def _enter(
+async def _admit_and_hold(
     admitter: FairAdmitter,
     request: ModelRequest,
     seconds: float,
 ) -> None:
-    """Hold a permit for a while."""
+    """Admit a request and hold its permit for some seconds."""
     permit = await admitter.admit(request)
     if isinstance(permit, Refusal):
         return
@@ -229,8 +239,8 @@
             await asyncio.sleep(seconds)
 
 
-def _ended(start: AttemptStart) -> AttemptEnd:
-    """Return a whole answer's end."""
+def _attempt_end(start: AttemptStart) -> AttemptEnd:
+    """Return the end of a successful attempt."""
     return AttemptEnd(start, ResultCode.OK, 0.1, 3, 500, 100, 0, '')
 
 
