--- a/experiments/trials/__init__.py
+++ b/experiments/trials/__init__.py
@@ -1,1 +1,1 @@
-"""Trials of one decision alone, on drawn cases."""
+"""Experiments that exercise one kind of decision on simulated input."""
--- a/experiments/trials/engine_model.py
+++ b/experiments/trials/engine_model.py
@@ -1,7 +1,7 @@
-"""A queue model of an engine, with the stand-in's batching times.
+"""Models an engine as a queue, with the batching times of its stand-in.
 
-The times are those of ``fakes.batching``: the prompt is read at a rate of
-its own, and a decode step takes longer the more requests run.
+The times are those of ``fakes.batching``: each prompt is processed at a fixed
+rate, and a decode step takes longer the more requests run.
 """
 
 import asyncio
@@ -16,10 +16,11 @@
 from nutmegroad.contracts.upstreams import EngineReport
 from nutmegroad.foundations.types import FencingNumber, VersionId
 
-#: Prefixes that an engine keeps.
+#: Maximum number of prefixes in an engine's cache.
 CACHE_ENTRIES = 40
 
-_SOON = 1e-9
+#: Shortest timer in seconds, and tolerance for rounding errors of work left.
+_EPSILON = 1e-9
 
 
 @dataclass(eq=False, slots=True)
@@ -27,16 +28,16 @@
     """A request at an engine.
 
     Attributes:
-        prompt: Prompt tokens.
-        output: Tokens to write.
-        prefix: Its prefix.
-        shared: Prompt tokens that are the prefix's.
-        priority: Smaller first.
-        first_at: Clock seconds of the first token; negative before it.
-        done: True for a whole answer, false for a broken one.
-        reading: Seconds of reading the prompt that are left.
-        left: Tokens left to write.
+        prompt: Number of prompt tokens.
+        output: Number of tokens to generate.
+        prefix: Identifies the prefix of the prompt.
+        shared: Number of prompt tokens that belong to the prefix.
+        priority: Requests with smaller numbers are served first.
+        done: Result: True for a complete answer, False for one cut off.
+        prefill_left: Seconds of prefill that are left at normal speed.
+        tokens_left: Tokens left to generate.
         cached: Prompt tokens that were found in the cache.
+        first_at: Clock seconds of the first token; negative before it.
     """
 
     prompt: int
@@ -45,19 +46,19 @@
     shared: int
     priority: int
     done: asyncio.Future[bool]
-    reading: float = 0
-    left: float = 0
+    prefill_left: float = 0
+    tokens_left: float = 0
     cached: int = 0
     first_at: float = -1
 
 
 class EngineModel:
-    """An engine.
+    """An engine that runs a batch of requests and queues the others.
 
     Args:
-        clock: Virtual time.
-        versions: Versions that it has loaded.
-        speed: How fast it is.
+        clock: Virtual clock.
+        versions: Loaded versions.
+        speed: Times and limits of the batch.
     """
 
     def __init__(
@@ -70,21 +71,21 @@
         self.versions = versions
         self.slowness = 1.0
         self.is_down = False
-        self.work: float = 0
+        self.busy_seconds: float = 0
         self._clock = clock
         self._running: list[Job] = []
         self._queue: list[tuple[int, int, Job]] = []
-        self._order = 0
-        self._moved: float = 0
+        self._sequence = 0
+        self._updated_at: float = 0
         self._timer: asyncio.TimerHandle | None = None
         self._cache: OrderedDict[int, None] = OrderedDict()
         self._times: list[float] = [-1.0]
         self._loads: list[tuple[int, int]] = [(0, 0)]
 
     def report(self, lag: float) -> EngineReport:
-        """Return the load as it was some seconds ago."""
-        place = bisect_right(self._times, self._clock.now() - lag) - 1
-        running, queued = self._loads[max(0, place)]
+        """Return the engine's report as of ``lag`` seconds ago."""
+        index = bisect_right(self._times, self._clock.now() - lag) - 1
+        running, queued = self._loads[max(0, index)]
         return EngineReport(
             self.versions,
             running,
@@ -96,27 +97,30 @@
         )
 
     def submit(self, job: Job) -> bool:
-        """Take a request; false if the queue is full."""
+        """Queue a request; return False if the queue is full."""
         self._advance()
-        room = self.speed.slots + self.speed.queue_limit
-        if len(self._running) + len(self._queue) >= room:
+        capacity = self.speed.slots + self.speed.queue_limit
+        if len(self._running) + len(self._queue) >= capacity:
             return False
-        self._order += 1
-        heappush(self._queue, (job.priority, self._order, job))
-        self._settle()
+        self._sequence += 1
+        heappush(self._queue, (job.priority, self._sequence, job))
+        self._update_batch()
         return True
 
     def cancel(self, job: Job) -> None:
-        """Stop a request, wherever it is."""
+        """Remove a request from the batch or the queue."""
         self._advance()
         if job in self._running:
             self._running.remove(job)
         self._queue = [entry for entry in self._queue if entry[-1] is not job]
         heapify(self._queue)
-        self._settle()
+        self._update_batch()
 
     def fail(self) -> None:
-        """Break off all that runs; new requests find it down."""
+        """Go down: cut off all requests, and clear the cache.
+
+        Callers check ``is_down`` before they submit new requests.
+        """
         self.is_down = True
         jobs = [*self._running, *(entry[-1] for entry in self._queue)]
         self._running = []
@@ -125,60 +129,63 @@
         for job in jobs:
             if not job.done.done():
                 job.done.set_result(False)
-        self._settle()
+        self._update_batch()
 
     def slow_down(self, factor: float) -> None:
-        """Make all its times longer from now on."""
+        """Scale all times by a factor from now on."""
         self._advance()
         self.slowness = factor
-        self._settle()
+        self._update_batch()
 
     def _step(self) -> float:
-        """Return the seconds of a decode step now."""
+        """Return the present duration of a decode step in seconds."""
         speed = self.speed
         step = speed.step_base + speed.step_per_request * len(self._running)
         return step * self.slowness
 
     def _advance(self) -> None:
-        """Let the time pass since the last change."""
+        """Account for the work done since the last change."""
         now = self._clock.now()
-        passed = now - self._moved
-        self._moved = now
-        self.work += passed * len(self._running)
+        elapsed = now - self._updated_at
+        self._updated_at = now
+        self.busy_seconds += elapsed * len(self._running)
         step = self._step()
         for job in self._running:
-            reading = min(job.reading, passed / self.slowness)
-            job.reading -= reading
-            job.left -= (passed - reading * self.slowness) / step
+            prefill = min(job.prefill_left, elapsed / self.slowness)
+            job.prefill_left -= prefill
+            job.tokens_left -= (elapsed - prefill * self.slowness) / step
 
-    def _settle(self) -> None:
-        """End what is whole, fill slots, wait for the next change."""
+    def _update_batch(self) -> None:
+        """Complete finished jobs, fill free slots, and set the timer."""
         for job in tuple(self._running):
-            if job.left <= job.output - 1 + _SOON and job.first_at < 0:
+            if (
+                job.tokens_left <= job.output - 1 + _EPSILON
+                and job.first_at < 0
+            ):
                 job.first_at = self._clock.now()
-            if job.left <= _SOON:
+            if job.tokens_left <= _EPSILON:
                 self._running.remove(job)
                 if not job.done.done():
                     job.done.set_result(True)
         while self._queue and len(self._running) < self.speed.slots:
-            self._begin(heappop(self._queue)[-1])
+            self._start(heappop(self._queue)[-1])
         self._times.append(self._clock.now())
         self._loads.append((len(self._running), len(self._queue)))
-        self._wait()
+        self._set_timer()
 
-    def _begin(self, job: Job) -> None:
-        """Put a request into the batch."""
+    def _start(self, job: Job) -> None:
+        """Move a request into the batch."""
         if job.prefix in self._cache:
             job.cached = min(job.shared, job.prompt)
         self._cache[job.prefix] = None
         self._cache.move_to_end(job.prefix)
         if len(self._cache) > CACHE_ENTRIES:
             self._cache.popitem(last=False)
-        job.reading = (job.prompt - job.cached) / self.speed.prefill_rate
-        job.left = job.output
+        job.prefill_left = (job.prompt - job.cached) / self.speed.prefill_rate
+        job.tokens_left = job.output
         self._running.append(job)
 
-    def _wait(self) -> None:
+    def _set_timer(self) -> None:
         """Set the timer for the next change."""
         if self._timer is not None:
             self._timer.cancel()
@@ -186,17 +193,21 @@
         if not self._running:
             return
         step = self._step()
-        soonest = min(self._seconds(job, step) for job in self._running)
+        delay = min(self._until_next_event(job, step) for job in self._running)
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(max(_SOON, soonest), self._tick)
-
-    def _seconds(self, job: Job, step: float) -> float:
-        """Return the seconds to a job's next event."""
-        ahead = job.left if job.first_at >= 0 else job.left - job.output + 1
-        return job.reading * self.slowness + ahead * step
+        self._timer = loop.call_later(max(_EPSILON, delay), self._on_timer)
+
+    def _until_next_event(self, job: Job, step: float) -> float:
+        """Return the seconds until a job's first or last token."""
+        tokens = (
+            job.tokens_left
+            if job.first_at >= 0
+            else job.tokens_left - job.output + 1
+        )
+        return job.prefill_left * self.slowness + tokens * step
 
-    def _tick(self) -> None:
-        """Move on to the change that is due."""
+    def _on_timer(self) -> None:
+        """Handle the change that the timer was set for."""
         self._timer = None
         self._advance()
-        self._settle()
+        self._update_batch()
--- a/experiments/trials/exposure_judges.py
+++ b/experiments/trials/exposure_judges.py
@@ -1,4 +1,4 @@
-"""What decides that a version has turned bad: the guard, and a threshold."""
+"""Rules that stop a bad version: the exposure guard, and its baselines."""
 
 import statistics
 from collections import deque
@@ -42,53 +42,53 @@
 
 
 class SilentFeed:
-    """A feed that says nothing: the trial hands ratings in itself."""
+    """A rating feed without updates; the trial passes ratings to the guard."""
 
     def listen(self, listener: RatingListener) -> None:
-        """Forget the listener."""
+        """Ignore the listener."""
 
 
 class Judge:
-    """What decides whether a version is to be stopped; it stops none.
+    """Decides when a version is stopped; this base class stops none.
 
     Args:
-        scenario: What happens.
+        scenario: The scenario of the trial.
     """
 
     def __init__(self, scenario: Scenario) -> None:
         self._watched = NEW if scenario.rollout else OLD
 
-    def rate(self, version: VersionId, scores: list[float]) -> None:
-        """Take new ratings."""
+    def add_ratings(self, version: VersionId, scores: list[float]) -> None:
+        """Add ratings of a version."""
 
-    def count(self, version: VersionId, fresh: Tally) -> None:
-        """Take attempts that ended."""
+    def add_attempts(self, version: VersionId, increment: Tally) -> None:
+        """Add the attempts that ended since the last call."""
 
-    def stops(self) -> bool:
-        """Tell whether the version watched gets no more work."""
+    def has_stopped(self) -> bool:
+        """Return whether the watched version gets no more requests."""
         return False
 
 
 class ThresholdJudge(Judge):
-    """The baseline: a mean of the last 50 ratings under a fixed bound."""
+    """Baseline: a fixed bound on the mean of the last 50 ratings."""
 
     def __init__(self, scenario: Scenario) -> None:
         super().__init__(scenario)
-        self._last: deque[float] = deque(maxlen=50)
+        self._window: deque[float] = deque(maxlen=50)
 
-    def rate(self, version: VersionId, scores: list[float]) -> None:
-        """Keep the last ratings."""
+    def add_ratings(self, version: VersionId, scores: list[float]) -> None:
+        """Store the last ratings of the watched version."""
         if version == self._watched:
-            self._last.extend(scores)
+            self._window.extend(scores)
 
-    def stops(self) -> bool:
-        """Compare their mean with the bound."""
-        full = len(self._last) == self._last.maxlen
-        return full and statistics.fmean(self._last) < GOOD - 0.1
+    def has_stopped(self) -> bool:
+        """Return whether the mean of a full window is below the bound."""
+        is_full = len(self._window) == self._window.maxlen
+        return is_full and statistics.fmean(self._window) < GOOD - 0.1
 
 
 class GuardJudge(Judge):
-    """The exposure guard, as a host has it."""
+    """Runs the exposure guard as a host does."""
 
     def __init__(self, scenario: Scenario) -> None:
         super().__init__(scenario)
@@ -103,22 +103,22 @@
             self._quarantines,
         )
 
-    def rate(self, version: VersionId, scores: list[float]) -> None:
-        """Hand ratings to the guard."""
+    def add_ratings(self, version: VersionId, scores: list[float]) -> None:
+        """Pass ratings to the guard."""
         tally = RatingTally(version, TASK)
         for score in scores:
             tally = tally.plus(score)
         if tally.count:
             self.guard.add_ratings(tally)
 
-    def count(self, version: VersionId, fresh: Tally) -> None:
-        """Hand attempts to the guard."""
-        self._attempts[version] = self._attempts[version].plus(fresh)
+    def add_attempts(self, version: VersionId, increment: Tally) -> None:
+        """Pass evidence of attempts to the guard."""
+        self._attempts[version] = self._attempts[version].plus(increment)
         cell = EvidenceCell(PEER, version, TASK, self._attempts[version])
         self._evidence.merge((cell,))
 
-    def stops(self) -> bool:
-        """Ask the quarantines."""
+    def has_stopped(self) -> bool:
+        """Return whether the watched version is quarantined."""
         return self._quarantines.blocked(self._watched, TASK) is not None
 
 
--- a/experiments/trials/exposure_trials.py
+++ b/experiments/trials/exposure_trials.py
@@ -1,10 +1,10 @@
 """Measures the exposure guard alone, on simulated evidence.
 
-Run it as ``python -m experiments.trials.exposure_trials [--seeds N]``. One host
-sees all evidence of a version and a task class, second by second: ratings
-come late, and some answers are rated 0 although the version is good. It
-prints how often good versions are stopped and how far bad ones get,
-against a fixed threshold and no guard.
+Run ``python -m experiments.trials.exposure_trials [--seeds N]``. One host sees
+all evidence of a version and a task class, second by second: ratings arrive
+late, and some answers are rated 0 although the version is good. The tables
+show how often good versions are stopped and how many requests bad ones get,
+compared with a fixed threshold and with no guard.
 """
 
 import argparse
@@ -20,12 +20,12 @@
 
 from experiments.trials.exposure_judges import GuardJudge, Judge, ThresholdJudge
 from experiments.trials.exposure_scenarios import (
+    DEGRADES_AT,
     HEALTHY,
     HOUR,
     NEW,
     OLD,
     SCENARIOS,
-    TURN,
     Scenario,
     Stream,
 )
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What came of one run.
+    """Outcome of one trial.
 
     Attributes:
-        stopped: Second at which the version got no more work, if ever.
-        exposed: Requests it answered after it had turned bad.
-        rated: Ratings of such answers until it was stopped.
+        stopped: Second at which the version was stopped; None if it never was.
+        exposed: Requests that it got after it had turned bad.
+        rated: Ratings of its answers to those requests until it was stopped.
     """
 
     stopped: int | None
@@ -47,62 +47,66 @@
 
 
 class Trial:
-    """One run: a version, perhaps the one before it, and a judge.
+    """One trial: a version, its predecessor in a rollout, and a judge.
 
     Args:
-        scenario: What happens.
-        seed: Of all draws.
-        judge: What may stop the version.
+        scenario: How the version degrades.
+        seed: Seeds all random draws.
+        judge: Decides when the version is stopped.
     """
 
     def __init__(self, scenario: Scenario, seed: int, judge: Judge) -> None:
         self._scenario = scenario
         self._judge = judge
-        chance = random.Random(f'{scenario.name}/{seed}')
+        randomness = random.Random(f'{scenario.name}/{seed}')
         self._watched = NEW if scenario.rollout else OLD
-        self._streams = {self._watched: Stream(scenario, chance)}
+        self._streams = {self._watched: Stream(scenario, randomness)}
         if scenario.rollout:
-            self._streams[OLD] = Stream(scenario, chance, watched=False)
+            self._streams[OLD] = Stream(scenario, randomness, watched=False)
 
     def run(self) -> Outcome:
-        """Watch until the version is stopped or the time is over."""
+        """Run until the version is stopped or the duration has passed."""
         exposed = 0
         rated = 0
-        turned = self._scenario.turned
-        first_rated = turned + self._scenario.delay
-        for second in range(self._scenario.seconds):
-            served, scores = self._step(second)
-            exposed += served if second >= turned else 0
-            rated += scores if second >= first_rated else 0
-            if self._judge.stops():
+        bad_from = self._scenario.bad_from
+        first_rated = bad_from + self._scenario.rating_delay
+        for second in range(self._scenario.duration):
+            attempts, ratings = self._step(second)
+            exposed += attempts if second >= bad_from else 0
+            rated += ratings if second >= first_rated else 0
+            if self._judge.has_stopped():
                 return Outcome(second, exposed, rated)
         return Outcome(None, exposed, rated)
 
     def _step(self, second: int) -> tuple[int, int]:
-        """Return answers and ratings of the watched version."""
-        outcome = (0, 0)
+        """Simulate a second; return the watched version's counts.
+
+        Returns:
+            The number of its attempts and of its ratings.
+        """
+        counts = (0, 0)
         for version, stream in self._streams.items():
-            share = self._scenario.share
+            share = self._scenario.traffic_share
             share = share if version == self._watched else 1 - share
             tally = stream.serve(second, self._scenario.rate * share)
-            scores = stream.due(second)
-            self._judge.count(version, tally)
-            self._judge.rate(version, scores)
+            scores = stream.due_ratings(second)
+            self._judge.add_attempts(version, tally)
+            self._judge.add_ratings(version, scores)
             if version == self._watched:
-                outcome = (tally.attempts, len(scores))
-        return outcome
+                counts = (tally.attempts, len(scores))
+        return counts
 
 
 @dataclass(slots=True)
-class Sums:
-    """Outcomes of a scenario under one judge.
+class Summary:
+    """Results of a scenario's trials under one judge.
 
     Attributes:
-        early: Runs in which it was stopped before it turned bad.
-        missed: Runs in which it was never stopped.
-        exposed: Requests exposed, of the runs between.
-        seconds: Seconds from the turn until it was stopped.
-        rated: Ratings until it was stopped.
+        early: Trials in which the version was stopped before it degraded.
+        missed: Trials in which it was never stopped.
+        exposed: Requests exposed in each trial, early ones excepted.
+        seconds: Seconds from turning bad until it was stopped.
+        rated: Ratings of bad answers until it was stopped.
     """
 
     early: int = 0
@@ -111,61 +115,65 @@
     seconds: list[int] = field(default_factory=list)
     rated: list[int] = field(default_factory=list)
 
-    def add(self, outcome: Outcome, turned: int) -> None:
-        """Add a run of a version that turned bad at a second."""
-        if outcome.stopped is not None and outcome.stopped < TURN:
+    def add(self, outcome: Outcome, bad_from: int) -> None:
+        """Add the outcome for a version that counts as bad from a second on."""
+        if outcome.stopped is not None and outcome.stopped < DEGRADES_AT:
             self.early += 1
             return
         self.exposed.append(outcome.exposed)
         if outcome.stopped is None:
             self.missed += 1
             return
-        self.seconds.append(max(outcome.stopped - turned, 0))
+        self.seconds.append(max(outcome.stopped - bad_from, 0))
         self.rated.append(outcome.rated)
 
 
-def trial(
+def run_trials(
     scenario: Scenario,
     seeds: int,
     judge: Callable[[Scenario], Judge],
-) -> Sums:
-    """Run a scenario with several seeds."""
-    sums = Sums()
+) -> Summary:
+    """Run a scenario once for each seed."""
+    summary = Summary()
     for seed in range(seeds):
         outcome = Trial(scenario, seed, judge(scenario)).run()
-        sums.add(outcome, scenario.turned)
-    return sums
+        summary.add(outcome, scenario.bad_from)
+    return summary
 
 
-def report(scenario: Scenario, sums: Sums) -> str:
-    """Return a line of the table for a version that turns bad."""
+def format_row(scenario: Scenario, summary: Summary) -> str:
+    """Return a row of the table for a version that turns bad."""
     hour = scenario.rate * HOUR
-    shares = sorted(100 * exposed / hour for exposed in sums.exposed) or [0]
-    seconds = statistics.median(sums.seconds) if sums.seconds else math.inf
-    rated = statistics.median(sums.rated) if sums.rated else math.inf
+    shares = sorted(100 * exposed / hour for exposed in summary.exposed) or [0]
+    seconds = (
+        statistics.median(summary.seconds) if summary.seconds else math.inf
+    )
+    rated = statistics.median(summary.rated) if summary.rated else math.inf
     return (
-        f'| {scenario.name} | {sums.early} | {sums.missed} | {rated:.0f} | '
-        f'{seconds:.0f} | {statistics.median(shares):.2f} | '
+        f'| {scenario.name} | {summary.early} | {summary.missed} | '
+        f'{rated:.0f} | {seconds:.0f} | {statistics.median(shares):.2f} | '
         f'{shares[-1]:.2f} |'
     )
 
 
-def measure(name: str, judge: Callable[[Scenario], Judge], seeds: int) -> None:
-    """Print the table of one judge."""
-    sys.stdout.write(f'\n{name}, {seeds} seeds\n{HEAD}\n')
+def print_table(
+    name: str, judge: Callable[[Scenario], Judge], seeds: int
+) -> None:
+    """Print the table of bad versions under one judge."""
+    sys.stdout.write(f'\n{name}, {seeds} seeds\n{TABLE_HEAD}\n')
     for scenario in SCENARIOS:
-        sums = trial(scenario, seeds, judge)
-        sys.stdout.write(f'{report(scenario, sums)}\n')
+        summary = run_trials(scenario, seeds, judge)
+        sys.stdout.write(f'{format_row(scenario, summary)}\n')
 
 
-def measure_good(judge: Callable[[Scenario], Judge], seeds: int) -> None:
-    """Print how often good versions are stopped."""
-    for good in HEALTHY:
-        sums = trial(good, seeds, judge)
-        hours = seeds * good.seconds // HOUR
+def print_false_stops(judge: Callable[[Scenario], Judge], seeds: int) -> None:
+    """Print in how many trials good versions are stopped."""
+    for scenario in HEALTHY:
+        summary = run_trials(scenario, seeds, judge)
+        hours = seeds * scenario.duration // HOUR
         sys.stdout.write(
-            f'{good.name}: {seeds - sums.missed} of {seeds} runs stopped, '
-            f'{hours} hours at {good.rate} a second\n',
+            f'{scenario.name}: {seeds - summary.missed} of {seeds} runs '
+            f'stopped, {hours} hours at {scenario.rate} a second\n',
         )
 
 
@@ -176,15 +184,15 @@
     parser.add_argument('--good-seeds', type=int, default=2)
     flags = parser.parse_args()
     logging.set_verbosity(logging.ERROR)
-    measure('Guard', GuardJudge, flags.seeds)
-    measure_good(GuardJudge, flags.good_seeds)
-    measure('Fixed threshold', ThresholdJudge, flags.seeds)
-    measure_good(ThresholdJudge, flags.good_seeds)
-    measure('No guard', Judge, 1)
+    print_table('Guard', GuardJudge, flags.seeds)
+    print_false_stops(GuardJudge, flags.good_seeds)
+    print_table('Fixed threshold', ThresholdJudge, flags.seeds)
+    print_false_stops(ThresholdJudge, flags.good_seeds)
+    print_table('No guard', Judge, 1)
     return 0
 
 
-HEAD: Final = (
+TABLE_HEAD: Final = (
     '| scenario | early | missed | ratings | seconds | '
     '% of an hour, median | worst |\n|---|---|---|---|---|---|---|'
 )
--- a/experiments/trials/planner_trials.py
+++ b/experiments/trials/planner_trials.py
@@ -1,11 +1,12 @@
-"""The planners alone, on simulated answers and ratings, over many seeds.
+"""Compares planners on simulated answers and ratings, over several seeds.
 
 Run ``python -m experiments.trials.planner_trials``. For each scenario and
-planner it prints cost and quality over all seeds. An answer's quality is drawn
-about its version's true mean; *share met* counts requests whose version's
-true mean reaches the target (what a plan can promise), *answers met* those
-whose own quality does. *Regret* is the cost above that of a planner that
-knows the true means, as a share of the latter.
+planner, the table shows the mean cost and quality over all seeds. An answer's
+quality is drawn from a normal distribution about its version's true mean.
+*Share met* is the fraction of requests whose version's true mean reaches the
+target, which is what a plan can promise; *answers met* the fraction whose own
+quality does. *Regret* is the cost above that of a planner that knows the true
+means, as a fraction of the latter's cost.
 """
 
 import argparse
@@ -45,39 +46,41 @@
 )
 from nutmegroad.routing.policies import CheapestPlanner
 
-#: Requests in one run; one comes each second.
+#: Requests in one run; one arrives each second.
 REQUESTS: Final = 6000
-#: Standard deviation of single answers' quality, as in the stand-ins.
+#: Standard deviation of the quality of single answers, as in the stand-ins.
 ANSWER_SPREAD: Final = 0.05
-#: Bounds of a prompt's length, in tokens.
+#: Bounds of the length of prompts, in tokens.
 PROMPTS: Final = (100, 2000)
+#: Seconds for which a confirmation of the configuration holds.
 _LEASE: Final = 8.0
 
 
 @dataclass(slots=True)
 class Tally:
-    """What one run came to.
+    """Totals of one run.
 
     Attributes:
-        cost: All costs.
-        best: What a planner that knows the true means would have paid.
-        promised: Requests whose version's true mean reached the target.
-        answers: Requests whose own answer reached it.
+        cost: Cost of all plans.
+        optimal_cost: Cost of a planner that knows the true means.
+        promises_met: Requests whose version's true mean reached the target.
+        answers_met: Requests whose own answer reached the target.
         refused: Requests without a plan.
-        rated: Answers that were handed in.
-        feed: Ratings that came.
-        switches: How often a task's version changed from the one before.
+        rated: Answers that were submitted for rating.
+        ratings: Ratings that were not lost.
+        switches: Changes of version between consecutive requests of a task.
+        last_versions: Version of the last request of each task.
     """
 
     cost: float = 0
-    best: float = 0
-    promised: int = 0
-    answers: int = 0
+    optimal_cost: float = 0
+    promises_met: int = 0
+    answers_met: int = 0
     refused: int = 0
     rated: int = 0
-    feed: int = 0
+    ratings: int = 0
     switches: int = 0
-    last: dict[TaskName, VersionId] = field(default_factory=dict)
+    last_versions: dict[TaskName, VersionId] = field(default_factory=dict)
 
     def add(
         self,
@@ -86,151 +89,165 @@
         mean: float,
         quality: float,
     ) -> None:
-        """Count an answer by its version's mean and by its own quality."""
+        """Count an answer by its version's true mean and its own quality."""
         task, version = request.task, plan.steps[-1]
         self.cost += plan.cost
-        self.promised += mean >= request.target
-        self.answers += quality >= request.target
-        self.switches += self.last.get(task, version) != version
-        self.last[task] = version
+        self.promises_met += mean >= request.target
+        self.answers_met += quality >= request.target
+        self.switches += self.last_versions.get(task, version) != version
+        self.last_versions[task] = version
 
 
 @dataclass(frozen=True, slots=True)
-class World:
-    """One run's objects.
+class Simulation:
+    """The objects of one run.
 
     Attributes:
-        scenario: What happens.
-        clock: Time.
-        configuration: What is in force.
-        estimates: What is believed.
+        scenario: The scenario of the run.
+        seed: Seeds all random draws.
+        configuration: The configuration in force.
+        estimates: Estimates of quality from the ratings so far.
         mix: Name of the mix of task classes.
-        shares: Say which answers are rated.
+        sampling: Determines which answers are submitted for rating.
     """
 
     scenario: Scenario
-    clock: SteppedClock
+    seed: int
     configuration: Configuration
     estimates: Estimates
     mix: str
-    shares: SampleShares
+    sampling: SampleShares
 
 
-Maker = Callable[[World, random.Random], Planner]
+PlannerFactory = Callable[[Simulation, random.Random], Planner]
 
 
-def adaptive(explored: float) -> Maker:
-    """Return a maker of the adaptive planner with a share to explore."""
+def adaptive_factory(exploration: float) -> PlannerFactory:
+    """Return a factory of adaptive planners.
 
-    def make(world: World, randomness: random.Random) -> Planner:
-        """Make the planner."""
+    Args:
+        exploration: Fraction of requests that explore.
+    """
+
+    def new_planner(
+        simulation: Simulation, randomness: random.Random
+    ) -> Planner:
+        """Return a new planner."""
         return AdaptivePlanner(
-            world.configuration,
-            world.estimates,
-            Trials(PresetShares(world.configuration)),
+            simulation.configuration,
+            simulation.estimates,
+            Trials(PresetShares(simulation.configuration)),
             randomness,
-            explored,
+            exploration,
         )
 
-    return make
+    return new_planner
 
 
-PLANNERS: Final[dict[str, Maker]] = {
-    'dearest': lambda world, _: most_expensive(world.configuration),
-    'cheapest-only': lambda world, _: cheapest_only(world.configuration),
-    'static-share': lambda world, draws: static_share(
-        world.configuration,
-        draws,
+PLANNERS: Final[dict[str, PlannerFactory]] = {
+    'dearest': lambda simulation, _: most_expensive(simulation.configuration),
+    'cheapest-only': lambda simulation, _: cheapest_only(
+        simulation.configuration
+    ),
+    'static-share': lambda simulation, randomness: static_share(
+        simulation.configuration,
+        randomness,
     ),
-    'cheapest': lambda world, _: CheapestPlanner(world.configuration),
-    'adaptive': adaptive(EXPLORED),
-    'no-exploring': adaptive(0),
+    'cheapest': lambda simulation, _: CheapestPlanner(simulation.configuration),
+    'adaptive': adaptive_factory(EXPLORED),
+    'no-exploring': adaptive_factory(0),
 }
 
 
 def run_one(
     scenario: Scenario,
-    make: Maker,
+    new_planner: PlannerFactory,
     seed: int,
     mix: str = 'many-small',
 ) -> Tally:
-    """Run one planner through one scenario with one seed."""
+    """Simulate one planner in one scenario with one seed."""
     clock = SteppedClock()
-    clock.seed = seed
     configuration = Configuration(clock, _LEASE)
     configuration.take(accepted(scenario))
     estimates = Estimates(configuration, clock)
-    world = World(
+    simulation = Simulation(
         scenario,
-        clock,
+        seed,
         configuration,
         estimates,
         mix,
         SampleShares(),
     )
-    planner = make(world, random.Random(f'planner {seed}'))
+    planner = new_planner(simulation, random.Random(f'planner {seed}'))
     tally = Tally()
-    feed: deque[tuple[int, Rating]] = deque()
-    for tick in range(REQUESTS):
+    pending: deque[tuple[int, Rating]] = deque()
+    for second in range(REQUESTS):
         clock.step(1)
-        _deliver(world, feed, tick)
-        _ask(world, planner, tick, feed, tally)
+        _deliver(simulation, pending, second)
+        _process_request(simulation, planner, second, pending, tally)
     return tally
 
 
 def _deliver(
-    world: World,
-    feed: deque[tuple[int, Rating]],
-    tick: int,
+    simulation: Simulation,
+    pending: deque[tuple[int, Rating]],
+    second: int,
 ) -> None:
-    """Hand over the ratings that are due, every five seconds."""
-    if tick % 5:
+    """Deliver the ratings that are due, every five seconds."""
+    if second % 5:
         return
     due = []
-    while feed and feed[0][0] <= tick:
-        due.append(feed.popleft()[1])
+    while pending and pending[0][0] <= second:
+        due.append(pending.popleft()[1])
     if due:
-        world.estimates.take(tuple(due))
+        simulation.estimates.take(tuple(due))
 
 
-def _ask(
-    world: World,
+def _process_request(
+    simulation: Simulation,
     planner: Planner,
-    tick: int,
-    feed: deque[tuple[int, Rating]],
+    second: int,
+    pending: deque[tuple[int, Rating]],
     tally: Tally,
 ) -> None:
-    """Plan one request, draw its answer, perhaps have it rated."""
-    # The same draws for all planners, whichever version answers.
-    draws = random.Random(f'{world.scenario.name} {tick} {world.clock.seed}')
-    task = draws.choices(TASKS, MIXES[world.mix])[0]
-    spread = draws.gauss(0, ANSWER_SPREAD)
-    request = make_request(tick, task, draws.randint(*PROMPTS))
-    tally.best += _best(world, request, tick)
+    """Plan one request, draw its answer, and rate a sample of answers."""
+    # All planners get the same draws, whichever version answers.
+    randomness = random.Random(
+        f'{simulation.scenario.name} {second} {simulation.seed}'
+    )
+    task = randomness.choices(TASKS, MIXES[simulation.mix])[0]
+    deviation = randomness.gauss(0, ANSWER_SPREAD)
+    request = make_request(second, task, randomness.randint(*PROMPTS))
+    tally.optimal_cost += _optimal_cost(simulation, request, second)
     plan = planner.plan(request)
     if isinstance(plan, Refusal):
         tally.refused += 1
         return
     version = plan.steps[-1]
-    mean = world.scenario.mean(version, task, tick)
-    quality = min(1, max(0, mean + spread))
+    mean = simulation.scenario.mean(version, task, second)
+    quality = min(1, max(0, mean + deviation))
     tally.add(request, plan, mean, quality)
-    if draws.random() >= _share_to_rate(world, version, request):
+    if randomness.random() >= _sampling_rate(simulation, version, request):
         return
     tally.rated += 1
-    score = _rate(world.scenario, draws, tick, quality)
+    score = _score(simulation.scenario, randomness, second, quality)
     if score is None:
         return
-    tally.feed += 1
-    rating = Rating(tally.feed, request.request, task, version, score)
-    feed.append((tick + world.scenario.delay, rating))
+    tally.ratings += 1
+    rating = Rating(tally.ratings, request.request, task, version, score)
+    pending.append((second + simulation.scenario.rating_delay, rating))
+
 
+def _optimal_cost(
+    simulation: Simulation, request: ModelRequest, second: int
+) -> float:
+    """Return the lowest cost of a version whose true mean meets the target.
 
-def _best(world: World, request: ModelRequest, tick: int) -> float:
-    """Return the least cost at which a version's true mean is enough."""
+    If there is none, return the highest cost of all versions.
+    """
     entries = [
         entry
-        for entry in map(world.configuration.entry, VERSIONS)
+        for entry in map(simulation.configuration.entry, VERSIONS)
         if entry is not None
     ]
     prices = {
@@ -241,22 +258,23 @@
         )
         for entry in entries
     }
-    good = [
+    prices_of_good = [
         price
         for version, price in prices.items()
-        if world.scenario.mean(version, request.task, tick) >= request.target
+        if simulation.scenario.mean(version, request.task, second)
+        >= request.target
     ]
-    return min(good, default=max(prices.values()))
+    return min(prices_of_good, default=max(prices.values()))
 
 
-def _share_to_rate(
-    world: World,
+def _sampling_rate(
+    simulation: Simulation,
     version: VersionId,
     request: ModelRequest,
 ) -> float:
-    """Return how likely an answer is handed in."""
-    estimate = world.estimates.estimate(version, request.task)
-    return world.shares.share(
+    """Return the probability that an answer is submitted for rating."""
+    estimate = simulation.estimates.estimate(version, request.task)
+    return simulation.sampling.share(
         version,
         request.task,
         estimate,
@@ -264,25 +282,25 @@
     )
 
 
-def _rate(
+def _score(
     scenario: Scenario,
-    draws: random.Random,
-    tick: int,
+    randomness: random.Random,
+    second: int,
     quality: float,
 ) -> float | None:
-    """Return an answer's score; None if its rating is lost."""
-    if draws.random() < scenario.missing:
+    """Return the score of an answer; None if its rating is lost."""
+    if randomness.random() < scenario.missing_fraction:
         return None
     score = quality
-    if scenario.wrong_from <= tick < scenario.wrong_until:
-        score = draws.random()
-    if draws.random() < scenario.liars:
+    if scenario.random_from <= second < scenario.random_until:
+        score = randomness.random()
+    if randomness.random() < scenario.zero_fraction:
         score = 0
     return round(score, 2)
 
 
-def _say(line: str) -> None:
-    """Write a line."""
+def _print_line(line: str) -> None:
+    """Print a line."""
     sys.stdout.write(f'{line}\n')
 
 
@@ -296,30 +314,35 @@
     for scenario in SCENARIOS:
         if flags.scenario and scenario.name not in flags.scenario:
             continue
-        _say(f'\n{scenario.name}: {scenario.meaning}')
-        _say(
+        _print_line(f'\n{scenario.name}: {scenario.description}')
+        _print_line(
             'planner         cost/met  cost/ans  share met  answers met  '
             'regret  refused  rated  switches',
         )
-        for name, make in PLANNERS.items():
+        for name, new_planner in PLANNERS.items():
             tallies = [
-                run_one(scenario, make, seed, flags.mix)
+                run_one(scenario, new_planner, seed, flags.mix)
                 for seed in range(flags.seeds)
             ]
-            _say(_line(name, tallies))
+            _print_line(_format_row(name, tallies))
+
 
+def _format_row(name: str, tallies: list[Tally]) -> str:
+    """Return one planner's row of the table: means over the seeds.
 
-def _line(name: str, tallies: list[Tally]) -> str:
-    """Return one planner's line: means over the seeds, and a spread."""
-    per_met = [tally.cost / max(1, tally.promised) for tally in tallies]
-    shares = [tally.promised / REQUESTS for tally in tallies]
+    The share met has its standard deviation as well.
+    """
+    costs_per_promise = [
+        tally.cost / max(1, tally.promises_met) for tally in tallies
+    ]
+    shares = [tally.promises_met / REQUESTS for tally in tallies]
     mean = statistics.mean
     return (
-        f'{name:14} {mean(per_met):9.5f} '
-        f'{mean(t.cost / max(1, t.answers) for t in tallies):9.5f}  '
+        f'{name:14} {mean(costs_per_promise):9.5f} '
+        f'{mean(t.cost / max(1, t.answers_met) for t in tallies):9.5f}  '
         f'{mean(shares):6.4f}±{statistics.pstdev(shares):.4f}'
-        f'{mean(t.answers / REQUESTS for t in tallies):9.4f} '
-        f'{mean(t.cost / t.best - 1 for t in tallies):9.3f} '
+        f'{mean(t.answers_met / REQUESTS for t in tallies):9.4f} '
+        f'{mean(t.cost / t.optimal_cost - 1 for t in tallies):9.3f} '
         f'{mean(t.refused for t in tallies):8.1f} '
         f'{mean(t.rated for t in tallies):6.0f} '
         f'{mean(t.switches for t in tallies):8.1f}'
--- a/experiments/trials/selection_fleet.py
+++ b/experiments/trials/selection_fleet.py
@@ -1,4 +1,4 @@
-"""Hosts and engines of a trial: real decisions over modelled engines."""
+"""The fleet of a selection trial: real policies over modelled engines."""
 
 import asyncio
 import itertools
@@ -59,17 +59,17 @@
 TASK: Final = 'dossier'
 DOMAINS: Final = ('shah-alam', 'petaling', 'cyberjaya')
 
-#: Seconds by which an engine's report lags, and between two reads of it.
+#: Age of an engine's report when a host reads it, and seconds between reads.
 REPORT_LAG: Final = 0.5
 REPORT_PERIOD: Final = 1.0
 
-#: Seconds until the host list shows that an engine has gone.
+#: Seconds until the list of upstreams shows that an engine has failed.
 LIST_LAG: Final = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """Which policies a trial uses.
+    """The policies of a trial.
 
     Attributes:
         selector: Name of the selector.
@@ -83,21 +83,21 @@
 
     @property
     def name(self) -> str:
-        """Return its name."""
+        """Name of the setting on the command line and in the table."""
         return f'{self.selector}/{self.admitter}'
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How large the fleet of a trial is.
+    """Size of the fleet and length of a trial.
 
     Attributes:
-        engines: Engines in each domain.
-        hosts: Hosts in each domain.
-        queue_limit: Requests that may wait for each slot at a host.
-        shares: Share of each workspace.
-        speed: How fast engines are.
-        length: Seconds in which requests come.
+        engines: Engines in each failure domain.
+        hosts: Hosts in each failure domain.
+        queue_limit: Requests that may wait at a host for each slot.
+        shares: Quota share of each workspace.
+        speed: Batching times of all engines.
+        length: Seconds during which requests arrive.
     """
 
     engines: int = 3
@@ -110,15 +110,15 @@
 
 @dataclass(slots=True)
 class Host:
-    """An entry host's decisions.
+    """The policies of one entry host.
 
     Attributes:
-        directory: What it knows of engines.
-        observers: Learn from attempts.
-        selector: Chooses engines.
-        admitter: Lets requests in.
-        retries: Bounds retries.
-        randomness: Of this host.
+        directory: The engines that the host knows, with their reports.
+        observers: Policies that are notified of attempts.
+        selector: Selects an engine for each attempt.
+        admitter: Admits or queues requests.
+        retries: Limits retries.
+        randomness: Source of the host's random draws.
     """
 
     directory: Directory
@@ -130,13 +130,13 @@
 
 
 class Fleet:
-    """All hosts and engines of a trial; a context.
+    """All hosts and engines of a trial; a context manager.
 
     Args:
         setting: The policies.
-        size: How large it is.
-        clock: Virtual time.
-        seed: Of all that is drawn.
+        size: The size of the fleet.
+        clock: Virtual clock.
+        seed: Seeds all random draws.
     """
 
     def __init__(
@@ -154,10 +154,10 @@
         self._clock = clock
         self._randomness = random.Random(seed)
         self._stack = AsyncExitStack()
-        self._gone: dict[UpstreamId, float] = {}
+        self._removed_at: dict[UpstreamId, float] = {}
 
     async def __aenter__(self) -> 'Fleet':
-        """Build everything."""
+        """Create engines and hosts, and start their tasks."""
         mesh = await self._stack.enter_async_context(
             MemoryMesh(self._clock, random.Random(self._randomness.random())),
         )
@@ -167,15 +167,15 @@
         for domain in DOMAINS:
             for number in range(self._size.hosts):
                 self._add_host(mesh, DomainId(domain), number)
-        self._spawn(self._report_forever())
+        self._start_task(self._report_forever())
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End everything."""
+        """Cancel all tasks and close the mesh."""
         await self._stack.aclose()
 
     def in_domain(self, domain: str) -> list[EngineModel]:
-        """Return the engines of a domain."""
+        """Return the engines of a failure domain."""
         return [
             self.engines[info.upstream]
             for info in self._infos
@@ -183,11 +183,11 @@
         ]
 
     def fail_domain(self, domain: str) -> None:
-        """Take a domain's engines away; the list shows it late."""
+        """Fail a domain's engines; the list drops them after ``LIST_LAG``."""
         for info in self._infos:
             if info.domain == domain:
                 self.engines[info.upstream].fail()
-                self._gone[info.upstream] = self._clock.now() + LIST_LAG
+                self._removed_at[info.upstream] = self._clock.now() + LIST_LAG
 
     def _add_engine(self, domain: DomainId, number: int) -> None:
         """Add an engine."""
@@ -209,58 +209,58 @@
     ) -> None:
         """Add a host."""
         identity = Identity(HostId(f'{domain}-{number}'), domain)
-        maker = _HostMaker(
+        builder = _HostBuilder(
             identity,
             self._setting,
             self._size,
             self._clock,
             random.Random(self._randomness.random()),
         )
-        self.hosts.append(maker.make())
-        if maker.admitter is not None:
+        self.hosts.append(builder.build())
+        if builder.admitter is not None:
             exchange = SlotExchange(
                 mesh.join(identity.host, domain),
-                maker.admitter,
-                maker.fleet,
-                maker.ledger,
+                builder.admitter,
+                builder.fleet,
+                builder.ledger,
                 self._clock,
                 random.Random(self._randomness.random()),
             )
             exchange.register_handlers()
-            self._spawn(exchange.run())
+            self._start_task(exchange.run())
 
-    def _spawn(self, coroutine: Any) -> None:
-        """Run a task until the fleet closes."""
+    def _start_task(self, coroutine: Any) -> None:
+        """Run a background task until the fleet closes."""
         task = asyncio.create_task(coroutine)
         self._stack.callback(task.cancel)
 
     async def _report_forever(self) -> None:
-        """Hand the engines' reports to the hosts, each at its own time."""
-        pause = REPORT_PERIOD / len(self.hosts)
+        """Report the engines to the hosts, to one host after another."""
+        interval = REPORT_PERIOD / len(self.hosts)
         for host in self.hosts:
             self._report(host)
-        for later in itertools.cycle(self.hosts):
-            await self._clock.sleep(pause)
-            self._report(later)
+        for host in itertools.cycle(self.hosts):
+            await self._clock.sleep(interval)
+            self._report(host)
 
     def _report(self, host: Host) -> None:
-        """Hand the engines' reports to a host."""
+        """Pass the list and the reports of engines to a host."""
         now = self._clock.now()
-        listed = tuple(
+        infos = tuple(
             info
             for info in self._infos
-            if self._gone.get(info.upstream, now + 1) > now
+            if self._removed_at.get(info.upstream, now + 1) > now
         )
-        host.directory.update(listed)
-        for info in listed:
+        host.directory.update(infos)
+        for info in infos:
             engine = self.engines[info.upstream]
             if not engine.is_down:
                 report = engine.report(REPORT_LAG)
                 host.directory.reported(info.upstream, report)
 
 
-class _HostMaker:
-    """Puts a host's decisions together."""
+class _HostBuilder:
+    """Builds the policies of a host."""
 
     def __init__(
         self,
@@ -282,32 +282,32 @@
         self._configuration = Configuration(clock, 8)
         self._configuration.take(accepted_for(size.shares, size.queue_limit))
 
-    def make(self) -> Host:
-        """Return the host."""
+    def build(self) -> Host:
+        """Return the host with its policies."""
         return Host(
             self._directory,
             self._observers,
-            self._selector(),
-            self._admitter(),
-            self._retries(),
+            self._build_selector(),
+            self._build_admitter(),
+            self._build_retries(),
             self._randomness,
         )
 
-    def _selector(self) -> Selector:
-        """Make the selector."""
-        makers: dict[str, Callable[[], Selector]] = {
+    def _build_selector(self) -> Selector:
+        """Return the selector of the setting."""
+        factories: dict[str, Callable[[], Selector]] = {
             'round-robin': lambda: RoundRobin(self._directory),
             'random': lambda: RandomChoice(self._directory, self._randomness),
             'least-in-flight': lambda: LeastInFlight(
                 self._directory,
                 self._randomness,
             ),
-            'expected': self._expected,
+            'expected': self._build_expected,
         }
-        return makers[self._setting.selector]()
+        return factories[self._setting.selector]()
 
-    def _expected(self) -> Selector:
-        """Make the selector by expected first token."""
+    def _build_expected(self) -> Selector:
+        """Return the selector by expected time to the first token."""
         selector = ExpectedSelector(
             self._directory,
             self.fleet,
@@ -318,8 +318,8 @@
         self._observers.add(selector)
         return selector
 
-    def _admitter(self) -> Admitter:
-        """Make the admitter."""
+    def _build_admitter(self) -> Admitter:
+        """Return the admitter of the setting."""
         if self._setting.admitter == 'open':
             return OpenAdmitter()
         slots = HostSlots(
@@ -340,8 +340,8 @@
         self._observers.add(self.admitter)
         return self.admitter
 
-    def _retries(self) -> RetryBudget:
-        """Make the retry budget."""
+    def _build_retries(self) -> RetryBudget:
+        """Return the retry budget of the setting."""
         if self._setting.retries == 'unbounded':
             return UnboundedRetries()
         budget = ProportionalRetries(self._clock)
@@ -350,12 +350,12 @@
 
 
 def workspace_names(size: Size) -> list[WorkspaceId]:
-    """Return the workspaces of a trial."""
+    """Return the names of a trial's workspaces."""
     return names_for(size.shares)
 
 
 def names_for(shares: tuple[float, ...]) -> list[WorkspaceId]:
-    """Return a name for each share."""
+    """Return the workspace name for each share."""
     return [WorkspaceId(f'outlet-{n}') for n, _ in enumerate(shares)]
 
 
@@ -363,7 +363,7 @@
     shares: tuple[float, ...],
     queue_limit: float,
 ) -> Accepted:
-    """Return a configuration with the trial's workspaces."""
+    """Return a configuration with one workspace for each share."""
     workspaces = tuple(
         WorkspaceEntry(
             name=name,
--- a/experiments/trials/selection_runs.py
+++ b/experiments/trials/selection_runs.py
@@ -1,4 +1,4 @@
-"""One trial: requests come, faults come about, figures are taken."""
+"""Runs one selection trial: simulates requests and faults, and measures."""
 
 import asyncio
 import random
@@ -7,9 +7,9 @@
 
 from experiments.trials.engine_model import Job
 from experiments.trials.selection_figures import (
-    MEAN_OUTPUT,
-    MEAN_PROMPT,
-    PATIENCE,
+    CALLER_TIMEOUT,
+    MEAN_OUTPUT_TOKENS,
+    MEAN_PROMPT_TOKENS,
     WARM_UP,
     Figures,
     Scenario,
@@ -40,34 +40,45 @@
     WorkspaceId,
 )
 
-MOST_ATTEMPTS: Final = 6
+#: Maximum number of attempts of one admitted request.
+MAX_ATTEMPTS: Final = 6
 
 
 @dataclass(frozen=True, slots=True)
-class _Mark:
-    """Where a request's figures go, and when it arrived."""
+class _RequestFigures:
+    """Records the figures of one request.
+
+    Attributes:
+        figures: Figures that it is added to.
+        arrived: Clock seconds of its arrival.
+    """
 
     figures: Figures
     arrived: float
 
     def add(self, job: Job, *, is_other: bool) -> None:
-        """Take a whole answer's figures."""
+        """Add the figures of a completed job.
+
+        Args:
+            job: The job.
+            is_other: Whether it is of another workspace than the first.
+        """
         first = job.first_at - self.arrived
-        self.figures.first.append(first)
+        self.figures.first_token.append(first)
         if is_other:
-            self.figures.others.append(first)
+            self.figures.first_token_others.append(first)
         self.figures.cached += job.cached
-        self.figures.prompts += job.prompt
+        self.figures.prompt_tokens += job.prompt
 
 
 class Trial:
-    """One trial.
+    """One trial of a scenario under one setting.
 
     Args:
-        scenario: What happens.
+        scenario: Load and faults.
         setting: The policies.
-        size: The fleet.
-        seed: Of all that is drawn.
+        size: Size of the fleet and length of the trial.
+        seed: Seeds all random draws.
     """
 
     def __init__(
@@ -85,56 +96,64 @@
         self._randomness = random.Random(seed)
         self._loop = VirtualLoop()
         self._clock = VirtualClock(self._loop)
-        self._names = workspace_names(size)
-        self._weights = [1.0 for _ in self._names]
-        self._weights[0] = scenario.flood
-        self._calls: set[asyncio.Task[None]] = set()
+        self._workspaces = workspace_names(size)
+        self._workspace_weights = [1.0 for _ in self._workspaces]
+        self._workspace_weights[0] = scenario.flood
+        self._tasks: set[asyncio.Task[None]] = set()
 
     def run(self) -> Figures:
-        """Run it."""
+        """Run the trial on virtual time and return its figures."""
         run_virtual(self._loop, self._main())
         return self.figures
 
     async def _main(self) -> None:
-        """Let requests come, and wait for all of them to end."""
+        """Start requests at random intervals, and wait until all have ended."""
         fleet = Fleet(self._setting, self._size, self._clock, self._seed)
         async with fleet:
-            faults = asyncio.create_task(self._faults(fleet))
-            rate = capacity(self._size, self._scenario.prompts)
+            faults = asyncio.create_task(self._inject_faults(fleet))
+            rate = capacity(self._size, self._scenario.prompt_factor)
             rate *= self._scenario.load
             while self._clock.now() < self._size.length:
                 await self._clock.sleep(self._randomness.expovariate(rate))
-                self._arrive(fleet)
-            while self._calls:
-                await asyncio.wait(self._calls)
+                self._start_request(fleet)
+            while self._tasks:
+                await asyncio.wait(self._tasks)
             faults.cancel()
 
-    def _arrive(self, fleet: Fleet) -> None:
-        """Let one request come."""
+    def _start_request(self, fleet: Fleet) -> None:
+        """Start one request at a random host."""
         host = self._randomness.choice(fleet.hosts)
-        call = asyncio.create_task(self._call(fleet, host, self._draw()))
-        self._calls.add(call)
-        call.add_done_callback(self._calls.discard)
+        task = asyncio.create_task(
+            self._make_request(fleet, host, self._draw_request())
+        )
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    def _draw(self) -> ModelRequest:
-        """Draw a request; lengths have long tails."""
-        draws = self._randomness
-        mean = MEAN_PROMPT * self._scenario.prompts
-        prompt = int(mean * draws.lognormvariate(-0.125, 0.5)) + 1
-        output = int(MEAN_OUTPUT * draws.lognormvariate(-0.18, 0.6)) + 2
+    def _draw_request(self) -> ModelRequest:
+        """Return a random request; its lengths are log-normal."""
+        randomness = self._randomness
+        mean = MEAN_PROMPT_TOKENS * self._scenario.prompt_factor
+        prompt = int(mean * randomness.lognormvariate(-0.125, 0.5)) + 1
+        output = (
+            int(MEAN_OUTPUT_TOKENS * randomness.lognormvariate(-0.18, 0.6)) + 2
+        )
         sessions = self._scenario.sessions
         prefix = (
-            draws.randrange(sessions) if sessions else draws.getrandbits(60)
+            randomness.randrange(sessions)
+            if sessions
+            else randomness.getrandbits(60)
         )
         return ModelRequest(
-            request=RequestId(f'r{draws.getrandbits(60):x}'),
-            workspace=draws.choices(self._names, self._weights)[0],
+            request=RequestId(f'r{randomness.getrandbits(60):x}'),
+            workspace=randomness.choices(
+                self._workspaces, self._workspace_weights
+            )[0],
             concern=Concern.LATENCY,
             task=TaskName(TASK),
             target=0.5,
             versions=(VERSION,),
-            repeatable=bool(draws.randrange(5)),
-            deadline=self._clock.now() + PATIENCE,
+            repeatable=bool(randomness.randrange(5)),
+            deadline=self._clock.now() + CALLER_TIMEOUT,
             priority=5,
             prompt_tokens=prompt,
             output_tokens=output,
@@ -144,73 +163,82 @@
             body={},
         )
 
-    async def _call(
+    async def _make_request(
         self,
         fleet: Fleet,
         host: Host,
         request: ModelRequest,
     ) -> None:
-        """Make a request, and come back as often as the scenario says."""
+        """Make a request, with the scenario's retries after refusals."""
         arrived = self._clock.now()
         measured = arrived >= WARM_UP
-        work = slot_seconds(
+        slot_time = slot_seconds(
             request.prompt_tokens,
             request.output_tokens,
             self._size,
         )
         figures = self.figures if measured else Figures()
-        mark = _Mark(figures, arrived)
-        _add(figures.offered, request.workspace, work)
-        for back in range(self._scenario.comes_back + 1):
-            asked = self._clock.now()
-            found = await self._answer(fleet, host, request, mark)
-            if not isinstance(found, Refusal):
+        recorder = _RequestFigures(figures, arrived)
+        _add(figures.offered, request.workspace, slot_time)
+        for retry in range(self._scenario.max_retries + 1):
+            sent_at = self._clock.now()
+            result = await self._dispatch(fleet, host, request, recorder)
+            if not isinstance(result, Refusal):
                 break
-            if found.ran.value == 'not_run':
-                figures.refused.append(self._clock.now() - asked)
-            left = request.deadline - self._clock.now()
-            if back < self._scenario.comes_back and found.retry_after < left:
-                await self._clock.sleep(found.retry_after)
+            if result.ran.value == 'not_run':
+                figures.refused.append(self._clock.now() - sent_at)
+            time_left = request.deadline - self._clock.now()
+            if (
+                retry < self._scenario.max_retries
+                and result.retry_after < time_left
+            ):
+                await self._clock.sleep(result.retry_after)
         in_time = self._clock.now() <= request.deadline
-        if isinstance(found, Refusal) or not in_time:
-            figures.late += not isinstance(found, Refusal)
+        if isinstance(result, Refusal) or not in_time:
+            figures.late += not isinstance(result, Refusal)
             return
         figures.good += 1
-        _add(figures.served, request.workspace, work)
+        _add(figures.served, request.workspace, slot_time)
 
-    async def _answer(
+    async def _dispatch(
         self,
         fleet: Fleet,
         host: Host,
         request: ModelRequest,
-        mark: _Mark,
+        recorder: _RequestFigures,
     ) -> Refusal | None:
-        """Admit, choose and attempt, as the dispatcher does."""
+        """Admit a request and make attempts, as the dispatcher does.
+
+        Returns:
+            None if an answer is complete, else the refusal.
+        """
         permit = await host.admitter.admit(request)
         if isinstance(permit, Refusal):
             return permit
         excluded: frozenset[UpstreamId] = frozenset()
         with permit:
-            for number in range(MOST_ATTEMPTS):
+            for number in range(MAX_ATTEMPTS):
                 choice = host.selector.choose(request, VERSION, excluded)
                 if isinstance(choice, Refusal):
                     return choice
-                start = _start(request, choice, number)
+                start = _attempt_start(request, choice, number)
                 code = await self._attempt(
                     fleet,
                     host,
                     request,
                     choice,
                     start,
-                    mark,
+                    recorder,
                 )
                 if code is ResultCode.OK:
                     return None
                 excluded |= {choice.state.info.upstream}
-                again = code is not ResultCode.ANSWER_CUT or request.repeatable
-                if not again or not host.retries.spend(request):
+                can_retry = (
+                    code is not ResultCode.ANSWER_CUT or request.repeatable
+                )
+                if not can_retry or not host.retries.spend(request):
                     break
-        return Refusal(code, 'It failed.', retry_after=1)
+        return Refusal(code, 'The request failed.', retry_after=1)
 
     async def _attempt(
         self,
@@ -219,11 +247,11 @@
         request: ModelRequest,
         choice: Choice,
         start: AttemptStart,
-        mark: _Mark,
+        recorder: _RequestFigures,
     ) -> ResultCode:
-        """Make one attempt."""
-        mark.figures.attempts += 1
-        began = self._clock.now()
+        """Make one attempt, and notify the host's policies of it."""
+        recorder.figures.attempts += 1
+        started_at = self._clock.now()
         host.observers.started(start)
         loop = asyncio.get_running_loop()
         job = Job(
@@ -235,18 +263,20 @@
             loop.create_future(),
         )
         with host.directory.in_flight(choice.state, VERSION):
-            code = await self._run(fleet, start.upstream, job, request.deadline)
+            code = await self._run_job(
+                fleet, start.upstream, job, request.deadline
+            )
             first = None
             if code is ResultCode.OK:
-                first = job.first_at - began
-                is_other = request.workspace != self._names[0]
-                mark.add(job, is_other=is_other)
+                first = job.first_at - started_at
+                is_other = request.workspace != self._workspaces[0]
+                recorder.add(job, is_other=is_other)
         host.observers.ended(
             AttemptEnd(
                 start,
                 code,
                 first,
-                self._clock.now() - began,
+                self._clock.now() - started_at,
                 request.prompt_tokens,
                 request.output_tokens,
                 0,
@@ -256,35 +286,35 @@
         )
         return code
 
-    async def _run(
+    async def _run_job(
         self,
         fleet: Fleet,
         upstream: UpstreamId,
         job: Job,
         deadline: float,
     ) -> ResultCode:
-        """Have an engine run a job."""
+        """Run a job at an engine until it ends or the deadline passes."""
         await self._clock.sleep(0.001)
         engine = fleet.engines[upstream]
         if engine.is_down:
             return ResultCode.UPSTREAM_UNREACHABLE
         if not engine.submit(job):
             return ResultCode.UPSTREAM_BUSY
-        left = deadline - self._clock.now()
+        time_left = deadline - self._clock.now()
         try:
-            whole = await asyncio.wait_for(job.done, max(0, left))
+            is_complete = await asyncio.wait_for(job.done, max(0, time_left))
         except TimeoutError:
             engine.cancel(job)
             return ResultCode.DEADLINE_PASSED
-        return ResultCode.OK if whole else ResultCode.ANSWER_CUT
+        return ResultCode.OK if is_complete else ResultCode.ANSWER_CUT
 
-    async def _faults(self, fleet: Fleet) -> None:
-        """Bring the scenario's faults about."""
+    async def _inject_faults(self, fleet: Fleet) -> None:
+        """Inject the scenario's faults after a third of the length."""
         scenario = self._scenario
         await self._clock.sleep(self._size.length / 3)
-        if scenario.slow > 1:
-            next(iter(fleet.engines.values())).slow_down(scenario.slow)
-        if scenario.gone:
+        if scenario.slowdown > 1:
+            next(iter(fleet.engines.values())).slow_down(scenario.slowdown)
+        if scenario.domain_fails:
             fleet.fail_domain(DOMAINS[0])
         if not scenario.outage:
             return
@@ -296,18 +326,18 @@
 
 
 def _add(
-    totals: dict[WorkspaceId, float], key: WorkspaceId, more: float
+    totals: dict[WorkspaceId, float], workspace: WorkspaceId, amount: float
 ) -> None:
-    """Add to a total."""
-    totals[key] = totals.get(key, 0) + more
+    """Add to the total of a workspace."""
+    totals[workspace] = totals.get(workspace, 0) + amount
 
 
-def _start(
+def _attempt_start(
     request: ModelRequest,
     choice: Choice,
     number: int,
 ) -> AttemptStart:
-    """Name an attempt."""
+    """Return the description of an attempt that starts."""
     return AttemptStart(
         AttemptId(f'{request.request}.{number}'),
         request.request,
--- a/experiments/trials/selection_trials.py
+++ b/experiments/trials/selection_trials.py
@@ -1,8 +1,10 @@
-"""Selection and admission under load and faults, on a virtual clock.
+"""Compares selection and admission under load and faults, on virtual time.
 
-Run ``python -m experiments.trials.selection_trials``; ``--scenario NAME`` takes
-just one scenario, ``--seeds N`` and ``--length SECONDS`` other sizes. It prints
-a table and, with ``--json FILE``, writes the figures. All is drawn from seeds.
+Run ``python -m experiments.trials.selection_trials``. ``--scenario NAME``
+selects a scenario; ``--seeds N`` and ``--length SECONDS`` set the number of
+trials for each scenario and setting, and their length. It prints a table and,
+with ``--json FILE``, writes the figures to a file. All random draws are
+seeded.
 """
 
 import argparse
@@ -25,6 +27,7 @@
 from experiments.trials.selection_fleet import Setting, Size
 from experiments.trials.selection_runs import Trial
 
+#: Combinations of policies that are compared.
 SETTINGS: Final = (
     Setting('round-robin', 'open', 'unbounded'),
     Setting('random', 'open', 'unbounded'),
@@ -34,14 +37,14 @@
     Setting('expected', 'fair', 'share'),
 )
 
-#: Processes that run trials at once.
+#: Number of processes that run trials concurrently.
 WORKERS: Final = 3
 
-#: Mean and standard deviation over the seeds.
-Spread = tuple[float, float]
+#: Mean and standard deviation of a figure over the seeds.
+MeanAndDeviation = tuple[float, float]
 
-#: Figures by scenario, setting and name.
-Tables = dict[str, dict[str, dict[str, Spread]]]
+#: Figures by scenario, setting and column.
+Tables = dict[str, dict[str, dict[str, MeanAndDeviation]]]
 
 
 def run_all(
@@ -49,29 +52,37 @@
     settings: list[Setting],
     seeds: int,
     size: Size,
-    show: Callable[[str], None],
+    print_line: Callable[[str], None],
 ) -> Tables:
-    """Run trials, and return mean and spread of each figure."""
+    """Run trials; return mean and standard deviation of each figure.
+
+    Args:
+        scenarios: Names of scenarios.
+        settings: Settings to run each scenario under.
+        seeds: Number of trials for each scenario and setting.
+        size: Size of the fleet and length of the trials.
+        print_line: Prints a line of the table.
+    """
     cases = [(name, setting) for name in scenarios for setting in settings]
     tables: Tables = {name: {} for name in scenarios}
-    heads = ''.join(f'{name:>14}' for name in COLUMNS)
-    show(f'{"":31}{heads}')
+    head = ''.join(f'{name:>14}' for name in COLUMNS)
+    print_line(f'{"":31}{head}')
     with ProcessPoolExecutor(WORKERS) as workers:
-        rounds = [
+        futures = [
             workers.submit(_run_case, SCENARIOS[name], setting, seeds, size)
             for name, setting in cases
         ]
-        for (name, setting), found in zip(cases, rounds, strict=True):
-            tables[name][setting.name] = found.result()
-            cells = _cells(found.result())
-            show(f'{name:12}{setting.name:20}{cells}')
+        for (name, setting), future in zip(cases, futures, strict=True):
+            tables[name][setting.name] = future.result()
+            cells = _cells(future.result())
+            print_line(f'{name:12}{setting.name:20}{cells}')
     return tables
 
 
-def _cells(figures: dict[str, Spread]) -> str:
-    """Return a row of the table."""
+def _cells(figures: dict[str, MeanAndDeviation]) -> str:
+    """Return the cells of a table row."""
     return ''.join(
-        f'{mean:8.3f}±{spread:5.3f}' for mean, spread in figures.values()
+        f'{mean:8.3f}±{deviation:5.3f}' for mean, deviation in figures.values()
     )
 
 
@@ -80,30 +91,30 @@
     setting: Setting,
     seeds: int,
     size: Size,
-) -> dict[str, Spread]:
-    """Run one scenario under one setting, each seed once."""
-    rounds = [
-        summarize(Trial(scenario, setting, size, seed).run(), size, scenario)
+) -> dict[str, MeanAndDeviation]:
+    """Run one scenario under one setting, once for each seed."""
+    summaries = [
+        summarize(Trial(scenario, setting, size, seed).run(), size)
         for seed in range(seeds)
     ]
     return {
-        column: _spread([entry[column] for entry in rounds])
+        column: _mean_and_deviation([summary[column] for summary in summaries])
         for column in COLUMNS
     }
 
 
-def _spread(found: list[float]) -> Spread:
-    """Return mean and standard deviation, without those that are missing."""
-    there = [one for one in found if not math.isnan(one)]
-    if not there:
+def _mean_and_deviation(figures: list[float]) -> MeanAndDeviation:
+    """Return mean and standard deviation of the figures that are not NaN."""
+    present = [figure for figure in figures if not math.isnan(figure)]
+    if not present:
         return float('nan'), 0
-    return fmean(there), pstdev(there)
+    return fmean(present), pstdev(present)
 
 
 def main() -> None:
-    """Run the trials that the flags name."""
+    """Run the trials that the command line selects."""
     flags = _read_flags()
-    began = time.monotonic()
+    started_at = time.monotonic()
     figures = run_all(
         flags.scenario or list(SCENARIOS),
         [
@@ -118,16 +129,18 @@
             flags.queue_limit,
             length=flags.length,
         ),
-        _show,
+        _print_line,
     )
-    _show(f'{time.monotonic() - began:.0f} s')
+    _print_line(f'{time.monotonic() - started_at:.0f} s')
     if flags.json:
         Path(flags.json).write_text(json.dumps(figures, indent=1))
 
 
 def _read_flags() -> argparse.Namespace:
-    """Read the flags."""
-    parser = argparse.ArgumentParser(description='Trials of selection.')
+    """Return the parsed command line."""
+    parser = argparse.ArgumentParser(
+        description='Compare selection and admission policies.'
+    )
     parser.add_argument('--scenario', action='append', choices=SCENARIOS)
     parser.add_argument('--setting', action='append')
     parser.add_argument('--seeds', type=int, default=2)
@@ -139,8 +152,8 @@
     return parser.parse_args()
 
 
-def _show(line: str) -> None:
-    """Print a line at once."""
+def _print_line(line: str) -> None:
+    """Print a line and flush the output."""
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
--- a/experiments/trials/verdict_trials.py
+++ b/experiments/trials/verdict_trials.py
@@ -1,13 +1,14 @@
-"""Tries the verdict on new versions alone, on thousands of roll-outs.
+"""Measures the verdict on new versions in thousands of simulated rollouts.
 
     python -m experiments.trials.verdict_trials --rollouts 2000 --plot v.png
 
-Each roll-out is drawn from a seed: requests come at a rate, hosts count their
-answers and hear of each other's counts late, and some days a disturbance fails
-a part of everything. The verdict is the program's own
-(``canary.verdicts``, ``canary.steps``); beside it stands the rule that it
-replaced. The table shows bad versions that succeeded, good ones that did not,
-bad answers until the halt, and seconds until the verdict.
+Each rollout is drawn from a seed: requests arrive at a rate, hosts receive
+each other's counts of answers with a delay, and in some cases a disturbance
+fails a fraction of all requests. The verdict is that of ``nutmegroad.canary``
+(modules ``verdicts`` and ``steps``); the rule that it replaced is run for
+comparison. For each case and rule, the table shows the fraction of rollouts
+that succeed, the poor answers of the new version, the seconds until the end,
+and the fraction of rollouts that exceed the exposure bound.
 """
 
 import argparse
@@ -45,39 +46,40 @@
     sum_answers,
 )
 
-#: Seconds between looks at what has come in; hosts look four times a second.
-LOOK: Final = 0.25
+#: Seconds of a simulation step; hosts check the counts four times a second.
+STEP: Final = 0.25
 
-#: Seconds by which hosts hear of each other's counts late.
-HEARD: Final = 0.75
+#: Seconds by which hosts receive each other's counts late.
+COUNT_DELAY: Final = 0.75
 
-#: The operator's bounds that are tried: a share, and requests besides.
-EXPOSED: Final = 0.15
-BESIDES: Final = 30
+#: The operator's exposure bound: a share of the requests, and a number of
+#: requests beyond it.
+EXPOSURE_SHARE: Final = 0.15
+EXPOSURE_SLACK: Final = 30
 
-#: Seconds for which a disturbance lasts, and the part of all that it fails.
-DISTURBED: Final = (4.0, 0.3)
+#: Duration of a disturbance in seconds, and the fraction of requests it fails.
+DISTURBANCE: Final = (4.0, 0.3)
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """How a roll-out ended.
+class Outcome:
+    """Outcome of a simulated rollout.
 
     Attributes:
-        stage: Its last stage.
-        seconds: Seconds until then.
-        poor: Poor answers of the new version until then.
-        exposed: Answers of the new version beyond what operators allow.
+        stage: The last stage.
+        seconds: Seconds until it ended.
+        poor: Poor answers of the new version.
+        excess: Answers of the new version beyond the exposure bound.
     """
 
     stage: Stage
     seconds: float
     poor: int
-    exposed: float
+    excess: float
 
 
-class Rule:
-    """The program's rule."""
+class CurrentRule:
+    """The rule of ``nutmegroad.canary``."""
 
     def __init__(self) -> None:
         self._judgement = Judgement()
@@ -88,17 +90,23 @@
         sums: dict[KindNumber, Answers],
         elapsed: float,
     ) -> Stage | None:
-        """Return the stage that follows now, or None."""
+        """Return the next stage if a step is due, else None.
+
+        Args:
+            stage: The present stage.
+            sums: Answers of all hosts by kind of request.
+            elapsed: Elapsed fraction of the duration.
+        """
         self._judgement.update(sums)
         return next_stage(stage, self._judgement.verdict(), elapsed)
 
 
-class RuleBefore:
-    """The rule that was replaced: what is not shown bad in time is good."""
+class PreviousRule:
+    """The replaced rule: a version that is not shown bad in time succeeds."""
 
-    enough = 20
-    close_at = 0.88
-    unlikely = 0.002
+    min_answers = 20
+    succeed_from = 0.88
+    max_probability = 0.002
 
     def next(
         self,
@@ -106,123 +114,139 @@
         sums: dict[KindNumber, Answers],
         elapsed: float,
     ) -> Stage | None:
-        """Return the stage that follows now, or None."""
-        whole = sum_answers(sums.values())
-        grown = 2 * whole.old_poor / max(1, whole.old) + 0.03
-        expected = min(0.5, max(0.08, grown))
-        if whole.new_poor >= 3 and _tail(whole, expected) < self.unlikely:
+        """Return the next stage if a step is due, else None."""
+        totals = sum_answers(sums.values())
+        tolerated = 2 * totals.old_poor / max(1, totals.old) + 0.03
+        poor_rate = min(0.5, max(0.08, tolerated))
+        if (
+            totals.new_poor >= 3
+            and _tail_probability(totals, poor_rate) < self.max_probability
+        ):
             return Stage.ROLLED_BACK
         if stage is Stage.CANARY:
-            good = whole.new_poor <= whole.new * expected
-            opens = whole.new >= self.enough and good
-            return Stage.FULL if opens and elapsed >= FULL_FROM else None
-        return Stage.SUCCEEDED if elapsed >= self.close_at else None
+            is_good = totals.new_poor <= totals.new * poor_rate
+            has_passed = totals.new >= self.min_answers and is_good
+            return Stage.FULL if has_passed and elapsed >= FULL_FROM else None
+        return Stage.SUCCEEDED if elapsed >= self.succeed_from else None
 
 
-class RolloutDay:
-    """One roll-out, drawn from a seed.
+class SimulatedRollout:
+    """Simulates one rollout.
 
     Args:
-        case: What kind of roll-out.
-        seed: Its seed.
-        part: Part of the operator's share that its trial uses.
-        besides: Requests beyond the share that its trial may get.
+        case: The kind of rollout.
+        seed: Seeds all random draws.
+        share_factor: Factor on the operator's share; gives the canary share.
+        slack: Requests beyond that share that the canary stage may get.
     """
 
     def __init__(
         self,
         case: Case,
         seed: int,
-        part: float,
-        besides: float,
+        share_factor: float,
+        slack: float,
     ) -> None:
         self._case = case
-        self._draw = np.random.default_rng(seed)
-        self._part = part
-        self._besides = besides
-        self._seen: dict[KindNumber, Answers] = {}
-        begins = self._draw.uniform(0, case.seconds / 2)
-        self._disturbed = (begins, begins + DISTURBED[0])
-        self._opened: float | None = None
-
-    def run(self, rule: Rule | RuleBefore) -> Ended:
-        """Play it until it ends or its time is over."""
+        self._randomness = np.random.default_rng(seed)
+        self._share_factor = share_factor
+        self._slack = slack
+        self._sums: dict[KindNumber, Answers] = {}
+        begins = self._randomness.uniform(0, case.duration / 2)
+        self._disturbed = (begins, begins + DISTURBANCE[0])
+        self._full_since: float | None = None
+
+    def run(self, rule: CurrentRule | PreviousRule) -> Outcome:
+        """Simulate the rollout until it ends or its duration has passed."""
         stage = Stage.CANARY
         now = float(0)
-        heard: list[dict[KindNumber, Answers]] = []
-        while now < self._case.seconds:
-            now += LOOK
-            self._answer(stage, now)
-            heard.append(dict(self._seen))
-            late = heard[max(0, len(heard) - 1 - round(HEARD / LOOK))]
-            step = rule.next(stage, late, now / self._case.seconds)
-            if step is Stage.FULL:
-                self._opened = now
-            stage = stage if step is None else step
+        history: list[dict[KindNumber, Answers]] = []
+        while now < self._case.duration:
+            now += STEP
+            self._count_answers(stage, now)
+            history.append(dict(self._sums))
+            delayed = history[
+                max(0, len(history) - 1 - round(COUNT_DELAY / STEP))
+            ]
+            next_step = rule.next(stage, delayed, now / self._case.duration)
+            if next_step is Stage.FULL:
+                self._full_since = now
+            stage = stage if next_step is None else next_step
             if stage.ended:
                 break
-        return self._ended(stage, now)
+        return self._outcome(stage, now)
 
-    def _ended(self, stage: Stage, now: float) -> Ended:
-        whole = sum_answers(self._seen.values())
+    def _outcome(self, stage: Stage, now: float) -> Outcome:
+        """Return the outcome at the end."""
+        totals = sum_answers(self._sums.values())
         case = self._case
-        allowed = EXPOSED * case.rate * case.seconds + BESIDES
-        return Ended(stage, now, whole.new_poor, whole.new - allowed)
+        allowed = EXPOSURE_SHARE * case.rate * case.duration + EXPOSURE_SLACK
+        return Outcome(stage, now, totals.new_poor, totals.new - allowed)
 
-    def _answer(self, stage: Stage, now: float) -> None:
-        """Answer the requests of one look."""
-        draw, case = self._draw, self._case
+    def _count_answers(self, stage: Stage, now: float) -> None:
+        """Count the answers of one step."""
+        randomness, case = self._randomness, self._case
         share = self._share(stage, now)
-        for number, (part, base) in enumerate(case.kinds):
-            count = int(draw.poisson(case.rate * part * LOOK))
-            new = int(draw.binomial(count, share))
-            spared = self._spared(now) * (1 - base)
+        for number, (fraction, poor_fraction) in enumerate(case.kinds):
+            count = int(randomness.poisson(case.rate * fraction * STEP))
+            new = int(randomness.binomial(count, share))
+            good = self._undisturbed(now) * (1 - poor_fraction)
             answers = Answers(
                 new,
-                int(draw.binomial(new, 1 - spared * self._sound(number, now))),
+                int(
+                    randomness.binomial(
+                        new, 1 - good * self._undegraded(number, now)
+                    )
+                ),
                 count - new,
-                int(draw.binomial(count - new, 1 - spared)),
+                int(randomness.binomial(count - new, 1 - good)),
             )
-            add_kinds(self._seen, {KindNumber(number): answers})
+            add_kinds(self._sums, {KindNumber(number): answers})
 
     def _share(self, stage: Stage, now: float) -> float:
-        """Return the part of the requests that the new version gets."""
+        """Return the fraction of requests that the new version gets."""
         case = self._case
         if stage is Stage.CANARY and now < CANARY_DELAY:
             return 0
-        trial = EXPOSED * self._part
+        canary_share = EXPOSURE_SHARE * self._share_factor
         if now > RATE_KNOWN_AFTER:
-            left = case.seconds * FULL_UNTIL - RATE_KNOWN_AFTER
-            trial += extra_share(self._besides, case.rate, left)
-        if self._opened is None:
-            return trial
-        ramp = case.seconds * RAMP_FRACTION
-        return min(1, trial + (1 - trial) * (now - self._opened) / ramp)
-
-    def _spared(self, now: float) -> float:
-        """Return the part of all that no disturbance fails."""
+            seconds_left = case.duration * FULL_UNTIL - RATE_KNOWN_AFTER
+            canary_share += extra_share(self._slack, case.rate, seconds_left)
+        if self._full_since is None:
+            return canary_share
+        ramp = case.duration * RAMP_FRACTION
+        return min(
+            1,
+            canary_share + (1 - canary_share) * (now - self._full_since) / ramp,
+        )
+
+    def _undisturbed(self, now: float) -> float:
+        """Return the fraction of requests that no disturbance fails."""
         begins, ends = self._disturbed
-        hurt = self._case.disturbed and begins <= now < ends
-        return 1 - DISTURBED[1] if hurt else 1
+        is_disturbed = self._case.disturbed and begins <= now < ends
+        return 1 - DISTURBANCE[1] if is_disturbed else 1
 
-    def _sound(self, kind: int, now: float) -> float:
-        """Return the part of a kind that the new version does not spoil."""
+    def _undegraded(self, kind: int, now: float) -> float:
+        """Return the fraction of good answers that stay good when degraded."""
         case = self._case
-        spoils = now >= case.late and case.only in {None, kind}
-        return 1 - case.worse if spoils else 1
+        is_degraded = now >= case.degraded_from and case.degraded_kind in {
+            None,
+            kind,
+        }
+        return 1 - case.degradation if is_degraded else 1
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What became of the roll-outs of one case under one rule.
+    """Results of one case under one rule.
 
     Attributes:
         case: The case.
-        rule: The rule's name.
-        succeeded: Share that succeeded.
-        poor: Mean poor answers of the new version.
+        rule: Name of the rule.
+        succeeded: Fraction of rollouts that succeeded.
+        poor: Mean number of poor answers of the new version.
         seconds: Mean seconds until the end.
-        beyond: Share that got more requests than operators allow.
+        beyond: Fraction of rollouts that exceeded the exposure bound.
     """
 
     case: Case
@@ -233,36 +257,36 @@
     beyond: float
 
 
-_Tried = tuple[Callable[[], Rule | RuleBefore], float, float]
+#: A rule, the factor on the operator's share, and the requests beyond it.
+_RuleSetup = tuple[Callable[[], CurrentRule | PreviousRule], float, float]
 
-#: Rules, the part of the operator's share that each one's trial uses, and what
-#: it uses of the requests besides.
-_RULES: Final[dict[str, _Tried]] = {
-    'now': (Rule, CANARY_SHARE_FACTOR, BESIDES),
-    'before': (RuleBefore, 0.8, 0),
+#: The rules that are compared, by name in the table.
+_RULES: Final[dict[str, _RuleSetup]] = {
+    'now': (CurrentRule, CANARY_SHARE_FACTOR, EXPOSURE_SLACK),
+    'before': (PreviousRule, 0.8, 0),
 }
 
 
-def try_case(case: Case, rollouts: int, name: str) -> Row:
-    """Play a case's roll-outs under a rule."""
-    make, part, besides = _RULES[name]
-    ended = [
-        RolloutDay(case, seed, part, besides).run(make())
+def run_case(case: Case, rollouts: int, name: str) -> Row:
+    """Simulate the rollouts of a case under a rule."""
+    rule_type, share_factor, slack = _RULES[name]
+    outcomes = [
+        SimulatedRollout(case, seed, share_factor, slack).run(rule_type())
         for seed in range(rollouts)
     ]
-    succeeded = [each.stage is Stage.SUCCEEDED for each in ended]
+    succeeded = [outcome.stage is Stage.SUCCEEDED for outcome in outcomes]
     return Row(
         case,
         name,
         fmean(succeeded),
-        fmean(each.poor for each in ended),
-        fmean(each.seconds for each in ended),
-        fmean(each.exposed > 0 for each in ended),
+        fmean(outcome.poor for outcome in outcomes),
+        fmean(outcome.seconds for outcome in outcomes),
+        fmean(outcome.excess > 0 for outcome in outcomes),
     )
 
 
-def show(rows: Sequence[Row], out: TextIO) -> None:
-    """Print a table."""
+def print_table(rows: Sequence[Row], out: TextIO) -> None:
+    """Print the table."""
     out.write('rate | case | rule | succeeded | poor | seconds | beyond\n')
     for row in rows:
         out.write(
@@ -273,13 +297,17 @@
 
 
 def plot(rows: Sequence[Row], path: Path) -> None:
-    """Draw the shares that succeed over the rate, by rule."""
+    """Plot the fraction that succeeds over the request rate, by rule."""
     figure = Figure(figsize=(9, 6))
     FigureCanvasAgg(figure)
     axes = figure.subplots(1, len(_RULES), sharey=True)
     for rule, panel in zip(_RULES, axes, strict=True):
-        for worse in (0, 0.1, 0.2, 0.3, 0.5, 1.0):
-            name = f'bad by {worse}, base 0.02' if worse else 'good, base 0.02'
+        for degradation in (0, 0.1, 0.2, 0.3, 0.5, 1.0):
+            name = (
+                f'bad by {degradation}, base 0.02'
+                if degradation
+                else 'good, base 0.02'
+            )
             chosen = [
                 row
                 for row in rows
@@ -289,7 +317,7 @@
                 [row.case.rate for row in chosen],
                 [row.succeeded for row in chosen],
                 marker='o',
-                label=f'worse by {worse}',
+                label=f'worse by {degradation}',
             )
         panel.set(xscale='log', xlabel='requests a second', title=rule)
     axes[0].set_ylabel('share that succeeds (base 0.02)')
@@ -297,39 +325,47 @@
     figure.savefig(path)
 
 
-def _tail(whole: Answers, chance: float) -> float:
-    """Return the probability of so many poor answers or more."""
+def _tail_probability(totals: Answers, probability: float) -> float:
+    """Return the probability of at least as many poor answers.
+
+    Args:
+        totals: All answers so far.
+        probability: Probability that an answer is poor.
+    """
     below = sum(
-        comb(whole.new, count)
-        * chance**count
-        * (1 - chance) ** (whole.new - count)
-        for count in range(whole.new_poor)
+        comb(totals.new, count)
+        * probability**count
+        * (1 - probability) ** (totals.new - count)
+        for count in range(totals.new_poor)
     )
     return max(0, 1 - below)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Try all cases and show them."""
+    """Run the selected cases and print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--rollouts', type=int, default=300)
     parser.add_argument('--jobs', type=int, default=2)
     parser.add_argument(
-        '--only', nargs='*', default=[''], help='a part of a case name'
+        '--only',
+        nargs='*',
+        default=[''],
+        help='run cases whose names contain one of these texts',
     )
     parser.add_argument('--plot', type=Path)
     options = parser.parse_args(arguments)
     chosen = [
         case
         for case in cases()
-        if any(part in case.name for part in options.only)
+        if any(text in case.name for text in options.only)
     ]
     rows: list[Row] = []
     with ProcessPoolExecutor(options.jobs) as pool:
         for rule in _RULES:
-            play = partial(try_case, rollouts=options.rollouts, name=rule)
-            rows.extend(pool.map(play, chosen))
+            run = partial(run_case, rollouts=options.rollouts, name=rule)
+            rows.extend(pool.map(run, chosen))
     rows.sort(key=lambda row: (row.case.rate, row.case.name, row.rule))
-    show(rows, sys.stdout)
+    print_table(rows, sys.stdout)
     if options.plot is not None:
         plot(rows, options.plot)
     return 0
