--- a/experiments/configuration/__init__.py
+++ b/experiments/configuration/__init__.py
@@ -1,1 +1,4 @@
-"""How configurations and notices spread, on virtual time."""
+"""Tests and measurements of how the configuration reaches all hosts.
+
+Some run on virtual time, others on real links and processes.
+"""
--- a/experiments/configuration/hosts.py
+++ b/experiments/configuration/hosts.py
@@ -1,4 +1,7 @@
-"""Several hosts' real configuration objects in one process, on one clock."""
+"""Simulated hosts that run the real configuration code in one process.
+
+The hosts share one clock, and a platform and a network in memory.
+"""
 
 import asyncio
 import random
@@ -29,15 +32,23 @@
 from nutmegroad.foundations.types import DomainId, Epoch, HostId, WorkspaceId
 from nutmegroad.testing.virtual import ManualClock, MemoryMesh, PausableClock
 
+#: Seconds for which a host may use a configuration after confirming it.
 LEASE: Final = 8.0
+#: Seconds between polls of the head row, and between announcements to peers.
 POLL: Final = 2.0
+#: Names in the documents of ``make_document``.
 PRESETS: Final = ('ordinary', 'peak', 'maintenance')
 WORKSPACE: Final = WorkspaceId('desk')
 VERSIONS: Final = ('small@1', 'small@2', 'large@1', 'large@2')
 
 
 def make_document(number: int, epoch: Epoch = Epoch(0)) -> Document:
-    """Return a small document that differs by its number."""
+    """Return a small configuration with one workspace.
+
+    Args:
+        number: Makes the document different from others; part of its name.
+        epoch: Epoch of every version.
+    """
     return Document(
         format=1,
         name=f'trial-{number}',
@@ -58,10 +69,10 @@
 
 
 class PausableMesh:
-    """A host's mesh that stands still while the host is paused.
+    """A host's mesh that blocks while the host is paused.
 
     Args:
-        mesh: The mesh behind.
+        mesh: The mesh that carries the messages.
         clock: The host's clock.
     """
 
@@ -70,25 +81,25 @@
         self._clock = clock
 
     def members(self) -> tuple[Member, ...]:
-        """Return the other hosts."""
+        """Return the other hosts that are live or draining."""
         return self._mesh.members()
 
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
-        """Register a handler, which waits while the host is paused."""
+        """Register a handler that runs only while the host is not paused."""
 
         async def handle(host: HostId, message: Sent) -> Message | None:
-            """Wait for the host to run."""
+            """Call the handler when the host is not paused."""
             await self._clock.sleep(0)
             return await handler(host, message)
 
         self._mesh.handle(kind, handle)
 
     def tell(self, host: HostId, message: Message) -> bool:
-        """Queue a message."""
+        """Queue a message to a host; return false if it is not linked."""
         return self._mesh.tell(host, message)
 
     def tell_all(self, message: Message) -> int:
-        """Queue a message to all."""
+        """Queue a message to all linked hosts; return their number."""
         return self._mesh.tell_all(message)
 
     async def ask(
@@ -97,19 +108,19 @@
         message: Message,
         timeout: float,
     ) -> Message | Refusal:
-        """Ask, and see the reply when the host runs."""
+        """Send a request; return its reply when the host is not paused."""
         reply = await self._mesh.ask(host, message, timeout)
         await self._clock.sleep(0)
         return reply
 
 
 @dataclass(frozen=True, slots=True)
-class HostNames:
-    """What a host is called.
+class HostPlacement:
+    """A host's id and the failure domain that it runs in.
 
     Attributes:
-        host: Its id.
-        domain: Its failure domain.
+        host: The host's id.
+        domain: The host's failure domain.
     """
 
     host: HostId
@@ -117,19 +128,32 @@
 
 
 class TrialHost:
-    """One incarnation of a host: the real objects on a pausable clock.
+    """One incarnation of a host, reduced to its configuration code.
 
     Args:
-        names: Its id and domain.
-        clock: The clock of all hosts.
-        platform: The platform.
-        mesh: Its links to the others.
-        randomness: Source of jitter and nonces.
+        names: The host's id and failure domain.
+        clock: The clock that all hosts share.
+        platform: The platform that all hosts share.
+        mesh: The host's links to the others.
+        randomness: Source of jitter and of the head's nonces.
+
+    Attributes:
+        names: As above.
+        clock: The host's view of the shared clock; can be paused.
+        paused: Whether the host is paused.
+        mesh: The host's links; they block while the host is paused.
+        configuration: The configuration in force on the host.
+        store: Reads and writes the head row and the documents.
+        confirmations: Queries peers about their configuration.
+        poller: Polls the head row.
+        announcer: Announces the configuration to peers.
+        progress: Reports how far a change has reached.
+        changes: Operators' changes made at this host.
     """
 
     def __init__(
         self,
-        names: HostNames,
+        names: HostPlacement,
         clock: Clock,
         platform: MemoryPlatform,
         mesh: Mesh,
@@ -179,36 +203,45 @@
         self.changes = Changes(self.store, self.poller, self.configuration)
 
     def start(self) -> None:
-        """Begin to poll and to compare."""
+        """Start to poll the platform and to announce to peers."""
         self._tasks.extend(
-            asyncio.ensure_future(work)
-            for work in (self.poller.run(), self.announcer.run())
+            asyncio.ensure_future(loop)
+            for loop in (self.poller.run(), self.announcer.run())
         )
 
     def pause(self) -> None:
-        """Stop as by SIGSTOP."""
+        """Suspend the host, as SIGSTOP does."""
         self.paused = True
         self.clock.pause()
 
     def resume(self) -> None:
-        """Go on as by SIGCONT."""
+        """Continue a paused host, as SIGCONT does."""
         self.paused = False
         self.clock.resume()
 
     async def stop(self) -> None:
-        """End, without a word to anybody."""
+        """Stop without notifying any peer."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
 class Fleet:
-    """Hosts of three domains on one clock, one network, one platform.
+    """Hosts that share one clock, one network and one platform.
 
     Args:
-        size: Hosts in each domain.
-        randomness: Source of all that is drawn.
-        domains: The domains.
+        size: Hosts in each failure domain.
+        randomness: Source of all random choices, so that a seed determines
+            the whole run.
+        domains: Names of the failure domains.
+
+    Attributes:
+        randomness: As above.
+        clock: The clock that all hosts share; it moves only when advanced.
+        platform: The platform in memory.
+        network: The network in memory.
+        domains: The failure domains.
+        hosts: The running incarnation of each host.
     """
 
     def __init__(
@@ -224,27 +257,27 @@
         self.domains = tuple(DomainId(name) for name in domains)
         self.hosts: dict[HostId, TrialHost] = {}
         self._names = [
-            HostNames(HostId(f'{domain}-{number}'), domain)
+            HostPlacement(HostId(f'{domain}-{number}'), domain)
             for domain in self.domains
             for number in range(size)
         ]
         self._stack = AsyncExitStack()
 
     async def __aenter__(self) -> 'Fleet':
-        """Start all hosts; nothing is in force yet."""
+        """Start all hosts; no configuration is in force yet."""
         await self._stack.enter_async_context(self.network)
         self._stack.push_async_callback(self.platform.aclose)
         self._stack.push_async_callback(self._stop)
         for names in self._names:
-            self.begin(names)
+            self.start_host(names)
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
         """Stop all hosts."""
         await self._stack.aclose()
 
-    def begin(self, names: HostNames) -> TrialHost:
-        """Start a host, or a new incarnation of one."""
+    def start_host(self, names: HostPlacement) -> TrialHost:
+        """Start a host, or a new incarnation of it."""
         host = TrialHost(
             names,
             self.clock,
@@ -257,12 +290,12 @@
         return host
 
     async def restart(self, host: HostId) -> TrialHost:
-        """End a host and start it anew, with nothing kept."""
+        """Replace a host by a new incarnation without any state."""
         old = self.hosts.pop(host)
         old.resume()
         self.network.remove(host)
         await old.stop()
-        return self.begin(old.names)
+        return self.start_host(old.names)
 
     async def _stop(self) -> None:
         for host in self.hosts.values():
--- a/experiments/configuration/leaving_spread.py
+++ b/experiments/configuration/leaving_spread.py
@@ -1,10 +1,10 @@
-"""Seconds until a leaving engine gets no more work from any host.
+"""Measures how long a draining engine still gets requests from any host.
 
 ``python -m experiments.configuration.leaving_spread`` starts six hosts and
-three engines. Under load from all hosts one engine says to the one host that
-asks it next that it is leaving, and to no other; the host list says nothing.
-Printed is the time from that order to the last answer that the engine began,
-over several runs. It ends after 40 s at most.
+three engines. Under load from all hosts, one engine reports that it is
+draining, but only to the host that polls it next; the host list does not show
+it. Printed is the time from that order to the last answer that the engine
+began, over several runs. The program ends after 40 s at most.
 """
 
 import asyncio
@@ -26,36 +26,44 @@
     engine_args=('--step-base=0.001', '--report-lag=0.1'),
 )
 ENGINE: Final = 'petaling-engine-0'
-#: Seconds for all runs and the start.
-LIMIT: Final = 40.0
-#: Seconds after which each host's own question may take the word back.
-HELD: Final = 2.9
-#: Callers that ask each host, one request after another.
-CALLERS: Final = 2
-LOOK: Final = 0.1
-#: Seconds in which each host asks the engine at least once.
-PERIOD: Final = 1.5
-
-
-class Measuring:
-    """Callers, and what they find at the engine.
+#: Seconds for the start and all runs.
+TIME_LIMIT: Final = 40.0
+#: Seconds for which the engine is observed after the order. Not longer:
+#: each host's own poll of the engine may clear the draining state afterwards.
+OBSERVED: Final = 2.9
+#: Callers of each host; each sends one request after another.
+CALLERS_PER_HOST: Final = 2
+#: Seconds between looks at the engine's answers.
+CHECK_INTERVAL: Final = 0.1
+#: Seconds within which each host polls the engine at least once.
+POLL_PERIOD: Final = 1.5
+
+
+class Measurement:
+    """Loads the hosts and observes which answers the engine begins.
 
     Args:
-        running: What is measured.
-        session: Makes the calls.
+        running: The deployment that is measured.
+        session: HTTP client for the callers and for the engine's admin calls.
+
+    Attributes:
+        answered: Requests that were answered.
+        refused: Requests that were refused.
+        late_answers: For each run, how many answers the engine began after
+            the order.
     """
 
     def __init__(self, running: Deployment, session: ClientSession) -> None:
         address = running.engines[ENGINE].listening['main']
         self.answered = 0
         self.refused = 0
-        self.begun: list[int] = []
+        self.late_answers: list[int] = []
         self._running = running
         self._session = session
         self._admin = f'http://{address}/admin'
 
-    async def ask(self, host: int) -> None:
-        """Ask one host again and again."""
+    async def load_host(self, host: int) -> None:
+        """Send requests to one host, one after another, until cancelled."""
         address = self._running.callers[host]
         url = f'http://{address}/v1/chat/completions'
         headers = {'Authorization': f'Bearer {workspace_key("head-office")}'}
@@ -65,68 +73,69 @@
             'nutmegroad_tokens': 3,
         }
         while True:
-            asking = self._session.post(url, json=body, headers=headers)
-            async with asking as reply:
+            call = self._session.post(url, json=body, headers=headers)
+            async with call as reply:
                 await reply.read()
             self.answered += reply.ok
             self.refused += not reply.ok
 
     async def measure(self) -> float:
-        """Return the seconds from the word to the last answer begun."""
+        """Order the engine to drain; return seconds to its last new answer."""
         await self._until_busy(time.time())
-        await asyncio.sleep(PERIOD)
-        told = time.time()
+        await asyncio.sleep(POLL_PERIOD)
+        ordered = time.time()
         order = {'leaving': True, 'reports': 1}
         async with self._session.post(f'{self._admin}/leave', json=order):
-            await asyncio.sleep(HELD)
-        begun = [at for at in await self._begun() if at <= told + HELD]
-        late = [at for at in begun if at > told]
-        self.begun.append(len(late))
-        return max(late, default=told) - told
+            await asyncio.sleep(OBSERVED)
+        until = ordered + OBSERVED
+        late = [at for at in await self._begun() if ordered < at <= until]
+        self.late_answers.append(len(late))
+        return max(late, default=ordered) - ordered
 
     async def _until_busy(self, since: float) -> None:
-        """Wait until the engine begins answers again."""
+        """Wait until the engine has begun an answer after a moment."""
         while max(await self._begun(), default=0) < since:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(CHECK_INTERVAL)
 
     async def _begun(self) -> list[float]:
-        """Return when the engine began each answer."""
+        """Return the wall time at which the engine began each answer."""
         async with self._session.get(f'{self._admin}/runs') as reply:
-            shown: Any = msgspec.json.decode(await reply.read())
-        return [run['at'] for run in shown['runs']]
+            listed: Any = msgspec.json.decode(await reply.read())
+        return [run['at'] for run in listed['runs']]
 
 
 async def run() -> None:
-    """Measure until the time is up, and print."""
-    spreads: list[float] = []
+    """Repeat the measurement until the time limit, and print the results."""
+    times: list[float] = []
     async with AsyncExitStack() as stack:
-        ends = asyncio.get_running_loop().time() + LIMIT
+        ends = asyncio.get_running_loop().time() + TIME_LIMIT
         processes = await stack.enter_async_context(Processes())
         running = await start(processes, RIG)
         session = await stack.enter_async_context(ClientSession())
-        measuring = Measuring(running, session)
-        for host in range(len(running.callers) * CALLERS):
-            asks = measuring.ask(host % len(running.callers))
-            stack.callback(asyncio.create_task(asks).cancel)
+        measurement = Measurement(running, session)
+        for host in range(len(running.callers) * CALLERS_PER_HOST):
+            load = measurement.load_host(host % len(running.callers))
+            stack.callback(asyncio.create_task(load).cancel)
         try:
             async with asyncio.timeout_at(ends):
                 while True:
-                    spreads.append(await measuring.measure())
+                    times.append(await measurement.measure())
         except TimeoutError:
-            _show(spreads, measuring)
+            _print_results(times, measurement)
 
 
-def _show(spreads: list[float], measuring: Measuring) -> None:
-    """Print what was found."""
-    if not spreads:
-        sys.stdout.write('No run ended in time.\n')
+def _print_results(times: list[float], measurement: Measurement) -> None:
+    """Print the times and the counts of requests."""
+    if not times:
+        sys.stdout.write('No run ended within the time limit.\n')
         return
     sys.stdout.write(
-        f'{len(spreads)} runs: median {statistics.median(spreads):.2f} s, '
-        f'{min(spreads):.2f} to {max(spreads):.2f} s; '
-        f'answers begun after the word {min(measuring.begun)} to '
-        f'{max(measuring.begun)}; {measuring.answered} requests answered, '
-        f'{measuring.refused} refused\n',
+        f'{len(times)} runs: median {statistics.median(times):.2f} s, '
+        f'{min(times):.2f} to {max(times):.2f} s; '
+        f'answers begun after the order {min(measurement.late_answers)} to '
+        f'{max(measurement.late_answers)}; '
+        f'{measurement.answered} requests answered, '
+        f'{measurement.refused} refused\n',
     )
 
 
--- a/experiments/configuration/memory_platform.py
+++ b/experiments/configuration/memory_platform.py
@@ -1,7 +1,8 @@
-"""A platform in memory for randomised runs, as seen by each host.
+"""A simulated platform in memory, which injects faults into its calls.
 
-It drops calls, delays them, does a write and loses the reply, does a write
-after its caller gave up, and serves reads that lag by a bounded time.
+It drops calls, delays them, executes a write and loses the reply, executes a
+write after the caller timed out, and serves reads that are stale by a bounded
+time.
 """
 
 import asyncio
@@ -24,7 +25,7 @@
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import DomainId, Ran
 
-#: Seconds after which a caller gives a call up, as the HTTP adapter does.
+#: Seconds after which a call times out, as in the HTTP adapter.
 CALL_TIMEOUT: Final = 2.0
 
 Outcome = TypeVar('Outcome')
@@ -32,16 +33,18 @@
 
 @dataclass(slots=True)
 class TableFaults:
-    """How calls of the platform go.
+    """Faults that the platform injects into calls.
 
     Attributes:
-        delay: Least and greatest seconds of each way.
-        drop: Share of calls that never arrive.
-        lose_reply: Share of calls that are done and whose reply is lost.
-        stale: Share of reads that see rows as they were.
-        lag: Seconds by which such reads lag at most.
-        down: Whether every call is refused, not run.
-        cut: Domains whose calls do not arrive.
+        delay: Minimum and maximum delay of a call and of its reply, in
+            seconds.
+        drop: Fraction of calls that never arrive.
+        lose_reply: Fraction of calls that are executed and whose reply is
+            lost.
+        stale: Fraction of reads that return an earlier state of the row.
+        lag: Maximum age of that state, in seconds.
+        down: Whether every call is refused without being executed.
+        cut: Failure domains whose calls do not arrive.
     """
 
     delay: tuple[float, float] = (0.001, 0.02)
@@ -55,11 +58,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """A row as it was written.
+    """A row and the time of its write.
 
     Attributes:
-        at: Clock seconds of the write.
-        row: The row.
+        at: Time of the write, in seconds of the platform's clock.
+        row: The row that was written.
     """
 
     at: float
@@ -67,16 +70,16 @@
 
 
 class MemoryPlatform:
-    """Rows and objects that all hosts share.
+    """The table and the object store that all hosts share.
 
     Args:
-        clock: Time.
-        randomness: Draws what becomes of each call.
+        clock: Clock for delays, time-outs and the times of writes.
+        randomness: Decides which faults a call meets.
 
     Attributes:
-        faults: How calls go; may be changed at any time.
-        objects: Stored objects.
-        log: All rows that were ever written, in order.
+        faults: Faults to inject; may be changed at any time.
+        objects: Contents of the stored objects, by name.
+        log: All row writes, in order.
     """
 
     def __init__(self, clock: Clock, randomness: random.Random) -> None:
@@ -89,13 +92,13 @@
         self._tasks = OwnedTasks()
 
     async def aclose(self) -> None:
-        """End the calls that are under way."""
+        """Cancel the calls in flight."""
         await self._tasks.aclose()
 
     def read_row(self, key: RowKey) -> Row:
-        """Return a row, or one of a little before."""
+        """Return a row, or an earlier state of it if the read is stale."""
         present = self._rows.get(key) or Row(key, '', ABSENT)
-        if not self._draws(self.faults.stale):
+        if not self._occurs(self.faults.stale):
             return present
         oldest = self._clock.now() - self.faults.lag
         return self._row_at(
@@ -106,7 +109,7 @@
         self,
         writes: tuple[RowWrite, ...],
     ) -> tuple[Row, ...] | Conflict:
-        """Do all the writes or none."""
+        """Apply all the writes, or none if one of them conflicts."""
         for write in writes:
             row = self._rows.get(write.key) or Row(write.key, '', ABSENT)
             if row.version != write.expected:
@@ -118,33 +121,42 @@
         domain: DomainId,
         action: Callable[[], Outcome],
     ) -> Outcome | Refusal:
-        """Carry a call there and back, with its faults."""
+        """Execute a call subject to the faults, and return its outcome.
+
+        Args:
+            domain: Failure domain of the calling host.
+            action: What the platform does when the call arrives. It may run
+                after the caller timed out.
+        """
         if self.faults.down:
-            return _refuse('The platform is down.', Ran.NOT_RUN)
+            return _refuse('The platform is unavailable.', Ran.NOT_RUN)
         reply: asyncio.Future[Outcome] = (
             asyncio.get_running_loop().create_future()
         )
         if domain not in self.faults.cut:
-            self._tasks.start(self._carry(action, reply))
+            self._tasks.start(self._deliver(action, reply))
         timeout = asyncio.ensure_future(self._clock.sleep(CALL_TIMEOUT))
         either: set[asyncio.Future[Any]] = {reply, timeout}
         await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
         timeout.cancel()
         if reply.done():
             return reply.result()
-        return _refuse('The platform did not reply.', Ran.UNKNOWN)
+        return _refuse(
+            'The platform did not reply within the timeout.', Ran.UNKNOWN
+        )
 
-    async def _carry(
+    async def _deliver(
         self,
         action: Callable[[], Outcome],
         reply: asyncio.Future[Outcome],
     ) -> None:
+        """Deliver a call, execute it and deliver the reply."""
         faults = self.faults
         await self._clock.sleep(self._randomness.uniform(*faults.delay))
-        if self._draws(faults.drop):
+        if self._occurs(faults.drop):
             return
         outcome = action()
-        if self._draws(faults.lose_reply):
+        if self._occurs(faults.lose_reply):
             return
         await self._clock.sleep(self._randomness.uniform(*faults.delay))
         if not reply.done():
@@ -157,7 +169,7 @@
         return row
 
     def _row_at(self, key: RowKey, moment: float) -> Row:
-        """Return a row as it was."""
+        """Return the state of a row at an earlier moment."""
         past = [
             written.row
             for written in self.log
@@ -165,17 +177,17 @@
         ]
         return past[-1] if past else Row(key, '', ABSENT)
 
-    def _draws(self, share: float) -> bool:
-        return share > 0 and self._randomness.random() < share
+    def _occurs(self, probability: float) -> bool:
+        return probability > 0 and self._randomness.random() < probability
 
 
 class HostPlatform:
-    """The platform as one host sees it: a ``Table`` and an ``Objects``.
+    """One host's client of the platform: a ``Table`` and an ``Objects``.
 
     Args:
         platform: The platform.
-        domain: The domain of the host.
-        clock: The host's clock; a paused host gets no reply.
+        domain: The failure domain of the host.
+        clock: The host's clock; a paused host receives no reply.
     """
 
     def __init__(
@@ -193,18 +205,18 @@
         return await self._call(lambda: self._platform.read_row(key))
 
     async def scan(self, prefix: str) -> tuple[Row, ...] | Refusal:
-        """Return no rows; the configuration scans none."""
+        """Return no rows; the configuration code scans none."""
         return ()
 
     async def commit(
         self,
         writes: tuple[RowWrite, ...],
     ) -> tuple[Row, ...] | Conflict | Refusal:
-        """Do all the writes or none."""
+        """Apply all the writes, or none if one of them conflicts."""
         return await self._call(lambda: self._platform.commit(writes))
 
     async def put(self, name: str, content: bytes) -> Refusal | None:
-        """Store an object."""
+        """Store an object unless one of that name exists."""
         stored = await self._call(
             lambda: self._platform.objects.setdefault(name, content),
         )
@@ -215,12 +227,12 @@
         return await self._call(lambda: self._platform.objects[name])
 
     async def names(self, prefix: str) -> tuple[str, ...] | Refusal:
-        """Return no names; the configuration lists none."""
+        """Return no names; the configuration code lists none."""
         return ()
 
     async def _call(self, action: Callable[[], Outcome]) -> Outcome | Refusal:
         outcome = await self._platform.call(self._domain, action)
-        # A host that is paused meanwhile sees the reply when it resumes.
+        # A host that was paused meanwhile receives the reply on resuming.
         await self._clock.sleep(0)
         return outcome
 
--- a/experiments/configuration/random_runs.py
+++ b/experiments/configuration/random_runs.py
@@ -1,9 +1,10 @@
-"""A seeded run of the configuration under every fault there is.
+"""Seeded random test of the configuration under injected faults.
 
-Real objects of several hosts run on a clock that is moved by hand, before a
-platform and a network in memory that drop, delay, lose replies, lag, and cut
-domains off; hosts are paused and restarted. What must always hold is looked
-at several times a second, and at the end, when all has healed.
+Several hosts run the real configuration code on a virtual clock. Their
+platform and network, in memory, drop, delay, duplicate and reorder messages,
+lose replies, serve stale reads and cut failure domains off; hosts are paused
+and restarted. The invariants are checked several times per virtual second,
+and once more after all faults have been removed.
 """
 
 import asyncio
@@ -21,7 +22,11 @@
     make_document,
 )
 from experiments.configuration.memory_platform import TableFaults
-from experiments.configuration.watch import LAG, Report, Watch
+from experiments.configuration.watch import (
+    LAG,
+    InvariantChecker,
+    RunReport,
+)
 from nutmegroad.configuration.changes import Withdrawn
 from nutmegroad.configuration.heads import Head
 from nutmegroad.configuration.withdrawals import WithdrawalSet
@@ -35,67 +40,76 @@
 )
 from nutmegroad.testing.virtual import NetworkFaults
 
-#: Seconds between looks at what must hold.
+#: Virtual seconds between checks of the invariants.
 STEP: Final = 0.25
-#: Seconds that a healed fleet has to agree.
-CALM: Final = 40.0
-#: Times in 100 looks that operators change, withdraw, and that faults act.
-_ACT: Final = 15
-_WITHDRAW: Final = 3
-_TROUBLE: Final = 12
+#: Virtual seconds that the fleet has to converge once faults are removed.
+CONVERGENCE_TIME: Final = 40.0
+#: Probability per step, in percent, of an operator's change, of a withdrawal
+#: and of a fault (or the removal of faults).
+_CHANGE_PERCENT: Final = 15
+_WITHDRAWAL_PERCENT: Final = 3
+_FAULT_PERCENT: Final = 12
 
 
 class Operators:
-    """Change the configuration, and remember what they were told.
+    """Operators that change the configuration and record the replies.
 
     Args:
-        fleet: The hosts.
-        report: Where it is written.
+        fleet: The hosts at which changes are made.
+        report: Receives action counts and violations.
     """
 
-    def __init__(self, fleet: Fleet, report: Report) -> None:
+    def __init__(self, fleet: Fleet, report: RunReport) -> None:
         self._fleet = fleet
         self._report = report
         self._randomness = fleet.randomness
         self._count = 0
         self._tasks: set[asyncio.Task[None]] = set()
-        self._told: list[tuple[str, Head | Refusal]] = []
+        self._replies: list[tuple[str, Head | Refusal]] = []
 
-    def act(self) -> None:
-        """Let one operator make one change, or two at the same moment."""
+    def change(self) -> None:
+        """Start one change, or two concurrent ones, at random hosts."""
         for _ in range(self._randomness.choice((1, 1, 2))):
-            self._start(self._change())
+            self._start(self._make_change())
 
     def withdraw(self) -> None:
-        """Let an operator withdraw a version."""
-        self._start(self._withdraw())
+        """Start the withdrawal of a random version at a random host."""
+        self._start(self._make_withdrawal())
 
     async def settle(self) -> None:
-        """Wait until all have been told."""
+        """Wait until every change that was started has its reply."""
         await asyncio.gather(*self._tasks)
 
-    def judge(self, heads: list[tuple[float, Head]]) -> None:
-        """Check that what operators were told is true."""
-        made = Counter(head.author for _, head in heads)
-        for author, outcome in self._told:
+    def check_replies(self, heads: list[tuple[float, Head]]) -> None:
+        """Check that the replies to operators agree with the table.
+
+        A change that succeeded must have written one head, a change refused
+        as not executed none, and one of unknown outcome one at most.
+
+        Args:
+            heads: Every head that was written, with the time of its write.
+        """
+        head_counts = Counter(head.author for _, head in heads)
+        for author, outcome in self._replies:
             if isinstance(outcome, Head):
-                held = made[author] == 1
+                holds = head_counts[author] == 1
             elif outcome.ran is Ran.NOT_RUN:
-                held = made[author] == 0
+                holds = head_counts[author] == 0
             else:
-                held = made[author] <= 1
+                holds = head_counts[author] <= 1
             self._report.check(
-                held,
-                f'{author} was told {outcome!r} but made {made[author]}',
+                holds,
+                f'{author} wrote {head_counts[author]} heads; the reply was '
+                f'{outcome!r}',
             )
 
-    def _start(self, work: Any) -> None:
-        task = asyncio.ensure_future(work)
+    def _start(self, change: Any) -> None:
+        task = asyncio.ensure_future(change)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _change(self) -> None:
-        """Switch the preset or apply a document, under a fresh name."""
+    async def _make_change(self) -> None:
+        """Switch the preset or apply a document, as a new operator."""
         host = self._draw_host()
         self._count += 1
         author = OperatorId(f'operator-{self._count}')
@@ -105,33 +119,35 @@
         else:
             document = make_document(self._count)
             outcome = await host.changes.apply(document, preset, author, None)
-        self._told.append((author, outcome))
-        told = 'refused' if isinstance(outcome, Refusal) else 'changed'
-        self._report.done[told] += 1
+        self._replies.append((author, outcome))
+        kind = 'refused' if isinstance(outcome, Refusal) else 'changed'
+        self._report.actions[kind] += 1
 
-    async def _withdraw(self) -> None:
+    async def _make_withdrawal(self) -> None:
+        """Withdraw a version; check that its host applies that."""
         host = self._draw_host()
         version = VersionId(self._randomness.choice(VERSIONS))
         epoch = Epoch(self._randomness.randint(0, 3))
-        author = OperatorId('a withdrawer')
+        author = OperatorId('withdrawing-operator')
         outcome = await host.changes.withdraw(version, epoch, author)
         if isinstance(outcome, Withdrawn):
-            self._report.done['withdrawn'] += 1
+            self._report.actions['withdrawn'] += 1
             self._report.check(
                 host.configuration.is_withdrawn(version, epoch),
-                'a withdrawal is not in force where it was given',
+                f'a withdrawal of {version} is not in force on the host that '
+                'accepted it',
             )
 
     def _draw_host(self) -> TrialHost:
         return self._randomness.choice(list(self._fleet.hosts.values()))
 
 
-class Trouble:
-    """Breaks and mends things.
+class FaultInjector:
+    """Injects faults into the fleet, and removes them.
 
     Args:
-        fleet: What is broken.
-        lag: Seconds by which reads of the table may lag.
+        fleet: The hosts, their network and their platform.
+        lag: Maximum age of the rows that stale reads return, in seconds.
     """
 
     def __init__(self, fleet: Fleet, lag: float) -> None:
@@ -139,38 +155,42 @@
         self._lag = lag
         self._randomness = fleet.randomness
 
-    async def act(self) -> str:
-        """Do one thing, drawn at random; return what it was."""
-        kinds: dict[Callable[[], Any], int] = {
+    async def inject(self) -> str:
+        """Take one action, drawn at random, and return its name."""
+        weighted_actions: dict[Callable[[], Any], int] = {
             self.cut_domain: 2,
-            self.cut_platform: 2,
-            self.turn_down: 1,
-            self.storm: 3,
-            self.pause: 3,
+            self.cut_from_platform: 2,
+            self.stop_platform: 1,
+            self.degrade: 3,
+            self.pause_or_resume: 3,
             self.restart: 1,
             self.heal: 3,
         }
-        weights = list(kinds.values())
-        action = self._randomness.choices(list(kinds), weights)[0]
-        done = action()
-        if done is not None:
-            await done
+        weights = list(weighted_actions.values())
+        action = self._randomness.choices(list(weighted_actions), weights)[0]
+        pending = action()
+        if pending is not None:
+            await pending
         return action.__name__
 
     def cut_domain(self) -> None:
-        """Cut a domain off from the others."""
+        """Cut a failure domain off from the others."""
         self._fleet.network.cut_domain(self._draw_domain())
 
-    def cut_platform(self) -> None:
-        """Cut a domain off from the platform."""
+    def cut_from_platform(self) -> None:
+        """Cut a failure domain off from the platform."""
         self._fleet.platform.faults.cut.add(self._draw_domain())
 
-    def turn_down(self) -> None:
-        """Let the platform be down for all."""
+    def stop_platform(self) -> None:
+        """Make the platform refuse the calls of all hosts."""
         self._fleet.platform.faults.down = True
 
-    def storm(self) -> None:
-        """Drop, delay, duplicate and reorder."""
+    def degrade(self) -> None:
+        """Make the platform and the network slow and lossy.
+
+        Calls are delayed, dropped, lose their replies and read stale rows;
+        messages are delayed, dropped, duplicated and reordered.
+        """
         faults = self._fleet.platform.faults
         faults.delay = (0.001, self._randomness.choice((0.05, 0.9, 2.5)))
         faults.drop = self._randomness.choice((0, 0.2))
@@ -185,8 +205,8 @@
             reorder_delay=self._randomness.choice((0.1, 12)),
         )
 
-    def pause(self) -> None:
-        """Pause a host, or let all that are paused go on."""
+    def pause_or_resume(self) -> None:
+        """Resume all paused hosts; if there are none, pause one."""
         paused = [host for host in self._fleet.hosts.values() if host.paused]
         if paused:
             for host in paused:
@@ -195,13 +215,13 @@
         self._randomness.choice(list(self._fleet.hosts.values())).pause()
 
     async def restart(self) -> None:
-        """Restart a host; it keeps nothing."""
+        """Replace a host by a new incarnation without any state."""
         await self._fleet.restart(
             self._randomness.choice(list(self._fleet.hosts)),
         )
 
     def heal(self) -> None:
-        """Mend all."""
+        """Remove all faults and resume all hosts."""
         for host in self._fleet.hosts.values():
             host.resume()
         self._fleet.network.heal_all()
@@ -212,29 +232,30 @@
         return self._randomness.choice(self._fleet.domains)
 
 
-async def run(seed: int, seconds: float, size: int = 2) -> Report:
-    """Make one run.
+async def run(seed: int, seconds: float, size: int = 2) -> RunReport:
+    """Run the fleet under random faults, and return what was found.
 
     Args:
-        seed: From which all is drawn.
-        seconds: How long it lasts on its own clock, before all heals.
-        size: Hosts in each of three domains.
+        seed: Seed of all random choices. Reads are stale at times if it is
+            even.
+        seconds: Virtual seconds before the faults are removed.
+        size: Hosts in each of the three failure domains.
     """
-    report = Report(seed, 0 if seed % 2 else LAG)
+    report = RunReport(seed, 0 if seed % 2 else LAG)
     async with Fleet(size, random.Random(seed)) as fleet:
-        watch = Watch(fleet, report)
+        checker = InvariantChecker(fleet, report)
         operators = Operators(fleet, report)
-        trouble = Trouble(fleet, report.lag)
-        await _begin(fleet)
+        faults = FaultInjector(fleet, report.lag)
+        await _apply_first_document(fleet)
         while fleet.clock.now() < seconds:
-            await _step(fleet, watch)
-            await _disturb(fleet, operators, trouble, watch)
-        trouble.heal()
+            await _step(fleet, checker)
+            await _disturb(fleet, operators, faults, checker)
+        faults.heal()
         known = WithdrawalSet()
         for host in fleet.hosts.values():
             known.add(host.configuration.withdrawals)
-        await _calm_down(fleet, operators, watch)
-        _judge_calm(fleet, watch, known, report)
+        await _converge(fleet, operators, checker)
+        _check_converged(fleet, checker, known, report)
         report.seconds = fleet.clock.now()
     return report
 
@@ -242,73 +263,86 @@
 async def _disturb(
     fleet: Fleet,
     operators: Operators,
-    trouble: Trouble,
-    watch: Watch,
+    faults: FaultInjector,
+    checker: InvariantChecker,
 ) -> None:
-    """Let operators and faults act, now and then."""
+    """Start changes, withdrawals and faults at random."""
     draw = fleet.randomness.uniform
-    if draw(0, 100) < _ACT:
-        operators.act()
-    if draw(0, 100) < _WITHDRAW:
+    if draw(0, 100) < _CHANGE_PERCENT:
+        operators.change()
+    if draw(0, 100) < _WITHDRAWAL_PERCENT:
         operators.withdraw()
-    if draw(0, 100) < _TROUBLE:
-        watch.report.done[await trouble.act()] += 1
-        # At once, before a resumed host has done anything.
-        watch.look()
+    if draw(0, 100) < _FAULT_PERCENT:
+        checker.report.actions[await faults.inject()] += 1
+        # Immediately, before a resumed host has done anything.
+        checker.check_hosts()
 
 
-async def _calm_down(fleet: Fleet, operators: Operators, watch: Watch) -> None:
-    """Let a healed fleet agree, and hold what operators were told to it."""
-    for _ in range(int(CALM / STEP)):
-        await _step(fleet, watch)
+async def _converge(
+    fleet: Fleet,
+    operators: Operators,
+    checker: InvariantChecker,
+) -> None:
+    """Let the healed fleet converge, then check the operators' replies."""
+    for _ in range(int(CONVERGENCE_TIME / STEP)):
+        await _step(fleet, checker)
     await operators.settle()
-    operators.judge(watch.heads)
+    operators.check_replies(checker.heads)
 
 
-async def _begin(fleet: Fleet) -> None:
-    """Put a first document into force."""
+async def _apply_first_document(fleet: Fleet) -> None:
+    """Put a first document into force through one host."""
     first = next(iter(fleet.hosts.values()))
-    work = first.changes.apply(
+    change = first.changes.apply(
         make_document(0),
         None,
-        OperatorId('the first'),
+        OperatorId('first-operator'),
         None,
     )
-    task = asyncio.ensure_future(work)
+    task = asyncio.ensure_future(change)
     await fleet.clock.advance(LEASE)
     await task
 
 
-async def _step(fleet: Fleet, watch: Watch) -> None:
-    """Let a little time pass, and look."""
+async def _step(fleet: Fleet, checker: InvariantChecker) -> None:
+    """Advance the clock by one step and check the invariants."""
     await fleet.clock.advance(STEP)
-    watch.look()
+    checker.check_hosts()
 
 
-def _judge_calm(
+def _check_converged(
     fleet: Fleet,
-    watch: Watch,
+    checker: InvariantChecker,
     known: WithdrawalSet,
-    report: Report,
+    report: RunReport,
 ) -> None:
-    """Check that a healed fleet agrees, and that the table has all."""
-    _, head = watch.heads[-1]
+    """Check that all hosts agree and that the table has all withdrawals.
+
+    Args:
+        fleet: The hosts, after the time for convergence.
+        checker: Knows the heads that were written.
+        known: Withdrawals known to any host when the faults were removed.
+        report: Receives the violations.
+    """
+    _, head = checker.heads[-1]
     report.revisions = head.revision
-    table = WithdrawalSet()
-    table.add(head.withdrawals)
+    in_table = WithdrawalSet()
+    in_table.add(head.withdrawals)
     for withdrawal in known.withdrawals:
         report.check(
-            table.covers(withdrawal),
-            f'the table never got the withdrawal of {withdrawal.version}',
+            in_table.covers(withdrawal),
+            f'the withdrawal of {withdrawal.version} never reached the table',
         )
     for host in fleet.hosts.values():
-        held = host.configuration
+        configuration = host.configuration
         report.check(
-            held.revision == head.revision and not held.isolated,
-            f'{host.names.host} has revision {held.revision} in the end, '
-            f'not {head.revision}',
+            configuration.revision == head.revision
+            and not configuration.isolated,
+            f'{host.names.host} has revision {configuration.revision} after '
+            f'convergence, or is isolated; expected {head.revision}',
         )
         report.check(
-            held.withdrawals == head.withdrawals,
-            f'{host.names.host} has other withdrawals in the end',
+            configuration.withdrawals == head.withdrawals,
+            f'{host.names.host} and the table have different withdrawals '
+            'after convergence',
         )
--- a/experiments/configuration/spread.py
+++ b/experiments/configuration/spread.py
@@ -1,7 +1,10 @@
-"""Seconds until a change is in force on all hosts of one process.
+"""Measures how long a configuration change takes to reach all hosts.
 
-The hosts' real objects and real links run on loopback before a platform in
-memory that takes some milliseconds for a call.
+Run as ``python -m experiments.configuration.spread``. The hosts run in one
+process, with the real configuration code and real links over loopback. Their
+platform is in memory and takes some milliseconds for a call. Printed are the
+times for a preset switch, with and without announcements to peers, and for a
+withdrawal while the platform is down.
 """
 
 import asyncio
@@ -42,20 +45,31 @@
 from nutmegroad.membership.links import Links
 from nutmegroad.membership.members import Members
 
+#: Numbers of hosts to measure.
 SIZES: Final = (8, 24, 48)
 RUNS: Final = 5
-#: Runs without push, each of which takes a poll's period.
+#: Runs without announcements; each takes a polling period.
 POLL_RUNS: Final = 3
 DOMAINS: Final = 3
-LIMIT: Final = 25
+#: Timeout of each wait, in seconds.
+TIMEOUT: Final = 25
+#: Seconds between looks at the hosts.
+CHECK_INTERVAL: Final = 0.002
 _OPERATOR: Final = OperatorId('measurer')
 
 
 class LinkedHosts:
-    """Hosts with real links, in one process.
+    """Hosts with real links over loopback, in one process.
 
     Args:
-        size: How many.
+        size: Number of hosts; also the seed of their random choices.
+
+    Attributes:
+        clock: The clock that all hosts share.
+        randomness: Source of all random choices.
+        platform: The platform in memory that all hosts share.
+        hosts: The hosts.
+        ledgers: Records what each host spends, in the order of the hosts.
     """
 
     def __init__(self, size: int) -> None:
@@ -70,11 +84,11 @@
         self._stack = AsyncExitStack()
 
     async def __aenter__(self) -> 'LinkedHosts':
-        """Start all hosts, and wait until each knows all others."""
+        """Start all hosts, and wait until each knows all the others."""
         self._stack.push_async_callback(self.platform.aclose)
         for number in range(self._size):
             await self._start(number)
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT):
             while any(
                 len(mesh.members()) < self._size - 1 for mesh in self._members
             ):
@@ -82,23 +96,28 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End all."""
+        """Stop all hosts and close their links."""
         await asyncio.gather(*(host.stop() for host in self.hosts))
         await self._stack.aclose()
 
     async def wait(self, revision: int, withdrawals: int) -> float:
-        """Return seconds until all hosts have both."""
+        """Wait until all hosts have a revision and a number of withdrawals.
+
+        Returns:
+            Seconds waited.
+        """
         began = time.perf_counter()
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT):
             while not all(
                 host.configuration.revision >= revision
                 and len(host.configuration.withdrawals) >= withdrawals
                 for host in self.hosts
             ):
-                await asyncio.sleep(0.002)
+                await asyncio.sleep(CHECK_INTERVAL)
         return time.perf_counter() - began
 
     async def _start(self, number: int) -> None:
+        """Start one host; the first few hosts are the seeds of later ones."""
         names = HostNames(
             HostId(f'host-{number}'),
             DomainId(f'domain-{number % DOMAINS}'),
@@ -113,21 +132,23 @@
         )
         ledger = Ledger(time.thread_time)
         table, reachability = make_table(identity, self.clock, 1)
-        context = LinkContext(
+        link_context = LinkContext(
             key=b'a key for measurements',
             clock=self.clock,
             randomness=self.randomness,
             nonces=random.SystemRandom(),
             account=ledger,
         )
-        links = await self._stack.enter_async_context(Links(context, table))
-        about = MemberContext(
+        links = await self._stack.enter_async_context(
+            Links(link_context, table)
+        )
+        member_context = MemberContext(
             clock=self.clock,
             randomness=self.randomness,
             account=ledger,
             seeds=self._seeds,
         )
-        members = Members(about, links, table, reachability)
+        members = Members(member_context, links, table, reachability)
         await self._stack.enter_async_context(members)
         if len(self._seeds) < DOMAINS:
             self._seeds = (*self._seeds, table.identity.address)
@@ -144,12 +165,15 @@
         self._members.append(members)
 
 
-def _tell_nobody(announcer: announcements.Announcer, count: int) -> None:
-    """Take the push out."""
+def _announce_to_nobody(
+    announcer: announcements.Announcer,
+    count: int,
+) -> None:
+    """Replace the announcement to peers, so that hosts only poll."""
 
 
 async def _switch(hosts: LinkedHosts, number: int) -> float:
-    """Switch the preset at a drawn host; return seconds until all have it."""
+    """Switch the preset at a random host; return seconds to reach all."""
     host = hosts.randomness.choice(hosts.hosts)
     preset = PresetName(PRESETS[number % len(PRESETS)])
     head: Any = await host.changes.switch(preset, _OPERATOR, None)
@@ -157,59 +181,66 @@
 
 
 async def _withdraw(hosts: LinkedHosts, number: int) -> float:
-    """Withdraw while the platform is down; return seconds until all know."""
+    """Withdraw a version at a random host; return seconds until all know.
+
+    Used while the platform is down. The number is the withdrawn epoch.
+    """
     host = hosts.randomness.choice(hosts.hosts)
     version = VersionId('small@1')
-    work = host.changes.withdraw(version, Epoch(number), _OPERATOR)
-    task = asyncio.ensure_future(work)
+    withdrawal = host.changes.withdraw(version, Epoch(number), _OPERATOR)
+    task = asyncio.ensure_future(withdrawal)
     began = time.perf_counter()
-    async with asyncio.timeout(LIMIT):
+    async with asyncio.timeout(TIMEOUT):
         while not all(
-            one.configuration.is_withdrawn(version, Epoch(number))
-            for one in hosts.hosts
+            other.configuration.is_withdrawn(version, Epoch(number))
+            for other in hosts.hosts
         ):
-            await asyncio.sleep(0.002)
-    took = time.perf_counter() - began
+            await asyncio.sleep(CHECK_INTERVAL)
+    seconds = time.perf_counter() - began
     await task
-    return took
+    return seconds
 
 
 async def measure(size: int) -> None:
-    """Measure one size and print a line for each way."""
+    """Measure one number of hosts, and print the results."""
     async with LinkedHosts(size) as hosts:
         first = hosts.hosts[0].changes
         await first.apply(make_document(0), None, _OPERATOR, None)
         await hosts.wait(1, 0)
-        took = [await _switch(hosts, number) for number in range(RUNS)]
-        _show(size, 'push and poll', took)
-        with patch.object(announcements.Announcer, '_tell', _tell_nobody):
-            took = [await _switch(hosts, number) for number in range(POLL_RUNS)]
-        _show(size, 'poll only', took)
+        times = [await _switch(hosts, number) for number in range(RUNS)]
+        _print_times(size, 'push and poll', times)
+        with patch.object(
+            announcements.Announcer, '_tell', _announce_to_nobody
+        ):
+            times = [
+                await _switch(hosts, number) for number in range(POLL_RUNS)
+            ]
+        _print_times(size, 'poll only', times)
         hosts.platform.faults.down = True
-        took = [await _withdraw(hosts, number) for number in range(RUNS)]
-        _show(size, 'withdrawal, platform down', took)
+        times = [await _withdraw(hosts, number) for number in range(RUNS)]
+        _print_times(size, 'withdrawal, platform down', times)
         costs = [
             ledger.costs().get('configuration') for ledger in hosts.ledgers
         ]
-        sent = [cost.sent_bytes for cost in costs if cost is not None]
+        sent_bytes = [cost.sent_bytes for cost in costs if cost is not None]
         sys.stdout.write(
             f'{size:3} hosts  configuration bytes sent by a host in the whole '
-            f'run: median {statistics.median(sent):.0f}\n',
+            f'run: median {statistics.median(sent_bytes):.0f}\n',
         )
 
 
-def _show(size: int, way: str, took: list[float]) -> None:
-    """Print one line."""
+def _print_times(size: int, way: str, times: list[float]) -> None:
+    """Print minimum, median and maximum of some times, in seconds."""
     sys.stdout.write(
-        f'{size:3} hosts  {way:26}  least {min(took):.3f} s  median '
-        f'{statistics.median(took):.3f} s  most {max(took):.3f} s  '
-        f'({len(took)} runs)\n',
+        f'{size:3} hosts  {way:26}  least {min(times):.3f} s  median '
+        f'{statistics.median(times):.3f} s  most {max(times):.3f} s  '
+        f'({len(times)} runs)\n',
     )
     sys.stdout.flush()
 
 
 def main() -> None:
-    """Measure all sizes."""
+    """Measure every number of hosts."""
     logging.set_verbosity(logging.FATAL)
     for size in SIZES:
         asyncio.run(measure(size))
--- a/experiments/configuration/watch.py
+++ b/experiments/configuration/watch.py
@@ -1,4 +1,4 @@
-"""What must hold of hosts and their configuration, looked at all the time."""
+"""Invariants of the hosts' configuration, checked during random runs."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -20,128 +20,150 @@
     VersionId,
 )
 
-#: Seconds by which reads of the table may lag in runs with an even seed. The
-#: platform promises 0; the bound until all is in force grows by as much.
+#: Maximum age, in seconds, of rows that reads return in runs with an even
+#: seed. The platform promises 0; the time until a revision is in force
+#: everywhere may grow by as much.
 LAG: Final = 1.0
 
 
 @dataclass(slots=True)
-class Report:
-    """What a run gave.
+class RunReport:
+    """Counts and violations of one random run.
 
     Attributes:
-        seed: Its seed.
-        lag: Seconds by which reads of the table may lag.
-        seconds: Seconds that it lasted on its clock.
-        revisions: Revisions that were made.
-        looks: How many times a host was looked at.
-        done: What was done, by kind.
-        broken: What did not hold.
+        seed: Seed of the run.
+        lag: Maximum age of the rows that stale reads return, in seconds.
+        seconds: Virtual duration of the run.
+        revisions: Number of the last revision.
+        host_checks: How many times a host was checked.
+        actions: Number of operators' changes and of fault actions, by kind.
+        violations: Invariants that did not hold, each once.
     """
 
     seed: int
     lag: float
     seconds: float = 0
     revisions: int = 0
-    looks: int = 0
-    done: Counter[str] = field(default_factory=Counter)
-    broken: list[str] = field(default_factory=list)
+    host_checks: int = 0
+    actions: Counter[str] = field(default_factory=Counter)
+    violations: list[str] = field(default_factory=list)
 
     @property
     def bound(self) -> float:
-        """Seconds until a revision is in force; the clocks here agree."""
+        """Seconds until a revision must be in force on all hosts.
+
+        The hosts share one clock, so no margin for clock drift is added.
+        """
         return LEASE + self.lag
 
-    def check(self, held: bool, problem: str) -> None:
-        """Note what did not hold, once."""
-        if not held and problem not in self.broken:
-            self.broken.append(problem)
+    def check(self, holds: bool, problem: str) -> None:
+        """Record a violation, unless the same one is recorded already."""
+        if not holds and problem not in self.violations:
+            self.violations.append(problem)
 
 
-class Watch:
-    """Looks at what must always hold.
+class InvariantChecker:
+    """Checks the invariants on all running hosts.
 
     Args:
         fleet: The hosts.
-        report: Where it is written.
+        report: Receives the violations.
     """
 
-    def __init__(self, fleet: Fleet, report: Report) -> None:
+    def __init__(self, fleet: Fleet, report: RunReport) -> None:
         self._fleet = fleet
         self.report = report
-        self._known: dict[int, tuple[str, str]] = {}
-        self._last: dict[HostId, tuple[TrialHost, Revision]] = {}
+        # Digest and preset of each revision, as first seen.
+        self._contents: dict[int, tuple[str, str]] = {}
+        # What each host's current incarnation was last seen to have.
+        self._last_revisions: dict[HostId, tuple[TrialHost, Revision]] = {}
         self._withdrawals: dict[HostId, tuple[TrialHost, WithdrawalSet]] = {}
 
     @property
     def heads(self) -> list[tuple[float, Head]]:
-        """Return every head that ever was, with the time of its write."""
+        """Every head that was written, with the time of its write."""
         return [
             (written.at, msgspec.json.decode(written.row.text, type=Head))
             for written in self._fleet.platform.log
             if written.row.key == HEAD_KEY
         ]
 
-    def look(self) -> None:
-        """Look at every host that runs."""
+    def check_hosts(self) -> None:
+        """Check every host that is not paused, and every head."""
         heads = self.heads
         now = self._fleet.clock.now()
         due = [head for at, head in heads if at + self.report.bound <= now]
         for host in self._fleet.hosts.values():
             if not host.paused:
-                self.report.looks += 1
-                self._look_at(host, due[-1] if due else Head())
+                self.report.host_checks += 1
+                self._check_host(host, due[-1] if due else Head())
         for _, head in heads:
-            self._compare(head.revision, head.digest, head.preset)
+            self._check_revision(head.revision, head.digest, head.preset)
+
+    def _check_host(self, host: TrialHost, due: Head) -> None:
+        """Check one host; unless isolated, it must not be behind.
 
-    def _look_at(self, host: TrialHost, due: Head) -> None:
-        held = host.configuration
+        Args:
+            host: The host.
+            due: The newest head that must be in force everywhere.
+        """
+        configuration = host.configuration
         name = host.names.host
-        self._look_back(host)
-        accepted = held.accepted
+        self._check_progress(host)
+        accepted = configuration.accepted
         if accepted is None:
             return
-        self._compare(accepted.revision, accepted.digest, accepted.preset)
-        if held.isolated:
+        self._check_revision(
+            accepted.revision, accepted.digest, accepted.preset
+        )
+        if configuration.isolated:
             return
         self.report.check(
-            held.revision >= due.revision,
-            f'{name} uses revision {held.revision} where {due.revision} is due',
+            configuration.revision >= due.revision,
+            f'{name} uses revision {configuration.revision}, but '
+            f'{due.revision} must be in force everywhere',
         )
         known = WithdrawalSet()
-        known.add(held.withdrawals)
+        known.add(configuration.withdrawals)
         for withdrawal in due.withdrawals:
             self.report.check(
                 known.covers(withdrawal),
-                f'{name} uses {withdrawal.version}, whose withdrawal is due',
+                f'{name} uses {withdrawal.version}, whose withdrawal must be '
+                'in force everywhere',
             )
 
-    def _look_back(self, host: TrialHost) -> None:
-        """Check that nothing that an incarnation had has been undone."""
-        held = host.configuration
+    def _check_progress(self, host: TrialHost) -> None:
+        """Check that an incarnation lost no revision and no withdrawal."""
+        configuration = host.configuration
         name = host.names.host
-        before, revision = self._last.get(name, (host, Revision(0)))
+        incarnation, revision = self._last_revisions.get(
+            name, (host, Revision(0))
+        )
         self.report.check(
-            before is not host or held.revision >= revision,
-            f'{name} went back from {revision} to {held.revision}',
+            incarnation is not host or configuration.revision >= revision,
+            f'{name} went back from revision {revision} to '
+            f'{configuration.revision}',
+        )
+        self._last_revisions[name] = (host, configuration.revision)
+        incarnation, known = self._withdrawals.get(
+            name, (host, WithdrawalSet())
         )
-        self._last[name] = (host, held.revision)
-        owner, known = self._withdrawals.get(name, (host, WithdrawalSet()))
-        withdrawals = known if owner is host else WithdrawalSet()
-        for withdrawal in withdrawals.withdrawals:
+        if incarnation is not host:
+            known = WithdrawalSet()
+        for withdrawal in known.withdrawals:
             self.report.check(
-                held.is_withdrawn(
+                configuration.is_withdrawn(
                     VersionId(withdrawal.version), Epoch(withdrawal.epoch)
                 ),
-                f'{name} forgot that {withdrawal.version} is withdrawn',
+                f'{name} lost the withdrawal of {withdrawal.version}',
             )
-        withdrawals.add(held.withdrawals)
-        self._withdrawals[name] = (host, withdrawals)
+        known.add(configuration.withdrawals)
+        self._withdrawals[name] = (host, known)
 
-    def _compare(self, revision: int, digest: str, preset: str) -> None:
-        """Check that a revision is one thing everywhere."""
-        first = self._known.setdefault(revision, (digest, preset))
+    def _check_revision(self, revision: int, digest: str, preset: str) -> None:
+        """Check that a revision has the same content wherever it is seen."""
+        first = self._contents.setdefault(revision, (digest, preset))
         self.report.check(
             first == (digest, preset),
-            f'revision {revision} has two presets or documents',
+            f'revision {revision} has different presets or documents',
         )
--- a/tests/test_configuration_random.py
+++ b/tests/test_configuration_random.py
@@ -27,7 +27,7 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 report = asyncio.run(run(seed, SECONDS))
-                self.assertEqual(report.broken, [])
+                self.assertEqual(report.violations, [])
                 self.assertGreater(report.revisions, 5)
 
     def test_the_same_seed_gives_the_same_run(self) -> None:
@@ -38,4 +38,4 @@
         for name, (seed, seconds) in CAUGHT.items():
             with self.subTest(name), mutant(name):
                 report = asyncio.run(run(seed, seconds))
-                self.assertNotEqual(report.broken, [])
+                self.assertNotEqual(report.violations, [])
