--- a/experiments/slopes/__init__.py
+++ b/experiments/slopes/__init__.py
@@ -1,1 +1,4 @@
-"""How the cost of control grows with the fleet."""
+"""Measurements of how the control plane's cost grows with the fleet.
+
+The measured hosts get no requests from callers.
+"""
--- a/experiments/slopes/engines.py
+++ b/experiments/slopes/engines.py
@@ -1,7 +1,9 @@
-"""Many engines' reports from one process, for measuring what asking costs.
+"""A stand-in for many engines in one process, which only serves reports.
 
-Run as ``python -m experiments.slopes.engines COUNT VERSIONS``. Every engine
-listens on a port of its own; ``GET /ports`` at the first one lists them.
+Used to measure what polling engines costs a host. Run as ``python -m
+experiments.slopes.engines COUNT VERSIONS``. Every engine listens on a port of
+its own; ``GET /ports`` on any of them lists all ports. The first line of
+output gives the address of the first one.
 """
 
 import asyncio
@@ -13,16 +15,18 @@
 from aiohttp import web
 from fakes.bodies import json_reply
 
-#: Requests that an engine's batch can hold: 8 for each of its accelerators.
+#: Capacity of an engine's batch, in requests: 8 for each accelerator.
 SLOTS: Final = 64
 
 
 class Engines:
-    """Answers for all engines; loads walk at random.
+    """Serves the reports of all engines.
+
+    The load in the reports is a random walk with a fixed seed.
 
     Args:
-        count: How many engines.
-        versions: How many versions are spread over them.
+        count: Number of engines.
+        versions: Number of versions; each engine has one of them loaded.
     """
 
     def __init__(self, count: int, versions: int) -> None:
@@ -33,10 +37,10 @@
         self._randomness = random.Random(1)
 
     async def serve(self) -> int:
-        """Begin to listen; return the port of the list of ports."""
+        """Start all listeners; return the port of the first engine."""
         app = web.Application()
         app.router.add_get('/engine/report', self._report)
-        app.router.add_get('/ports', self._list)
+        app.router.add_get('/ports', self._list_ports)
         runner = web.AppRunner(app, access_log=None)
         await runner.setup()
         for number in range(self._count):
@@ -46,7 +50,7 @@
             self._ports[port] = number
         return next(iter(self._ports))
 
-    async def _list(self, _request: web.Request) -> web.Response:
+    async def _list_ports(self, _request: web.Request) -> web.Response:
         return json_reply(tuple(self._ports))
 
     async def _report(self, request: web.Request) -> web.Response:
--- a/experiments/slopes/hosts.py
+++ b/experiments/slopes/hosts.py
@@ -1,9 +1,10 @@
-"""What control costs a host: ``python -m experiments.slopes.hosts [--quick]``.
+"""Measures what the control plane costs a host, by size of the fleet.
 
-Whole hosts, as objects in this process, over real loopback before one
-platform stand-in and one process that answers for all engines. Each round
-has other numbers of hosts, domains, engines, versions and changes; slopes
-are fitted by least squares. It writes ``results/slopes.json``.
+Run as ``python -m experiments.slopes.hosts [--quick]``. Complete hosts run in
+this process, over real loopback, with one platform stand-in and one process
+that answers for all engines. Each round has other numbers of hosts, failure
+domains, engines, versions and changes; slopes are fitted by least squares.
+The results are written to ``results/slopes.json``.
 """
 
 import argparse
@@ -42,24 +43,25 @@
 from nutmegroad.membership.members import Members
 from nutmegroad.routing.directory import Directory
 
-#: Seconds before, and of, a measurement; the second pair is the quick one.
-PACE: Final = (9.0, 8.0)
-QUICK_PACE: Final = (4.0, 5.0)
+#: Seconds to settle before a measurement, and seconds that it takes.
+TIMING: Final = (9.0, 8.0)
+QUICK_TIMING: Final = (4.0, 5.0)
 MEGABYTE: Final = 1e6
-WRITTEN: Final = Path('results/slopes.json')
-_NOWHERE: Final = Address('127.0.0.1', 0)
+RESULTS: Final = Path('results/slopes.json')
+#: Lets the system choose a free port.
+_ANY_PORT: Final = Address('127.0.0.1', 0)
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """What a round has.
+    """Size of the fleet in a round.
 
     Attributes:
-        hosts: Entry hosts.
-        domains: Failure domains.
-        engines: Engines.
-        versions: Versions spread over the engines.
-        changes: Changes of configuration a second.
+        hosts: Number of hosts.
+        domains: Number of failure domains.
+        engines: Number of engines.
+        versions: Number of versions; each engine has one of them loaded.
+        changes: Configuration changes per second.
         heartbeat: Seconds between heartbeats.
     """
 
@@ -71,7 +73,8 @@
     heartbeat: float = 1
 
 
-QUICK: Final = (
+#: Rounds of a run with ``--quick``.
+QUICK_SIZES: Final = (
     Size(6, 1, 12),
     Size(18, 1, 12),
     Size(12, 1, 12),
@@ -80,8 +83,9 @@
     Size(18, 9, 300, 22),
     Size(9, 3, 890, 22),
 )
-LONG: Final = (
-    *QUICK,
+#: Rounds of a full run.
+ALL_SIZES: Final = (
+    *QUICK_SIZES,
     Size(36, 1, 12),
     Size(36, 9, 300, 22),
     Size(18, 3, 600, 22),
@@ -92,16 +96,18 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What a round showed: means over its hosts, a second.
+    """Results of a round, as means over its hosts.
 
     Attributes:
-        size: What the round had.
-        near: Links within the domain.
-        far: Links to other domains.
-        parts: By part: bytes and messages each way, processor seconds.
-        events: By name: how often.
-        process: Processor seconds of the process, for each host.
-        memory: Bytes that a host added to the process.
+        size: Size of the fleet.
+        near: Links within the failure domain.
+        far: Links to other failure domains.
+        parts: Cost of each part per second: bytes and messages each way,
+            processor seconds.
+        events: Number of events per second, by name.
+        process: Processor seconds of the whole process per second, divided
+            by the number of hosts.
+        memory: Bytes by which each host enlarged the process.
         load: Load average of the machine at the end.
     """
 
@@ -115,8 +121,13 @@
     load: float = 0
 
 
-async def measure(size: Size, pace: tuple[float, float]) -> Outcome:
-    """Run one round; the pace is in seconds, as in ``PACE``."""
+async def measure(size: Size, timing: tuple[float, float]) -> Outcome:
+    """Run one round.
+
+    Args:
+        size: Size of the fleet.
+        timing: Seconds before and of the measurement, as in ``TIMING``.
+    """
     outcome = Outcome(size)
     async with AsyncExitStack() as stack:
         processes = await stack.enter_async_context(Processes())
@@ -127,22 +138,28 @@
             str(size.engines),
             str(size.versions),
         )
-        await _publish(platform, engines, size)
-        # The list lags by 2 s.
+        await _publish_engines(platform, engines, size)
+        # The platform's host list lags by 2 s.
         await asyncio.sleep(2.2)
         before = resident_bytes()
-        kernels = await _start(stack, platform, size)
+        kernels = await _start_hosts(stack, platform, size)
         if size.changes:
-            changing = asyncio.create_task(_change(kernels[0], size.changes))
-            stack.callback(changing.cancel)
-        await asyncio.sleep(pace[0])
+            changes = asyncio.create_task(
+                _switch_presets(kernels[0], size.changes)
+            )
+            stack.callback(changes.cancel)
+        await asyncio.sleep(timing[0])
         outcome.memory = (resident_bytes() - before) / size.hosts
-        await _take_window(kernels, outcome, pace[1])
+        await _measure_window(kernels, outcome, timing[1])
     return outcome
 
 
-async def _publish(platform: Running, engines: Running, size: Size) -> None:
-    """Tell the host list of the engines, spread over the domains."""
+async def _publish_engines(
+    platform: Running,
+    engines: Running,
+    size: Size,
+) -> None:
+    """Publish the engines, distributed over the domains, in the host list."""
     async with ClientSession() as session:
         url = f'http://{engines.listening["main"]}/ports'
         async with session.get(url) as response:
@@ -165,43 +182,50 @@
             response.raise_for_status()
 
 
-async def _start(
+async def _start_hosts(
     stack: AsyncExitStack,
     platform: Running,
     size: Size,
 ) -> list[Kernel]:
-    """Start the hosts, and put a configuration into force."""
-    first = _make(0, (), platform, size)
+    """Start all hosts and put a configuration into force.
+
+    The first host is the seed of all the others.
+    """
+    first = _make_host(0, (), platform, size)
     await first.start()
     seeds = (first.listening['peers'],)
     others = [
-        _make(number, seeds, platform, size) for number in range(1, size.hosts)
+        _make_host(number, seeds, platform, size)
+        for number in range(1, size.hosts)
     ]
     kernels = [first, *others]
-    stack.push_async_callback(_close, kernels)
+    stack.push_async_callback(_stop_hosts, kernels)
     await asyncio.gather(*(kernel.start() for kernel in others))
-    await _apply(first)
+    await _apply_example(first)
     return kernels
 
 
-async def _close(kernels: list[Kernel]) -> None:
-    """Close all hosts together."""
+async def _stop_hosts(kernels: list[Kernel]) -> None:
+    """Stop all hosts concurrently."""
     await asyncio.gather(*(kernel.stack.aclose() for kernel in kernels))
 
 
-def _make(
+def _make_host(
     number: int,
     seeds: tuple[Address, ...],
     platform: Running,
     size: Size,
 ) -> Kernel:
-    """Return a host that is not started yet."""
+    """Return a host that is not started yet.
+
+    Its number gives its name and its domain, and seeds its randomness.
+    """
     settings = Settings(
         host=HostId(f'host-{number:03}'),
         domain=DomainId(f'domain-{number % size.domains}'),
-        callers=_NOWHERE,
-        operators=_NOWHERE,
-        peers=_NOWHERE,
+        callers=_ANY_PORT,
+        operators=_ANY_PORT,
+        peers=_ANY_PORT,
         platform=platform.listening['main'],
         cluster_key='a-cluster-key-for-slopes',
         bootstrap_token=BOOTSTRAP_TOKEN,
@@ -213,15 +237,15 @@
     return Kernel(settings, SystemClock(), random.Random(number))
 
 
-async def _apply(kernel: Kernel, comment: str = '') -> Any:
-    """Put the example's configuration into force."""
+async def _apply_example(kernel: Kernel, comment: str = '') -> Any:
+    """Put an example's configuration into force through one host."""
     body = {'text': f'{read_example("lesen")}\n# {comment}\n'}
     address = kernel.listening['operators']
     return await operate(address, 'configuration', body, BOOTSTRAP_TOKEN)
 
 
-async def _change(kernel: Kernel, rate: float) -> None:
-    """Accept one configuration after another."""
+async def _switch_presets(kernel: Kernel, rate: float) -> None:
+    """Switch between two presets through one host, at a rate per second."""
     token = operator_token('farah')
     for number in range(1 << 20):
         body = {'preset': ('ordinary', 'peak')[number % 2]}
@@ -230,35 +254,36 @@
         await asyncio.sleep(1 / rate)
 
 
-async def _take_window(
+async def _measure_window(
     kernels: list[Kernel],
     outcome: Outcome,
     window: float,
 ) -> None:
-    """Measure for some seconds."""
+    """Measure costs and links over a window, in seconds."""
     ledgers = [kernel.need(Ledger) for kernel in kernels]
-    before = [_State.of(ledger) for ledger in ledgers]
-    began, spent = time.monotonic(), time.process_time()
+    before = [_LedgerState.of(ledger) for ledger in ledgers]
+    began, processor = time.monotonic(), time.process_time()
     await asyncio.sleep(window)
     seconds = time.monotonic() - began
-    share = 1 / (seconds * len(kernels))
-    outcome.process = (time.process_time() - spent) * share
+    # Turns one host's total into its contribution to the mean per second.
+    weight = 1 / (seconds * len(kernels))
+    outcome.process = (time.process_time() - processor) * weight
     for ledger, state in zip(ledgers, before, strict=True):
-        _add_costs(outcome, ledger, state, share)
+        _add_costs(outcome, ledger, state, weight)
     _count_links(kernels, outcome)
     outcome.load = os.getloadavg()[0]
 
 
 @dataclass(frozen=True, slots=True)
-class _State:
-    """What a ledger held."""
+class _LedgerState:
+    """A ledger's totals at one moment."""
 
     costs: dict[str, PartCost]
     events: dict[str, int]
 
     @classmethod
     def of(cls, ledger: Ledger) -> Self:
-        """Return a copy, which does not grow."""
+        """Return a copy of the totals, which later costs don't change."""
         costs = ledger.costs().items()
         copied = {part: cost.minus(PartCost()) for part, cost in costs}
         return cls(copied, dict(ledger.events()))
@@ -267,22 +292,27 @@
 def _add_costs(
     outcome: Outcome,
     ledger: Ledger,
-    before: _State,
-    share: float,
+    before: _LedgerState,
+    weight: float,
 ) -> None:
-    """Add one host's share of the means."""
+    """Add one host's costs and events since a state to the means."""
     for part, cost in ledger.costs().items():
-        gained = cost.minus(before.costs.get(part, PartCost()))
+        spent = cost.minus(before.costs.get(part, PartCost()))
         mean: Any = outcome.parts.setdefault(part, PartCost())
-        for name, count in asdict(gained).items():
-            setattr(mean, name, getattr(mean, name) + count * share)
+        for name, count in asdict(spent).items():
+            setattr(mean, name, getattr(mean, name) + count * weight)
     for event, count in ledger.events().items():
-        gained_count = count - before.events.get(event, 0)
-        known = outcome.events.get(event, 0)
-        outcome.events[event] = known + gained_count * share
+        new_count = count - before.events.get(event, 0)
+        mean_rate = outcome.events.get(event, 0)
+        outcome.events[event] = mean_rate + new_count * weight
 
 
 def _count_links(kernels: list[Kernel], outcome: Outcome) -> None:
+    """Set the mean numbers of links.
+
+    Raises:
+        RuntimeError: If a host does not know all engines.
+    """
     for kernel in kernels:
         links = kernel.need(Mesh)
         members = kernel.need(Members)
@@ -295,18 +325,18 @@
         )
         outcome.near += near / len(kernels)
         outcome.far += (len(linked) - near) / len(kernels)
-        # A round in which a host does not know its engines shows nothing.
-        known = kernel.need(Directory).states()
-        if len(known) != outcome.size.engines:
-            raise RuntimeError(f'{len(known)} of {outcome.size.engines}')
-
-
-def _measure_and_show(
-    size: Size,
-    pace: tuple[float, float],
-) -> dict[str, Any]:
-    outcome = asdict(uvloop.run(measure(size, pace)))
-    sys.stdout.write(fits.describe(outcome))
+        # The costs of a host that does not know all engines mean nothing.
+        known = len(kernel.need(Directory).states())
+        if known != outcome.size.engines:
+            expected = outcome.size.engines
+            message = f'A host knows {known} of {expected} engines.'
+            raise RuntimeError(message)
+
+
+def _run_round(size: Size, timing: tuple[float, float]) -> dict[str, Any]:
+    """Run one round, print its results and return them."""
+    outcome = asdict(uvloop.run(measure(size, timing)))
+    sys.stdout.write(fits.format_round(outcome))
     sys.stdout.flush()
     return outcome
 
@@ -316,17 +346,19 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--quick', action='store_true')
     quick = parser.parse_args().quick
-    sizes, pace = (QUICK, QUICK_PACE) if quick else (LONG, PACE)
+    sizes, timing = ALL_SIZES, TIMING
+    if quick:
+        sizes, timing = QUICK_SIZES, QUICK_TIMING
     logging.set_verbosity(logging.ERROR)
     load_plugins()
     base = resident_bytes()
     sys.stdout.write(f'before the first host: {base / MEGABYTE:.1f} MB\n')
-    rounds = [_measure_and_show(size, pace) for size in sizes]
-    letter = fits.extrapolate(rounds)
-    sys.stdout.write(fits.describe_letter(letter))
-    WRITTEN.parent.mkdir(exist_ok=True)
-    written = {'base': base, 'rounds': rounds, 'letter': letter}
-    WRITTEN.write_text(json.dumps(written, indent=1))
+    rounds = [_run_round(size, timing) for size in sizes]
+    extrapolated = fits.extrapolate(rounds)
+    sys.stdout.write(fits.format_extrapolation(extrapolated))
+    RESULTS.parent.mkdir(exist_ok=True)
+    written = {'base': base, 'rounds': rounds, 'letter': extrapolated}
+    RESULTS.write_text(json.dumps(written, indent=1))
     return 0
 
 
--- a/experiments/slopes/mesh_hosts.py
+++ b/experiments/slopes/mesh_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts with links and membership only, for measuring them."""
+"""Hosts that consist only of links and membership, for measuring these."""
 
 import random
 import time
@@ -29,22 +29,23 @@
 #: Bytes of Ethernet, IP and TCP headers of a segment with time stamps.
 HEADERS: Final = 66
 
+#: Cluster key of all measured hosts.
 _KEY: Final = b'a key for a measurement'
 _LOOPBACK: Final = '127.0.0.1'
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What a host spends, a second.
+    """A host's links, and what they and the membership cost per second.
 
     Attributes:
-        near: Links within the domain.
-        far: Links to other domains.
-        sent: Bytes sent, without headers.
-        messages: Messages sent.
-        on_wire: Bytes sent with headers, an acknowledgement for each
-            message received among them: an estimate from above.
-        processor: Processor seconds.
+        near: Links within the failure domain.
+        far: Links to other failure domains.
+        sent: Bytes sent per second, without headers.
+        messages: Messages sent per second.
+        on_wire: Upper estimate of bytes sent per second with headers,
+            including an acknowledgement for each message received.
+        processor: Processor seconds per second.
     """
 
     near: float
@@ -59,9 +60,16 @@
     """The links and the membership of one host.
 
     Args:
-        number: Its number, from which its name comes.
-        domain: Its failure domain.
-        seeds: Where it finds a first host.
+        number: Number of the host; gives its name and seeds its randomness.
+        domain: The host's failure domain.
+        seeds: Peer addresses of hosts to join; empty for the first host.
+
+    Attributes:
+        clock: The host's clock; can be paused.
+        ledger: Records what the host spends.
+        table: The host's member table.
+        links: The host's links.
+        members: The host's membership.
     """
 
     def __init__(
@@ -73,8 +81,7 @@
         identity = identity_of(HostId(f'host-{number:03}'), domain)
         self.clock = PausableClock(SystemClock())
         self.ledger = Ledger(time.thread_time)
-        made = make_table(identity, self.clock, 1)
-        self.table = made[0]
+        self.table, reachability = make_table(identity, self.clock, 1)
         randomness = random.Random(number)
         context = LinkContext(
             key=_KEY,
@@ -87,12 +94,13 @@
         self.members = Members(
             MemberContext(self.clock, randomness, self.ledger, seeds=seeds),
             self.links,
-            *made,
+            self.table,
+            reachability,
         )
         self._stack = AsyncExitStack()
 
     async def __aenter__(self) -> Self:
-        """Join the others."""
+        """Open the listener and join the other hosts."""
         await self._stack.enter_async_context(self.links)
         await self._stack.enter_async_context(self.members)
         return self
@@ -103,17 +111,17 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Leave the others."""
+        """Close the links, also if the host is paused."""
         self.clock.resume()
         await self._stack.aclose()
 
     @property
     def host(self) -> HostId:
-        """Its id."""
+        """The host's id."""
         return self.members.host
 
     def total(self) -> PartCost:
-        """Return what all parts have spent."""
+        """Return the summed cost of all parts so far."""
         total = PartCost()
         for cost in self.ledger.costs().values():
             total.sent_bytes += cost.sent_bytes
@@ -123,7 +131,12 @@
         return total
 
     def cost_since(self, before: PartCost, seconds: float) -> Cost:
-        """Return what it spent a second since an earlier total."""
+        """Return the mean cost per second since an earlier total.
+
+        Args:
+            before: The earlier total.
+            seconds: Seconds since then.
+        """
         after = self.total()
         sent = after.sent_bytes - before.sent_bytes
         messages = after.sent_messages - before.sent_messages
@@ -140,13 +153,14 @@
         )
 
     def presence_of(self, host: HostId) -> Presence:
-        """Return how another host stands, as this one knows."""
+        """Return another host's presence, as known to this host."""
         for member in self.members.members():
             if member.host == host:
                 return member.presence
         return Presence.GONE
 
     def _count_links(self) -> tuple[int, int]:
+        """Return the numbers of links within the domain and to others."""
         linked = self.links.linked()
         near = sum(
             1
@@ -157,31 +171,35 @@
 
 
 class NoLinks:
-    """Links that never come about; counts the ticks of its user."""
+    """Links to no host, which count the ticks of the membership.
+
+    Attributes:
+        ticks: How often ``linked`` was called, which is once a tick.
+    """
 
     def __init__(self) -> None:
         self.ticks = 0
 
     def listen(self, listener: LinkListener) -> None:
-        """Tell nobody."""
+        """Ignore the listener, as no link ever changes."""
 
     def keep_links(self, addresses: Iterable[Address]) -> None:
-        """Connect to nobody."""
+        """Open no link."""
 
     def linked(self) -> dict[HostId, float]:
-        """Return no host."""
+        """Count a tick, and return no host."""
         self.ticks += 1
         return {}
 
     def drop(self, host: HostId) -> None:
-        """Close nothing."""
+        """Close no link."""
 
     def members(self) -> tuple[Member, ...]:
         """Return no host."""
         return ()
 
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
-        """Call no handler."""
+        """Register nothing, as no message arrives."""
 
     def tell(self, host: HostId, message: Message) -> bool:
         """Send nothing."""
@@ -201,12 +219,12 @@
         message: Message,
         timeout: float,
     ) -> Message | Refusal:
-        """Ask nobody."""
+        """Return a refusal, as there is no link."""
         return Refusal(ResultCode.PEER_UNREACHABLE, 'There are no links.')
 
 
 def identity_of(host: HostId, domain: DomainId) -> Identity:
-    """Return who a host on loopback is."""
+    """Return the identity of a host on loopback, with any free port."""
     return Identity(
         host=host,
         incarnation=Incarnation(f'{host}.0123456789abcdef'),
