--- a/experiments/__init__.py
+++ b/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Programs that run, load and measure whole deployments on one machine."""
+"""Programs that run, load, test and measure deployments on one machine."""
--- a/experiments/configuration/leaving_spread.py
+++ b/experiments/configuration/leaving_spread.py
@@ -43,7 +43,7 @@
     """Loads the hosts and observes which answers the engine begins.
 
     Args:
-        running: The deployment that is measured.
+        deployment: The deployment that is measured.
         session: HTTP client for the callers and for the engine's admin calls.
 
     Attributes:
@@ -53,18 +53,18 @@
             the order.
     """
 
-    def __init__(self, running: Deployment, session: ClientSession) -> None:
-        address = running.engines[ENGINE].listening['main']
+    def __init__(self, deployment: Deployment, session: ClientSession) -> None:
+        address = deployment.engines[ENGINE].listening['main']
         self.answered = 0
         self.refused = 0
         self.late_answers: list[int] = []
-        self._running = running
+        self._deployment = deployment
         self._session = session
         self._admin = f'http://{address}/admin'
 
     async def load_host(self, host: int) -> None:
         """Send requests to one host, one after another, until cancelled."""
-        address = self._running.callers[host]
+        address = self._deployment.callers[host]
         url = f'http://{address}/v1/chat/completions'
         headers = {'Authorization': f'Bearer {workspace_key("head-office")}'}
         body = {
@@ -110,11 +110,11 @@
     async with AsyncExitStack() as stack:
         ends = asyncio.get_running_loop().time() + TIME_LIMIT
         processes = await stack.enter_async_context(Processes())
-        running = await start(processes, RIG)
+        deployment = await start(processes, RIG)
         session = await stack.enter_async_context(ClientSession())
-        measurement = Measurement(running, session)
-        for host in range(len(running.callers) * CALLERS_PER_HOST):
-            load = measurement.load_host(host % len(running.callers))
+        measurement = Measurement(deployment, session)
+        for host in range(len(deployment.callers) * CALLERS_PER_HOST):
+            load = measurement.load_host(host % len(deployment.callers))
             stack.callback(asyncio.create_task(load).cancel)
         try:
             async with asyncio.timeout_at(ends):
--- a/experiments/demo.py
+++ b/experiments/demo.py
@@ -1,9 +1,9 @@
-"""The main job on embedded stand-ins: ``make demo``.
+"""Demonstrates request routing on a local deployment: ``make demo``.
 
-Starts a platform, three failure domains with their upstreams and two entry
-hosts each, sends requests of every task class through all hosts, switches
-the preset and withdraws a version while they run, and checks each answer.
-Exits 0 only if every check held.
+Starts a platform stand-in and three failure domains, each with upstream
+stand-ins and two hosts. Sends requests of every task class through all hosts,
+switches the preset while requests run, withdraws a version, and checks each
+answer. Exits with 0 only if every check held.
 """
 
 import asyncio
@@ -27,18 +27,18 @@
 from nutmegroad.contracts.documents import Role
 from nutmegroad.foundations.types import Address, PresetName
 
-#: Requests of each task class.
+#: Requests per task class, each time that requests are sent.
 REQUESTS: Final = 12
-#: Tokens that each answer has, so that the demo is short.
+#: Length of each answer; small, so that the demo takes little time.
 TOKENS: Final = 24
-#: The version that is withdrawn; another one can take its work.
+#: The version that is withdrawn; another version can replace it.
 WITHDRAWN: Final = 'brief-medium@4'
-#: The preset that is switched to.
+#: The preset that the demo switches to.
 PRESET: Final = PresetName('maintenance')
-#: Seconds for the whole demo.
-LIMIT: Final = 55
+#: Time limit of the whole demo, in seconds.
+TIME_LIMIT: Final = 55
 #: Seconds within which a withdrawal must be in force on every host.
-IN_FORCE: Final = 19
+WITHDRAWAL_TIMEOUT: Final = 19
 
 _OK: Final = 200
 _TIMEOUT: Final = ClientTimeout(total=20)
@@ -46,31 +46,31 @@
 
 @dataclass(slots=True)
 class Report:
-    """What came of the demo.
+    """Results of the demo.
 
     Attributes:
-        problems: Checks that did not hold.
-        answers: How many answers each version gave, by task class.
-        cost: Sum of all costs.
+        problems: Checks that failed.
+        answers: Number of answers by task class and version.
+        cost: Total cost of all answers.
     """
 
     problems: list[str] = field(default_factory=list)
     answers: Counter[tuple[str, str]] = field(default_factory=Counter)
     cost: float = 0
 
-    def check(self, held: bool, problem: str) -> None:
-        """Note a check that did not hold."""
-        if not held:
+    def check(self, holds: bool, problem: str) -> None:
+        """Record a problem if a check failed."""
+        if not holds:
             self.problems.append(problem)
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A reply to one request.
+    """A host's reply to one request.
 
     Attributes:
         status: HTTP status.
-        body: The parsed body.
+        body: The decoded JSON body; None if it was empty.
     """
 
     status: int
@@ -85,7 +85,16 @@
     body: Any,
     key: str = '',
 ) -> Reply:
-    """Send one request as a workspace."""
+    """Send one request on behalf of a workspace, and return the reply.
+
+    Args:
+        session: HTTP client.
+        address: Where a host listens to callers.
+        path: Path below ``/v1/``.
+        workspace: Name of the workspace, whose key authorizes the request.
+        body: Body, sent as JSON.
+        key: Idempotency key; empty for none.
+    """
     headers = {'Authorization': f'Bearer {workspace_key(workspace)}'}
     if key:
         headers['Idempotency-Key'] = key
@@ -98,37 +107,42 @@
 
 
 class Demo:
-    """Sends the demo's requests.
+    """Sends the demo's requests and checks the answers.
 
     Args:
         session: HTTP client.
-        running: The deployment.
-        report: Where results go.
+        deployment: The deployment.
+        report: Receives the results.
     """
 
     def __init__(
         self,
         session: ClientSession,
-        running: Deployment,
+        deployment: Deployment,
         report: Report,
     ) -> None:
         self._session = session
-        self._running = running
+        self._deployment = deployment
         self._report = report
 
-    async def ask_all(self, title: str, withdrawn: str = '') -> None:
-        """Send requests of every task class through all hosts."""
+    async def request_all(self, title: str, withdrawn: str = '') -> None:
+        """Send requests of every task class through all hosts.
+
+        Args:
+            title: Printed first.
+            withdrawn: A version that must not answer; empty for none.
+        """
         sys.stdout.write(f'\n{title}\n')
-        asks = [
-            self._ask(task.name, number, withdrawn)
-            for task in self._running.document.tasks
+        requests = [
+            self._request(task.name, number, withdrawn)
+            for task in self._deployment.document.tasks
             for number in range(REQUESTS)
         ]
-        await asyncio.gather(*asks)
+        await asyncio.gather(*requests)
 
     async def call_service(self) -> None:
-        """Send one call that may not be repeated, twice with one key."""
-        document = self._running.document
+        """Send a call that must run once to two hosts, with one key."""
+        document = self._deployment.document
         service = document.services[0]
         workspace = next(
             entry
@@ -146,23 +160,25 @@
                 {'amount': 1},
                 key='demo-receipt',
             )
-            for address in self._running.callers[:2]
+            for address in self._deployment.callers[:2]
         ]
         first, second = replies
-        line = f'{path}: {first.status} {first.body}, again {second.body}'
+        line = f'{path}: {first.status} {first.body}, repeated {second.body}'
         sys.stdout.write(f'  {line}\n')
         self._report.check(first.status == _OK, f'not answered: {line}')
         self._report.check(first.body == second.body, f'ran twice: {line}')
 
-    async def _ask(self, task: str, number: int, withdrawn: str) -> None:
-        """Send one model request and look at its answer."""
-        workspaces = self._running.document.workspaces
+    async def _request(self, task: str, number: int, withdrawn: str) -> None:
+        """Send one model request and check its answer."""
+        workspaces = self._deployment.document.workspaces
         workspace = workspaces[number % len(workspaces)]
-        address = self._running.callers[number % len(self._running.callers)]
-        words = f'{task} number {number} of {workspace.name}'
+        address = self._deployment.callers[
+            number % len(self._deployment.callers)
+        ]
+        prompt = f'{task} number {number} of {workspace.name}'
         body = {
             'model': task,
-            'messages': [{'role': 'user', 'content': words}],
+            'messages': [{'role': 'user', 'content': prompt}],
             'nutmegroad_tokens': TOKENS,
         }
         reply = await post(
@@ -172,16 +188,16 @@
             workspace.name,
             body,
         )
-        self._judge(task, workspace.versions, reply, withdrawn)
+        self._check_answer(task, workspace.versions, reply, withdrawn)
 
-    def _judge(
+    def _check_answer(
         self,
         task: str,
         allowed: tuple[str, ...],
         reply: Reply,
         withdrawn: str,
     ) -> None:
-        """Check one answer and print it."""
+        """Check one answer, print it and add it to the report."""
         report = self._report
         if reply.status != _OK:
             report.check(False, f'{task}: {reply.status} {reply.body}')
@@ -199,26 +215,36 @@
         report.check(version != withdrawn, f'{task}: {version} is withdrawn')
         report.check(
             len(words) == usage['completion_tokens'],
-            f'{task}: {len(words)} tokens of {usage["completion_tokens"]}',
+            f'{task}: {len(words)} tokens received, '
+            f'{usage["completion_tokens"]} expected',
         )
 
 
 async def run(name: str) -> Report:
-    """Run the demo on one of the examples."""
+    """Run the demo on one of the example configurations."""
     report = Report()
     rig = RIGS[name]
     async with Processes() as processes:
-        running = await start(processes, rig)
+        deployment = await start(processes, rig)
         async with ClientSession(timeout=_TIMEOUT) as session:
-            await _play(Demo(session, running, report), running, report)
+            await _run_scenario(
+                Demo(session, deployment, report), deployment, report
+            )
     for process, code in processes.exit_codes.items():
-        report.check(code == 0, f'{process} ended with {code}')
+        report.check(code == 0, f'{process} exited with {code}')
     return report
 
 
-async def _play(demo: Demo, running: Deployment, report: Report) -> None:
-    """Send requests; switch and withdraw while more of them run."""
-    document = running.document
+async def _run_scenario(
+    demo: Demo,
+    deployment: Deployment,
+    report: Report,
+) -> None:
+    """Send requests, with a preset switch and a withdrawal between them.
+
+    The switch happens while requests are in flight.
+    """
+    document = deployment.document
     token = operator_token(
         next(
             entry.name
@@ -226,47 +252,47 @@
             if entry.role is Role.OPERATE
         ),
     )
-    await demo.ask_all('Under the first preset:')
+    await demo.request_all('Under the first preset:')
     await demo.call_service()
-    preset = PRESET
-    switch = asyncio.create_task(_switch(running, token, preset, report))
-    await demo.ask_all(f'While the preset changes to {preset!r}:')
+    switch = asyncio.create_task(
+        _switch_preset(deployment, token, PRESET, report)
+    )
+    await demo.request_all(f'While the preset changes to {PRESET!r}:')
     await switch
-    version = WITHDRAWN
     await operate(
-        running.operators[0],
+        deployment.operators[0],
         'withdrawals',
-        {'version': version},
+        {'version': WITHDRAWN},
         token,
     )
-    await _wait_until_withdrawn(running, token, version)
-    await demo.ask_all(f'With {version} withdrawn:', version)
+    await _wait_until_withdrawn(deployment, token, WITHDRAWN)
+    await demo.request_all(f'With {WITHDRAWN} withdrawn:', WITHDRAWN)
 
 
-async def _switch(
-    running: Deployment,
+async def _switch_preset(
+    deployment: Deployment,
     token: str,
     preset: PresetName,
     report: Report,
 ) -> None:
-    """Switch the preset through the last host."""
+    """Switch the preset through the last host; check the reply."""
     head = await operate(
-        running.operators[-1],
+        deployment.operators[-1],
         'preset',
         {'preset': preset},
         token,
     )
-    report.check(head.get('preset') == preset, f'not switched: {head}')
+    report.check(head.get('preset') == preset, f'preset not switched: {head}')
 
 
 async def _wait_until_withdrawn(
-    running: Deployment,
+    deployment: Deployment,
     token: str,
     version: str,
 ) -> None:
-    """Wait until every host says that a version is withdrawn."""
-    async with asyncio.timeout(IN_FORCE):
-        for address in running.operators:
+    """Wait until every host's status lists a version as withdrawn."""
+    async with asyncio.timeout(WITHDRAWAL_TIMEOUT):
+        for address in deployment.operators:
             while True:
                 status = await operate(address, 'status', token=token)
                 if version in status['withdrawals']:
@@ -274,8 +300,10 @@
                 await asyncio.sleep(0.1)
 
 
-_SPEED: Final = ('--step-base=0.002', '--report-lag=0.2')
+#: Makes the engine stand-ins fast, so that the demo takes little time.
+_ENGINE_SPEED: Final = ('--step-base=0.002', '--report-lag=0.2')
 
+#: The deployment for each example configuration.
 RIGS: Final = {
     'lesen': Rig(
         'lesen',
@@ -284,17 +312,17 @@
             ('brief-medium@4', 'brief-large@6'),
             ('brief-large@6', 'brief-large@7', 'brief-small@2'),
         ),
-        engine_args=_SPEED,
+        engine_args=_ENGINE_SPEED,
     ),
 }
 
 
 def main() -> int:
-    """Run the demo and say whether every check held."""
+    """Run the demo; return the exit code."""
 
     async def bounded() -> Report:
-        """Run within the limit."""
-        async with asyncio.timeout(LIMIT):
+        """Run the demo within the time limit."""
+        async with asyncio.timeout(TIME_LIMIT):
             return await run('lesen')
 
     report = asyncio.run(bounded())
--- a/experiments/deployment.py
+++ b/experiments/deployment.py
@@ -1,4 +1,8 @@
-"""A whole deployment on loopback: platform, upstreams and entry hosts."""
+"""Starts deployments on loopback: platform, upstreams and hosts.
+
+The hosts are real daemons; platform and upstreams are stand-ins. Each runs as
+a process of its own.
+"""
 
 import asyncio
 import hashlib
@@ -15,13 +19,14 @@
 
 EXAMPLES: Final = Path(__file__).parent.parent / 'examples'
 
-#: Domains of the two deployments of the brief.
+#: Failure domains of the deployment of each example configuration.
 DOMAINS: Final = {
     'lesen': ('shah-alam', 'petaling', 'cyberjaya'),
     'cascade': ('kent-hall', 'tukwila-hall', 'everett-hall'),
 }
 
-#: Seed of the answers of all engine stand-ins.
+#: Seed of the answers of all engine stand-ins. They share it, so that an
+#: answer can be resumed on another engine.
 ENGINE_SEED: Final = 1
 
 CLUSTER_KEY: Final = 'a-cluster-key-for-demos-only'
@@ -30,23 +35,23 @@
 _NO_CONTENT: Final = 204
 
 
-#: The versions that each engine of a domain has loaded.
+#: The versions that each engine of a failure domain has loaded.
 Engines = tuple[tuple[str, ...], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Rig:
-    """How large a deployment is set up.
+    """Size and options of a deployment.
 
     Attributes:
-        name: Name of the example.
-        engines: Versions that each engine of a domain has loaded.
-        hosts: Entry hosts in each domain.
-        services: Upstreams of the plain service in each domain.
-        engine_args: More flags for every engine stand-in.
-        platform_args: More flags for the platform stand-in.
-        host_args: More flags for every daemon.
-        uneven: The engines of domains that have others than the rest.
+        name: Name of the example configuration.
+        engines: Versions that each engine of a failure domain has loaded.
+        hosts: Number of hosts in each domain.
+        services: Number of upstreams of the plain service in each domain.
+        engine_args: Additional flags for every engine stand-in.
+        platform_args: Additional flags for the platform stand-in.
+        host_args: Additional flags for every host's daemon.
+        uneven: By domain, replaces ``engines`` in that domain.
         text: The configuration, as TOML; empty for the example's.
     """
 
@@ -61,22 +66,22 @@
     text: str = ''
 
     def engines_of(self, domain: str) -> Engines:
-        """Return the versions of each engine of a domain."""
+        """Return the versions that each engine of a domain has loaded."""
         return self.uneven.get(domain, self.engines)
 
 
 @dataclass(slots=True)
 class Deployment:
-    """What runs.
+    """A deployment's configuration and processes.
 
     Attributes:
         document: The configuration that was applied.
-        text: The same, as TOML.
+        text: The same configuration, as TOML.
         platform: The platform stand-in.
-        hosts: Entry hosts.
+        hosts: The hosts.
         engines: Engine stand-ins by id.
-        services: Plain services by id.
-        killed: Processes that an experiment has killed.
+        services: Stand-ins of the plain service by id.
+        killed: Names of processes that an experiment has killed.
     """
 
     document: Document
@@ -89,32 +94,32 @@
 
     @property
     def callers(self) -> tuple[Address, ...]:
-        """Return where the hosts listen to callers."""
+        """Addresses where the hosts listen to callers."""
         return tuple(host.listening['callers'] for host in self.hosts)
 
     @property
     def operators(self) -> tuple[Address, ...]:
-        """Return where the hosts listen to operators."""
+        """Addresses where the hosts listen to operators."""
         return tuple(host.listening['operators'] for host in self.hosts)
 
 
 def read_example(name: str) -> str:
-    """Return the configuration of an example, as TOML."""
+    """Return an example configuration, as TOML."""
     return (EXAMPLES / name / 'config.toml').read_text()
 
 
 def workspace_key(name: str) -> str:
-    """Return a demo workspace's key; the document has its hash."""
+    """Return the key of an example's workspace; the document has its hash."""
     return f'key-{name}'
 
 
 def operator_token(name: str) -> str:
-    """Return a demo operator's token; the document has its hash."""
+    """Return the token of an example's operator; the document has its hash."""
     return f'token-{name}'
 
 
-def hash_of(secret: str) -> str:
-    """Return what the document keeps of a secret."""
+def hash_secret(secret: str) -> str:
+    """Return the hash that a document contains instead of a secret."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
@@ -127,20 +132,20 @@
         'fakes.platform',
         *rig.platform_args,
     )
-    running = Deployment(document, text, platform)
-    await _start_upstreams(processes, rig, running)
-    await publish(running, rig)
-    await _start_hosts(processes, rig, running)
-    await apply(running)
-    return running
+    deployment = Deployment(document, text, platform)
+    await _start_upstreams(processes, rig, deployment)
+    await publish(deployment, rig)
+    await _start_hosts(processes, rig, deployment)
+    await apply(deployment)
+    return deployment
 
 
 async def _start_upstreams(
     processes: Processes,
     rig: Rig,
-    running: Deployment,
+    deployment: Deployment,
 ) -> None:
-    """Start engines and plain services of every domain, all at once."""
+    """Start the engines and plain services of all domains concurrently."""
     engines = {
         f'{domain}-engine-{number}': versions
         for domain in DOMAINS[rig.name]
@@ -151,14 +156,13 @@
         for domain in DOMAINS[rig.name]
         for number in range(rig.services)
     ]
-    qualities = quality_flags(running.document)
-    weights = f'--weights={running.platform.listening["main"]}'
+    qualities = quality_flags(deployment.document)
+    weights = f'--weights={deployment.platform.listening["main"]}'
     starts = [
         processes.start_fake(
             name,
             'fakes.engine',
             f'--id={name}',
-            # One seed, so that an answer can be resumed on another engine.
             f'--seed={ENGINE_SEED}',
             *rig.engine_args,
             *qualities,
@@ -168,14 +172,16 @@
         )
         for name, versions in engines.items()
     ]
-    starts += [processes.start_fake(name, 'fakes.service') for name in services]
-    started = {one.name: one for one in await asyncio.gather(*starts)}
-    running.engines.update({name: started[name] for name in engines})
-    running.services.update({name: started[name] for name in services})
+    starts.extend(
+        processes.start_fake(name, 'fakes.service') for name in services
+    )
+    started = {fake.name: fake for fake in await asyncio.gather(*starts)}
+    deployment.engines.update({name: started[name] for name in engines})
+    deployment.services.update({name: started[name] for name in services})
 
 
 def quality_flags(document: Document) -> list[str]:
-    """Return flags that make engines as good as the document says."""
+    """Return flags that give engine stand-ins the document's qualities."""
     return [
         f'--quality={entry.id}:{task}={quality}'
         for entry in document.versions
@@ -184,19 +190,25 @@
 
 
 async def publish(
-    running: Deployment,
+    deployment: Deployment,
     rig: Rig,
     leaving: frozenset[str] = frozenset(),
 ) -> None:
-    """Tell the platform's host list of the upstreams."""
-    service = running.document.services[0].name
+    """Replace the platform's host list by the hosts and upstreams that run.
+
+    Args:
+        deployment: The deployment.
+        rig: Unused.
+        leaving: Ids of upstreams that are listed as draining.
+    """
+    service = deployment.document.services[0].name
     upstreams = [
-        _listed(name, engine, 'engine', '', leaving)
-        for name, engine in running.engines.items()
+        _upstream_entry(name, engine, 'engine', '', leaving)
+        for name, engine in deployment.engines.items()
     ]
     upstreams.extend(
-        _listed(name, plain, 'service', service, leaving)
-        for name, plain in running.services.items()
+        _upstream_entry(name, plain, 'service', service, leaving)
+        for name, plain in deployment.services.items()
     )
     hosts = [
         {
@@ -206,25 +218,25 @@
             'port': host.listening['peers'].port,
             'presence': 'live',
         }
-        for host in running.hosts
+        for host in deployment.hosts
         if 'peers' in host.listening
     ]
-    url = f'http://{running.platform.listening["main"]}/hosts'
+    url = f'http://{deployment.platform.listening["main"]}/hosts'
     async with ClientSession() as session:
         body = {'hosts': hosts, 'upstreams': upstreams}
         async with session.post(url, json=body) as response:
             response.raise_for_status()
 
 
-def _listed(
+def _upstream_entry(
     name: str,
-    running: Running,
+    upstream: Running,
     kind: str,
     service: str,
     leaving: frozenset[str],
 ) -> dict[str, Any]:
-    """Return one upstream's entry of the host list."""
-    address = running.listening['main']
+    """Return one upstream's entry in the host list."""
+    address = upstream.listening['main']
     domain, _, _ = name.rpartition(f'-{kind}-')
     return {
         'upstream': name,
@@ -240,42 +252,44 @@
 async def _start_hosts(
     processes: Processes,
     rig: Rig,
-    running: Deployment,
+    deployment: Deployment,
 ) -> None:
-    """Start the entry hosts; the first is the seed of all others."""
+    """Start the hosts; the first is the seed of all others."""
     names = [
         f'{domain}-host-{number}'
         for domain in DOMAINS[rig.name]
         for number in range(rig.hosts)
     ]
-    first = await start_host(processes, rig, running, names[0])
-    running.hosts.append(first)
-    others = [start_host(processes, rig, running, name) for name in names[1:]]
-    running.hosts.extend(await asyncio.gather(*others))
-    await publish(running, rig)
+    first = await start_host(processes, rig, deployment, names[0])
+    deployment.hosts.append(first)
+    others = [
+        start_host(processes, rig, deployment, name) for name in names[1:]
+    ]
+    deployment.hosts.extend(await asyncio.gather(*others))
+    await publish(deployment, rig)
 
 
 async def start_host(
     processes: Processes,
     rig: Rig,
-    running: Deployment,
+    deployment: Deployment,
     name: str,
 ) -> Running:
-    """Start one entry host; the caller adds it to the deployment."""
+    """Start one host; the caller adds it to the deployment."""
     domain = name.rpartition('-host-')[0]
-    nowhere = f'{LOOPBACK}:0'
+    any_port = f'{LOOPBACK}:0'
     seeds = [
         str(host.listening['peers'])
-        for host in running.hosts
+        for host in deployment.hosts
         if 'peers' in host.listening
     ]
     args = [
         f'--host={name}',
         f'--domain={domain}',
-        f'--callers={nowhere}',
-        f'--operators={nowhere}',
-        f'--peers={nowhere}',
-        f'--platform={running.platform.listening["main"]}',
+        f'--callers={any_port}',
+        f'--operators={any_port}',
+        f'--peers={any_port}',
+        f'--platform={deployment.platform.listening["main"]}',
         *rig.host_args,
     ]
     if seeds:
@@ -296,7 +310,14 @@
     body: dict[str, Any] | None = None,
     token: str = BOOTSTRAP_TOKEN,
 ) -> Any:
-    """Make one call to a host's operators' interface."""
+    """Call a host's operator API, and return the decoded reply.
+
+    Args:
+        address: Where the host listens to operators.
+        path: Path below ``/operators/``.
+        body: Body of a ``POST``; None for a ``GET``.
+        token: The operator's token.
+    """
     url = f'http://{address}/operators/{path}'
     headers = {'Authorization': f'Bearer {token}'}
     async with ClientSession(headers=headers) as session:
@@ -305,42 +326,48 @@
             return msgspec.json.decode(await response.read())
 
 
-async def apply(running: Deployment) -> None:
-    """Put the configuration into force, and wait until all hosts have it."""
+async def apply(deployment: Deployment) -> None:
+    """Apply the configuration; wait until all hosts have it and are ready."""
     await operate(
-        running.operators[0],
+        deployment.operators[0],
         'configuration',
-        {'text': running.text},
+        {'text': deployment.text},
     )
-    await wait_for_revision(running, 1)
-    await wait_until_ready(running)
+    await wait_for_revision(deployment, 1)
+    await wait_until_ready(deployment)
 
 
-async def wait_until_ready(running: Deployment) -> None:
-    """Wait, as the platform's balancer does, until every host is ready."""
+async def wait_until_ready(deployment: Deployment) -> None:
+    """Wait until every host is ready, as the platform's load balancer does."""
     async with ClientSession() as session:
-        for address in running.operators:
+        for address in deployment.operators:
             url = f'http://{address}/readyz'
             while not await _is_ready(session, url):
                 await asyncio.sleep(0.1)
 
 
 async def _is_ready(session: ClientSession, url: str) -> bool:
-    """Ask a host whether callers may be sent to it."""
+    """Return whether a host reports that it accepts callers' requests."""
     async with session.get(url) as response:
         return response.ok
 
 
 async def wait_for_revision(
-    running: Deployment,
+    deployment: Deployment,
     revision: int,
     token: str = '',
 ) -> None:
-    """Wait until every host has a revision in force."""
-    chosen = token or operator_token(running.document.operators[0].name)
-    for address in running.operators:
+    """Wait until every host has a revision, or a later one, in force.
+
+    Args:
+        deployment: The deployment.
+        revision: The revision.
+        token: An operator's token; empty for the first operator's.
+    """
+    operator = token or operator_token(deployment.document.operators[0].name)
+    for address in deployment.operators:
         while True:
-            status = await operate(address, 'status', token=chosen)
+            status = await operate(address, 'status', token=operator)
             if status.get('revision', 0) >= revision:
                 break
             await asyncio.sleep(0.1)
--- a/experiments/processes.py
+++ b/experiments/processes.py
@@ -1,6 +1,6 @@
-"""Starts the processes of a deployment on loopback, and ends them all.
+"""Starts the processes of a deployment on loopback, and stops them all.
 
-This is scaffolding of demos and measurements: the daemon itself starts no
+Only demos, tests and measurements use this; the daemon itself starts no
 process.
 """
 
@@ -17,22 +17,22 @@
 
 from nutmegroad.foundations.types import Address
 
-#: Seconds that a process may take to say where it listens.
-START_LIMIT: Final = 90
-#: Seconds that a process may take to end after SIGTERM.
-STOP_LIMIT: Final = 20
+#: Seconds that a process may take to print each line of its addresses.
+START_TIMEOUT: Final = 90
+#: Seconds that a process may take to exit after SIGTERM, before SIGKILL.
+STOP_TIMEOUT: Final = 20
 
 LOOPBACK: Final = '127.0.0.1'
 
 
 @dataclass(frozen=True, slots=True)
 class Running:
-    """A process that was started.
+    """A process that has printed its addresses.
 
     Attributes:
-        name: What it is called in reports.
+        name: Name of the process in reports and of its log file.
         process: The process.
-        listening: Where it listens, by the name of the listener.
+        listening: Its addresses, by the name of the listener.
     """
 
     name: str
@@ -40,32 +40,33 @@
     listening: dict[str, Address]
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if it still runs."""
+        """Send a signal, unless the process has exited."""
         if self.process.returncode is None:
             self.process.send_signal(number)
 
 
 def parse_address(text: str) -> Address:
-    """Return an address from ``IP:PORT``."""
+    """Parse an address of the form ``IP:PORT``."""
     ip, _, port = text.strip().rpartition(':')
     return Address(ip, int(port))
 
 
 class Processes:
-    """Owns the processes of one deployment.
+    """Owns the processes of one deployment; stops them when it is closed.
 
     Args:
-        logs: Folder for what each process writes to standard error; None
-            for nowhere.
+        logs: Folder for log files with the standard error of each process;
+            None to discard it. With ``NUTMEGROAD_SHOW_LOGS`` set, it goes to
+            the standard error of this process instead.
     """
 
     def __init__(self, logs: Path | None = None) -> None:
         self._logs = logs
         self._stack = AsyncExitStack()
-        self._ended: dict[str, int] = {}
+        self._exit_codes: dict[str, int] = {}
 
     async def __aenter__(self) -> Self:
-        """Start with none."""
+        """Return this object; no process runs yet."""
         return self
 
     async def __aexit__(
@@ -74,20 +75,26 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """End all, the newest first."""
+        """Stop all processes, the newest first."""
         await self._stack.aclose()
 
     @property
     def exit_codes(self) -> dict[str, int]:
-        """Return the exit codes of processes that have been ended."""
-        return dict(self._ended)
+        """Exit codes of the processes that were stopped, by name."""
+        return dict(self._exit_codes)
 
     async def start_fake(self, name: str, module: str, *args: str) -> Running:
-        """Start a stand-in; it says ``listening IP:PORT`` first."""
+        """Start a stand-in, and wait for its line ``listening IP:PORT``.
+
+        Args:
+            name: Name of the process.
+            module: The stand-in's module, run with ``python -m``.
+            args: Command-line arguments.
+        """
         process = await self._spawn(name, module, args, {})
-        line = await self._line(process, name)
+        line = await self._read_line(process, name)
         address = parse_address(line.removeprefix('listening'))
-        return self._own(Running(name, process, {'main': address}))
+        return self._register(Running(name, process, {'main': address}))
 
     async def start_host(
         self,
@@ -95,7 +102,16 @@
         args: tuple[str, ...],
         environ: dict[str, str],
     ) -> Running:
-        """Start a daemon; it says ``ready`` after its listeners."""
+        """Start a host's daemon, and wait for its line ``ready``.
+
+        Before that, it prints a line ``listening NAME IP:PORT`` for each of
+        its listeners.
+
+        Args:
+            name: Name of the process.
+            args: Command-line arguments.
+            environ: Environment variables, beside those of this process.
+        """
         process = await self._spawn(
             name,
             'nutmegroad.daemon',
@@ -104,23 +120,27 @@
         )
         listening: dict[str, Address] = {}
         while True:
-            line = await self._line(process, name)
+            line = await self._read_line(process, name)
             if line == 'ready':
-                return self._own(Running(name, process, listening))
+                return self._register(Running(name, process, listening))
             _, listener, address = line.split()
             listening[listener] = parse_address(address)
 
     async def stop(self, running: Running) -> int:
-        """End a process by SIGTERM, and by SIGKILL if it does not."""
+        """Stop a process by SIGTERM, or by SIGKILL after the timeout.
+
+        Returns:
+            Its exit code; negative if a signal killed it.
+        """
         running.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(STOP_LIMIT):
+            async with asyncio.timeout(STOP_TIMEOUT):
                 await running.process.wait()
         except TimeoutError:
             running.signal(signal.SIGKILL)
             await running.process.wait()
         code = running.process.returncode or 0
-        self._ended.setdefault(running.name, code)
+        self._exit_codes.setdefault(running.name, code)
         return code
 
     async def _spawn(
@@ -130,7 +150,7 @@
         args: tuple[str, ...],
         environ: dict[str, str],
     ) -> Process:
-        """Start a Python module as a program."""
+        """Run a Python module as a process."""
         with ExitStack() as opened:
             errors: BinaryIO | int | None = DEVNULL
             if os.environ.get('NUTMEGROAD_SHOW_LOGS'):
@@ -148,22 +168,23 @@
                 env={**os.environ, **environ},
             )
 
-    async def _line(self, process: Process, name: str) -> str:
-        """Return the next line that a process writes.
+    async def _read_line(self, process: Process, name: str) -> str:
+        """Return the next line of a process's standard output.
 
         Raises:
-            RuntimeError: If it ends or says nothing.
+            RuntimeError: If the process closes its output instead.
+            TimeoutError: If it prints no line within the timeout.
         """
         if process.stdout is None:
             raise RuntimeError(name)
-        async with asyncio.timeout(START_LIMIT):
+        async with asyncio.timeout(START_TIMEOUT):
             line = await process.stdout.readline()
         if not line:
-            message = f'The process {name} ended before it was ready.'
+            message = f'The process {name} exited before it was ready.'
             raise RuntimeError(message)
         return line.decode().strip()
 
-    def _own(self, running: Running) -> Running:
-        """Take care that a process is ended."""
+    def _register(self, running: Running) -> Running:
+        """Register a process to be stopped on closing; return it."""
         self._stack.push_async_callback(self.stop, running)
         return running
--- a/experiments/serve.py
+++ b/experiments/serve.py
@@ -1,8 +1,9 @@
-"""Runs a deployment of stand-ins until it is told to stop.
+"""Runs a local deployment of stand-ins until it is interrupted.
 
     python -m experiments.serve
 
-It prints what a shell needs to call it, and ends at Ctrl-C.
+It prints the environment variables that a shell needs to call the deployment,
+and stops on Ctrl-C or SIGTERM.
 """
 
 import asyncio
@@ -19,7 +20,7 @@
 )
 from experiments.processes import Processes
 
-#: One host in each failure domain, and engines with every version.
+#: One host in each failure domain, and engines with all versions.
 RIG: Final = Rig(
     'lesen',
     (
@@ -31,30 +32,32 @@
 )
 
 
-def variables(running: Deployment) -> dict[str, str]:
-    """Return the environment that the pages' examples want."""
-    operators = ','.join(str(address) for address in running.operators)
+def variables(deployment: Deployment) -> dict[str, str]:
+    """Return the environment that the documentation's examples need."""
+    operators = ','.join(str(address) for address in deployment.operators)
     return {
-        'HOST': str(running.callers[0]),
-        'KEY': workspace_key(running.document.workspaces[0].name),
+        'HOST': str(deployment.callers[0]),
+        'KEY': workspace_key(deployment.document.workspaces[0].name),
         'NUTMEGROAD_OPERATORS': operators,
-        'NUTMEGROAD_TOKEN': operator_token(running.document.operators[0].name),
+        'NUTMEGROAD_TOKEN': operator_token(
+            deployment.document.operators[0].name
+        ),
     }
 
 
 async def main() -> int:
-    """Run until a signal comes."""
-    told = asyncio.Event()
+    """Run until SIGINT or SIGTERM arrives; return the exit code."""
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     async with Processes() as processes:
-        running = await start(processes, RIG)
-        sys.stdout.write('Copy this into another shell; Ctrl-C here ends it.\n')
-        for name, text in variables(running).items():
+        deployment = await start(processes, RIG)
+        sys.stdout.write('Paste this into another shell; Ctrl-C here stops.\n')
+        for name, text in variables(deployment).items():
             sys.stdout.write(f"export {name}='{text}'\n")
         sys.stdout.flush()
-        await told.wait()
+        await stop_requested.wait()
     return 0
 
 
