--- a/experiments/configuration/hosts.py
+++ b/experiments/configuration/hosts.py
@@ -131,7 +131,7 @@
     """One incarnation of a host, reduced to its configuration code.
 
     Args:
-        names: The host's id and failure domain.
+        placement: The host's id and failure domain.
         clock: The clock that all hosts share.
         platform: The platform that all hosts share.
         mesh: The host's links to the others.
@@ -153,18 +153,18 @@
 
     def __init__(
         self,
-        names: HostPlacement,
+        placement: HostPlacement,
         clock: Clock,
         platform: MemoryPlatform,
         mesh: Mesh,
         randomness: random.Random,
     ) -> None:
-        self.names = names
+        self.names = placement
         self.clock = PausableClock(clock)
         self.paused = False
         self._tasks: list[asyncio.Task[Any]] = []
         self.mesh = PausableMesh(mesh, self.clock)
-        services = HostPlatform(platform, names.domain, self.clock)
+        services = HostPlatform(platform, placement.domain, self.clock)
         self.configuration = Configuration(self.clock, LEASE)
         self.store = HeadStore(
             services,
@@ -176,7 +176,7 @@
             self.configuration,
             self.clock,
             randomness,
-            names.domain,
+            placement.domain,
         )
         timing = PollTiming(self.clock, randomness, POLL)
         self.poller = ConfigurationPoller(
@@ -197,8 +197,8 @@
         self.progress = ChangeProgress(
             self.mesh,
             self.configuration,
-            names.host,
-            names.domain,
+            placement.host,
+            placement.domain,
         )
         self.changes = Changes(self.store, self.poller, self.configuration)
 
@@ -256,7 +256,7 @@
         self.network = MemoryMesh(self.clock, randomness)
         self.domains = tuple(DomainId(name) for name in domains)
         self.hosts: dict[HostId, TrialHost] = {}
-        self._names = [
+        self._placements = [
             HostPlacement(HostId(f'{domain}-{number}'), domain)
             for domain in self.domains
             for number in range(size)
@@ -268,24 +268,24 @@
         await self._stack.enter_async_context(self.network)
         self._stack.push_async_callback(self.platform.aclose)
         self._stack.push_async_callback(self._stop)
-        for names in self._names:
-            self.start_host(names)
+        for placement in self._placements:
+            self.start_host(placement)
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
         """Stop all hosts."""
         await self._stack.aclose()
 
-    def start_host(self, names: HostPlacement) -> TrialHost:
+    def start_host(self, placement: HostPlacement) -> TrialHost:
         """Start a host, or a new incarnation of it."""
         host = TrialHost(
-            names,
+            placement,
             self.clock,
             self.platform,
-            self.network.join(names.host, names.domain),
+            self.network.join(placement.host, placement.domain),
             self.randomness,
         )
-        self.hosts[names.host] = host
+        self.hosts[placement.host] = host
         host.start()
         return host
 
--- a/experiments/configuration/random_runs.py
+++ b/experiments/configuration/random_runs.py
@@ -334,15 +334,16 @@
             f'the withdrawal of {withdrawal.version} never reached the table',
         )
     for host in fleet.hosts.values():
+        name = host.names.host
         configuration = host.configuration
         report.check(
             configuration.revision == head.revision
             and not configuration.isolated,
-            f'{host.names.host} has revision {configuration.revision} after '
+            f'{name} has revision {configuration.revision} after '
             f'convergence, or is isolated; expected {head.revision}',
         )
         report.check(
             configuration.withdrawals == head.withdrawals,
-            f'{host.names.host} and the table have different withdrawals '
+            f'{name} and the table have different withdrawals '
             'after convergence',
         )
--- a/experiments/configuration/spread.py
+++ b/experiments/configuration/spread.py
@@ -20,7 +20,7 @@
 
 from experiments.configuration.hosts import (
     PRESETS,
-    HostNames,
+    HostPlacement,
     TrialHost,
     make_document,
 )
@@ -118,15 +118,15 @@
 
     async def _start(self, number: int) -> None:
         """Start one host; the first few hosts are the seeds of later ones."""
-        names = HostNames(
+        placement = HostPlacement(
             HostId(f'host-{number}'),
             DomainId(f'domain-{number % DOMAINS}'),
         )
         identity = Identity(
-            host=names.host,
-            incarnation=Incarnation(f'{names.host}.1'),
+            host=placement.host,
+            incarnation=Incarnation(f'{placement.host}.1'),
             generation=1,
-            domain=names.domain,
+            domain=placement.domain,
             ip=LOOPBACK,
             port=0,
         )
@@ -153,7 +153,7 @@
         if len(self._seeds) < DOMAINS:
             self._seeds = (*self._seeds, table.identity.address)
         host = TrialHost(
-            names,
+            placement,
             self.clock,
             self.platform,
             links,
--- a/experiments/configuration/watch.py
+++ b/experiments/configuration/watch.py
@@ -74,7 +74,7 @@
         self._fleet = fleet
         self.report = report
         # Digest and preset of each revision, as first seen.
-        self._contents: dict[int, tuple[str, str]] = {}
+        self._first_seen: dict[int, tuple[str, str]] = {}
         # What each host's current incarnation was last seen to have.
         self._last_revisions: dict[HostId, tuple[TrialHost, Revision]] = {}
         self._withdrawals: dict[HostId, tuple[TrialHost, WithdrawalSet]] = {}
@@ -162,7 +162,7 @@
 
     def _check_revision(self, revision: int, digest: str, preset: str) -> None:
         """Check that a revision has the same content wherever it is seen."""
-        first = self._contents.setdefault(revision, (digest, preset))
+        first = self._first_seen.setdefault(revision, (digest, preset))
         self.report.check(
             first == (digest, preset),
             f'revision {revision} has different presets or documents',
--- a/experiments/slopes/hosts.py
+++ b/experiments/slopes/hosts.py
@@ -47,7 +47,7 @@
 TIMING: Final = (9.0, 8.0)
 QUICK_TIMING: Final = (4.0, 5.0)
 MEGABYTE: Final = 1e6
-RESULTS: Final = Path('results/slopes.json')
+RESULT_FILE: Final = Path('results/slopes.json')
 #: Lets the system choose a free port.
 _ANY_PORT: Final = Address('127.0.0.1', 0)
 
@@ -346,9 +346,8 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--quick', action='store_true')
     quick = parser.parse_args().quick
-    sizes, timing = ALL_SIZES, TIMING
-    if quick:
-        sizes, timing = QUICK_SIZES, QUICK_TIMING
+    sizes = QUICK_SIZES if quick else ALL_SIZES
+    timing = QUICK_TIMING if quick else TIMING
     logging.set_verbosity(logging.ERROR)
     load_plugins()
     base = resident_bytes()
@@ -356,9 +355,9 @@
     rounds = [_run_round(size, timing) for size in sizes]
     extrapolated = fits.extrapolate(rounds)
     sys.stdout.write(fits.format_extrapolation(extrapolated))
-    RESULTS.parent.mkdir(exist_ok=True)
+    RESULT_FILE.parent.mkdir(exist_ok=True)
     written = {'base': base, 'rounds': rounds, 'letter': extrapolated}
-    RESULTS.write_text(json.dumps(written, indent=1))
+    RESULT_FILE.write_text(json.dumps(written, indent=1))
     return 0
 
 
--- a/experiments/slopes/mesh.py
+++ b/experiments/slopes/mesh.py
@@ -55,7 +55,7 @@
 #: membership records of that many hosts is measured.
 TICK_INTERVAL: Final = 0.01
 TICKS: Final = 150
-RESULTS: Final = Path('results/mesh_slopes.json')
+RESULT_FILE: Final = Path('results/mesh_slopes.json')
 
 _TITLE: Final = (
     'hosts dom  near   far     B/s +headers  msg/s    core   joined'
@@ -192,13 +192,13 @@
     target = extrapolate_cost(rounds, tick)
     sys.stdout.write(format_table(rounds, target))
     sys.stdout.write(f'a tick with {TARGET_HOSTS} records: {tick:.6f} s\n')
-    RESULTS.parent.mkdir(exist_ok=True)
+    RESULT_FILE.parent.mkdir(exist_ok=True)
     written = {
         'rounds': [asdict(each) for each in rounds],
         'letter': asdict(target),
         'tick': tick,
     }
-    RESULTS.write_text(json.dumps(written, indent=1))
+    RESULT_FILE.write_text(json.dumps(written, indent=1))
     return 0
 
 
--- a/experiments/slopes/mesh_hosts.py
+++ b/experiments/slopes/mesh_hosts.py
@@ -81,7 +81,8 @@
         identity = identity_of(HostId(f'host-{number:03}'), domain)
         self.clock = PausableClock(SystemClock())
         self.ledger = Ledger(time.thread_time)
-        self.table, reachability = make_table(identity, self.clock, 1)
+        table, reachability = make_table(identity, self.clock, 1)
+        self.table = table
         randomness = random.Random(number)
         context = LinkContext(
             key=_KEY,
