--- a/experiments/configuration/hosts.py
+++ b/experiments/configuration/hosts.py
@@ -34,7 +34,8 @@
 
 #: Seconds for which a host may use a configuration after confirming it.
 LEASE: Final = 8.0
-#: Seconds between polls of the head row, and between announcements to peers.
+#: Average seconds between polls of the head row, and between announcements
+#: to peers.
 POLL: Final = 2.0
 #: Names in the documents of ``make_document``.
 PRESETS: Final = ('ordinary', 'peak', 'maintenance')
--- a/experiments/demo.py
+++ b/experiments/demo.py
@@ -29,7 +29,7 @@
 
 #: Requests per task class, each time that requests are sent.
 REQUESTS: Final = 12
-#: Length of each answer; small, so that the demo takes little time.
+#: Length of each answer in tokens; small, so that the demo takes little time.
 TOKENS: Final = 24
 #: The version that is withdrawn; another version can replace it.
 WITHDRAWN: Final = 'brief-medium@4'
@@ -141,7 +141,10 @@
         await asyncio.gather(*requests)
 
     async def call_service(self) -> None:
-        """Send a call that must run once to two hosts, with one key."""
+        """Send one call through two hosts, with the same idempotency key.
+
+        The service must run it only once, so both replies must be the same.
+        """
         document = self._deployment.document
         service = document.services[0]
         workspace = next(
@@ -216,7 +219,7 @@
         report.check(
             len(words) == usage['completion_tokens'],
             f'{task}: {len(words)} tokens received, '
-            f'{usage["completion_tokens"]} expected',
+            f'{usage["completion_tokens"]} reported',
         )
 
 
--- a/experiments/slopes/fits.py
+++ b/experiments/slopes/fits.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-#: Bytes of Ethernet, IP and TCP headers of a segment with time stamps.
+#: Bytes of Ethernet, IP and TCP headers of a segment with timestamps.
 HEADERS: Final = 66
 #: Size of the fleet to extrapolate to. A host there opens 2 links to each of
 #: the 8 other failure domains and accepts as many, hence 32 remote links.
--- a/experiments/slopes/mesh.py
+++ b/experiments/slopes/mesh.py
@@ -35,8 +35,8 @@
 
 #: Numbers of hosts and of failure domains of each round.
 ROUNDS: Final = ((10, 1), (20, 1), (44, 1), (90, 9))
-#: Seconds without events before the cost is measured, and of that
-#: measurement.
+#: Seconds to wait before the cost is measured, and seconds that it is
+#: measured.
 SETTLE_TIME: Final = 3
 WINDOW: Final = 6
 #: Timeout of each wait for a condition, in seconds.
--- a/experiments/slopes/mesh_hosts.py
+++ b/experiments/slopes/mesh_hosts.py
@@ -26,7 +26,7 @@
 from nutmegroad.membership.members import Members
 from nutmegroad.testing.virtual import PausableClock
 
-#: Bytes of Ethernet, IP and TCP headers of a segment with time stamps.
+#: Bytes of Ethernet, IP and TCP headers of a segment with timestamps.
 HEADERS: Final = 66
 
 #: Cluster key of all measured hosts.
