--- a/src/nutmegroad/relay/attempts.py
+++ b/src/nutmegroad/relay/attempts.py
@@ -34,23 +34,24 @@
 
 _LOG: Final = part_logger('relay')
 
-#: Seconds for a new connection: fifty times the slowest network path within a
-#: region at present. If the first packet is lost, another upstream is the
-#: better choice.
+#: Maximum seconds for opening a connection: fifty times the latency of the
+#: slowest network path within a region at present. If the first packet is lost,
+#: another upstream is the better choice.
 CONNECT_TIMEOUT: Final = 0.3
 
-#: Fraction of an engine's memory in which it caches parts of prompts; the rest
-#: is for the requests that it executes.
+#: Fraction of an engine's token cache that holds parts of prompts for reuse;
+#: the rest is for the requests that it executes.
 CACHE_FRACTION: Final = 0.7
 
 
 class AttemptRunner:
-    """Makes attempts.
+    """Sends requests to chosen upstreams, one attempt per call.
 
     Args:
         pool: Connections to upstreams.
         names: The deployment's header names.
-        selector: Receives what is sent to each upstream.
+        selector: Holds the load, cached prefixes and reachability of upstreams,
+            which attempts update.
         clock: The host's clock.
     """
 
@@ -89,7 +90,12 @@
         request: CallerRequest,
         plan: AttemptPlan,
     ) -> UpstreamAnswer | AttemptFailure:
-        """Send a request to an upstream and wait for the response head."""
+        """Send a request to an upstream and wait for the response head.
+
+        Returns:
+            The verified response head with its connection, or why there is
+            none.
+        """
         upstream = plan.upstream
         started = self._clock.now()
         async with AsyncExitStack() as stack:
@@ -122,7 +128,7 @@
         plan: AttemptPlan,
         stack: AsyncExitStack,
     ) -> Callable[[], None]:
-        """Count a request at its upstream until the attempt ends.
+        """Add a request to its upstream's load until the attempt ends.
 
         Returns:
             A function to call when the upstream has read the prompt.
@@ -148,11 +154,13 @@
         """Record the parts of the prompt that the upstream will cache."""
         entry = plan.upstream.entry
         facts = request.table.service_of(entry.service).engine
-        memory = (
+        cache_tokens = (
             0 if facts is None else int(facts.cache_tokens * CACHE_FRACTION)
         )
         parts = fingerprint_parts(plan.model, generation.parts)
-        self._selector.prefixes.record_sent(entry.incarnation, parts, memory)
+        self._selector.prefixes.record_sent(
+            entry.incarnation, parts, cache_tokens
+        )
 
     async def _exchange(
         self,
@@ -162,15 +170,15 @@
     ) -> tuple[ResponseHead, UpstreamConnection] | AttemptFailure:
         """Send the request on an idle or a new connection."""
         try:
-            connection = await self._connection(request, plan, stack)
+            connection = await self._acquire_connection(request, plan, stack)
         except ConnectionFailedError as problem:
             return AttemptFailure(
                 AttemptEnd.UNREACHABLE,
                 Ran.NOT_RUN,
                 str(problem),
             )
-        left = request.caller_deadline - self._clock.now()
-        head = self._heads.write(request, plan, left)
+        time_left = request.caller_deadline - self._clock.now()
+        head = self._heads.build(request, plan, time_left)
         try:
             answer = connection.exchange(
                 head,
@@ -193,7 +201,12 @@
         answer: asyncio.Future[ResponseHead],
         plan: AttemptPlan,
     ) -> bool:
-        """Wait for an answer; return whether to keep waiting for it."""
+        """Wait for an answer until the response timeout.
+
+        Returns:
+            False if the attempt is to be abandoned. True if the answer has
+            arrived, or the caller of this method has to wait on for it.
+        """
 
         async def done_within(seconds: float) -> bool | None:
             """Return True if the answer arrives in time, else None."""
@@ -211,7 +224,7 @@
         plan.upstream.health.record_overdue(self._clock.now())
         return not plan.may_abandon()
 
-    async def _connection(
+    async def _acquire_connection(
         self,
         request: CallerRequest,
         plan: AttemptPlan,
@@ -221,13 +234,13 @@
         upstream = plan.upstream.entry.incarnation
         connection = self._pool.acquire(
             upstream,
-            careful=not request.route.repeatable,
+            single_execution=not request.route.repeatable,
         )
         if connection is None:
-            left = request.deadline - self._clock.now()
+            time_left = request.deadline - self._clock.now()
             connection = await self._pool.open(
                 plan.upstream.entry.address,
-                min(CONNECT_TIMEOUT, max(0, left)),
+                min(CONNECT_TIMEOUT, max(0, time_left)),
             )
         if request.route.repeatable:
             self._pool.register_repeatable(upstream, connection)
@@ -237,12 +250,12 @@
     def _record_failure(
         self, upstream: Upstream, failure: AttemptFailure
     ) -> None:
-        """Update an upstream's health by a failed attempt."""
+        """Update an upstream's health after a failed attempt."""
         now = self._clock.now()
         if failure.end in (AttemptEnd.UNREACHABLE, AttemptEnd.MISDIRECTED):
             upstream.health.record_unreachable(now)
         elif failure.end in (AttemptEnd.REJECTED, AttemptEnd.UNRESPONSIVE):
-            # The missing answer was recorded when the timeout expired.
+            # A missing answer was recorded as overdue when the timeout expired.
             upstream.health.record_no_result()
         else:
             upstream.health.record_failure(now)
--- a/src/nutmegroad/relay/boundary.py
+++ b/src/nutmegroad/relay/boundary.py
@@ -34,9 +34,10 @@
         peers: Address of the listener for hosts of its failure domain.
         ready: Address at which the balancer polls its readiness.
         ready_path: Path of the readiness check.
-        key_validity: Seconds for which keys stay valid without a confirmation;
-            None if they never expire.
-        repeat_ratio: Maximum repeats per request that the operator allows.
+        key_validity: Seconds for which callers' keys stay valid without a
+            confirmation; None if they never expire.
+        repeat_ratio: Maximum number of repeats per request that the operator
+            allows.
         repeat_window: Seconds over which repeats are counted.
         exposure: Fraction of a service's requests that a bad version may
             receive.
@@ -82,7 +83,7 @@
 
     Attributes:
         store: The platform's store.
-        names: Header names.
+        names: The deployment's header names.
         reader: Decodes rows of the store.
         status: Writes the status of rollouts for the operator.
         tables: Names of tables.
--- a/src/nutmegroad/relay/budgets.py
+++ b/src/nutmegroad/relay/budgets.py
@@ -1,10 +1,10 @@
-"""The budget for repeats: arrivals of a request beyond its first.
+"""The budget for repeats: arrivals of a request at upstreams after the first.
 
 The operator limits repeats per service, summed over all hosts and a sliding
 window: a ratio to the requests plus a constant. Each host applies the ratio to
 the requests that it receives itself, so the sum stays within the limit without
-communication between hosts. The constant part is left for requests that cross
-from one window into another.
+communication between hosts. The constant part is left for requests that extend
+from one window into the next.
 """
 
 from collections import deque
@@ -20,17 +20,18 @@
 #: divide differently from the host's.
 USED_FRACTION: Final = 0.95
 
-#: Fraction of the operator's ratio for escalations: a ninth of the budget is
-#: reserved for requests that would fail otherwise. In a large fleet each host
-#: receives few requests in a window (about 25), so by chance alone a fifth more
-#: of them escalate.
+#: Fraction of the operator's ratio that escalations may use: a ninth of the
+#: budget is reserved for requests that would fail otherwise. In a large fleet
+#: each host receives few requests in a window (about 25), so the number of them
+#: that escalate may by chance be a fifth above the average.
 ESCALATION_FRACTION: Final = 0.85
 
 #: Weight of requests in older windows. The operator compares repeats with the
 #: requests in the same window, the one before it or the one half a window
-#: before, whichever has most, since repeats follow on a peak that is over. Each
-#: host takes the largest of its own windows, and the sum of these is larger
-#: than the largest sum of all hosts, so older requests count less here.
+#: before, whichever has most, since repeats may follow after the end of a peak.
+#: Each host takes the largest of its own windows, and the sum of these is
+#: larger than the largest sum over all hosts, so older requests count less
+#: here.
 OLDER_WEIGHT: Final = 0.8
 
 #: Repeats that a host may make in a window regardless of its requests. With a
@@ -48,7 +49,7 @@
 
 @dataclass(slots=True)
 class _Window:
-    """Arrivals of one service at this host.
+    """Times of a service's recent requests and repeats at this host.
 
     Attributes:
         request_times: Clock seconds of requests, for two windows.
@@ -83,7 +84,7 @@
         return max(latest, older * OLDER_WEIGHT)
 
     def _between(self, begin: float, end: float) -> int:
-        """Return how many requests arrived between two times."""
+        """Return how many requests arrived between two clock times."""
         return sum(begin <= time <= end for time in self.request_times)
 
 
@@ -92,7 +93,7 @@
 
     Args:
         clock: The host's clock.
-        ratio: Maximum repeats per request that the operator allows.
+        ratio: Maximum number of repeats per request that the operator allows.
         window: Seconds over which the operator counts.
     """
 
@@ -106,7 +107,7 @@
         """Change the operator's limit.
 
         Args:
-            ratio: Maximum repeats per request.
+            ratio: Maximum number of repeats per request.
             window: Seconds over which the operator counts.
         """
         self._ratio = ratio
@@ -114,11 +115,11 @@
 
     def count_request(self, service: ServiceName) -> None:
         """Count a caller's request for a service."""
-        self._of(service).request_times.append(self._clock.now())
+        self._window_of(service).request_times.append(self._clock.now())
 
     def spend(self, service: ServiceName, purpose: Purpose) -> bool:
         """Take one repeat from the budget; return whether one was left."""
-        window = self._of(service)
+        window = self._window_of(service)
         fraction = USED_FRACTION
         if purpose is Purpose.ESCALATION:
             fraction = ESCALATION_FRACTION
@@ -132,7 +133,7 @@
         window.repeat_times.append(now)
         return True
 
-    def _of(self, service: ServiceName) -> _Window:
+    def _window_of(self, service: ServiceName) -> _Window:
         """Return a service's window after removing old entries."""
         window = self._services.setdefault(
             service,
--- a/src/nutmegroad/relay/connections.py
+++ b/src/nutmegroad/relay/connections.py
@@ -30,11 +30,12 @@
 
 #: Seconds without data after which the kernel sends a keep-alive probe, and
 #: between its probes. A connection may become unresponsive without a reset. The
-#: shortest bound of a deployment leaves three seconds to detect that, and one
-#: of them is left for the reply.
+#: strictest time limit of a deployment leaves three seconds to detect that, and
+#: one of them is reserved for the reply.
 KEEPALIVE_INTERVAL: Final = 1
 KEEPALIVE_PROBES: Final = 2
-#: Milliseconds for which sent bytes may stay unacknowledged.
+#: Milliseconds for which sent bytes may stay unacknowledged before the kernel
+#: closes the connection.
 USER_TIMEOUT_MS: Final = 1500
 
 #: Responses with a status below this one are interim responses.
@@ -46,8 +47,8 @@
 
     Attributes:
         sent: Whether bytes of the request may have reached the upstream.
-        refused: Whether the connection was refused, as no process listens
-            there.
+        refused: Whether the connection was refused because no process listens
+            at the address.
     """
 
     def __init__(
@@ -181,7 +182,7 @@
         return True
 
     def abort(self) -> None:
-        """Close at once, so that the upstream sees the request cancelled."""
+        """Close immediately; the upstream sees the request cancelled."""
         self._may_reuse = False
         if self._answer is not None:
             self._answer.cancel()
@@ -197,7 +198,7 @@
         """Send a request; return a future of the response head.
 
         Raises:
-            ConnectionFailedError: If the connection was closed before.
+            ConnectionFailedError: If the connection is already closed.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -243,7 +244,7 @@
             return
         self._body = payload
         self._may_reuse = self._may_reuse and not message.should_close
-        self.idle_timeout = _idle_limit(message)
+        self.idle_timeout = _idle_timeout(message)
         answer.set_result(
             ResponseHead(
                 message.code,
@@ -286,7 +287,7 @@
     return not body.is_eof() and body.exception() is None
 
 
-def _idle_limit(message: RawResponseMessage) -> float:
+def _idle_timeout(message: RawResponseMessage) -> float:
     """Return the timeout of a Keep-Alive header in seconds, or 0."""
     text = message.headers.get('Keep-Alive', '')
     for word in text.split(','):
@@ -311,7 +312,7 @@
 
 
 async def connect(address: Address, timeout: float) -> UpstreamConnection:
-    """Open a connection.
+    """Open a connection to an upstream.
 
     Args:
         address: Address of the upstream.
--- a/src/nutmegroad/relay/context.py
+++ b/src/nutmegroad/relay/context.py
@@ -47,7 +47,7 @@
         upstream: Upstream,
         observed: AttemptOutcome,
     ) -> None:
-        """Record how an upstream's version answered a request."""
+        """Record the outcome of an attempt as evidence on its version."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     """Objects that executions share.
 
     Attributes:
-        attempts: Makes attempts.
+        attempts: Sends requests to chosen upstreams.
         selector: Chooses upstreams.
         directory: All upstreams.
         budget: Limits repeats.
--- a/src/nutmegroad/relay/counters.py
+++ b/src/nutmegroad/relay/counters.py
@@ -17,12 +17,12 @@
 
 #: Bucket bounds in seconds, dense around the target latencies of plain calls
 #: and of first events.
-_WAITS: Final = (
+_LATENCY_BUCKETS: Final = (
     0.01, 0.025, 0.05, 0.1, 0.2, 0.42, 1.0, 2.0, 4.0, 8.0, 15.0, 30.0,
 )  # fmt: skip
 #: Bucket bounds in seconds, dense around the duration of a store call and
 #: around the longest waits of the store.
-_STORE_WAITS: Final = (0.005, 0.02, 0.1, 0.25, 0.5, 1.0, 3.0, 20.0)
+_STORE_LATENCY_BUCKETS: Final = (0.005, 0.02, 0.1, 0.25, 0.5, 1.0, 3.0, 20.0)
 
 
 class RelayCounters:
@@ -45,23 +45,23 @@
             'call',
             'outcome',
         )
-        self._whole = self._histogram(
+        self._answer_seconds = self._histogram(
             'whole_seconds',
             'Seconds from a request to the end of its answer',
             'kind',
-            _WAITS,
+            _LATENCY_BUCKETS,
         )
-        self._first = self._histogram(
+        self._head_seconds = self._histogram(
             'first_seconds',
             'Seconds from a request to the head of its answer',
             'kind',
-            _WAITS,
+            _LATENCY_BUCKETS,
         )
         self._store_seconds = self._histogram(
             'store_seconds',
             'Seconds of calls to the platform store',
             'call',
-            _STORE_WAITS,
+            _STORE_LATENCY_BUCKETS,
         )
 
     def refused(self, code: ResultCode) -> None:
@@ -72,13 +72,13 @@
         """Count an attempt by its outcome."""
         self._attempts.labels(outcome).inc()
 
-    def repeated(self, why: str) -> None:
+    def repeated(self, purpose: str) -> None:
         """Count a repeated request by its purpose."""
-        self._repeats.labels(why).inc()
+        self._repeats.labels(purpose).inc()
 
-    def exchange_broken(self, life: str) -> None:
+    def exchange_broken(self, state: str) -> None:
         """Count a broken exchange by the state of its upstream's process."""
-        self._breaks.labels(life).inc()
+        self._breaks.labels(state).inc()
 
     def answered(self, status: int, kind: str, seconds: float) -> None:
         """Count an answer, and observe its total duration.
@@ -89,11 +89,11 @@
             seconds: Time from the request to the end of the answer.
         """
         self._answers.labels(str(status)).inc()
-        self._whole.labels(kind).observe(seconds)
+        self._answer_seconds.labels(kind).observe(seconds)
 
     def head_received(self, kind: str, seconds: float) -> None:
         """Observe the seconds from a request to the response head."""
-        self._first.labels(kind).observe(seconds)
+        self._head_seconds.labels(kind).observe(seconds)
 
     def store_called(self, call: str, outcome: str, seconds: float) -> None:
         """Count a call to the platform's store, and observe its duration."""
@@ -113,8 +113,8 @@
             meaning: Help text.
             read: Returns the value.
         """
-        made = Gauge(f'{_PREFIX}_{name}', meaning, registry=self._registry)
-        made.set_function(read)
+        gauge = Gauge(f'{_PREFIX}_{name}', meaning, registry=self._registry)
+        gauge.set_function(read)
 
     def render(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
--- a/src/nutmegroad/relay/crashes.py
+++ b/src/nutmegroad/relay/crashes.py
@@ -67,8 +67,9 @@
 
     Args:
         pool: Connections to upstreams.
-        book: What all hosts know of such requests.
-        rows: Decides which host may make a probe execution.
+        tracker: Crashes that this host and others have recorded, by request.
+        rows: Publishes harmful requests, and decides which host may make a
+            probe execution.
         clock: The host's clock.
         counters: The host's metrics.
     """
@@ -76,13 +77,13 @@
     def __init__(
         self,
         pool: ConnectionPool,
-        book: CrashTracker,
+        tracker: CrashTracker,
         rows: CrashRows,
         clock: Clock,
         counters: RelayCounters,
     ) -> None:
         self._processes = ProcessChecker(pool)
-        self._book = book
+        self._tracker = tracker
         self._rows = rows
         self._clock = clock
         self._counters = counters
@@ -97,16 +98,16 @@
 
     def harmful(self, request: CallerRequest) -> BlockedRequest | None:
         """Return why a request is refused as harmful, or None."""
-        return self._book.harmful(request.content)
+        return self._tracker.harmful(request.content)
 
     async def claim_probe(
         self, request: CallerRequest, harmful: BlockedRequest
     ) -> bool:
         """Return whether this host may make a probe execution of a request.
 
-        Before a request is refused for long, one host executes it without other
-        suspected requests beside it: until then it may only have run beside the
-        harmful one each time.
+        Before a request is refused for a long period, one host executes it
+        while no other suspected request runs: the request may be harmless, and
+        each time have run beside the one that caused the crash.
         """
         if harmful.pause or not await self._rows.claim_probe(request.content):
             return False
@@ -131,8 +132,8 @@
             upstream: The upstream.
             began: Clock seconds at which it was sent there.
         """
-        mark = fingerprint_upstream(upstream.entry.incarnation)
-        crash = UpstreamCrash(mark, began, self._clock.now())
+        fingerprint = fingerprint_upstream(upstream.entry.incarnation)
+        crash = UpstreamCrash(fingerprint, began, self._clock.now())
         broken = _BrokenExchange(request, upstream.entry, crash)
         checked = asyncio.Event()
         task = asyncio.create_task(
@@ -149,9 +150,9 @@
     ) -> None:
         """Count recent broken exchanges of an upstream that has restarted.
 
-        The connection attempt can't show this crash if the supervisor restarts
-        the process before it, or if the upstream's machine has no power and
-        refuses nothing.
+        The connection attempt does not detect this crash if the supervisor
+        restarts the process before it, or if the upstream's machine has lost
+        power and so does not refuse connections.
         """
         if end is not IncarnationEnd.RESTARTED:
             return
@@ -162,9 +163,9 @@
 
     def answered(self, request: CallerRequest) -> None:
         """Clear a suspected request after a complete answer."""
-        if request.content not in self._book:
+        if request.content not in self._tracker:
             return
-        if self._book.record_answer(request.content, self._clock.now()):
+        if self._tracker.record_answer(request.content, self._clock.now()):
             _LOG.decision(
                 'harmful request cleared by a complete answer',
                 request=request.request_id,
@@ -194,12 +195,12 @@
             checked: Set once the request need not wait any longer.
         """
         found = await self._processes.check(upstream.entry)
-        life = found.state
+        state = found.state
         if upstream.restarted:
             # The connection attempt reached a new incarnation.
-            life = ProcessState.ENDED
-        self._counters.exchange_broken(life.value)
-        if life is ProcessState.ENDED:
+            state = ProcessState.ENDED
+        self._counters.exchange_broken(state.value)
+        if state is ProcessState.ENDED:
             await self._confirm(broken)
             checked.set()
             return
@@ -216,14 +217,14 @@
     async def _confirm(self, broken: _BrokenExchange) -> None:
         """Record a confirmed crash; publish it if the request is harmful."""
         self._record_crash(broken)
-        if self._book.harmful(broken.request.content) is not None:
+        if self._tracker.harmful(broken.request.content) is not None:
             await self._rows.write()
 
     def _record_crash(self, broken: _BrokenExchange) -> None:
         """Record that an upstream has terminated under a request."""
         request = broken.request
-        self._book.record_crash(request.content, broken.crash)
-        harmful = self._book.harmful(request.content)
+        self._tracker.record_crash(request.content, broken.crash)
+        harmful = self._tracker.harmful(request.content)
         _LOG.decision(
             'upstream ended under it',
             request=request.request_id,
@@ -237,8 +238,8 @@
     def _record_unconfirmed(self, broken: _BrokenExchange) -> None:
         """Record a broken exchange that a later restart may confirm."""
         oldest = self._clock.now() - RESTART_WINDOW
-        for other, breaks in tuple(self._unconfirmed.items()):
-            if not breaks or breaks[-1].crash.crashed_at < oldest:
+        for other, exchanges in tuple(self._unconfirmed.items()):
+            if not exchanges or exchanges[-1].crash.crashed_at < oldest:
                 self._unconfirmed.pop(other)
         name = broken.entry.incarnation
         known = self._unconfirmed.setdefault(
@@ -251,7 +252,7 @@
     """Keeps one request from upstreams that it may crash.
 
     Args:
-        tracker: Records which requests were pending when upstreams terminated.
+        monitor: Records which requests were pending when upstreams terminated.
         request: The request.
     """
 
@@ -260,8 +261,8 @@
         """Whether a probe execution is due that has reached no upstream yet."""
         return self._probing
 
-    def __init__(self, tracker: CrashMonitor, request: CallerRequest) -> None:
-        self._tracker = tracker
+    def __init__(self, monitor: CrashMonitor, request: CallerRequest) -> None:
+        self._monitor = monitor
         self._request = request
         self._probing = False
 
@@ -273,10 +274,10 @@
         """
         if self._probing:
             return None
-        harmful = self._tracker.harmful(self._request)
+        harmful = self._monitor.harmful(self._request)
         if harmful is None:
             return None
-        self._probing = await self._tracker.claim_probe(self._request, harmful)
+        self._probing = await self._monitor.claim_probe(self._request, harmful)
         return None if self._probing else harmful
 
     def execution_started(self) -> None:
@@ -290,8 +291,8 @@
             upstream: The upstream.
             began: Clock seconds at which the request was sent there.
         """
-        await self._tracker.exchange_broken(self._request, upstream, began)
+        await self._monitor.exchange_broken(self._request, upstream, began)
 
     def answered(self) -> None:
         """Record a complete answer of an upstream, even an error response."""
-        self._tracker.answered(self._request)
+        self._monitor.answered(self._request)
--- a/src/nutmegroad/relay/events.py
+++ b/src/nutmegroad/relay/events.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 #: The empty line that ends an event, in either form of line ending.
-_ENDS: Final = (b'\n\n', b'\r\n\r\n')
+_SEPARATORS: Final = (b'\n\n', b'\r\n\r\n')
 _ID: Final = b'id:'
 
 
@@ -48,7 +48,9 @@
 def _end_of_event(chunk: bytes) -> int:
     """Return the end position of the first event; 0 if it is incomplete."""
     ends = [
-        chunk.find(mark) + len(mark) for mark in _ENDS if chunk.find(mark) >= 0
+        chunk.find(separator) + len(separator)
+        for separator in _SEPARATORS
+        if chunk.find(separator) >= 0
     ]
     return min(ends, default=0)
 
--- a/src/nutmegroad/relay/execution.py
+++ b/src/nutmegroad/relay/execution.py
@@ -1,4 +1,4 @@
-"""One request's attempts, until an upstream answers or the request is refused.
+"""Makes a request's attempts until an upstream answers or none may follow.
 
 Plain calls and streams share this module. It tracks the upstreams that have
 been attempted and whether the request may have been executed, and decides
@@ -37,11 +37,11 @@
 _LOG: Final = part_logger('relay')
 
 #: Maximum number of attempts of one request, including those that the upstream
-#: rejected. After that many the service as a whole is full.
+#: rejected. After that many, the service as a whole counts as full.
 MAX_ATTEMPTS: Final = 5
 
 #: Seconds after which a caller should retry if no upstream was free and none
-#: named a time: about the time in which a queue of plain calls turns over.
+#: sent a retry time: about the time in which a queue of plain calls is served.
 DEFAULT_RETRY_AFTER: Final = 0.25
 
 
@@ -49,19 +49,19 @@
 _ABANDONED: Final = AttemptFailure(
     AttemptEnd.ABANDONED,
     Ran.UNKNOWN,
-    'the request ended first',
+    'the request ended before a response head arrived',
 )
 
 
 #: Evidence of failed attempts on the upstream's version. Failures that are not
-#: listed count as broken, since they may have another cause.
-_OBSERVED: Final = MappingProxyType(
+#: listed count as interrupted, since they may have another cause.
+_EVIDENCE: Final = MappingProxyType(
     {AttemptEnd.UNVERIFIED: AttemptOutcome.POOR}
 )
 
 
 #: Result code of a request by the end of its last attempt.
-_CODES: Final = MappingProxyType(
+_RESULT_CODES: Final = MappingProxyType(
     {
         AttemptEnd.UNREACHABLE: ResultCode.UPSTREAM_UNREACHABLE,
         AttemptEnd.REJECTED: ResultCode.OVERLOADED,
@@ -131,13 +131,15 @@
                 return self._refuse(harmful_refusal(harmful, self.service))
             choice = self.estimates.choose(model, self.attempted)
             if choice is None:
-                known = self.estimates.upstream_count
-                return self._refuse(no_upstream_refusal(known, self.service))
+                count = self.estimates.upstream_count
+                return self._refuse(no_upstream_refusal(count, self.service))
             outcome = await self._attempt(choice, model, last_event)
             if isinstance(outcome, UpstreamAnswer):
                 return outcome
             if not self._may_follow(outcome):
-                return _final(outcome, self._attempt_count, self._executed)
+                return _final_refusal(
+                    outcome, self._attempt_count, self._executed
+                )
 
     def may_repeat(self, purpose: Purpose = Purpose.FAILURE) -> bool:
         """Return whether the request may be executed once more.
@@ -206,9 +208,9 @@
             ),
             self._may_abandon,
         )
-        # If the task is cancelled during the attempt, it stays unknown
+        # If the task is cancelled during the attempt, it remains unknown
         # whether the request was executed.
-        known = self._executed
+        executed_before = self._executed
         self._executed = Ran.UNKNOWN
         began = self._context.clock.now()
         self._context.version_gate.sent(
@@ -223,7 +225,7 @@
             if outcome is _ABANDONED:
                 self._log_attempt(choice, model, outcome)
         if isinstance(outcome, AttemptFailure) and outcome.ran is Ran.NOT_RUN:
-            self._executed = known
+            self._executed = executed_before
         else:
             self._record_execution()
             await self._handle_execution(outcome, choice, began)
@@ -272,7 +274,10 @@
         model: ModelName | None,
         outcome: UpstreamAnswer | AttemptFailure,
     ) -> None:
-        """Log an attempt with the figures that decided it."""
+        """Log and count an attempt; a failed one may be evidence on a version.
+
+        The log line has the estimates by which the upstream was chosen.
+        """
         entry = choice.upstream.entry
         ended = 'answering'
         detail = ''
@@ -283,7 +288,7 @@
                 self._context.version_gate.observe(
                     self.request,
                     choice.upstream,
-                    _OBSERVED.get(outcome.end, AttemptOutcome.INTERRUPTED),
+                    _EVIDENCE.get(outcome.end, AttemptOutcome.INTERRUPTED),
                 )
         self._context.counters.attempted(ended)
         _LOG.decision(
@@ -339,10 +344,10 @@
     return not choice.upstream.restarted
 
 
-def _final(failure: AttemptFailure, attempts: int, ran: Ran) -> Refusal:
+def _final_refusal(failure: AttemptFailure, attempts: int, ran: Ran) -> Refusal:
     """Return the refusal that ends a request after its last attempt."""
     return Refusal(
-        _CODES.get(failure.end, ResultCode.UPSTREAM_ERROR),
+        _RESULT_CODES.get(failure.end, ResultCode.UPSTREAM_ERROR),
         f'After {attempts} attempts: {failure.reason}.',
         ran,
         failure.retry_after or DEFAULT_RETRY_AFTER,
--- a/src/nutmegroad/relay/fleet_table.py
+++ b/src/nutmegroad/relay/fleet_table.py
@@ -1,4 +1,8 @@
-"""Reads the fleet table, which the relay's hosts write themselves."""
+"""Applies updates of the fleet table, which the relay's hosts write themselves.
+
+Its rows hold the progress of rollouts, evidence on versions, crashes, and the
+registration of each host.
+"""
 
 from typing import Final
 
@@ -48,10 +52,10 @@
         for row in read.rows:
             if row.removed:
                 continue
-            self._take(row, read.store_time)
+            self._apply_row(row, read.store_time)
 
     def confirm(self, moment: float, read: RowsRead) -> None:
-        """Do nothing: without these rows this host only reacts later."""
+        """Do nothing: if rows are late, this host only reacts later."""
 
     def on_store_unavailable(self) -> None:
         """Do nothing: each host continues with what it knows."""
@@ -60,7 +64,7 @@
         """Record that rows of the seconds before the restore are missing."""
         self._hosts.on_store_restored()
 
-    def _take(self, row: StoredRow, store_time: float) -> None:
+    def _apply_row(self, row: StoredRow, store_time: float) -> None:
         """Apply one row; log and ignore a row that can't be decoded."""
         kind, _, rest = row.key.partition('/')
         try:
--- a/src/nutmegroad/relay/heads.py
+++ b/src/nutmegroad/relay/heads.py
@@ -1,4 +1,4 @@
-"""Request heads for upstreams, and validation of their response heads."""
+"""Builds request heads for upstreams, and validates their response heads."""
 
 from typing import Final
 
@@ -31,7 +31,7 @@
     def __init__(self, names: HeaderNames) -> None:
         self._names = names
 
-    def write(
+    def build(
         self,
         request: CallerRequest,
         plan: AttemptPlan,
@@ -45,45 +45,49 @@
             time_left: Seconds until the caller stops waiting.
         """
         names = self._names
-        ours = {
+        own_headers = {
             names.deadline: str(
                 max(1, int(time_left * MILLISECONDS_PER_SECOND))
             ),
             names.expected_upstream: plan.upstream.entry.upstream,
         }
         if request.workspace is not None:
-            ours[names.workspace] = request.workspace.name
+            own_headers[names.workspace] = request.workspace.name
         if request.generation is not None:
             rank = engine_rank(
                 plan.choice.prefill.seconds,
                 request.route.target_latency,
                 request.priority,
             )
-            ours[names.priority] = str(rank)
+            own_headers[names.priority] = str(rank)
         source = plan.choice.prefill.source
         if source is not None:
-            ours[names.fetch_from] = str(source.entry.address)
+            own_headers[names.fetch_from] = str(source.entry.address)
         replaced: set[bytes] = set()
         if plan.model is not None:
-            ours[names.model] = plan.model
+            own_headers[names.model] = plan.model
             replaced.add(names.model.lower().encode())
         if plan.last_event:
-            ours[names.last_event] = plan.last_event
+            own_headers[names.last_event] = plan.last_event
             replaced.add(names.last_event.lower().encode())
         if request.has_body:
-            ours['Content-Length'] = str(len(request.body))
-        kept = tuple(
+            own_headers['Content-Length'] = str(len(request.body))
+        forwarded = tuple(
             header
             for header in request.headers
             if header[0].lower() not in replaced
         )
         added = tuple(
-            (name.encode(), text.encode()) for name, text in ours.items()
+            (name.encode(), text.encode()) for name, text in own_headers.items()
         )
-        return RequestHead(request.method, request.target, kept + added)
+        return RequestHead(request.method, request.target, forwarded + added)
 
     def answer_matcher(self, request: CallerRequest) -> AnswerMatcher:
-        """Return a function that matches responses with a request."""
+        """Return a function that matches responses with a request.
+
+        A response matches if it echoes the request's id. An error response
+        without an id matches, too.
+        """
         name = self._names.request_id
 
         def matches(message: RawResponseMessage) -> bool:
@@ -108,20 +112,20 @@
                 AttemptEnd.REJECTED,
                 Ran.NOT_RUN,
                 f'rejected with {head.status}',
-                _seconds(head.headers.get('Retry-After', '')),
+                _retry_after_seconds(head.headers.get('Retry-After', '')),
             )
-        proved = self._names.signature in head.headers
-        plain = 'Content-Encoding' not in head.headers
-        if head.status < FIRST_ERROR and not (proved and plain):
+        signed = self._names.signature in head.headers
+        unencoded = 'Content-Encoding' not in head.headers
+        if head.status < FIRST_ERROR and not (signed and unencoded):
             return AttemptFailure(
                 AttemptEnd.UNVERIFIED,
                 Ran.UNKNOWN,
-                f'status {head.status} without proof of origin',
+                f'status {head.status}: not signed, or content encoded',
             )
         return None
 
 
-def _seconds(text: str) -> float:
+def _retry_after_seconds(text: str) -> float:
     """Return the seconds of a Retry-After header; 0 for a date or no text."""
     try:
         return max(0, float(text))
--- a/src/nutmegroad/relay/host.py
+++ b/src/nutmegroad/relay/host.py
@@ -38,8 +38,8 @@
 #: Seconds between removals of idle connections and missing upstreams.
 SWEEP_INTERVAL: Final = 0.5
 
-#: Seconds for which a starting host delays callers until the first responses of
-#: the store: half of what callers allow for reading their request.
+#: Maximum seconds for which a starting host delays callers until the first
+#: responses of the store: half of what callers allow for reading their request.
 STARTUP_WAIT: Final = 0.5
 
 #: Seconds between checks for these responses.
@@ -57,7 +57,7 @@
 
 
 class RelayHost:
-    """One host of the fleet.
+    """One host of the fleet: forwards requests of callers to upstreams.
 
     Args:
         settings: The host's settings.
@@ -123,7 +123,7 @@
         return self._configuration.fresh and self._upstream_sink.listed
 
     async def start(self) -> None:
-        """Follow the platform's tables, and listen."""
+        """Start following the platform's tables, and open the listeners."""
         await self._fleet.open(self._stack)
         for work in self._background_tasks():
             self._spawn(work)
@@ -151,7 +151,7 @@
         )
 
     async def stop(self) -> None:
-        """Let open requests end, then close everything."""
+        """Let open requests end within the grace period, then close all."""
         self._stopping = True
         began = self._clock.now()
         _LOG.decision('stopping', open=len(self._caller_handler.busy))
@@ -184,11 +184,11 @@
         )
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Close everything immediately."""
         await self._stack.aclose()
 
     def _build(self) -> None:
-        """Build the components."""
+        """Build the host's components; none of them runs yet."""
         settings, clock = self._settings, self._clock
         names = self._platform.names
         self._directory = Directory(clock)
@@ -315,6 +315,6 @@
 
 
 def _log_failure(task: asyncio.Task[None]) -> None:
-    """Log a background task that failed; none of them should."""
+    """Log the exception of a background task; none is expected."""
     if not task.cancelled() and task.exception() is not None:
-        _LOG.exception('a task failed', cause=task.exception())
+        _LOG.exception('background task failed', cause=task.exception())
--- a/src/nutmegroad/relay/intake.py
+++ b/src/nutmegroad/relay/intake.py
@@ -47,7 +47,7 @@
 
 
 class Intake:
-    """Parses and checks requests.
+    """Parses callers' requests, and checks their sizes, routes and keys.
 
     Args:
         names: The deployment's header names.
@@ -95,7 +95,8 @@
             return None
         return Refusal(
             ResultCode.HEADERS_TOO_LARGE,
-            f'The headers have more than {table.limits.header_bytes} bytes.',
+            f'The headers have {size} bytes; '
+            f'the limit is {table.limits.header_bytes}.',
         )
 
     def _match(self, http: web.BaseRequest) -> _Matched | Refusal:
@@ -127,7 +128,7 @@
             return None
         return Refusal(
             ResultCode.CONFIGURATION_UNCONFIRMED,
-            'This host can not confirm now that the key is still valid.',
+            'This host cannot confirm that the key is still valid.',
             retry_after=UNCONFIRMED_RETRY_AFTER,
         )
 
@@ -150,10 +151,10 @@
         )
 
     def _unconfirmed(self) -> Refusal:
-        """Return the refusal of what an outdated configuration may lack."""
+        """Return the refusal of a request that a newer table may accept."""
         return Refusal(
             ResultCode.CONFIGURATION_UNCONFIRMED,
-            'This host can not confirm now that its configuration is current.',
+            'This host cannot confirm that its configuration is current.',
             retry_after=UNCONFIRMED_RETRY_AFTER,
         )
 
@@ -164,7 +165,7 @@
         body: bytes,
         arrived: float,
     ) -> CallerRequest:
-        """Return the parsed request."""
+        """Return the parsed request of a caller."""
         names = self._names
         headers = http.headers
         route = matched.route
--- a/src/nutmegroad/relay/listener.py
+++ b/src/nutmegroad/relay/listener.py
@@ -1,4 +1,4 @@
-"""The HTTP server for callers, on aiohttp."""
+"""HTTP listeners of a host, and replies to its callers, built on aiohttp."""
 
 import asyncio
 import socket
@@ -16,8 +16,8 @@
 from nutmegroad.relay.refusals import CallerRefusal
 from nutmegroad.routes.headers import RawHeaders
 
-#: Seconds for which an idle connection is kept at least. Callers may use one
-#: that was idle for most of the operator's limit, which can change.
+#: Minimum seconds for which an idle connection is kept open. Callers may reuse
+#: one that was idle for most of the operator's limit, which can change.
 IDLE_TIMEOUT: Final = 120
 
 #: Seconds for requests that have been read to reach their handlers: several
@@ -41,7 +41,7 @@
 _RETRY_AFTER: Final = 'Retry-After'
 
 
-#: Sockets that listen already, by their address as IP:PORT.
+#: Sockets that already listen, by their address as IP:PORT.
 BoundSockets = Mapping[str, socket.socket]
 
 
@@ -50,7 +50,7 @@
 
     Args:
         request: The request to answer.
-        closing: Returns whether connections are to be closed.
+        closing: Returns whether to close the connection after the answer.
     """
 
     def __init__(
@@ -63,6 +63,7 @@
         self._stream: web.StreamResponse | None = None
         #: HTTP status that was sent; 0 before the head.
         self.status = 0
+        #: The response that was sent last; None before the head.
         self.response: web.StreamResponse | None = None
 
     @property
@@ -114,12 +115,12 @@
             await self._stream.write_eof()
 
     def abort(self) -> None:
-        """Abort a stream, without its last chunk."""
+        """Close the connection without the last chunk of a stream."""
         if self._request.transport is not None:
             self._request.transport.close()
 
     async def refuse(self, refusal: CallerRefusal) -> None:
-        """Send the host's own final answer."""
+        """Send a refusal by this host as the final answer."""
         response = web.Response(status=refusal.status, text=refusal.text)
         if refusal.retry_after > 0:
             response.headers[_RETRY_AFTER] = f'{refusal.retry_after:.2f}'
@@ -134,14 +135,14 @@
         await response.write_eof()
 
     def _record(self, response: web.StreamResponse) -> None:
-        """Record the response that is being sent."""
+        """Record the response that is about to be sent."""
         self.status = response.status
         self.response = response
         if self._closing():
             response.force_close()
 
 
-#: Handles one request.
+#: Handles one request, and returns the response that was or is to be sent.
 Answer = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
@@ -226,7 +227,7 @@
         self._bound: BoundSockets = {} if bound is None else bound
 
     async def open(self, address: Address, answer: Answer) -> Listening:
-        """Listen at an address."""
+        """Listen at an address, on the socket that is already bound if any."""
         server = make_server(answer)
         loop = asyncio.get_running_loop()
         bound = self._bound.get(str(address))
--- a/src/nutmegroad/relay/outcomes.py
+++ b/src/nutmegroad/relay/outcomes.py
@@ -15,12 +15,19 @@
 class AttemptEnd(Enum):
     """How an attempt failed."""
 
+    #: No connection could be opened.
     UNREACHABLE = 'unreachable'
+    #: The upstream proved that it did not execute the request.
     REJECTED = 'rejected'
+    #: The address belongs to another upstream, or its weights differ.
     MISDIRECTED = 'misdirected'
+    #: The connection failed before a response head arrived.
     BROKEN = 'broken'
+    #: No response head arrived in time, and another attempt may follow.
     UNRESPONSIVE = 'silent'
+    #: The response lacked the upstream's signature, or was encoded.
     UNVERIFIED = 'unproved'
+    #: The request ended first, by its deadline or by its caller.
     ABANDONED = 'abandoned'
 
 
@@ -28,12 +35,12 @@
 class AttemptFailure:
     """Why an attempt gave no response head.
 
-    It is false in a boolean context, like a refusal.
+    It is false in a boolean context, like a ``Refusal``.
 
     Attributes:
         end: How it failed.
         ran: What is known about whether the request was executed.
-        reason: One sentence for a person.
+        reason: Explanation for logs and refusals.
         retry_after: Seconds after which the upstream accepts a retry; 0 if it
             did not say.
     """
@@ -76,7 +83,7 @@
 
 @dataclass(slots=True)
 class UpstreamAnswer:
-    """An upstream that has sent a response head.
+    """An answer whose response head has arrived.
 
     Attributes:
         choice: The chosen upstream and the estimates for it.
--- a/src/nutmegroad/relay/plain_calls.py
+++ b/src/nutmegroad/relay/plain_calls.py
@@ -1,4 +1,4 @@
-"""Answers to plain calls: read completely before they are sent on."""
+"""Answers plain calls; an answer is read completely before it is sent on."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -44,7 +44,7 @@
             await _end(execution, reply, failure, outcome)
             return
         answer = await _read(outcome)
-        sound = answer is not None and not answer.failed
+        succeeded = answer is not None and not answer.failed
         execution.estimates.observe(outcome, _observed(answer))
         if answer is None:
             await execution.crash_guard.exchange_broken(
@@ -53,7 +53,7 @@
         else:
             execution.crash_guard.answered()
             failure = answer
-        if not sound and execution.may_repeat():
+        if not succeeded and execution.may_repeat():
             continue
         await _end(execution, reply, failure, execution.truncated_refusal())
         return
--- a/src/nutmegroad/relay/pools.py
+++ b/src/nutmegroad/relay/pools.py
@@ -43,16 +43,18 @@
         self,
         upstream: UpstreamIncarnation,
         *,
-        careful: bool,
+        single_execution: bool,
     ) -> UpstreamConnection | None:
         """Return an idle connection that is likely still open, or None.
 
         Args:
             upstream: The upstream.
-            careful: Whether the request may be executed only once.
+            single_execution: Whether the request may be executed only once.
         """
         idle = self._idle.get(upstream, [])
-        fraction = SINGLE_EXECUTION_FRACTION if careful else REUSE_FRACTION
+        fraction = (
+            SINGLE_EXECUTION_FRACTION if single_execution else REUSE_FRACTION
+        )
         while idle:
             connection = idle[-1]
             if not connection.reusable:
--- a/src/nutmegroad/relay/process_checks.py
+++ b/src/nutmegroad/relay/process_checks.py
@@ -21,7 +21,7 @@
 from nutmegroad.relay.pools import ConnectionPool
 from nutmegroad.upstreams.directory import UpstreamEntry
 
-#: Connection attempts until one is answered: packets of one may be lost.
+#: Maximum number of connection attempts: packets of the first may be lost.
 MAX_CONNECTION_ATTEMPTS: Final = 2
 
 #: Seconds within which a proxy closes a connection that it can't forward. Its
@@ -94,7 +94,7 @@
         return await asyncio.shield(running)
 
     async def _check(self, entry: UpstreamEntry) -> CheckResult:
-        """Attempt to connect until an attempt is answered."""
+        """Attempt to connect until an attempt is accepted or refused."""
         for _ in range(MAX_CONNECTION_ATTEMPTS):
             found = await self._attempt_connection(entry)
             if found.state is not ProcessState.UNKNOWN:
--- a/src/nutmegroad/relay/refusals.py
+++ b/src/nutmegroad/relay/refusals.py
@@ -33,7 +33,7 @@
 NO_UPSTREAM_RETRY_AFTER: Final = 1.0
 
 #: Minimum seconds after which a caller should retry if its request may get a
-#: probe execution: until then another request's may be under way.
+#: probe execution: until then another request's probe may be running.
 MIN_PROBE_RETRY_AFTER: Final = 1.5
 
 
@@ -97,7 +97,7 @@
 
 
 def harmful_refusal(harmful: BlockedRequest, service: ServiceName) -> Refusal:
-    """Return the refusal of a request that terminates its upstreams."""
+    """Return the refusal of a request that crashes its upstreams."""
     return Refusal(
         ResultCode.REQUEST_HARMFUL,
         f'{harmful.crash_count} upstreams of {service!r} crashed '
--- a/src/nutmegroad/relay/replies.py
+++ b/src/nutmegroad/relay/replies.py
@@ -40,4 +40,4 @@
         """Abort an answer; the caller can't take it for a complete one."""
 
     async def refuse(self, refusal: CallerRefusal) -> None:
-        """Send the host's own final answer."""
+        """Send a refusal by this host as the final answer."""
