--- a/src/nutmegroad/escalation/confidence.py
+++ b/src/nutmegroad/escalation/confidence.py
@@ -7,8 +7,8 @@
 
 #: Confidence, from 0 to 100, below which an answer is discarded and a larger
 #: model is asked. In trials on two deployments, values from 45 to 60 made no
-#: difference on calm days, lower values were better under load, and 68 was
-#: worse on both; see docs/MEASUREMENTS.md.
+#: difference without faults, lower values were better under load, and 68 was
+#: worse on both deployments; see docs/MEASUREMENTS.md.
 ESCALATION_THRESHOLD: Final = 50
 
 
--- a/src/nutmegroad/escalation/decisions.py
+++ b/src/nutmegroad/escalation/decisions.py
@@ -16,15 +16,15 @@
 from nutmegroad.routes.deployment import Route
 from nutmegroad.routes.requests import ANY_MODEL, CallerRequest
 
-#: Threshold in place of ``ESCALATION_THRESHOLD`` if the larger model's
-#: answer is expected after the target latency. A late answer is worth about a
-#: third of a timely one, so the small model's answer has to be more likely to
-#: be worth next to nothing.
+#: Threshold in place of ``ESCALATION_THRESHOLD`` if the larger model's answer
+#: is expected after the target latency. A late answer is worth about a third of
+#: a timely one, so a small model's answer is discarded only if it is more
+#: likely to be nearly worthless.
 LATE_ESCALATION_THRESHOLD: Final = 25
 
-#: Factor on the estimated time of a complete answer that has to be left until
-#: the deadline. Callers' estimates of answer lengths are correct at the median
-#: only.
+#: The time left until the deadline must be at least this multiple of the
+#: estimated time of a complete answer. Callers' estimates of answer lengths are
+#: correct at the median only.
 ANSWER_TIME_FACTOR: Final = 1.5
 
 
@@ -33,7 +33,7 @@
     """The facts on which an escalation is decided.
 
     Attributes:
-        confidence: The present model's confidence, from 0 to 100.
+        confidence: Confidence of the model that has answered, from 0 to 100.
         waited: Seconds since the request arrived.
         attempts_left: Number of further upstreams that may execute the request.
         estimate: Estimate of the larger model's answer.
@@ -50,12 +50,12 @@
 def first_model(request: CallerRequest) -> ModelName | None:
     """Return the model of a request's first attempt.
 
-    The largest model is used at once for a request that can't be repeated,
+    A request that can't be repeated is sent to the largest model immediately,
     since no second model may be asked.
 
     Returns:
-        None if the request is no generation, names a model itself, or has a
-        route without models.
+        The model; None if the request is no generation, names a model itself,
+        or has a route without models.
     """
     generation = request.generation
     models = request.route.models
@@ -79,17 +79,17 @@
     route: Route, case: EscalationCase
 ) -> ModelName | NotEscalated:
     """Return the larger model to ask, or why the present answer is kept."""
-    expected = case.estimate
+    estimate = case.estimate
     if case.attempts_left < 1:
         return NotEscalated.ATTEMPTS
-    if expected.complete_seconds * ANSWER_TIME_FACTOR > case.seconds_left:
+    if estimate.complete_seconds * ANSWER_TIME_FACTOR > case.seconds_left:
         # A complete answer of low quality is worth more than a truncated one.
         return NotEscalated.TIME
-    late = case.waited + expected.start_seconds > route.target_latency
+    late = case.waited + estimate.start_seconds > route.target_latency
     threshold = LATE_ESCALATION_THRESHOLD if late else ESCALATION_THRESHOLD
     if case.confidence >= threshold:
         return NotEscalated.LATE
-    if case.confidence >= threshold * headroom(expected, route.target_latency):
+    if case.confidence >= threshold * headroom(estimate, route.target_latency):
         return NotEscalated.CAPACITY
     return route.models[-1]
 
--- a/src/nutmegroad/relay/request_estimates.py
+++ b/src/nutmegroad/relay/request_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates for one request, and what its answers reveal about upstreams."""
+"""Estimates answer times for one request, and learns from its answers."""
 
 from collections.abc import Collection
 from typing import Final
@@ -73,9 +73,9 @@
             attempted: Incarnations that were attempted before.
         """
         table = self._request.table
-        facts = table.service_of(self._service).engine
+        engine = table.service_of(self._service).engine
         return self._context.selector.choose(
-            SelectionQuery(self._request, self._service, model, facts),
+            SelectionQuery(self._request, self._service, model, engine),
             self._context.version_gate.permitted(self._request, self._service),
             attempted,
         )
@@ -95,13 +95,13 @@
         choice = self.choose(model, attempted)
         if choice is None or generation is None:
             return None
-        writing = self._context.selector.latencies.generation_seconds(
+        generating = self._context.selector.latencies.generation_seconds(
             LatencyKey(self._service, model),
             generation.expected_tokens,
         )
         return AnswerEstimate(
             choice.expected_seconds,
-            choice.expected_seconds + writing,
+            choice.expected_seconds + generating,
             choice.queued_seconds,
             choice.running / max(1, choice.upstream.entry.slots),
         )
@@ -109,26 +109,26 @@
     def observe_generation(
         self, answering: UpstreamAnswer, events: int
     ) -> None:
-        """Update the estimated generation rate of a model by a complete stream.
+        """Update a model's estimated generation rate from a complete stream.
 
         Args:
             answering: The upstream and its attempt.
             events: Number of events of the stream.
         """
-        facts = self._request.table.service_of(self._service).engine
-        if facts is None:
+        engine = self._request.table.service_of(self._service).engine
+        if engine is None:
             return
         now = self._context.clock.now()
         self._context.selector.latencies.observe_generation(
             LatencyKey(self._service, answering.model),
-            events * facts.event_tokens,
+            events * engine.event_tokens,
             now - answering.started - answering.waited,
         )
 
     def observe(
         self, answering: UpstreamAnswer, observed: AttemptOutcome
     ) -> None:
-        """Record the outcome of an answer.
+        """Update estimates, health and version evidence from an answer.
 
         An answer of an earlier incarnation is ignored: the restart explains a
         broken exchange, and a late answer comes from a process that no longer
@@ -143,14 +143,14 @@
             return
         now = self._context.clock.now()
         if observed is AttemptOutcome.ACCEPTABLE:
-            pace = self._context.selector.latencies.observe(
+            latency_ratio = self._context.selector.latencies.observe(
                 LatencyKey(self._service, answering.model),
                 answering.choice.prefill.tokens,
                 answering.waited,
                 answering.choice.expected_seconds,
             )
-            upstream.health.record_answer(now, pace)
-            if pace >= SLOW_ANSWER_RATIO:
+            upstream.health.record_answer(now, latency_ratio)
+            if latency_ratio >= SLOW_ANSWER_RATIO:
                 observed = AttemptOutcome.POOR
         else:
             upstream.health.record_failure(now)
--- a/src/nutmegroad/relay/serving.py
+++ b/src/nutmegroad/relay/serving.py
@@ -1,4 +1,4 @@
-"""Handles each caller's request from its first byte to its last."""
+"""Handles callers' requests, from reading one to the end of its answer."""
 
 import asyncio
 import random
@@ -23,10 +23,10 @@
 
 _LOG: Final = part_logger('relay')
 
-_INTERNAL: Final = 500
+_INTERNAL_ERROR: Final = 500
 
 #: Refusals after which a caller should retry at another host.
-_ELSEWHERE: Final = frozenset(
+_RETRY_ELSEWHERE: Final = frozenset(
     (
         ResultCode.CONFIGURATION_MISSING,
         ResultCode.CONFIGURATION_UNCONFIRMED,
@@ -73,7 +73,7 @@
             # The head may have been sent before the host began to stop.
             if self._stopping() and reply.response is not None:
                 reply.response.force_close()
-        return reply.response or web.Response(status=_INTERNAL)
+        return reply.response or web.Response(status=_INTERNAL_ERROR)
 
     async def _serve(self, http: web.BaseRequest, reply: HttpReply) -> None:
         """Read a request, and answer it within its deadline."""
@@ -86,9 +86,9 @@
             request,
             self._service_of(request),
         )
-        left = max(0, request.deadline - self._clock.now())
+        time_left = max(0, request.deadline - self._clock.now())
         try:
-            async with asyncio.timeout(left):
+            async with asyncio.timeout(time_left):
                 await self._run(execution, reply)
         except TimeoutError:
             await self._end_late(execution, reply)
@@ -133,7 +133,7 @@
             configuration_age=round(self._intake.age, 2),
         )
         await reply.refuse(
-            caller_refusal(refusal, close=refusal.code in _ELSEWHERE)
+            caller_refusal(refusal, close=refusal.code in _RETRY_ELSEWHERE)
         )
 
     def _service_of(self, request: CallerRequest) -> ServiceName:
--- a/src/nutmegroad/relay/status_pages.py
+++ b/src/nutmegroad/relay/status_pages.py
@@ -11,7 +11,7 @@
 from nutmegroad.relay.counters import RelayCounters
 
 _OK: Final = 200
-_UNKNOWN: Final = 404
+_NOT_FOUND: Final = 404
 _NOT_READY: Final = 503
 
 
@@ -47,7 +47,7 @@
 
 
 class StatusSource(Protocol):
-    """A host, as far as its gauges need it."""
+    """A host whose state is shown by gauges."""
 
     @property
     def status(self) -> HostStatus:
@@ -121,7 +121,7 @@
     async def answer_ready(self, http: web.BaseRequest) -> web.Response:
         """Answer whether this host is ready, by the HTTP status."""
         if http.path != self._ready_path:
-            return web.Response(status=_UNKNOWN)
+            return web.Response(status=_NOT_FOUND)
         return web.Response(status=_OK if self._ready() else _NOT_READY)
 
     async def answer_metrics(self, http: web.BaseRequest) -> web.Response:
--- a/src/nutmegroad/relay/streams.py
+++ b/src/nutmegroad/relay/streams.py
@@ -43,8 +43,8 @@
 
 
 #: Multiple of a route's maximum event gap after which a stalled stream counts
-#: as broken. It is late by then, and a resumption may still be of use to its
-#: caller.
+#: as broken. The next event is late by then, but resuming the stream may still
+#: be of use to the caller.
 STALL_FACTOR: Final = 2.0
 
 
@@ -53,15 +53,19 @@
     """How one upstream's part of a stream ended."""
 
     COMPLETE = 'whole'
+    #: The connection failed before the end.
     TRUNCATED = 'cut'
+    #: The upstream sent a complete error response.
     FAILED = 'failed'
+    #: No bytes arrived in time, and another attempt may follow.
     STALLED = 'stalled'
+    #: The answer was discarded, and a larger model is asked.
     LOW_CONFIDENCE = 'unsure'
 
 
 #: Evidence of an end on the upstream's version. A model's low confidence is no
 #: fault of the version, and a broken exchange may have another cause.
-_OBSERVED: Final = MappingProxyType(
+_EVIDENCE: Final = MappingProxyType(
     {
         StreamEnd.COMPLETE: AttemptOutcome.ACCEPTABLE,
         StreamEnd.FAILED: AttemptOutcome.POOR,
@@ -71,8 +75,8 @@
 )
 
 
-#: Ends at which an upstream has answered completely, if with an error.
-_ANSWERED: Final = frozenset((StreamEnd.COMPLETE, StreamEnd.FAILED))
+#: Ends at which an upstream has answered completely, even with an error.
+_ANSWERED_ENDS: Final = frozenset((StreamEnd.COMPLETE, StreamEnd.FAILED))
 
 
 @dataclass(slots=True)
@@ -130,6 +134,7 @@
                 await self._reply.finish_stream()
                 return
             if end in (StreamEnd.LOW_CONFIDENCE, StreamEnd.STALLED):
+                # The repeat has been taken from the budget already.
                 continue
             if not self._execution.may_repeat():
                 await self._give_up(self._execution.truncated_refusal())
@@ -145,9 +150,9 @@
             await self._execution.crash_guard.exchange_broken(
                 answering.upstream, answering.started
             )
-        elif end in _ANSWERED:
+        elif end in _ANSWERED_ENDS:
             self._execution.crash_guard.answered()
-        observed = _OBSERVED.get(end)
+        observed = _EVIDENCE.get(end)
         if observed is not None:
             self._execution.estimates.observe(answering, observed)
         if end is StreamEnd.COMPLETE:
@@ -160,8 +165,8 @@
         """Forward an answer as it arrives."""
         if answering.head.status >= FIRST_SERVER_ERROR:
             self._progress.failure = await read_complete(answering)
-            whole = self._progress.failure is not None
-            return StreamEnd.FAILED if whole else StreamEnd.TRUNCATED
+            complete = self._progress.failure is not None
+            return StreamEnd.FAILED if complete else StreamEnd.TRUNCATED
         if self._escalates(answering):
             return StreamEnd.LOW_CONFIDENCE
         try:
@@ -181,7 +186,7 @@
             self._execution.time_left,
         )
         while True:
-            chunk = await self._next(answering, timeout)
+            chunk = await self._next_chunk(answering, timeout)
             if chunk is None:
                 return StreamEnd.STALLED
             if not chunk:
@@ -191,12 +196,12 @@
                 await self._write(answering, events)
                 timeout = stall_timeout or timeout
         if splitter.remainder:
-            await self._begin(answering)
+            await self._ensure_head_sent(answering)
             await self._reply.write(splitter.remainder)
-        await self._begin(answering)
+        await self._ensure_head_sent(answering)
         return StreamEnd.COMPLETE
 
-    async def _next(
+    async def _next_chunk(
         self,
         answering: UpstreamAnswer,
         timeout: float,
@@ -205,15 +210,15 @@
 
         It is abandoned only if it may be resumed at another upstream.
         """
-        outlook = self._execution.estimates
+        estimates = self._execution.estimates
         chunk = await wait_while_reachable(
             partial(_read_within, answering),
             timeout,
-            lambda: outlook.is_cut_off(answering.upstream),
-            outlook.clock,
+            lambda: estimates.is_cut_off(answering.upstream),
+            estimates.clock,
         )
         if chunk is not None:
-            outlook.upstream_responded(answering.upstream)
+            estimates.upstream_responded(answering.upstream)
             return chunk
         if not self._execution.may_repeat():
             return await answering.head.body.readany()
@@ -224,14 +229,14 @@
         self, answering: UpstreamAnswer, events: list[Event]
     ) -> None:
         """Send events, after the response head if it was not sent yet."""
-        await self._begin(answering)
+        await self._ensure_head_sent(answering)
         text = b''.join(event.raw for event in events)
         await self._reply.write(text)
         progress = self._progress
         progress.events += len(events)
         progress.last_event = events[-1].event_id or progress.last_event
 
-    async def _begin(self, answering: UpstreamAnswer) -> None:
+    async def _ensure_head_sent(self, answering: UpstreamAnswer) -> None:
         """Send the response head unless it was sent before."""
         if not self._reply.stream_started:
             head = answering.head
@@ -253,13 +258,15 @@
         ):
             larger = NotEscalated.BUDGET
         if isinstance(larger, NotEscalated):
-            self._log_kept(case, larger)
+            self._log_not_escalated(case, larger)
             return False
         self._progress.model = larger
         return True
 
-    def _log_kept(self, case: EscalationCase, why: NotEscalated) -> None:
-        """Log that an answer of low confidence is kept."""
+    def _log_not_escalated(
+        self, case: EscalationCase, why: NotEscalated
+    ) -> None:
+        """Log why an answer of low confidence is kept."""
         _LOG.decision(
             'not escalated',
             request=self._execution.request.request_id,
@@ -276,7 +283,11 @@
     def _escalation_case(
         self, answering: UpstreamAnswer
     ) -> EscalationCase | None:
-        """Return the facts for an escalation; None if there is no reason."""
+        """Return the inputs of an escalation decision, or None.
+
+        There are none if the confidence is no reason to escalate, or if no
+        upstream is available for the larger model.
+        """
         execution = self._execution
         route = execution.request.route
         text = answering.head.headers.get(self._confidence)
@@ -309,7 +320,7 @@
             await send_answer(self._reply, failure)
 
     def _log_end(self, answering: UpstreamAnswer, end: StreamEnd) -> None:
-        """Log how one upstream's part ended."""
+        """Log how one upstream's part of the stream ended."""
         _LOG.decision(
             'stream',
             request=self._execution.request.request_id,
--- a/src/nutmegroad/relay/tables.py
+++ b/src/nutmegroad/relay/tables.py
@@ -27,9 +27,9 @@
 #: upstreams after three to four seconds.
 UNCONFIRMED_SECONDS: Final = 6.0
 
-#: Fraction of the drain period for which an upstream is kept whose entry is
-#: removed soon after the store was unavailable. The upstream may be draining in
-#: fact; the rest of the period is for requests that are on their way to it.
+#: Fraction of the drain period for which an upstream is kept if its entry is
+#: removed soon after the store was unavailable. The upstream may in fact be
+#: draining; the rest of the period is for requests that are on their way to it.
 DRAIN_FRACTION: Final = 0.6
 
 
@@ -43,7 +43,7 @@
     """A row that can't be decoded.
 
     Attributes:
-        reason: One sentence for a person.
+        reason: What is wrong with it, for the log.
     """
 
     reason: str
@@ -71,9 +71,9 @@
     Args:
         reader: Decodes rows.
         configuration: The cached configuration.
-        orders: The orders of rollouts.
+        orders: Registry that receives the operator's rollout orders.
         update_services: Receives the services of each configuration in force.
-        versions: Which configurations hosts have in force.
+        versions: Versions of the configurations that hosts have in force.
     """
 
     def __init__(
@@ -104,9 +104,9 @@
                 self._apply(row)
 
     def confirm(self, moment: float, read: RowsRead) -> None:
-        """Record that no newer configuration existed at a time."""
+        """Record that no newer configuration existed at a clock time."""
         # If the store's configuration is older than one that a host has in
-        # force, the store has lost the writes since.
+        # force, the store has lost the writes since then.
         if (
             self._configuration.table is None
             or self._versions.in_store < self._versions.newest
@@ -145,8 +145,8 @@
 class RejectionLog:
     """Logs rejected entries, once for each entry and reason.
 
-    A foreign writer may write an entry again with each update, or write new
-    ones all the time.
+    A program that is not an upstream of this fleet may write an entry again
+    with each update, or write new ones continually.
     """
 
     def __init__(self) -> None:
@@ -156,15 +156,17 @@
         """Log a rejected entry, unless it or enough others were logged."""
         if self._logged.get(upstream) == reason:
             return
-        alike = sum(logged == reason for logged in self._logged.values())
-        if alike >= MAX_LOGGED_PER_REASON:
+        same_reason_count = sum(
+            logged == reason for logged in self._logged.values()
+        )
+        if same_reason_count >= MAX_LOGGED_PER_REASON:
             return
         self._logged[upstream] = reason
         _LOG.decision(
             'upstream entry rejected',
             key=upstream,
             reason=reason,
-            more_are_not_logged=alike + 1 == MAX_LOGGED_PER_REASON,
+            more_are_not_logged=same_reason_count + 1 == MAX_LOGGED_PER_REASON,
         )
 
     def clear(self, upstream: UpstreamId) -> None:
@@ -177,8 +179,8 @@
 
     An upstream is removed with its entry. An entry that is missing right after
     the store was unavailable may reappear. An entry that was not written by an
-    upstream of the configuration is rejected whatever it says: its address may
-    be that of a healthy upstream.
+    upstream of the configuration is rejected whatever its content: its address
+    may be that of a healthy upstream.
 
     Args:
         reader: Decodes rows.
@@ -209,6 +211,7 @@
         # their versions in that list.
         self._unconfirmed: dict[UpstreamId, tuple[UpstreamEntry, int]] = {}
         self._unconfirmed_until = float('-inf')
+        #: Whether a full snapshot of the list has been applied.
         self.listed = False
 
     def update_services(self, services: Collection[ServiceName]) -> None:
@@ -281,8 +284,9 @@
             self._pending_entries[upstream] = entry
 
     def _is_outdated(self, entry: UpstreamEntry, version: int) -> bool:
-        """Return whether an entry is outdated, as far as this host knew.
+        """Return whether an entry of a restored list is likely outdated.
 
+        It is if this host had recorded that the upstream left or was draining.
         A live upstream writes its entry again. One that has left does not, and
         the store removes its entry after some seconds.
         """
--- a/src/nutmegroad/relay/timeouts.py
+++ b/src/nutmegroad/relay/timeouts.py
@@ -14,8 +14,8 @@
 REACHABILITY_CHECK_INTERVAL: Final = 0.25
 
 #: Fraction of a request's remaining time for which an engine may send nothing.
-#: It may have long prompts to read that this host does not know of, and an
-#: abandoned attempt costs one that a larger model may need.
+#: It may have long prompts to read that this host does not know of, and
+#: abandoning it uses up an attempt that a larger model may need.
 REMAINING_TIME_FRACTION: Final = 0.4
 
 #: Multiple of the expected time for which an upstream may send nothing.
@@ -24,26 +24,26 @@
 #: Minimum seconds without a response before another attempt.
 MIN_TIMEOUT: Final = 0.3
 
-#: Minimum for an engine, which may take that long for one long prompt.
+#: Minimum seconds for an engine, which may take that long for one long prompt.
 MIN_ENGINE_TIMEOUT: Final = 1.5
 
 
 def response_timeout(
     request: CallerRequest,
     expected: float,
-    left: float,
+    time_left: float,
 ) -> float:
     """Return the seconds after which an upstream counts as unresponsive.
 
     Args:
         request: The request that was sent there.
         expected: Estimated seconds until the answer begins.
-        left: Seconds until the final answer is due.
+        time_left: Seconds until the final answer is due.
     """
     scaled = expected * EXPECTED_TIME_FACTOR
     if request.generation is None:
         return max(MIN_TIMEOUT, scaled)
-    return max(MIN_ENGINE_TIMEOUT, scaled, left * REMAINING_TIME_FRACTION)
+    return max(MIN_ENGINE_TIMEOUT, scaled, time_left * REMAINING_TIME_FRACTION)
 
 
 async def wait_while_reachable(
@@ -61,13 +61,14 @@
         clock: The host's clock.
 
     Returns:
-        The result, or None if there was none in time.
+        The result, or None if there was none before the timeout or before
+        ``is_unreachable`` ended the wait.
     """
     deadline = clock.now() + timeout
     while True:
-        left = max(0, deadline - clock.now())
-        result = await wait(min(left, REACHABILITY_CHECK_INTERVAL))
+        remaining = max(0, deadline - clock.now())
+        result = await wait(min(remaining, REACHABILITY_CHECK_INTERVAL))
         if result is not None:
             return result
-        if left <= REACHABILITY_CHECK_INTERVAL or is_unreachable():
+        if remaining <= REACHABILITY_CHECK_INTERVAL or is_unreachable():
             return None
--- a/src/nutmegroad/routes/__init__.py
+++ b/src/nutmegroad/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Shared types: requests of callers and the operator's configuration."""
+"""Types of callers' requests and of the operator's configuration."""
--- a/src/nutmegroad/routes/cached_configuration.py
+++ b/src/nutmegroad/routes/cached_configuration.py
@@ -24,7 +24,7 @@
 READY_FRACTION: Final = 0.8
 
 
-#: Seconds after the store was restored from a backup in which its responses
+#: Seconds after a restore of the store from a backup for which its responses
 #: confirm nothing. The operator writes again what the backup lacks, within
 #: about two seconds.
 RESTORE_SETTLE_SECONDS: Final = 2.5
@@ -50,12 +50,12 @@
 
     @property
     def table(self) -> RoutingTable | None:
-        """Return the configuration in force, or None before the first."""
+        """The configuration in force; None before the first."""
         return self._table
 
     @property
     def age(self) -> float:
-        """Return the seconds since it was last confirmed as the newest."""
+        """Seconds since the configuration was last confirmed as the newest."""
         return self._clock.now() - self._confirmed_at
 
     @property
@@ -102,11 +102,11 @@
         )
 
     def confirm(self, confirmed_at: float) -> None:
-        """Record that no newer configuration existed at a time.
+        """Record that no newer configuration existed at a clock time.
 
         Args:
-            confirmed_at: Clock seconds. Times before the store has settled are
-                ignored.
+            confirmed_at: Clock seconds. Times before the end of the settling
+                period after a restore of the store are ignored.
         """
         if confirmed_at >= self._settled_at:
             self._confirmed_at = max(self._confirmed_at, confirmed_at)
--- a/src/nutmegroad/routes/deployment.py
+++ b/src/nutmegroad/routes/deployment.py
@@ -23,7 +23,7 @@
 
 @unique
 class RequestKind(Enum):
-    """Kind of a route's requests: decides whether they may be repeated."""
+    """Kind of a route's requests; decides whether they may be repeated."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -51,10 +51,10 @@
     Attributes:
         name: The operator's name for it.
         host: Value of the Host header, in lower case, without a port.
-        prefix: Beginning of the path; with a slash at both ends.
+        prefix: Beginning of the path, with a slash at both ends.
         kind: Decides whether its requests may be repeated.
         timeout: Seconds within which a caller gets its final answer.
-        target_latency: Seconds within which an answer has its full worth.
+        target_latency: Seconds within which an answer has its full value.
         priority: Rank; 0 is the most urgent.
         services: The services that its requests are split between.
         max_attempts: Maximum number of upstreams that may execute one request.
@@ -182,8 +182,8 @@
 
     def service_of(self, name: ServiceName) -> Service:
         """Return a service; one that is not configured has no engine facts."""
-        found = self.services.get(name)
-        return Service(name) if found is None else found
+        service = self.services.get(name)
+        return Service(name) if service is None else service
 
     @cached_property
     def _by_host(self) -> Mapping[str, tuple[Route, ...]]:
--- a/src/nutmegroad/routes/headers.py
+++ b/src/nutmegroad/routes/headers.py
@@ -9,6 +9,7 @@
 from functools import cached_property
 from typing import Final
 
+#: Names and values of headers as received, in order.
 RawHeaders = tuple[tuple[bytes, bytes], ...]
 
 #: Headers that concern one connection only (RFC 9110, section 7.6.1), or that
@@ -73,7 +74,7 @@
     @cached_property
     def reserved(self) -> frozenset[bytes]:
         """Headers, in lower case, that the relay sets or removes."""
-        ours = (
+        set_or_removed = (
             self.deadline,
             self.expected_upstream,
             self.workspace,
@@ -81,12 +82,12 @@
             'authorization',
             *self.system_only,
         )
-        return frozenset(name.lower().encode() for name in ours)
+        return frozenset(name.lower().encode() for name in set_or_removed)
 
     @cached_property
     def protected(self) -> frozenset[bytes]:
         """Headers that a caller's Connection header can't remove."""
-        kept = (
+        names = (
             self.request_id,
             self.model,
             self.usage,
@@ -94,7 +95,7 @@
             self.last_event,
             'host',
         )
-        return frozenset(name.lower().encode() for name in kept)
+        return frozenset(name.lower().encode() for name in names)
 
 
 def end_to_end(headers: RawHeaders) -> RawHeaders:
--- a/src/nutmegroad/routes/requests.py
+++ b/src/nutmegroad/routes/requests.py
@@ -11,12 +11,12 @@
 
 #: Id of a part of a prompt, as received.
 PartId = NewType('PartId', str)
+#: Id of a session, chosen by the caller.
 SessionName = NewType('SessionName', str)
 
 #: Model name by which a caller leaves the choice of the model to the system.
 ANY_MODEL: Final = ModelName('*')
 
-#: Milliseconds per second.
 MILLISECONDS_PER_SECOND: Final = 1000
 
 
@@ -58,14 +58,14 @@
 
     @property
     def subject(self) -> PartId | None:
-        """The last shared part, or the only part; None without parts.
+        """Id of the last shared part, or of the only part; None without parts.
 
-        Requests about one subject have it in common.
+        Requests about one subject have this part in common.
         """
         if not self.parts:
             return None
-        found = self.shared_parts or self.parts
-        return found[-1].part_id
+        parts = self.shared_parts or self.parts
+        return parts[-1].part_id
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
         content: Fingerprint of its caller, method, path and body, independent
             of its id.
         generation: Parameters of a generation; None for plain calls.
-        session: Its session; None without one.
+        session: Id of its session; None without one.
         last_event: Id of the last event that its caller has received, or empty.
     """
 
@@ -144,15 +144,15 @@
     )
 
 
-def read_caller_timeout(text: str, longest: float) -> float:
+def read_caller_timeout(text: str, default: float) -> float:
     """Return the seconds that a caller will wait for an answer.
 
     Args:
         text: Milliseconds, as written by the caller.
-        longest: Seconds to return if the text is not a positive number.
+        default: Seconds to return if the text is not a positive integer.
     """
     number = _number(text)
-    return number / MILLISECONDS_PER_SECOND if number > 0 else longest
+    return number / MILLISECONDS_PER_SECOND if number > 0 else default
 
 
 def _read_parts(text: str) -> tuple[PromptPart, ...]:
