--- a/tests/test_relay_host.py
+++ b/tests/test_relay_host.py
@@ -21,18 +21,18 @@
 from tests.relay_rig import HOST, KEY, Rig, configuration, route
 
 
-def silent(seen: Seen) -> Script:
+def never_answer(seen: Seen) -> Script:
     """Never answer."""
     return Script((b'',), gap=3600)
 
 
-def cut_body(seen: Seen) -> Script:
+def send_truncated_body(seen: Seen) -> Script:
     """Answer with fewer bytes than announced."""
     headers = signed(seen, **{'Content-Length': '10'})
     return Script((head('200 OK', headers) + b'half',), close=True)
 
 
-def stray(seen: Seen) -> Script:
+def send_stray_answer_first(seen: Seen) -> Script:
     """Answer another request first, then this one."""
     length = {'Content-Length': '4'}
     other = {**signed(seen, **length), 'Nutmegroad-Request-Id': 'other'}
@@ -40,10 +40,10 @@
     return Script((head('200 OK', other) + b'evil' + ours + b'fine',))
 
 
-def extra(seen: Seen) -> Script:
+def send_extra_answer(seen: Seen) -> Script:
     """Send a second answer after the requested one."""
-    whole = head('200 OK', signed(seen, **{'Content-Length': '4'}))
-    return Script((whole + b'fine' + whole + b'more',))
+    ok_head = head('200 OK', signed(seen, **{'Content-Length': '4'}))
+    return Script((ok_head + b'fine' + ok_head + b'more',))
 
 
 class RelayCase(unittest.IsolatedAsyncioTestCase):
@@ -55,7 +55,7 @@
         await self.rig.start()
 
     def all_workers(self, script: object) -> None:
-        """Let all workers answer by one script."""
+        """Make all workers answer by one script."""
         for worker in self.rig.workers:
             worker.usual = script  # type: ignore[assignment]
 
@@ -94,14 +94,14 @@
 
     async def test_stray_answer_is_dropped(self) -> None:
         """An answer with another request's id is dropped."""
-        self.all_workers(stray)
+        self.all_workers(send_stray_answer_first)
         _, headers, body = await self.rig.ask('/look/1', 'mine')
         self.assertEqual(body, b'fine')
         self.assertEqual(headers['Nutmegroad-Request-Id'], 'mine')
 
     async def test_extra_answer_ends_the_connection(self) -> None:
         """A surplus answer is not taken for that of the next request."""
-        self.all_workers(extra)
+        self.all_workers(send_extra_answer)
         for number in range(4):
             _, headers, body = await self.rig.ask('/pay/1', f'r{number}')
             self.assertEqual(body, b'fine')
@@ -113,14 +113,14 @@
 
     async def test_cut_answer_of_a_repeatable_call_is_asked_again(self) -> None:
         """The caller gets a complete answer from another worker."""
-        self.rig.workers[0].usual = cut_body
+        self.rig.workers[0].usual = send_truncated_body
         for number in range(6):
             status, _, body = await self.rig.ask('/look/1', f'r{number}')
             self.assertEqual((status, body), (200, b'fine'))
 
     async def test_call_that_runs_once_is_never_sent_again(self) -> None:
         """Its outcome is unknown, so the status guarantees nothing."""
-        self.all_workers(cut_body)
+        self.all_workers(send_truncated_body)
         status, headers, _ = await self.rig.ask('/pay/1', 'p1')
         self.assertEqual(status, 502)
         self.assertNotIn('Retry-After', headers)
@@ -145,7 +145,7 @@
         self.rig.configure(
             2, routes=[route('pay', 'non_idempotent', timeoutMs=200)]
         )
-        self.all_workers(silent)
+        self.all_workers(never_answer)
         await self.rig.until(lambda: self.rig.host.configuration_version == 2)
         status, _, _ = await self.rig.ask('/pay/1')
         self.assertEqual(status, 504)
@@ -157,7 +157,7 @@
         )
         await self.rig.until(lambda: self.rig.host.configuration_version == 2)
         for worker in self.rig.workers:
-            worker.once.append(silent)
+            worker.once.append(never_answer)
         statuses = [
             (await self.rig.ask('/pay/1', f'p{number}'))[0]
             for number in range(8)
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -87,7 +87,7 @@
         self.assertIsNone(read_generation({}, HEADERS))
 
     def test_wait_is_read(self) -> None:
-        """Invalid text yields the longest wait."""
+        """Text that is not a positive integer yields the default."""
         cases = (('1500', 1.5), ('', 9), ('-3', 9), ('1e3', 9), ('0', 9))
         for text, expected in cases:
             with self.subTest(text=text):
@@ -129,8 +129,8 @@
 
         A burst arrives, then upstreams crash, and its answers are repeated
         late. The operator compares repeats with the window before as well. When
-        the budget did not, 79 hosts kept 242 answers of low confidence in the
-        eight seconds after such a peak for lack of budget.
+        the budget did not, 79 hosts had no budget left to escalate 242 answers
+        of low confidence in the eight seconds after such a peak.
         """
         clock = ManualClock()
         budget = RepeatBudget(clock, 0.9, 10)
@@ -213,9 +213,9 @@
             (0, 1.2, NotEscalated.CAPACITY),
             (0, 2.4, NotEscalated.CAPACITY),
         )
-        for ahead, crowd, expected in cases:
-            found = AnswerEstimate(0.2 + ahead, 1 + ahead, ahead, crowd)
-            with self.subTest(ahead=ahead, crowd=crowd):
+        for queued, occupancy, expected in cases:
+            found = AnswerEstimate(0.2 + queued, 1 + queued, queued, occupancy)
+            with self.subTest(queued=queued, occupancy=occupancy):
                 model = larger_model(
                     a_route(), EscalationCase(20, 0.1, 2, found, 9)
                 )
--- a/tests/test_relay_rollouts.py
+++ b/tests/test_relay_rollouts.py
@@ -34,30 +34,30 @@
 class RolloutTest(unittest.TestCase):
     """Requests that a new version gets."""
 
-    #: Versions of the rollout's row.
-    numbers = itertools.count(11)
+    #: Store versions of the rows that the tests write.
+    row_versions = itertools.count(11)
 
     def setUp(self) -> None:
         """Create a service with an old and a new upstream."""
         self.clock = ManualClock(start=100)
         self.directory = Directory(self.clock)
         self.directory.put(an_entry('old'))
-        book = a_book()
+        evidence = a_book()
         self.state = RolloutState(
             HostId('me'),
             0.1,
             self.clock.now,
-            book,
+            evidence,
             lambda: 1,
-            registry=RolloutRegistry(self.clock.now, book.stop),
+            registry=RolloutRegistry(self.clock.now, evidence.stop),
         )
         self.sessions = SessionVersions(self.clock, 5)
-        self.marks = OldVersionSessions(self.clock, 6)
+        self.old_version_sessions = OldVersionSessions(self.clock, 6)
         self.gate = RolloutGate(
             self.directory,
             self.state,
             self.sessions,
-            self.marks,
+            self.old_version_sessions,
             InterruptedAttempts(self.clock),
         )
         self.versions('warm-up')
@@ -77,7 +77,9 @@
     def enter(self, stage: Stage, opened: float = 0) -> None:
         """Enter a stage."""
         row = RolloutRow(7, stage.value, 98, opened)
-        self.state.registry.apply_progress(ENGINES, row, next(self.numbers))
+        self.state.registry.apply_progress(
+            ENGINES, row, next(self.row_versions)
+        )
 
     def share(self) -> float:
         """Return the measured traffic share of the new version."""
@@ -112,8 +114,9 @@
     def test_session_that_another_host_has_seen_is_not_moved(self) -> None:
         """A session's requests go to one host, then to another.
 
-        Most sessions use several hosts. Seen as lsf quiet-1 --seed 566875859236
-        (PINNED 4).
+        Most sessions use several hosts. Guards against a host that has not seen
+        a session itself, takes it for a new one in the canary stage, and moves
+        it from the old version to the new one.
         """
         self.order()
         other = OldVersionSessions(self.clock, 6)
@@ -128,7 +131,7 @@
         for name in names:
             request = a_request('r', session=name)
             gate.sent(request, ENGINES, SoftwareVersion('v1'))
-        self.marks.merge(other.local_report(), local=True)
+        self.old_version_sessions.merge(other.local_report(), local=True)
         self.enter(Stage.CANARY)
         moved = [n for n in names if self.versions('r', n) == ['v2']]
         self.assertEqual(moved, [])
@@ -139,26 +142,26 @@
     def test_session_of_before_the_order_is_not_moved_elsewhere(self) -> None:
         """A session is active when a rollout is ordered.
 
-        Seen as lsf-grown quiet-1 --seed 664896862532 (PINNED 4): all four
-        sessions had run at another host in the second before the order, and
-        that host sent no fingerprints of them.
+        Guards against moving active sessions to the new version in the canary
+        stage. All four sessions that were moved had run at another host in the
+        second before the order, and that host sent no fingerprints of them.
         """
         names = [f's{n}' for n in range(200)]
-        book = a_book()
+        evidence = a_book()
         state = RolloutState(
             HostId('other'),
             0.1,
             self.clock.now,
-            book,
+            evidence,
             lambda: 1,
-            registry=RolloutRegistry(self.clock.now, book.stop),
+            registry=RolloutRegistry(self.clock.now, evidence.stop),
         )
-        marks = OldVersionSessions(self.clock, 6)
+        old_version_sessions = OldVersionSessions(self.clock, 6)
         gate = RolloutGate(
             self.directory,
             state,
             SessionVersions(self.clock, 5),
-            marks,
+            old_version_sessions,
             InterruptedAttempts(self.clock),
         )
         for name in names:
@@ -168,7 +171,9 @@
         state.registry.apply_order(
             RolloutOrder(ENGINES, SoftwareVersion('v2'), 20, 7)
         )
-        self.marks.merge(marks.local_report(), local=True)
+        self.old_version_sessions.merge(
+            old_version_sessions.local_report(), local=True
+        )
         self.order()
         self.enter(Stage.CANARY)
         moved = [n for n in names if self.versions('r', n) == ['v2']]
@@ -195,7 +200,10 @@
         self.assertEqual(self.versions('r', 'x'), ['v2'])
 
     def test_host_halts_before_any_verdict(self) -> None:
-        """A bad version fails while the store is unavailable."""
+        """A bad version fails while the store is unavailable.
+
+        The host stops using the version before a verdict can be stored.
+        """
         self.order()
         self.enter(Stage.CANARY)
         for _ in range(6):
--- a/tests/test_relay_selection.py
+++ b/tests/test_relay_selection.py
@@ -59,8 +59,8 @@
     def test_unreachable_upstream_is_probed_by_one_request(self) -> None:
         """A failure domain may be cut off from its only upstream.
 
-        Without the limit, every request there attempted it, 0.3 s each, until
-        their callers gave up.
+        Without the limit, every request there attempted to connect to it, for
+        0.3 s each time, until the callers gave up.
         """
         health = Health()
         health.record_unreachable(0)
@@ -102,12 +102,12 @@
             Upstream(an_entry('far', domain=DomainId('south'))),
         ]
 
-    def chosen(self, tried: tuple[str, ...] = ()) -> str:
+    def chosen(self, attempted: tuple[str, ...] = ()) -> str:
         """Return the upstream selected for a request."""
         parts = (PromptPart(PartId('s'), 900), PromptPart(PartId('o'), 100))
-        asked = SelectionQuery(a_request(parts=parts), ENGINES, SMALL, None)
-        names = [UpstreamId(name) for name in tried]
-        choice = self.selector.choose(asked, self.upstreams, names)
+        query = SelectionQuery(a_request(parts=parts), ENGINES, SMALL, None)
+        names = [UpstreamId(name) for name in attempted]
+        choice = self.selector.choose(query, self.upstreams, names)
         assert choice is not None
         return choice.upstream.entry.upstream
 
@@ -136,25 +136,25 @@
 
     def test_local_domain_is_never_cut_off(self) -> None:
         """At low load no messages may arrive from the local domain at all."""
-        near = self.upstreams[0]
+        local = self.upstreams[0]
         for _ in range(40):
             self.clock._now += 0.1
-            self.selector.silence.record_message(near.entry.domain)
+            self.selector.silence.record_message(local.entry.domain)
         self.clock._now += 60
-        self.assertFalse(self.selector.is_cut_off(near))
+        self.assertFalse(self.selector.is_cut_off(local))
 
     def test_load_reported_by_peers_counts(self) -> None:
         """Hosts that see only their own load would all choose one upstream."""
         first = self.chosen()
-        told = {UpstreamId(first): Load(3, 5.0, 9000)}
-        self.ledger.replace_reported(HostId('n'), told)
+        reported = {UpstreamId(first): Load(3, 5.0, 9000)}
+        self.ledger.replace_reported(HostId('n'), reported)
         self.assertNotEqual(self.chosen(), first)
 
     def test_stale_load_of_peers_does_not_count(self) -> None:
         """A peer may terminate while its requests are in progress."""
         first = self.chosen()
-        told = {UpstreamId(first): Load(3, 5.0, 9000)}
-        self.ledger.replace_reported(HostId('n'), told)
+        reported = {UpstreamId(first): Load(3, 5.0, 9000)}
+        self.ledger.replace_reported(HostId('n'), reported)
         self.clock._now += 3
         self.assertEqual(self.chosen(), first)
 
@@ -168,8 +168,10 @@
     def test_tried_upstreams_come_last(self) -> None:
         """An upstream that failed a request gets it again as a last resort."""
         first = self.chosen()
-        self.assertNotEqual(self.chosen(tried=(first,)), first)
-        self.assertIn(self.chosen(tried=('a', 'b', 'far')), ('a', 'b', 'far'))
+        self.assertNotEqual(self.chosen(attempted=(first,)), first)
+        self.assertIn(
+            self.chosen(attempted=('a', 'b', 'far')), ('a', 'b', 'far')
+        )
 
     def test_nothing_is_selected_if_all_are_unreachable(self) -> None:
         """With all upstreams unreachable, the caller is refused immediately."""
@@ -177,17 +179,17 @@
             upstream.health.record_unreachable(0)
             upstream.health.record_unreachable(0)
         parts = (PromptPart(PartId('s'), 900),)
-        asked = SelectionQuery(a_request(parts=parts), ENGINES, SMALL, None)
-        self.assertIsNone(self.selector.choose(asked, self.upstreams, ()))
+        query = SelectionQuery(a_request(parts=parts), ENGINES, SMALL, None)
+        self.assertIsNone(self.selector.choose(query, self.upstreams, ()))
 
     def test_overdue_upstream_is_avoided_before_it_fails(self) -> None:
         """Connections get no answers when a failure domain is cut off."""
         first = self.chosen()
-        silent = next(
+        overdue = next(
             each for each in self.upstreams if each.entry.upstream == first
         )
-        silent.health.record_overdue(0)
-        silent.health.record_overdue(0)
+        overdue.health.record_overdue(0)
+        overdue.health.record_overdue(0)
         self.assertNotEqual(self.chosen(), first)
 
     def test_failing_upstream_is_avoided(self) -> None:
@@ -218,7 +220,7 @@
     """Load ledger of requests sent by this host."""
 
     def test_request_leaves_nothing_behind(self) -> None:
-        """Begin, read and end; the prompt is counted off only once."""
+        """Begin, read and end; the prompt is subtracted only once."""
         ledger = LoadLedger(ManualClock())
         name = UpstreamId('u')
         load = Load(1, 0.5, 10)
@@ -259,9 +261,14 @@
         second there.
         """
         hosts = tuple(HostId(f'h{number}') for number in range(44))
-        told = [cyclic_slice(hosts, turn * 8, 8) for turn in range(11)]
-        self.assertEqual({len(each) for each in told}, {8})
-        self.assertEqual({host for each in told for host in each}, set(hosts))
+        receivers = [
+            cyclic_slice(hosts, round_number * 8, 8)
+            for round_number in range(11)
+        ]
+        self.assertEqual({len(each) for each in receivers}, {8})
+        self.assertEqual(
+            {host for each in receivers for host in each}, set(hosts)
+        )
         self.assertEqual(cyclic_slice(hosts[:3], 5 * 8, 8), hosts[:3])
 
 
@@ -270,12 +277,12 @@
 
     def test_slow_model_is_known_after_few_answers(self) -> None:
         """The model is ten times slower than the initial estimate."""
-        paces = LatencyEstimates()
+        estimates = LatencyEstimates()
         for _ in range(10):
-            expected = paces.prefill_seconds(KEY, 10_000)
-            paces.observe(KEY, 10_000, 5.0, expected)
+            expected = estimates.prefill_seconds(KEY, 10_000)
+            estimates.observe(KEY, 10_000, 5.0, expected)
         self.assertAlmostEqual(
-            paces.prefill_seconds(KEY, 10_000), 5.0, delta=1.0
+            estimates.prefill_seconds(KEY, 10_000), 5.0, delta=1.0
         )
 
     def test_tokens_of_long_prompts_take_longer(self) -> None:
@@ -284,25 +291,27 @@
         In one test scenario 0.9 s were expected for such a prompt and 3.2 s
         were needed, and other requests were sent to wait behind it.
         """
-        paces = LatencyEstimates()
+        estimates = LatencyEstimates()
         for _ in range(20):
             for tokens, seconds in ((1000, 0.01), (60_000, 3.0)):
-                expected = paces.prefill_seconds(KEY, tokens)
-                paces.observe(KEY, tokens, seconds, expected)
+                expected = estimates.prefill_seconds(KEY, tokens)
+                estimates.observe(KEY, tokens, seconds, expected)
         self.assertAlmostEqual(
-            paces.prefill_seconds(KEY, 60_000), 3.0, delta=0.3
+            estimates.prefill_seconds(KEY, 60_000), 3.0, delta=0.3
         )
         self.assertAlmostEqual(
-            paces.prefill_seconds(KEY, 1000), 0.01, delta=0.002
+            estimates.prefill_seconds(KEY, 1000), 0.01, delta=0.002
         )
 
     def test_new_size_class_starts_like_the_nearest(self) -> None:
         """The first very long prompt is expected to take at least as long."""
-        paces = LatencyEstimates()
+        estimates = LatencyEstimates()
         for _ in range(20):
-            paces.observe(KEY, 1000, 0.1, paces.prefill_seconds(KEY, 1000))
+            estimates.observe(
+                KEY, 1000, 0.1, estimates.prefill_seconds(KEY, 1000)
+            )
         self.assertAlmostEqual(
-            paces.prefill_seconds(KEY, 60_000), 6.0, delta=0.6
+            estimates.prefill_seconds(KEY, 60_000), 6.0, delta=0.6
         )
 
 
@@ -311,8 +320,8 @@
 
     def test_generation_time_is_learned_from_complete_streams(self) -> None:
         """No estimate before the first stream; invalid values are ignored."""
-        paces = LatencyEstimates()
-        self.assertEqual(paces.generation_seconds(KEY, 100), 0)
-        paces.observe_generation(KEY, 0, 5)
-        paces.observe_generation(KEY, 200, 2)
-        self.assertAlmostEqual(paces.generation_seconds(KEY, 100), 1)
+        estimates = LatencyEstimates()
+        self.assertEqual(estimates.generation_seconds(KEY, 100), 0)
+        estimates.observe_generation(KEY, 0, 5)
+        estimates.observe_generation(KEY, 200, 2)
+        self.assertAlmostEqual(estimates.generation_seconds(KEY, 100), 1)
--- a/tests/test_relay_tables.py
+++ b/tests/test_relay_tables.py
@@ -54,27 +54,27 @@
     """A sink that records its calls."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.calls: list[str] = []
 
     def replace(self, read: RowsRead) -> None:
         """Record a full snapshot."""
-        self.told.append('replace')
+        self.calls.append('replace')
 
     def apply(self, read: RowsRead) -> None:
         """Record a table update."""
-        self.told.append('apply')
+        self.calls.append('apply')
 
     def confirm(self, moment: float, read: RowsRead) -> None:
         """Record a confirmation."""
-        self.told.append(f'confirm {moment:g}')
+        self.calls.append(f'confirm {moment:g}')
 
     def on_store_unavailable(self) -> None:
         """Record that the store is unavailable."""
-        self.told.append('lost')
+        self.calls.append('lost')
 
     def on_store_restored(self) -> None:
         """Record that the store was restored from a backup."""
-        self.told.append('went back')
+        self.calls.append('went back')
 
 
 class FollowerTest(unittest.IsolatedAsyncioTestCase):
@@ -110,7 +110,7 @@
             ['snapshot', 'after 5', 'snapshot', 'snapshot', 'after 9'],
         )
         self.assertEqual(
-            sink.told,
+            sink.calls,
             [
                 'replace',
                 'confirm 0',
@@ -130,7 +130,7 @@
         """No long-polling call is sent to an unresponsive store.
 
         Such a call hung for four seconds, three of them after the store was
-        back.
+        available again.
         """
         refusal = Refusal(ResultCode.TABLE_UNAVAILABLE, '.', Ran.UNKNOWN)
         empty = RowsRead((), 5, 100)
@@ -150,8 +150,10 @@
         self.assertEqual(store.waits, [3, 0, 0, 3])
 
 
-def dated(store_clock: StoreClock, asked: float, store_time: float) -> float:
-    """Return the time at which an answer that has just arrived was made."""
+def estimate_creation(
+    store_clock: StoreClock, asked: float, store_time: float
+) -> float:
+    """Return when the store made an answer, in the host's clock seconds."""
     store_clock.calibrate(asked, store_time)
     return store_clock.to_host_time(store_time)
 
@@ -163,19 +165,21 @@
         """Keys must not seem old after a change has ended a long wait."""
         clock = ManualClock(start=10)
         store_clock = StoreClock(clock)
-        self.assertEqual(dated(store_clock, 10, 500), 10)
+        self.assertEqual(estimate_creation(store_clock, 10, 500), 10)
         clock._now = 13
-        self.assertAlmostEqual(dated(store_clock, 10, 502.9), 12.9, delta=0.01)
+        self.assertAlmostEqual(
+            estimate_creation(store_clock, 10, 502.9), 12.9, delta=0.01
+        )
 
     def test_moment_is_never_later_than_the_truth(self) -> None:
         """All answers arrive seconds late, including the first."""
         clock = ManualClock(start=14)
         store_clock = StoreClock(clock)
         # Asked at 10, made at 11 (store 501), received at 14.
-        self.assertLessEqual(dated(store_clock, 10, 501), 11)
+        self.assertLessEqual(estimate_creation(store_clock, 10, 501), 11)
         clock._now = 20
         # Asked at 15, made at 15.5, received at 20.
-        self.assertLessEqual(dated(store_clock, 15, 505.5), 15.5)
+        self.assertLessEqual(estimate_creation(store_clock, 15, 505.5), 15.5)
 
 
 class CachedConfigurationTest(unittest.TestCase):
@@ -184,31 +188,31 @@
     def test_keys_expire_before_the_bound(self) -> None:
         """A key may have been revoked while this host is cut off."""
         clock = ManualClock()
-        belief = CachedConfiguration(clock, 5)
-        belief.update(RoutingTable(ConfigurationVersion(1), (), {}))
-        belief.confirm(0)
+        cached = CachedConfiguration(clock, 5)
+        cached.update(RoutingTable(ConfigurationVersion(1), (), {}))
+        cached.confirm(0)
         clock._now = 4.6
-        self.assertTrue(belief.keys_valid)
+        self.assertTrue(cached.keys_valid)
         clock._now = 4.9
-        self.assertFalse(belief.keys_valid)
-        belief.confirm(1)
-        self.assertTrue(belief.keys_valid)
+        self.assertFalse(cached.keys_valid)
+        cached.confirm(1)
+        self.assertTrue(cached.keys_valid)
 
     def test_confirmation_never_goes_back(self) -> None:
         """A late answer confirms nothing newer."""
         clock = ManualClock(start=9)
-        belief = CachedConfiguration(clock, 5)
-        belief.confirm(8)
-        belief.confirm(3)
-        self.assertEqual(belief.age, 1)
+        cached = CachedConfiguration(clock, 5)
+        cached.confirm(8)
+        cached.confirm(3)
+        self.assertEqual(cached.age, 1)
 
     def test_version_never_goes_back(self) -> None:
         """An older configuration is ignored."""
-        belief = CachedConfiguration(ManualClock(), 5)
+        cached = CachedConfiguration(ManualClock(), 5)
         for version in (3, 2):
-            belief.update(RoutingTable(ConfigurationVersion(version), (), {}))
-        assert belief.table is not None
-        self.assertEqual(belief.table.version, 3)
+            cached.update(RoutingTable(ConfigurationVersion(version), (), {}))
+        assert cached.table is not None
+        self.assertEqual(cached.table.version, 3)
 
 
 class UpstreamSinkTest(unittest.TestCase):
@@ -251,9 +255,10 @@
         self.assertEqual(self.known(), 1)
 
     def test_worker_that_leaves_after_an_outage_is_gone_in_time(self) -> None:
-        """A worker leaves two seconds after the store was back.
+        """A worker leaves two seconds after the store is available again.
 
-        It was kept for 2.5 s, although it continues to serve for only 2 s.
+        Without the limit, it was kept for 2.5 s, although it continues to serve
+        for only 2 s.
         """
         self.sink.on_store_unavailable()
         self.sink.confirm(50, RowsRead((), 2, 0))
