--- a/src/nutmegroad/upstreams/directory.py
+++ b/src/nutmegroad/upstreams/directory.py
@@ -72,8 +72,7 @@
 
     #: No longer listed. Requests in progress may still complete.
     REMOVED = 'gone'
-    #: Another incarnation has taken over the id, so nothing of this one
-    #: remains.
+    #: Another incarnation has taken over the id, so this one has terminated.
     RESTARTED = 'restarted'
 
 
@@ -140,7 +139,7 @@
             self.record_restart(before)
 
     def _notify(self, known: Upstream, end: IncarnationEnd) -> None:
-        """Notify all listeners."""
+        """Notify all listeners of the end of an incarnation."""
         for listener in self._listeners:
             listener(known.entry.incarnation, end)
 
@@ -302,7 +301,7 @@
 
 
 def has_left(directory: Directory, entry: UpstreamEntry) -> bool:
-    """Return whether an upstream has left or is draining, unlike ``entry``."""
+    """Return whether ``entry`` is outdated: its upstream left or now drains."""
     known = directory.find(entry.upstream)
     if known is None:
         return directory.ended.is_removed(entry)
--- a/src/nutmegroad/upstreams/health.py
+++ b/src/nutmegroad/upstreams/health.py
@@ -10,8 +10,8 @@
 from typing import Final
 
 #: Seconds for which an upstream is excluded after its first connection failure;
-#: doubles with each further failure. Two round trips in the slowest test
-#: scenario, so that a single lost packet costs little.
+#: doubles with each further failure. Two round trips on a slow network, so that
+#: a single lost packet costs little.
 INITIAL_EXCLUSION: Final = 0.5
 
 #: Maximum exclusion in seconds; an upstream that restarts is back within
@@ -75,7 +75,7 @@
             self.probing = True
 
     def record_no_result(self) -> None:
-        """Record that a request ended without saying anything about it."""
+        """Record that a request ended without evidence about the upstream."""
         self.probing = False
 
     def record_unreachable(self, now: float) -> None:
--- a/src/nutmegroad/upstreams/latency_estimates.py
+++ b/src/nutmegroad/upstreams/latency_estimates.py
@@ -21,7 +21,7 @@
 
 #: Weight of the newest answer. About the last twenty answers decide, so a
 #: single answer that waited behind requests unknown to this host has little
-#: effect. The first few answers are weighted as in an arithmetic mean.
+#: effect. Until then all answers and the initial estimate have equal weight.
 NEWEST_WEIGHT: Final = 0.05
 
 #: Maximum factor by which a single answer may correct an estimate.
@@ -47,10 +47,10 @@
 
 @dataclass(slots=True)
 class _Mean:
-    """A moving average that is corrected by ratios.
+    """A moving average, updated by ratios of measured to estimated times.
 
     Attributes:
-        level: Its current value.
+        level: Its current value, in seconds.
         count: Number of answers that it is based on.
     """
 
@@ -68,7 +68,7 @@
     """Latency estimates for one service and model.
 
     Attributes:
-        base: Seconds that an answer takes apart from its prompt.
+        base: Seconds until an answer starts, apart from those for its prompt.
         tokens: Seconds per prompt token, by the size class of the prompt. A
             token of a long prompt takes longer, because it attends to all
             tokens before it.
@@ -110,7 +110,7 @@
         return self._latency(key).token(_size_class(tokens)).level * tokens
 
     def base_seconds(self, key: LatencyKey) -> float:
-        """Return the seconds that an answer takes apart from its prompt."""
+        """Return the part of the latency that does not depend on the prompt."""
         return self._latency(key).base.level
 
     def generation_seconds(self, key: LatencyKey, tokens: int) -> float:
@@ -172,5 +172,8 @@
 
 
 def _size_class(tokens: int) -> int:
-    """Return the size class of a prompt; each class is four times the last."""
+    """Return the size class of a prompt.
+
+    The bounds of each class are four times those of the class before.
+    """
     return (tokens // LONG_PROMPT).bit_length() // 2
--- a/src/nutmegroad/upstreams/prefixes.py
+++ b/src/nutmegroad/upstreams/prefixes.py
@@ -1,8 +1,10 @@
 """Estimates of how much of a prompt an upstream must process or can fetch.
 
-A prompt part is cached for one model, and it is usable only together with all
-parts before it. Parts cached by another upstream of the service can be fetched
-from there, which is faster than processing them with a slow model.
+A prompt consists of parts; all but the last may be shared with other prompts.
+The last shared part is the subject of the request. A part is cached for one
+model, and it is usable only together with all parts before it. Parts cached by
+another upstream of the service can be fetched from there, which is faster than
+processing them with a slow model.
 """
 
 from collections.abc import Iterable
@@ -29,10 +31,10 @@
 
 #: Minimum engine time in seconds that a fetch must save. A fetch uses the links
 #: of two engines and costs as much as the bytes it moves, so it has to gain
-#: more than that. Fetching was worth 0.014 (standard error 0.005) of a day's
-#: total value over nine paired days, measured before hosts advertised sends
-#: immediately. With immediate advertising no significant effect remains
-#: (-0.004, standard error 0.005).
+#: more than that. Fetching raises the total value of a day by 0.014 of it
+#: (standard error 0.005) if hosts advertise with a delay what they send. With
+#: immediate advertising there is no significant effect (-0.004, standard error
+#: 0.005).
 MIN_FETCH_SAVING: Final = 0.1
 
 #: Recent failure rate from which on nothing is fetched from an upstream.
@@ -41,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefillEstimate:
-    """How an upstream would obtain the state for one prompt.
+    """What an upstream would process and fetch for one prompt.
 
     Attributes:
         tokens: Prompt tokens that it would process.
@@ -81,7 +83,7 @@
 
 
 class PrefillEstimator:
-    """Estimates for each candidate upstream of one prompt.
+    """Estimates the work for one prompt at each candidate upstream.
 
     Args:
         generation: Prompt and generation parameters of the request.
--- a/src/nutmegroad/upstreams/selection.py
+++ b/src/nutmegroad/upstreams/selection.py
@@ -3,9 +3,9 @@
 The estimate is based on the prompts queued at each upstream, the parts of the
 request's own prompt that are cached there, how many of its slots are taken, and
 the results of this host's exchanges with it. Requests about one subject share
-prompt parts. All hosts of a failure domain order the upstreams for a subject
-alike, by rendezvous hashing, so their requests tend to meet at one upstream
-without any messages.
+prompt parts. All hosts of a failure domain prefer the same upstream for a
+subject, by rendezvous hashing, so most of these requests go to one upstream,
+without any messages between the hosts.
 """
 
 import random
@@ -50,7 +50,7 @@
 CUT_OFF_PENALTY: Final = 2.0
 
 #: Penalty for an upstream whose slots are all taken, as a fraction of the
-#: target latency.
+#: target latency. Scaled by the square of the fraction of slots taken.
 FULL_SLOTS_PENALTY: Final = 0.5
 
 #: Penalty for each tenth of an engine's memory that is requested beyond its
@@ -65,7 +65,8 @@
 #: Ratio of measured to estimated time from which an upstream counts as slow.
 SLOW_RATIO: Final = 2.0
 
-#: Estimates that differ by less than this many seconds count as equal.
+#: Maximum of the random seconds that are added to each estimate, so that hosts
+#: choose at random between upstreams whose estimates are nearly equal.
 TIE_SECONDS: Final = 0.002
 
 _TENTH: Final = 0.1
@@ -78,7 +79,7 @@
     Attributes:
         upstream: The selected upstream.
         expected_seconds: Seconds until its answer should start.
-        prefill: How the upstream obtains the state for the request's prompt.
+        prefill: What the upstream processes and fetches for the prompt.
         tokens: Tokens that the request adds to the upstream's memory.
         held_tokens: Tokens that other requests occupy there.
         running: Number of requests there, as far as is known.
@@ -133,7 +134,8 @@
         domain: The host's failure domain.
         ledger: Current load of each upstream.
         prefixes: Prompt prefixes cached by each upstream.
-        silence: When each failure domain was last heard from.
+        silence: Tracks when the last message from each failure domain was
+            received.
     """
 
     def __init__(
@@ -201,7 +203,7 @@
         prefill: PrefillEstimate,
         candidates: int,
     ) -> Choice:
-        """Return the estimate for one upstream."""
+        """Return the choice of one upstream, with its estimates."""
         load = self.ledger.load(upstream.entry.incarnation)
         base = self.latencies.base_seconds(query.key)
         queue = max(0, load.running + 1 - upstream.entry.slots)
