--- a/src/nutmegroad/routing/_demand.py
+++ b/src/nutmegroad/routing/_demand.py
@@ -51,13 +51,18 @@
         self._running[workspace] = self._running.get(workspace, 0) + 1
 
     def ended(self, workspace: WorkspaceId) -> None:
-        """Count off a request that has ended."""
+        """Stop counting a request that has ended."""
         self._running[workspace] -= 1
         if not self._running[workspace]:
             self._running.pop(workspace)
 
     def refused(self, workspace: WorkspaceId, cost: float) -> None:
-        """Add slot-seconds that were refused since the last observation."""
+        """Record that a request was refused.
+
+        Args:
+            workspace: Its workspace.
+            cost: Slot-seconds that it was expected to take.
+        """
         self._refused[workspace] = self._refused.get(workspace, 0) + cost
 
     def observe(self, queued: dict[WorkspaceId, int]) -> None:
@@ -89,7 +94,7 @@
         }
 
     def entitlement(self, permits: int) -> float:
-        """Return this host's permits if all were divided by quota share.
+        """Return this host's permits if the domain's followed quota shares.
 
         Args:
             permits: Permits of all hosts of the failure domain.
@@ -137,9 +142,9 @@
         """Update the fraction of each workspace's demand that arrives here."""
         others = self._fleet.demand(self._identity.domain)
         hosts = len(self._fleet.hosts(self._identity.domain)) + 1
-        # Relative to an even distribution over the hosts: 1 means that the host
-        # gets its even part, which is also the default for an unknown
-        # workspace.
+        # Relative to an even distribution over the hosts: 1 means that the
+        # workspace sends this host as much as the others on average. This is
+        # also the default for an unknown workspace.
         self._fractions = {
             name: max(
                 _MIN_WEIGHT_FRACTION, hosts * own / (own + others.get(name, 0))
--- a/src/nutmegroad/routing/_ejection.py
+++ b/src/nutmegroad/routing/_ejection.py
@@ -38,7 +38,10 @@
 #: Fraction of its slots that a new or recovered upstream may use at first.
 MIN_START_FRACTION: Final = 0.2
 
-_MOST_DOUBLINGS: Final = 10
+#: Maximum number of times that the duration of an ejection is doubled.
+_MAX_DOUBLINGS: Final = 10
+
+#: Range of the random factor of the duration of an ejection.
 _JITTER: Final = (0.75, 1.25)
 
 
@@ -128,7 +131,7 @@
 
     def _eject(self, code: ResultCode, now: float) -> None:
         """Send the upstream no work for a while."""
-        doublings = min(self._ejections, _MOST_DOUBLINGS)
+        doublings = min(self._ejections, _MAX_DOUBLINGS)
         seconds = min(MAX_EJECTION, INITIAL_EJECTION * 2**doublings)
         self._ejected_until = now + seconds * self._randomness.uniform(*_JITTER)
         self._is_ejected = True
--- a/src/nutmegroad/routing/_estimates.py
+++ b/src/nutmegroad/routing/_estimates.py
@@ -1,4 +1,4 @@
-"""Speed estimates of versions and engines, learned from own attempts."""
+"""Speed estimates of versions and engines, from this host's attempts."""
 
 import random
 from bisect import bisect_right
@@ -12,14 +12,17 @@
 #: of them a delayed report included.
 _HISTORY: Final = 64
 
-#: Weight of the newest observation.
+#: Weight of the newest observation in a version's speed.
 _GAIN: Final = 0.05
+
+#: Weight of the newest observation in an engine's slowness and in the tokens
+#: that a cached prefix saves.
 _SLOWNESS_GAIN: Final = 0.2
 
 #: Factor from the expected value beyond which an observation is clamped.
 _OUTLIER: Final = 8.0
 
-#: Weight of the newest report.
+#: Weight of the newest report in the load caused by other hosts.
 _REPORT_GAIN: Final = 0.2
 
 #: Number of other hosts assumed to behave like this one. All hosts read the
@@ -32,10 +35,15 @@
 #: Slowness from which an engine counts as slow.
 _SLOW_RATIO: Final = 1.4
 
-_FIRST_STEP: Final = 0.03
-_FIRST_PREFILL: Final = 0.0002
-_FIRST_SERVICE: Final = 5.0
-_FIRST_SAVED: Final = 64.0
+# Estimates before the first observation: seconds between two output tokens,
+# seconds per uncached prompt token, total seconds of a request, and prompt
+# tokens that a cached prefix saves.
+_INITIAL_TOKEN_INTERVAL: Final = 0.03
+_INITIAL_PREFILL: Final = 0.0002
+_INITIAL_SERVICE_TIME: Final = 5.0
+_INITIAL_SAVED_TOKENS: Final = 64.0
+
+#: Variance of ``x`` below which a linear fit has no slope.
 _MIN_VARIANCE: Final = 0.25
 
 
@@ -66,7 +74,7 @@
         return max(floor, self._y + self.slope * (x - self._x))
 
     def add(self, x: float, y: float) -> None:
-        """Add a point; an outlier is clamped."""
+        """Add a point; one far above the expected value is clamped."""
         self._count += 1
         gain = max(_GAIN, 1 / self._count)
         if self._count > 1:
@@ -82,6 +90,8 @@
 class RunningMedian:
     """A running median that each value moves by a small factor only.
 
+    The first value replaces the initial one.
+
     Args:
         level: Initial value.
     """
@@ -105,18 +115,19 @@
     """Speed of a version on the engines that have it loaded.
 
     Attributes:
-        token_interval: Seconds between two output tokens, by requests at the
-            engine.
+        token_interval: Seconds between two output tokens, by the number of
+            requests at the engine.
         prefill: Seconds for each prompt token that is not cached.
-        service_time: Total seconds of a request, by requests at the engine.
+        service_time: Total seconds of a request, by the number of requests at
+            the engine.
         saved_tokens: Prompt tokens that a cached prefix saves.
     """
 
     def __init__(self) -> None:
-        self.token_interval = LinearFit(_FIRST_STEP)
-        self.prefill = RunningMedian(_FIRST_PREFILL)
-        self.service_time = LinearFit(_FIRST_SERVICE)
-        self.saved_tokens = _FIRST_SAVED
+        self.token_interval = LinearFit(_INITIAL_TOKEN_INTERVAL)
+        self.prefill = RunningMedian(_INITIAL_PREFILL)
+        self.service_time = LinearFit(_INITIAL_SERVICE_TIME)
+        self.saved_tokens = _INITIAL_SAVED_TOKENS
 
     def add_cached(self, tokens: int) -> None:
         """Record the tokens that a cached prefix saved.
@@ -204,7 +215,7 @@
         return 1 + (self._slowness - 1) * kept
 
     def _own_at(self, at_time: float) -> int:
-        """Return how many own attempts were running at a given time."""
+        """Return how many of this host's attempts ran at a given time."""
         place = bisect_right(self._times, at_time)
         if place:
             return self._counts[place - 1]
--- a/src/nutmegroad/routing/_fair_queue.py
+++ b/src/nutmegroad/routing/_fair_queue.py
@@ -99,10 +99,10 @@
             }
 
     def correct(self, workspace: WorkspaceId, more: float) -> None:
-        """Charge for slot-seconds beyond the expected ones.
+        """Correct a charge by the slot-seconds that a request really took.
 
         Args:
-            workspace: Which workspace.
+            workspace: The workspace.
             more: Slot-seconds used beyond the expectation; negative if fewer.
         """
         tag = self._finish.get(workspace, self._virtual)
@@ -173,8 +173,8 @@
         Returns:
             The request, or None if no lane with requests has a free slot.
         """
-        rooms = {lane: has_room(lane) for lane in self._lanes}
-        open_keys = [key for key in self._flows if rooms.get(key[1])]
+        lane_has_room = {lane: has_room(lane) for lane in self._lanes}
+        open_keys = [key for key in self._flows if lane_has_room.get(key[1])]
         if not open_keys:
             return None
         key = min(open_keys, key=self._rank)
@@ -200,21 +200,24 @@
         return min(by_share, self.work / slots)
 
     def largest(self) -> WorkspaceId | None:
-        """Return the workspace furthest beyond its share; None if empty."""
+        """Return the workspace furthest beyond its quota share.
+
+        None if the queue is empty.
+        """
         return max(self._work, key=self.excess, default=None)
 
     def excess(self, workspace: WorkspaceId, more: float = 0) -> float:
-        """Return a workspace's lead over its share, queued work included.
+        """Return a workspace's lead over its quota share, with queued work.
 
         Args:
-            workspace: Which workspace.
+            workspace: The workspace.
             more: Slot-seconds to add to its queued work.
         """
         work = self._work.get(workspace, 0) + more
         return self.tags.lead(workspace) + work / self._weight(workspace)
 
     def is_behind(self, workspace: WorkspaceId) -> bool:
-        """Return whether a workspace has recently had less than its share."""
+        """Return whether a workspace had less than its quota share recently."""
         waits = workspace in self._work
         return not waits and self.tags.lead(workspace) <= 0
 
--- a/src/nutmegroad/routing/_peer_entries.py
+++ b/src/nutmegroad/routing/_peer_entries.py
@@ -24,7 +24,7 @@
 
 
 class ListedEntry(Struct, frozen=True, array_like=True):
-    """An entry of the list, as in ``UpstreamInfo``."""
+    """Wire format of an entry of the list; fields as in ``UpstreamInfo``."""
 
     upstream: str
     domain: str
@@ -65,13 +65,13 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._noted: dict[UpstreamId, tuple[float, UpstreamInfo]] = {}
+        self._entries: dict[UpstreamId, tuple[float, UpstreamInfo]] = {}
 
     def add(self, infos: Iterable[UpstreamInfo]) -> None:
         """Add entries that another host has read."""
         now = self._clock.now()
         for info in infos:
-            self._noted[info.upstream] = (now, info)
+            self._entries[info.upstream] = (now, info)
 
     def merge(
         self,
@@ -79,13 +79,13 @@
     ) -> tuple[UpstreamInfo, ...]:
         """Return a list updated with the retained entries of other hosts."""
         oldest = self._clock.now() - PEER_ENTRY_LIFETIME
-        self._noted = {
-            name: noted
-            for name, noted in self._noted.items()
-            if noted[0] > oldest
+        self._entries = {
+            name: entry
+            for name, entry in self._entries.items()
+            if entry[0] > oldest
         }
         merged = {info.upstream: info for info in upstreams}
-        merged.update((name, info) for name, (_, info) in self._noted.items())
+        merged.update((name, info) for name, (_, info) in self._entries.items())
         return tuple(merged.values())
 
 
--- a/src/nutmegroad/routing/_permits.py
+++ b/src/nutmegroad/routing/_permits.py
@@ -1,4 +1,7 @@
-"""The permits that a host has issued, and handing them to queued requests."""
+"""Permits to run a request: counts issued ones, grants free ones.
+
+A request holds a permit while it runs. Queued requests wait for one.
+"""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -10,10 +13,10 @@
 
 
 class Permits:
-    """Counts issued permits and passes free ones to queued requests.
+    """Counts issued permits and grants free ones to queued requests.
 
     Args:
-        slots: How many requests may run at once.
+        slots: Limits of the number of requests that may run concurrently.
         queue: The queued requests.
         demand: Notified of the start and end of each request.
         clock: The host's clock.
--- a/src/nutmegroad/routing/_service_times.py
+++ b/src/nutmegroad/routing/_service_times.py
@@ -7,16 +7,16 @@
 from nutmegroad.foundations.types import TaskName
 from nutmegroad.routing._estimates import LinearFit, RunningMedian
 
-#: Seconds for each output token before any was observed. On the low side,
-#: because no request may be refused on a guess.
-_FIRST_TOKEN_SECONDS: Final = 0.01
+#: Initial estimate of the seconds per output token. Too low rather than too
+#: high, because a high estimate would refuse requests without evidence.
+_INITIAL_SECONDS_PER_TOKEN: Final = 0.01
 
 
 class ServiceTimes:
     """Estimates the seconds that a request will run."""
 
     def __init__(self) -> None:
-        self._per_token = RunningMedian(_FIRST_TOKEN_SECONDS)
+        self._per_token = RunningMedian(_INITIAL_SECONDS_PER_TOKEN)
         self._first: dict[TaskName, LinearFit] = {}
         self._output: dict[TaskName, LinearFit] = {}
 
--- a/src/nutmegroad/routing/_shedding.py
+++ b/src/nutmegroad/routing/_shedding.py
@@ -18,8 +18,9 @@
 _BEHIND_FACTOR: Final = 4
 
 #: Factor by which another workspace's lead over its share must exceed the
-#: newcomer's before one of its queued requests is evicted. Between equals the
-#: newcomer is refused, because that happens without any wait.
+#: that of the arriving request's workspace before one of its queued requests is
+#: evicted. Between equals the arriving request is refused, because its caller
+#: then has an answer without any wait.
 _EVICTION_MARGIN: Final = 1.5
 
 #: Range of the factor by which the backlog is multiplied in the retry time
@@ -71,7 +72,7 @@
 
         Args:
             waiting: The arriving request.
-            limit: Number of requests that may run at once.
+            limit: Number of requests that may run concurrently.
 
         Returns:
             A queued request, the arriving request itself, or None if the queue
--- a/src/nutmegroad/routing/_slots.py
+++ b/src/nutmegroad/routing/_slots.py
@@ -107,13 +107,13 @@
 
     @property
     def allotment(self) -> int:
-        """Return this host's permits before any decrease for full engines."""
+        """Return this host's permits, not reduced while engines are full."""
         others = self._fleet.hosts(self.identity.domain)
         static = static_part(self.permits, self.identity.host, others)
         return max(1, static + self._ledger.balance(self._clock.now()))
 
     def limit(self, running: int) -> int:
-        """Return how many requests may run at once.
+        """Return how many requests may run concurrently.
 
         Args:
             running: Number of requests running now.
@@ -123,18 +123,18 @@
         return max(1, held, self._limit_from_reports(running))
 
     def lane_limit(self, lane: Lane, running: int) -> int:
-        """Return how many requests of a lane may run at once.
+        """Return how many requests of a lane may run concurrently.
 
         Args:
             lane: The lane.
             running: Number of requests running now, in all lanes.
         """
         limit = self.limit(running)
-        every = self.domain_slots(None)
+        total = self.domain_slots(None)
         slots = self.domain_slots(lane)
-        if slots == every:
+        if slots == total:
             return limit
-        return max(1, limit * slots // max(1, every))
+        return max(1, limit * slots // max(1, total))
 
     def domain_slots(self, lane: Lane | None) -> int:
         """Return the slots of this domain's engines that serve a lane.
