--- a/src/nutmegroad/routing/admission.py
+++ b/src/nutmegroad/routing/admission.py
@@ -31,14 +31,14 @@
     """Admits requests by deadline, quota share and priority.
 
     Args:
-        slots: How many requests may run at once.
+        slots: Limits of the number of requests that may run concurrently.
         configuration: Configuration with quota shares and the queue limit.
         demand: Demand of the workspaces, here and at other hosts.
         clock: The host's clock.
         randomness: Jitter of retry times.
 
     Attributes:
-        slots: How many requests may run at once.
+        slots: Limits of the number of requests that may run concurrently.
         permits: The issued permits.
     """
 
@@ -71,7 +71,7 @@
 
     @property
     def entitlement(self) -> float:
-        """Return this host's slots if all were divided by quota share."""
+        """Return this host's permits if the domain's followed quota shares."""
         return self._demand.entitlement(self.slots.permits)
 
     async def admit(
@@ -122,7 +122,7 @@
         )
 
     def _may_run(self, waiting: QueuedRequest) -> bool:
-        """Return whether a request may run ahead of the queue."""
+        """Return whether a request may run without being queued."""
         if self._slack(waiting) <= 0:
             return False
         if self._queue.lane_waiting(waiting.lane):
@@ -130,7 +130,7 @@
         return self.permits.has_room(waiting.lane)
 
     def _slack(self, waiting: QueuedRequest) -> float:
-        """Return the seconds within which a request has to start."""
+        """Return the seconds within which a request must start in time."""
         remaining = waiting.request.deadline - self._clock.now()
         return remaining - waiting.cost
 
--- a/src/nutmegroad/routing/attempts.py
+++ b/src/nutmegroad/routing/attempts.py
@@ -110,11 +110,13 @@
 
     Args:
         engines: Client for engines.
-        directory: Counts the requests in flight.
+        directory: Counts the requests in flight, and learns which upstreams
+            refuse connections or are draining.
         observers: Notified of the start and end of each attempt.
         configuration: Source of the prices.
         clock: The host's clock.
-        stall: Seconds without a piece after which the attempt is given up.
+        stall_timeout: Seconds without a piece after which an attempt times
+            out.
     """
 
     def __init__(
@@ -206,7 +208,8 @@
                 watchdog.touch()
         received.refusal = Refusal(
             ResultCode.ANSWER_CUT,
-            'The answer stream ended without an end marker.',
+            f'The answer stream of the upstream {attempt.upstream.upstream} '
+            'ended without an end marker.',
             Ran.UNKNOWN,
         )
 
@@ -284,10 +287,11 @@
     def _is_out_of_time(
         self, execution: AttemptExecution, began: float
     ) -> bool:
-        """Return whether the attempt ended only for lack of the caller's time.
+        """Return whether an attempt ended early because of its caller alone.
 
-        An engine that is full sends nothing to requests that wait there, so
-        such an attempt does not count against the upstream either.
+        The caller's deadline passed, or the caller disconnected, while the
+        upstream was sending. An engine that is full sends nothing to requests
+        that wait there, so such an attempt does not count against it either.
         """
         received = execution.received
         now = self._clock.now()
--- a/src/nutmegroad/routing/baselines.py
+++ b/src/nutmegroad/routing/baselines.py
@@ -1,4 +1,4 @@
-"""Baseline planners for comparisons; they ignore ratings."""
+"""Planners that serve as baselines: they ignore quality estimates."""
 
 import random
 from collections.abc import Callable
@@ -46,8 +46,10 @@
             costs[entry.id] = cost_of(entry, prompt, output)
             entries.append(entry)
         if not entries:
+            allowed = ', '.join(request.versions) or 'none'
             return Refusal(
-                ResultCode.NO_PLAN, 'No allowed version is configured.'
+                ResultCode.NO_PLAN,
+                f'No allowed version is configured; allowed: {allowed}.',
             )
         entries.sort(key=lambda priced: costs[priced.id])
         chosen = self._pick(entries)
--- a/src/nutmegroad/routing/directory.py
+++ b/src/nutmegroad/routing/directory.py
@@ -54,7 +54,7 @@
     PEER = 'peer'
 
 
-#: Called for each upstream that starts to drain.
+#: Called for each upstream that starts to drain or announces that again.
 DrainingListener = Callable[[UpstreamInfo, DrainingSource], None]
 
 
@@ -62,23 +62,23 @@
     """Draining notices for upstreams that are not listed yet."""
 
     def __init__(self) -> None:
-        self._leaving: OrderedDict[tuple[UpstreamId, Address], None]
-        self._leaving = OrderedDict()
+        self._notices: OrderedDict[tuple[UpstreamId, Address], None]
+        self._notices = OrderedDict()
 
     def add(self, upstream: UpstreamId, address: Address) -> bool:
         """Store a draining notice; return whether it is new."""
         key = (upstream, address)
-        is_new = key not in self._leaving
-        self._leaving[key] = None
-        if len(self._leaving) > MAX_UNLISTED_NOTICES:
-            self._leaving.popitem(last=False)
+        is_new = key not in self._notices
+        self._notices[key] = None
+        if len(self._notices) > MAX_UNLISTED_NOTICES:
+            self._notices.popitem(last=False)
         return is_new
 
     def take(self, info: UpstreamInfo) -> bool:
         """Remove the notice for an upstream; return whether there was one."""
         key = (info.upstream, info.address)
-        known = key in self._leaving
-        self._leaving.pop(key, None)
+        known = key in self._notices
+        self._notices.pop(key, None)
         return known
 
 
@@ -99,7 +99,7 @@
         self._listeners: list[DrainingListener] = []
 
     def listen(self, listener: DrainingListener) -> None:
-        """Add a listener to call for each upstream that starts to drain."""
+        """Add a listener; see ``DrainingListener``."""
         self._listeners.append(listener)
 
     def update(
@@ -167,8 +167,8 @@
         if previous is None or previous.versions != report.versions:
             self._stale = True
         if report.leaving:
-            # Other hosts may have cleared already a draining state that is
-            # still set here, so a new notice is announced again.
+            # Other hosts may already have cleared a draining state that is
+            # still set here, so a new announcement is passed on again.
             announced_again = previous is not None and not previous.leaving
             self._begin_leaving(
                 state, DrainingSource.REPORT, announced_again=announced_again
@@ -224,8 +224,10 @@
             source: Where the information comes from.
         """
         state = self._states.get(upstream)
-        other = state and address is not None and state.info.address != address
-        if state is None or other:
+        is_other = (
+            state and address is not None and state.info.address != address
+        )
+        if state is None or is_other:
             return address is not None and self._unlisted.add(
                 upstream,
                 address,
--- a/src/nutmegroad/routing/dispatch.py
+++ b/src/nutmegroad/routing/dispatch.py
@@ -86,9 +86,9 @@
             RequestUsage() if usage is None else usage,
             self._randomness.getrandbits(_SEED_BITS),
         )
-        ended = self._session_refusal(request)
-        if ended is not None:
-            return ended
+        session_refusal = self._session_refusal(request)
+        if session_refusal is not None:
+            return session_refusal
         permit = await self._policies.admitter.admit(request)
         if isinstance(permit, Refusal):
             explanation.note('admission', permit.reason)
@@ -166,7 +166,8 @@
             return refusal
         return Refusal(
             ResultCode.NO_PLAN,
-            'No version is allowed to answer this request.',
+            f'No version of the workspace {request.workspace!r} is allowed to '
+            f'answer this request of the task {request.task!r}.',
         )
 
     def _may_change_version(
@@ -199,7 +200,7 @@
             if self._is_acceptable(progress, execution, plan.accept[index]):
                 await _release_answer(progress.sink, execution)
                 return self._answer(progress, execution), version
-        raise AssertionError('a plan has at least one step')
+        raise AssertionError(f'plan without steps: {plan}')
 
     def _is_acceptable(
         self,
@@ -251,7 +252,7 @@
 
 
 async def _release_answer(sink: Sink, execution: AttemptExecution) -> None:
-    """Write an answer that was withheld to the sink."""
+    """Write an answer that was withheld until now to the sink."""
     sink.begin_version(execution.start.version)
     for text in filter(None, execution.received.pieces):
         await sink.write(text)
@@ -278,7 +279,7 @@
 
 
 def _only_last_step(plan: Plan) -> Plan:
-    """Return only the last step; a cascade may execute a request twice."""
+    """Return a plan of the last step only, so that one version executes it."""
     return replace(plan, steps=plan.steps[-1:], accept=())
 
 
--- a/src/nutmegroad/routing/draining_notices.py
+++ b/src/nutmegroad/routing/draining_notices.py
@@ -57,7 +57,7 @@
         mesh.handle(UpstreamDraining, self._receive)
 
     def _broadcast(self, info: UpstreamInfo, source: DrainingSource) -> None:
-        """Broadcast a notice that this host has found itself."""
+        """Broadcast a notice that this host did not receive from a peer."""
         # Connections may be refused because this host's network is cut.
         # Other hosts must not take that for the upstream's own notice.
         if source in {DrainingSource.REPORT, DrainingSource.LIST}:
--- a/src/nutmegroad/routing/gates.py
+++ b/src/nutmegroad/routing/gates.py
@@ -60,7 +60,8 @@
     Args:
         configuration: The configuration in force.
         clock: The host's clock.
-        quarantine: Versions that are blocked because of evidence.
+        quarantine: Blocks versions that this host has stopped using on its
+            own evidence.
     """
 
     def __init__(
--- a/src/nutmegroad/routing/harmful.py
+++ b/src/nutmegroad/routing/harmful.py
@@ -73,7 +73,7 @@
 
 
 class HarmfulRequests:
-    """Decides which requests are kept from engines.
+    """Decides which requests may not be sent to engines.
 
     Args:
         engines: Client for engines.
@@ -106,7 +106,7 @@
         return Refusal(
             ResultCode.REQUEST_HARMFUL,
             f'{harmful.crash_count} engines have terminated '
-            'while executing it.',
+            'while executing this request.',
             Ran.NOT_RUN,
             max(harmful.pause, PROBE_RETRY_AFTER),
         )
@@ -159,7 +159,7 @@
         )
 
     async def _is_terminated(self, execution: AttemptExecution) -> bool:
-        """Return whether an engine refuses new connections."""
+        """Return whether an attempt's engine refuses new connections."""
         with suppress(TimeoutError):
             async with asyncio.timeout(TERMINATION_CHECK_TIMEOUT):
                 report = await self._engines.report(execution.state.info)
@@ -188,7 +188,7 @@
 
     Args:
         mesh: Links to other hosts.
-        crashes: What this host knows of such requests.
+        crashes: The crashes known to this host, by request.
         clock: The host's clock.
     """
 
--- a/src/nutmegroad/routing/load_part.py
+++ b/src/nutmegroad/routing/load_part.py
@@ -24,7 +24,7 @@
     needs = ()
 
     async def open(self, kernel: Kernel) -> None:
-        """Provide both empty."""
+        """Provide an empty store of digests and an empty ledger."""
         kernel.provide(FleetLoad, FleetLoad(kernel.clock))
         kernel.provide(ShareLedger, ShareLedger())
 
@@ -40,13 +40,13 @@
         harmful = kernel.need(Policies).harmful
         duties = kernel.need(Duties)
 
-        def may_try(content: ContentFingerprint) -> bool:
+        def may_probe(content: ContentFingerprint) -> bool:
             """Return whether this host is the one of its domain that probes."""
             return duties.is_mine(
                 DutyName(f'harmful/{format_fingerprint(content)}')
             )
 
-        harmful.may_probe = may_try
+        harmful.may_probe = may_probe
         exchange = CrashExchange(
             kernel.need(Mesh),
             harmful.crashes,
--- a/src/nutmegroad/routing/plain_selectors.py
+++ b/src/nutmegroad/routing/plain_selectors.py
@@ -43,7 +43,7 @@
 
 
 class RoundRobin(_PlainSelector):
-    """Selects the engines of a version in turn.
+    """Selects the engines of a version one after the other.
 
     Args:
         directory: The upstreams.
@@ -51,13 +51,13 @@
 
     def __init__(self, directory: Directory) -> None:
         super().__init__(directory)
-        self._turns: dict[VersionId, int] = {}
+        self._counts: dict[VersionId, int] = {}
 
     def _pick(self, states: list[UpstreamState], version: VersionId) -> Choice:
         """Return the next engine."""
-        turn = self._turns.get(version, 0)
-        self._turns[version] = turn + 1
-        return Choice(states[turn % len(states)], 0, 'round robin')
+        count = self._counts.get(version, 0)
+        self._counts[version] = count + 1
+        return Choice(states[count % len(states)], 0, 'round robin')
 
 
 class RandomChoice(_PlainSelector):
--- a/src/nutmegroad/routing/policies.py
+++ b/src/nutmegroad/routing/policies.py
@@ -1,4 +1,4 @@
-"""Minimal policies: the simplest form of each decision, used as baselines."""
+"""The simplest policy for each kind of decision, used as baselines."""
 
 from collections.abc import Iterator
 from contextlib import AbstractContextManager, contextmanager
--- a/src/nutmegroad/routing/remote_loads.py
+++ b/src/nutmegroad/routing/remote_loads.py
@@ -2,8 +2,8 @@
 
 One host of each remote domain is asked for all that its domain knows. The
 reports are as old as the interval between two fetches, so they show whether a
-domain has free slots rather than which of its engines has the least load. An
-engine that is draining is announced immediately by ``departures``.
+domain has free slots rather than which of its engines has the least load.
+Draining engines are announced immediately by ``draining_notices``.
 """
 
 import random
@@ -74,8 +74,8 @@
             if member.presence is Presence.LIVE:
                 hosts[member.domain].append(member.host)
         hosts.pop(self._domain, None)
-        for there in hosts.values():
-            await self._fetch_from(there)
+        for domain_hosts in hosts.values():
+            await self._fetch_from(domain_hosts)
 
     async def _fetch_from(self, hosts: list[HostId]) -> None:
         """Ask a domain's hosts in random order until one answers."""
@@ -83,10 +83,11 @@
         for host in hosts:
             reply = await self._mesh.ask(host, LoadAsk(), ASK_TIMEOUT)
             if isinstance(reply, LoadReply):
-                self._take(reply)
+                self._apply(reply)
                 return
 
-    def _take(self, reply: LoadReply) -> None:
+    def _apply(self, reply: LoadReply) -> None:
+        """Apply the reports of a remote domain, as received from its host."""
         self._index.refresh(self._directory.states())
         now = self._clock.now()
         for row in reply.rows:
--- a/src/nutmegroad/routing/request_progress.py
+++ b/src/nutmegroad/routing/request_progress.py
@@ -39,15 +39,15 @@
 
 @dataclass(slots=True)
 class RequestUsage:
-    """Resources that a request has used so far; valid after cancellation too.
+    """What a request has used so far; also valid after its cancellation.
 
     Attributes:
         cost: Cost of all attempts and steps.
         attempts: Attempts made.
         ran: Whether any attempt was or may have been executed.
         version: The version of the last attempt.
-        prompt_tokens: Prompt tokens that it read.
-        output_tokens: Tokens that it wrote.
+        prompt_tokens: Prompt tokens read in the last attempt.
+        output_tokens: Tokens written in the last attempt.
     """
 
     cost: float = 0
@@ -59,10 +59,13 @@
 
 
 class NullSink:
-    """A sink for an answer that is withheld: of a cascade, or not streamed."""
+    """Discards the pieces of an answer that its caller does not get streamed.
+
+    The caller may get the complete text afterwards.
+    """
 
     def begin_version(self, version: VersionId) -> None:
-        """Ignore the version for now."""
+        """Ignore the version."""
 
     async def write(self, text: str) -> None:
         """Discard the piece; the attempt stores the text."""
--- a/src/nutmegroad/routing/retries.py
+++ b/src/nutmegroad/routing/retries.py
@@ -1,6 +1,7 @@
 """Retry budget: bounds retries by a fraction of the traffic.
 
-There is no limit per request here.
+The maximum number of attempts for one request is set in ``steps`` and
+``services``.
 """
 
 from dataclasses import dataclass
@@ -45,15 +46,20 @@
     """A token bucket of retries.
 
     Attributes:
-        saved: Retries available.
-        filled: Clock seconds of the last refill.
+        available: Retries available.
+        refilled_at: Clock seconds of the last refill.
     """
 
     available: float
     refilled_at: float
 
     def refill(self, now: float, deposit: float = 0) -> None:
-        """Add the minimum rate since the last refill, and a deposit."""
+        """Add the retries due at the minimum rate, and a deposit.
+
+        Args:
+            now: Clock seconds.
+            deposit: Retries to add besides.
+        """
         refilled = (
             self.available + deposit + MIN_RETRY_RATE * (now - self.refilled_at)
         )
@@ -135,6 +141,7 @@
 def service_retries(kernel: Kernel) -> ProportionalRetries:
     """Create the retry budget for calls to plain services.
 
-    The caller of these services notifies it; it observes no model requests.
+    ``ServiceTraffic`` notifies it of these calls; it observes no model
+    requests.
     """
     return ProportionalRetries(kernel.clock)
--- a/src/nutmegroad/routing/selection.py
+++ b/src/nutmegroad/routing/selection.py
@@ -41,7 +41,8 @@
 #: Engines sampled per choice, besides those with the prefix cached.
 SAMPLE_SIZE: Final = 3
 
-#: Seconds by which an engine in a remote failure domain must be faster.
+#: Seconds by which an engine in a remote failure domain must be faster than
+#: the best local one to be selected.
 SPILL_MARGIN: Final = 0.05
 
 #: Maximum number of choices remembered until their attempt starts.
@@ -53,7 +54,15 @@
 
 @dataclass(slots=True)
 class _Pending:
-    """Expectations about an attempt in progress."""
+    """What was expected of an attempt when its engine was selected.
+
+    Attributes:
+        load: Estimated number of requests at the engine.
+        slots: Number of slots of the engine.
+        cached: Whether the engine was expected to have the prefix cached.
+        prefix: The prefix of the prompt.
+        uncached: Estimated prompt tokens that are not cached.
+    """
 
     load: float
     slots: int
@@ -64,7 +73,14 @@
 
 @dataclass(slots=True)
 class _Candidate:
-    """An engine that was evaluated."""
+    """An engine that was evaluated.
+
+    Attributes:
+        state: The engine.
+        load: Estimated number of requests there.
+        seconds: Expected seconds to the first token.
+        cached: Whether it probably has the prefix cached.
+    """
 
     state: UpstreamState
     load: float
@@ -74,7 +90,19 @@
 
 @dataclass(slots=True)
 class _Search:
-    """State of one selection in progress."""
+    """State of one selection in progress.
+
+    Attributes:
+        request: The request.
+        version: The version that is to answer.
+        excluded: Engines that must not be selected.
+        now: Clock seconds of the selection.
+        speed: Speed estimates of the version.
+        candidates: Engines evaluated so far.
+        exclusions: Engines and domains that were ruled out, with the reason.
+        cached: Engines that probably have the prefix cached.
+        best: The best candidate so far.
+    """
 
     request: ModelRequest
     version: VersionId
@@ -209,13 +237,13 @@
         domain. This host has sent the prefix to the others.
         """
         prefix = search.request.prefix
-        home = pool.ring.engine_for(prefix) if pool.ring else None
-        states = [] if home is None else [home]
+        assigned = pool.ring.engine_for(prefix) if pool.ring else None
+        states = [] if assigned is None else [assigned]
         for name in self._prefixes.holders(search.version, prefix):
             state = self._directory.state(name)
             if state is None or state.info.domain != self._domain:
                 continue
-            if state is not home:
+            if state is not assigned:
                 states.append(state)
         search.cached = ids_of(states)
         return states
@@ -297,8 +325,8 @@
     ) -> None:
         """Use an ejected engine rather than none.
 
-        When all engines have failed, all are ejected at once. None is then more
-        suspect than another, and the first to recover must not get all work.
+        When all engines have failed, all are ejected. None is then more suspect
+        than another, and the first to recover must not get all work.
         """
         for state in sample(local, SAMPLE_SIZE, self._randomness):
             if state.info.upstream in search.excluded:
--- a/src/nutmegroad/routing/service_traffic.py
+++ b/src/nutmegroad/routing/service_traffic.py
@@ -34,7 +34,7 @@
 
     Attributes:
         start: The event that the budget has received.
-        at: Clock seconds at which it started.
+        started_at: Clock seconds at which it started.
     """
 
     start: AttemptStart
@@ -104,5 +104,5 @@
         service: ServiceName,
         code: ResultCode,
     ) -> None:
-        """Count a call that has received its reply or refusal."""
+        """Count a call that has ended."""
         self._metrics.request_ended(call.workspace, TaskName(service), code)
--- a/src/nutmegroad/routing/shares.py
+++ b/src/nutmegroad/routing/shares.py
@@ -113,8 +113,8 @@
         others: The other hosts of its failure domain.
     """
     names = sorted({host, *others})
-    whole, left = divmod(total, len(names))
-    return whole + (names.index(host) < left)
+    base, remainder = divmod(total, len(names))
+    return base + (names.index(host) < remainder)
 
 
 def water_fill(
@@ -130,13 +130,13 @@
         weights: Weight of each workspace.
     """
     granted: dict[WorkspaceId, float] = {}
-    left = total
+    slots_left = total
     # The smallest demands for their weight are met first.
     ordered = sorted(demand, key=lambda one: demand[one] / weights[one])
     weight_left = sum(weights[one] for one in ordered)
     for workspace in ordered:
-        fair = left * weights[workspace] / weight_left
+        fair = slots_left * weights[workspace] / weight_left
         granted[workspace] = min(demand[workspace], fair)
-        left -= granted[workspace]
+        slots_left -= granted[workspace]
         weight_left -= weights[workspace]
     return granted
--- a/src/nutmegroad/routing/slot_exchange.py
+++ b/src/nutmegroad/routing/slot_exchange.py
@@ -37,7 +37,7 @@
 
 
 class SlotExchange:
-    """This host's side of the exchange of slots.
+    """Sends load digests to other hosts, and lends and borrows slots.
 
     Args:
         mesh: Links to other hosts.
@@ -76,7 +76,7 @@
         self._mesh.handle(ShareRequest, self._lend)
 
     async def run(self) -> None:
-        """Run rounds until cancelled."""
+        """Run a round at each check interval, until cancelled."""
         while True:
             jitter = self._randomness.uniform(1 - _JITTER, 1 + _JITTER)
             await self._clock.sleep(CHECK_INTERVAL * jitter)
@@ -156,8 +156,8 @@
         holding = admitter.slots.allotment
         busy = admitter.permits.running + admitter.queued + _RESERVED_SLOTS
         idle = holding - busy
-        over = min(ask.claim, int(holding - admitter.entitlement))
-        slots = min(ask.wanted, max(idle, over), holding - 1)
+        owed = min(ask.claim, int(holding - admitter.entitlement))
+        slots = min(ask.wanted, max(idle, owed), holding - 1)
         if slots <= 0:
             return ShareLoan(slots=0)
         self._ledger.lend(slots, self._clock.now())
--- a/src/nutmegroad/routing/steps.py
+++ b/src/nutmegroad/routing/steps.py
@@ -1,4 +1,8 @@
-"""Executes one step of a plan: one version answers, with retries."""
+"""Executes one step of a plan: one version answers, with retries.
+
+A plan has one step, or several in a cascade, whose versions answer one after
+the other until an answer is good enough.
+"""
 
 import random
 from dataclasses import dataclass, replace
@@ -195,10 +199,10 @@
             return choice
         nonce = f'{self._randomness.getrandbits(_NONCE_BITS):012x}'
         number = progress.usage.attempts + 1
-        name = AttemptId(f'{progress.request.request}.{number}.{nonce}')
+        attempt = AttemptId(f'{progress.request.request}.{number}.{nonce}')
         fence = progress.request.fence
         attempt_fence = None if fence is None else fence.attempt()
-        return _AttemptSetup(choice, name, received, attempt_fence)
+        return _AttemptSetup(choice, attempt, received, attempt_fence)
 
     def _set_up_retry(
         self,
--- a/src/nutmegroad/routing/watch.py
+++ b/src/nutmegroad/routing/watch.py
@@ -1,8 +1,8 @@
 """Monitors upstreams: reads the host list and polls engines for reports.
 
-Each engine is polled by a task of its own, so that a frozen engine delays no
-other. The number of concurrent polls is bounded. The hosts share the work;
-a plan decides which engines this host polls.
+Each engine is polled by a task of its own, so that an unresponsive engine
+delays no other. The number of concurrent polls is bounded. The hosts share the
+work; a plan decides which engines this host polls.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
     """Decides what this host polls, and sends the results to other hosts.
 
     Attributes:
-        account: Account for processor time; None for none.
+        account: Records the processor time of the tasks; None to record none.
     """
 
     account: Account | None
@@ -217,7 +217,7 @@
         return state is None or state.info != info
 
     def _update_tasks(self) -> None:
-        """Start and stop tasks, so that each engine of the plan has one."""
+        """Start and stop tasks, so that each engine to poll has one."""
         self._plan.refresh()
         states = filter(is_engine, self._directory.states())
         wanted = {
@@ -274,5 +274,5 @@
         return asyncio.create_task(Metered(account, WATCH_PART, work))
 
     def _jittered(self, seconds: float) -> float:
-        """Return a duration with random jitter, in seconds."""
+        """Return some seconds, varied at random."""
         return seconds * self._randomness.uniform(1 - JITTER, 1 + JITTER)
--- a/src/nutmegroad/routing/watch_sharing.py
+++ b/src/nutmegroad/routing/watch_sharing.py
@@ -47,11 +47,12 @@
 #: Seconds between two fetches of a remote domain's reports, per known
 #: upstream: 20 s for 890 upstreams.
 REMOTE_FETCH_INTERVAL_PER_UPSTREAM: Final = 0.0225
+#: Minimum seconds between two fetches of a remote domain's reports.
 MIN_REMOTE_FETCH_INTERVAL: Final = 2.0
 #: Missed fetches after which each host polls the engines of an unresponsive
 #: remote domain itself.
 MAX_MISSED_REMOTE_FETCHES: Final = 4
-#: Change of load, as a fraction of the slots, that is broadcast at once.
+#: Change of load, as a fraction of the slots, that is broadcast immediately.
 NOTABLE_LOAD_CHANGE: Final = 1 / 8
 
 
@@ -80,7 +81,7 @@
         clock: The host's clock.
         domain: The failure domain of this host.
         period: Seconds between two polls of an engine.
-        account: Account for processor time; None for none.
+        account: Records the processor time of polls; None to record none.
     """
 
     def __init__(
@@ -103,7 +104,7 @@
         self._listed = PeerEntryCache(clock)
         self._index = RunIndex()
         self._upstream_count = 0
-        self._places: dict[UpstreamId, int] = {}
+        self._ranks: dict[UpstreamId, int] = {}
         self._broadcasts: dict[int, _Broadcast] = {}
         self._pending: dict[UpstreamId, UpstreamState] = {}
         self._failed: set[int] = set()
@@ -135,12 +136,12 @@
             for state in states
             if is_engine(state) and state.info.domain == self._domain
         ]
-        self._places = self._duties.watch_ranks(local)
+        self._ranks = self._duties.watch_ranks(local)
 
     def should_poll(self, state: UpstreamState) -> bool:
         """Return whether this host has to poll an engine itself."""
         upstream = state.info.upstream
-        if upstream in self._places or upstream in self._to_verify:
+        if upstream in self._ranks or upstream in self._to_verify:
             return True
         if state.report is None:
             return True
@@ -149,9 +150,9 @@
 
     def poll_interval(self, state: UpstreamState) -> float:
         """Return the seconds until this host's next poll of an engine."""
-        # The first of the two hosts has place 0; all others poll half as
+        # The first of the two hosts has rank 0; all others poll half as
         # often.
-        first = self._places.get(state.info.upstream) == 0
+        first = self._ranks.get(state.info.upstream) == 0
         return self._period if first else 2 * self._period
 
     def record_answer(
@@ -162,7 +163,7 @@
         """Record an engine's report or refusal for the next broadcast."""
         upstream = state.info.upstream
         self._to_verify.discard(upstream)
-        if upstream not in self._places:
+        if upstream not in self._ranks:
             return
         if isinstance(answer, Refusal):
             self._failed.add(run_of(state.info))
@@ -203,7 +204,7 @@
         if last is None:
             return True
         age = self._clock.now() - last.at
-        if self._places[state.info.upstream]:
+        if self._ranks[state.info.upstream]:
             return age > SECOND_HOST_PERIODS * self._period
         if age > REBROADCAST_PERIODS * self._period:
             return True
