--- a/src/nutmegroad/routing/_demand.py
+++ b/src/nutmegroad/routing/_demand.py
@@ -94,7 +94,7 @@
         }
 
     def entitlement(self, permits: int) -> float:
-        """Return this host's permits if the domain's followed quota shares.
+        """Return this host's permits under a division by quota share.
 
         Args:
             permits: Permits of all hosts of the failure domain.
--- a/src/nutmegroad/routing/_estimates.py
+++ b/src/nutmegroad/routing/_estimates.py
@@ -167,9 +167,9 @@
             self._reported = state.reported
             total = state.report.running + state.report.queued
             seen = self._own_at(state.reported - REPORT_LAG)
-            fresh = max(0, total - seen)
+            others = max(0, total - seen)
             gain = _REPORT_GAIN
-            self._other_load += (fresh - self._other_load) * gain
+            self._other_load += (others - self._other_load) * gain
             self._usual_in_flight += (
                 state.in_flight - self._usual_in_flight
             ) * gain
--- a/src/nutmegroad/routing/admission.py
+++ b/src/nutmegroad/routing/admission.py
@@ -71,7 +71,7 @@
 
     @property
     def entitlement(self) -> float:
-        """Return this host's permits if the domain's followed quota shares."""
+        """Return this host's permits under a division by quota share."""
         return self._demand.entitlement(self.slots.permits)
 
     async def admit(
