--- a/src/nutmegroad/membership/_connection.py
+++ b/src/nutmegroad/membership/_connection.py
@@ -16,7 +16,8 @@
 from nutmegroad.membership._wire import StreamError, Unpacker, as_struct, pack
 
 _READ_SIZE: Final = 65_536
-#: Part that costs are attributed to where the message type is unknown.
+#: Part that the costs of the links themselves are attributed to, and those of
+#: messages of unknown type.
 LINKS_PART: Final = 'links'
 
 
@@ -140,7 +141,7 @@
         last_received: Clock seconds at which bytes were last received.
         write_pending_since: Clock seconds at which the pending write began, or
             None.
-        write_task: The task that writes.
+        write_task: Task that runs ``write``, once it has been started.
 
     Args:
         identity: Identity of the peer.
@@ -181,7 +182,7 @@
             receive: Called with each frame and its size in bytes.
 
         Returns:
-            The name of the event to count for the end.
+            Name of the event that says how the connection ended.
         """
         chunk = early_bytes
         try:
@@ -236,5 +237,6 @@
 def _to_frame(plain: object) -> Frame:
     frame = as_struct(plain, Frame)
     if frame is None:
-        raise StreamError('The received object is not a frame.')
+        name = type(plain).__name__
+        raise StreamError(f'The received {name} object is not a valid frame.')
     return frame
--- a/src/nutmegroad/membership/_coordinator.py
+++ b/src/nutmegroad/membership/_coordinator.py
@@ -95,8 +95,8 @@
         if not isinstance(reply, TableReply):
             return
         is_local = domain == self._table.identity.domain
-        # All hosts of this domain have what one of them has, and a host that
-        # knew nothing before has no updates for others.
+        # What one host of this domain knows, the others know too; and a host
+        # that knew nothing before its first fetch has no updates for others.
         needs_no_forwarding = is_local or self._is_first
         self._is_first = False
         self._merge_all(
@@ -120,7 +120,7 @@
 
     Attributes:
         targets: Hosts to which there should be links.
-        verdicts: Result of the latest evaluation.
+        verdicts: Suspected and gone hosts, as of the latest evaluation.
 
     Args:
         context: Clock, randomness, cost account and initial peers.
@@ -158,7 +158,7 @@
         self._ticks = 0
 
     def open(self) -> None:
-        """Subscribe to the links and start connecting to first hosts."""
+        """Subscribe to the links and start connecting to initial peers."""
         self._links.listen(self)
         self._links.handle(Heartbeat, self._handle_heartbeat)
         self._links.handle(TableRequest, self._handle_table_request)
@@ -213,7 +213,10 @@
             # Another process runs under the same host id, and it is the later
             # one.
             self._context.account.count('members_superseded')
-            _LOG.error('a later incarnation of this host is running')
+            _LOG.error(
+                'a later incarnation of this host is running, generation %d',
+                known,
+            )
             return
         if known >= self._table.identity.generation:
             self._table.raise_generation(known)
--- a/src/nutmegroad/membership/_detector.py
+++ b/src/nutmegroad/membership/_detector.py
@@ -16,7 +16,8 @@
 _DEVIATION_WEIGHT: Final = 0.25
 _DEVIATION_FACTOR: Final = 4
 
-#: Number of other hosts that must also suspect a host, if there are as many.
+#: Number of other responsive local hosts that must also suspect a host; all of
+#: them if there are fewer.
 _REQUIRED_CONFIRMATIONS: Final = 2
 #: Number of timeouts after which a host that others also suspect is gone.
 _CONFIRMED_TIMEOUTS: Final = 2
@@ -62,7 +63,7 @@
 
     Attributes:
         suspects: Hosts that are unresponsive for longer than their timeout.
-        gone: Those of them that have failed.
+        gone: Those of them that are to be declared gone.
     """
 
     suspects: tuple[HostId, ...] = ()
--- a/src/nutmegroad/membership/_handshake.py
+++ b/src/nutmegroad/membership/_handshake.py
@@ -3,7 +3,7 @@
 The connecting host sends a ``Hello`` and the other replies with its own; then
 the connecting host sends a ``Proof`` and the other replies with one. A proof
 is an HMAC over both hellos and the role of its sender, so that it is valid for
-this connection only and can not be reflected to its sender.
+this connection only and cannot be reflected to its sender.
 """
 
 import hashlib
@@ -25,7 +25,8 @@
     pack,
 )
 
-#: Incremented with each change of the streams that older hosts can not read.
+#: Incremented with each change to the stream format that older hosts cannot
+#: read.
 PROTOCOL_VERSION: Final = 1
 #: Maximum bytes of a handshake struct from an unauthenticated host; a hello
 #: has about 200 bytes.
@@ -84,8 +85,8 @@
 
     Attributes:
         mac: HMAC-SHA256 over role, both hellos and ``known``.
-        known: Later generation of the other host that makes the one in its
-            hello outdated; 0 if there is none.
+        known: Generation of a later incarnation of the receiver, if the
+            sender knows one; otherwise 0.
     """
 
     mac: bytes
@@ -118,7 +119,8 @@
     """Keys and identity that a host uses in handshakes.
 
     Attributes:
-        key: The cluster key, which this host proves.
+        key: The cluster key; proofs are made with it unless the peer has
+            used ``old_key``.
         identity: Identity of this host.
         nonces: Source of nonces; must be unpredictable outside tests.
         admission: Decides which incarnations are outdated.
@@ -144,7 +146,15 @@
         known: int,
         key: bytes = b'',
     ) -> Proof:
-        """Return the proof for a role, with the given or the own key."""
+        """Return the proof that this host sends or expects.
+
+        Args:
+            role: Role of the sender: ``client`` connected, ``server`` accepted.
+            client_hello: Hello of the client.
+            server_hello: Hello of the server.
+            known: See ``Proof``.
+            key: Key to use; the cluster key if empty.
+        """
         signed = [role, as_plain(client_hello), as_plain(server_hello), known]
         mac = hmac.digest(key or self.key, pack(signed), hashlib.sha256)
         return Proof(mac, known)
@@ -191,7 +201,8 @@
         """Receive a struct of a given type.
 
         Raises:
-            HandshakeError: If another object or the end of the stream came.
+            HandshakeError: If the received data is not a valid struct of this
+                type, or the stream ended.
         """
         try:
             plain = await self._read()
@@ -287,6 +298,7 @@
 
 
 def _check_generations(known: int, proof: Proof) -> None:
+    """Raise if either side knows a later incarnation of the other."""
     if known:
         raise HandshakeError('links_old_incarnation')
     if proof.known:
--- a/src/nutmegroad/membership/_heartbeats.py
+++ b/src/nutmegroad/membership/_heartbeats.py
@@ -73,7 +73,7 @@
         self._ticks = 0
 
     def link_opened(self, identity: Identity) -> None:
-        """Send a newly linked host our records of both ends."""
+        """Send a newly linked host its own record and that of this host."""
         # A link may move to another connection; changes already sent are not
         # sent again.
         state = LinkState(identity.domain, self._table.entries.change_number)
@@ -118,7 +118,7 @@
         """
         self._ticks += 1
         needed = frozenset(wanted)
-        local_only = _Near(suspects, self._detector.pop_vouched())
+        local_only = _LocalFields(suspects, self._detector.pop_vouched())
         local_hosts: list[HostId] = []
         for host, state in self._links.items():
             updates = self._pop_updates(host, state)
@@ -132,7 +132,7 @@
                 self._send(host, state, local_only, (), wanted=True)
         self._sender.multicast(local_hosts, self._local_heartbeat(local_only))
 
-    def _local_heartbeat(self, local_only: '_Near') -> Heartbeat:
+    def _local_heartbeat(self, local_only: '_LocalFields') -> Heartbeat:
         """Return the heartbeat for all local hosts without pending changes."""
         has_ages = self._ticks % _AGES_TICKS == 0
         return Heartbeat(
@@ -147,7 +147,7 @@
         self,
         host: HostId,
         state: LinkState,
-        local_only: '_Near',
+        local_only: '_LocalFields',
         updates: tuple[Record, ...],
         *,
         wanted: bool,
@@ -195,7 +195,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Near:
+class _LocalFields:
     """Fields that are sent to hosts of the local domain only."""
 
     suspects: tuple[HostId, ...]
@@ -205,9 +205,9 @@
 def _must_forward(entry: Entry) -> bool:
     """Return whether a change must be forwarded to other hosts.
 
-    Most of the domain learns at the same time what a local host reports or
-    does, so only some hosts forward it. A change from another domain may have
-    reached this host only.
+    Most hosts of the domain learn of a local change at the same time, so only
+    some of them forward it. A change from another domain may have reached this
+    host only.
     """
     match entry.origin:
         case Origin.OWN | Origin.REMOTE:
--- a/src/nutmegroad/membership/_wire.py
+++ b/src/nutmegroad/membership/_wire.py
@@ -60,7 +60,8 @@
         try:
             self._unpacker.feed(chunk)
         except _UNPACK_ERRORS as error:
-            raise StreamError('The message is too large.') from error
+            message = f'Buffered data exceeds {self._max_bytes} bytes.'
+            raise StreamError(message) from error
         return self._unpack()
 
     def take_remaining(self, limit: int) -> bytes:
@@ -81,7 +82,8 @@
         # The unpacker limits its buffer only; an array that arrives item by
         # item would grow without limit.
         if self._fed_bytes - self._unpacked_bytes > self._max_bytes:
-            raise StreamError('The message is too large.')
+            message = f'An object exceeds {self._max_bytes} bytes.'
+            raise StreamError(message)
 
 
 def pack(plain: object) -> bytes:
