--- a/src/nutmegroad/membership/_link_lifecycle.py
+++ b/src/nutmegroad/membership/_link_lifecycle.py
@@ -33,7 +33,7 @@
 _LOG: Final = part_logger('links')
 #: Seconds between checks for unresponsive links.
 _WATCH_INTERVAL: Final = 2.0
-#: Seconds between checks whether the queues are sent on closing.
+#: Seconds between checks on closing whether the queues have been sent.
 _FLUSH_POLL_INTERVAL: Final = 0.01
 
 
@@ -51,7 +51,7 @@
 
 
 class Handshaker:
-    """Performs handshakes within their limits.
+    """Performs handshakes with a time limit and limited concurrency.
 
     Args:
         context: Keys, clock, cost account and limits.
@@ -72,7 +72,7 @@
         self._unauthenticated = 0
 
     async def connect(self, address: Address) -> AuthenticatedConnection | None:
-        """Connect to an address; None if the link can not be made."""
+        """Connect to an address; None if this or the handshake fails."""
         opening = asyncio.open_connection(address.ip, address.port)
         seconds = self._context.limits.handshake_timeout
         try:
--- a/src/nutmegroad/membership/_link_targets.py
+++ b/src/nutmegroad/membership/_link_targets.py
@@ -13,7 +13,7 @@
 #: Number of links from a host to each other domain.
 LINKS_PER_REMOTE_DOMAIN: Final = 2
 #: Maximum number of addresses probed at a time while there is no link.
-_MAX_INITIAL_SEEDS: Final = 8
+_MAX_INITIAL_PROBES: Final = 8
 
 
 class LinkTargets:
@@ -62,8 +62,9 @@
         chosen = self.hosts().values()
         if not self._probes:
             return frozenset(chosen)
-        # A host found at a probed address is treated like any other.
-        return (self._probes - self._known()).union(chosen)
+        # A probed address at which a host has been found needs a link only if
+        # that host was chosen.
+        return (self._probes - self._known_addresses()).union(chosen)
 
     def choose_probes(self, *, has_links: bool) -> None:
         """Select new addresses at which to look for hosts.
@@ -77,9 +78,9 @@
             | self._listed_addresses
             | self._addresses_of_empty_domains()
         )
-        addresses = sorted(candidates - self._known(), key=str)
+        addresses = sorted(candidates - self._known_addresses(), key=str)
         self._randomness.shuffle(addresses)
-        size = 1 if has_links else _MAX_INITIAL_SEEDS
+        size = 1 if has_links else _MAX_INITIAL_PROBES
         self._probes = frozenset(addresses[:size])
 
     def _choose(self) -> dict[HostId, Address]:
@@ -93,7 +94,7 @@
             chosen.extend(by_host[host] for host in selected)
         return {record.host: record.identity.address for record in chosen}
 
-    def _known(self) -> frozenset[Address]:
+    def _known_addresses(self) -> frozenset[Address]:
         """Return the addresses of known hosts, including this one."""
         own = self._table.identity.address
         others = [record.identity.address for record in self._table.others()]
--- a/src/nutmegroad/membership/_member_messages.py
+++ b/src/nutmegroad/membership/_member_messages.py
@@ -9,6 +9,7 @@
 from nutmegroad.foundations.types import DomainId, HostId, Presence
 from nutmegroad.membership._handshake import Identity
 
+#: Part that the costs of the membership are attributed to.
 MEMBERS_PART: Final = 'members'
 
 #: Presences in order of precedence: within one version of a record, the later
@@ -59,12 +60,13 @@
     tag='heartbeat',
     array_like=True,
 ):
-    """Sign of life of the sender, with changed records.
+    """Periodic message that shows that its sender is live.
 
     Attributes:
         digest: Hash over all records of the sender that are not gone.
         wanted: Whether the sender itself needs this link.
-        news: Records that changed.
+        news: Changed records; in the first heartbeat on a link, the records of
+            both ends.
         ages: Tenths of a second since each domain was last seen.
         suspects: Hosts of the sender's domain that are unresponsive to it.
         vouched: Hosts that others suspect, but that respond to the sender.
--- a/src/nutmegroad/membership/_member_table.py
+++ b/src/nutmegroad/membership/_member_table.py
@@ -18,8 +18,8 @@
 #: Maximum number of gone incarnations that are kept.
 _MAX_GONE: Final = 1000
 
-#: Seconds for which a gone incarnation is kept, so that an outdated record can
-#: not make it live again.
+#: Seconds for which a gone incarnation is kept, so that an outdated record
+#: cannot make it live again.
 GONE_RETENTION: Final = 3600.0
 #: Number of hosts of a domain that forward a change within it to other
 #: domains.
@@ -74,7 +74,7 @@
         return self._clock.now() - max(seen_at, self._timers_reset_at)
 
     def is_domain_unreachable(self, domain: DomainId) -> bool:
-        """Return whether no host of a domain is seen, not even by others."""
+        """Return whether no host has seen a domain within the timeout."""
         seen_at = self._timers_reset_at
         # After a pause of this process, reports of other hosts are better
         # evidence than the lack of updates during the pause.
@@ -123,7 +123,7 @@
         origin: How it was learned.
         recorded_at: Clock seconds at which it was stored.
         is_forwarder: Whether this host forwards it for its domain.
-        known_by: Hosts that sent the same record.
+        known_by: Hosts that sent the same record; it is not sent to them.
     """
 
     record: Record
@@ -187,9 +187,13 @@
         return changed
 
     def purge(self, before: float) -> list[HostId]:
-        """Remove entries of hosts that are gone since before a moment.
+        """Remove entries of hosts that were recorded as gone before a time.
 
-        The earliest entries above the maximum number are removed too.
+        If there are more gone hosts than the maximum, the entries recorded
+        first are removed too.
+
+        Args:
+            before: Clock seconds.
 
         Returns:
             The removed hosts.
@@ -328,6 +332,7 @@
             self._reachability.forget_host(host)
 
     def _refute(self, record: Record) -> None:
+        """Supersede a record of this incarnation that is later than its own."""
         is_own = record.identity.incarnation == self.identity.incarnation
         if is_own and record.order > self.own.order:
             version = record.version + 1
@@ -347,6 +352,7 @@
         return entry
 
     def _is_forwarder(self, key: HostId) -> bool:
+        """Return whether this host forwards changes of a host's record."""
         local_hosts = [
             record.host
             for record in self.others()
--- a/src/nutmegroad/membership/_message_receiver.py
+++ b/src/nutmegroad/membership/_message_receiver.py
@@ -184,7 +184,11 @@
         try:
             reply = await handler(peer.host, message)
         except Exception:
-            _LOG.exception('message handler failed')
+            _LOG.exception(
+                'message handler failed for %s from host %s',
+                type(message).__name__,
+                peer.host,
+            )
             self._refuse(peer, frame, 'links_handler_failed')
             return
         finally:
--- a/src/nutmegroad/membership/_peer_table.py
+++ b/src/nutmegroad/membership/_peer_table.py
@@ -17,8 +17,8 @@
 from nutmegroad.membership._link_context import LinkContext, LinkLimits
 from nutmegroad.membership._wire import as_plain
 
-#: Maximum seconds between two connections that hosts open to each other
-#: simultaneously. If the existing one is older, the peer has lost it.
+#: Maximum seconds between two connections that count as opened simultaneously,
+#: one by each host. If the existing one is older, the peer has lost it.
 _SIMULTANEOUS_WINDOW: Final = 5.0
 
 
@@ -157,12 +157,17 @@
         if peer is None or peer.connection is not connection:
             return False
         self._peers.pop(peer.host)
-        # The peer may still use one of them as the link.
+        # Also the redundant ones; the peer may still use one of them as its
+        # link.
         peer.abort()
         return True
 
     def redundant_connections(self, before: float) -> tuple[Connection, ...]:
-        """Return connections that are redundant since before a moment."""
+        """Return connections that became redundant before a time.
+
+        Args:
+            before: Clock seconds.
+        """
         return tuple(
             connection
             for connection, added_at in self._redundant_since.items()
@@ -178,6 +183,7 @@
         peer.redundant_connections.clear()
 
     def _is_preferred(self, new: Connection, old: Connection) -> bool:
+        """Return whether a new connection replaces the one in use."""
         if new.is_initiator == old.is_initiator:
             return True
         if self._clock.now() - old.opened_at > _SIMULTANEOUS_WINDOW:
--- a/src/nutmegroad/membership/_rendezvous.py
+++ b/src/nutmegroad/membership/_rendezvous.py
@@ -1,6 +1,7 @@
 """Rendezvous hashing: all hosts rank the same hosts in the same order.
 
-If a host is added or removed, only keys for which it ranks first move.
+If a host is added or removed, the first rank changes only for those keys for
+which that host ranks first.
 """
 
 from collections.abc import Iterable
--- a/src/nutmegroad/membership/links.py
+++ b/src/nutmegroad/membership/links.py
@@ -70,7 +70,7 @@
 
 
 class Links:
-    """``Mesh`` over TCP: one link for each other host that is wanted.
+    """``Mesh`` over TCP, with at most one link to each other host.
 
     Example::
 
--- a/src/nutmegroad/membership/part.py
+++ b/src/nutmegroad/membership/part.py
@@ -36,7 +36,7 @@
         """
         settings = kernel.settings
         if not settings.cluster_key:
-            message = 'The cluster key is empty; hosts need it for links.'
+            message = 'The setting cluster_key is empty; links need a key.'
             raise SettingsError(message)
         account = kernel.need(Account)
         table, reachability = create_member_table(
@@ -71,7 +71,7 @@
 
 
 def identity_of(kernel: Kernel) -> Identity:
-    """Return the identity of this host that it sends to others."""
+    """Return the identity that this host sends to its peers."""
     settings = kernel.settings
     return Identity(
         host=settings.host,
--- a/tests/test_link_parts.py
+++ b/tests/test_link_parts.py
@@ -120,9 +120,9 @@
         original = ['a' * 20, 7]
         packed = pack(original)
         unpacked = [
-            thing
+            unpacked_object
             for index in range(len(packed))
-            for thing in unpacker.feed(packed[index : index + 1])
+            for unpacked_object in unpacker.feed(packed[index : index + 1])
         ]
         self.assertEqual(unpacked, [(original, len(packed))])
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -27,7 +27,8 @@
 from tests.recorders import Holder, Recorder, echo_back
 
 KEY = b'a key for tests'
-#: Seconds between checks of a condition, and checks after which a test fails.
+#: Seconds between checks of a condition, and number of checks after which a
+#: test fails.
 CHECK_INTERVAL = 0.005
 MAX_CHECKS = 4000
 QUICK = LinkLimits(initial_backoff=0.01, max_backoff=0.05)
@@ -308,8 +309,8 @@
         one.links.maintain_links([from_one.address])
         two.links.maintain_links([from_two.address])
         await wait_until(lambda: one.links.linked() and two.links.linked())
-        question = one.links.ask(two.host, Ask('hello'), 5)
-        asking = asyncio.ensure_future(question)
+        request = one.links.ask(two.host, Ask('hello'), 5)
+        pending_reply = asyncio.ensure_future(request)
         from_two.released.set()
         await wait_until(lambda: two.texts)
         self.assertEqual(two.count('links_doubled'), 1)
@@ -317,7 +318,7 @@
         await asyncio.sleep(0.1)
         self.assertEqual(list(one.links.linked()), [two.host])
         from_one.released.set()
-        self.assertEqual(await asking, Reply('hello to one'))
+        self.assertEqual(await pending_reply, Reply('hello to one'))
         self.assertEqual(one.count('links_closed'), 0)
         await self.assert_works(one, two)
         await wait_until(lambda: one.count('links_closed') == 1)
@@ -360,12 +361,12 @@
     async def test_outcome_of_request_to_a_lost_host_is_unknown(self) -> None:
         one, two = await self.pair()
         two.links.handle(Ask, never_answer)
-        question = one.links.ask(two.host, Ask('?'), 99)
-        asking = asyncio.ensure_future(question)
+        request = one.links.ask(two.host, Ask('?'), 99)
+        pending_reply = asyncio.ensure_future(request)
         await wait_until(lambda: two.links.linked())
         await asyncio.sleep(0.05)
         two.links.drop(one.host)
-        reply = await asking
+        reply = await pending_reply
         assert isinstance(reply, Refusal)
         self.assertEqual(reply.ran, Ran.UNKNOWN)
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -197,7 +197,7 @@
         late = await self.start('west9', WEST, seed=hosts[-1])
         for host in hosts[:2]:
             self.network.mesh.cut(host.name, late.name)
-        # Earlier than a digest comparison with a host of the third domain.
+        # Too early for a comparison of digests with a host of the third domain.
         await self.clock.advance(4)
         self.assertIn(late.name, hosts[0].known())
 
@@ -283,7 +283,7 @@
             record = Record(identity_of(name), 0, Presence.LIVE)
             table.merge(record, Origin.LOCAL, record.host)
 
-    async def exchange_heartbeats(
+    async def receive_heartbeats(
         self, seconds: int, heartbeat: Heartbeat
     ) -> Verdicts:
         """Receive heartbeats of two hosts each second, then evaluate."""
@@ -296,26 +296,31 @@
         return self.detector.evaluate(self.clock.now(), in_contact=True)
 
     async def test_host_is_gone_after_timeout_and_agreement(self) -> None:
-        silent = (HostId('silent'),)
-        alone = Heartbeat(0, wanted=True)
-        agreeing = Heartbeat(0, wanted=True, suspects=silent)
-        self.assertEqual(await self.exchange_heartbeats(3, alone), Verdicts())
+        unresponsive = (HostId('silent'),)
+        no_suspects = Heartbeat(0, wanted=True)
+        same_suspect = Heartbeat(0, wanted=True, suspects=unresponsive)
         self.assertEqual(
-            await self.exchange_heartbeats(5, alone), Verdicts(silent)
+            await self.receive_heartbeats(3, no_suspects), Verdicts()
         )
         self.assertEqual(
-            await self.exchange_heartbeats(1, agreeing),
-            Verdicts(silent, silent),
+            await self.receive_heartbeats(5, no_suspects),
+            Verdicts(unresponsive),
+        )
+        self.assertEqual(
+            await self.receive_heartbeats(1, same_suspect),
+            Verdicts(unresponsive, unresponsive),
         )
 
     async def test_without_agreement_the_timeout_is_longer(self) -> None:
-        silent = (HostId('silent'),)
-        alone = Heartbeat(0, wanted=True)
+        unresponsive = (HostId('silent'),)
+        no_suspects = Heartbeat(0, wanted=True)
         self.assertEqual(
-            await self.exchange_heartbeats(14, alone), Verdicts(silent)
+            await self.receive_heartbeats(14, no_suspects),
+            Verdicts(unresponsive),
         )
         self.assertEqual(
-            await self.exchange_heartbeats(2, alone), Verdicts(silent, silent)
+            await self.receive_heartbeats(2, no_suspects),
+            Verdicts(unresponsive, unresponsive),
         )
 
 
