--- a/src/nutmegroad/fleet/cached_prefixes.py
+++ b/src/nutmegroad/fleet/cached_prefixes.py
@@ -14,8 +14,8 @@
 from nutmegroad.foundations.types import UpstreamIncarnation
 
 #: 32-bit fingerprint of a prompt part, as one model tokenizes it. Two of 10,000
-#: parts share a fingerprint with a probability of one in 86; that costs a wrong
-#: estimate.
+#: parts share a fingerprint with a probability of one in 86; the only effect is
+#: a wrong estimate of what an upstream has cached.
 PrefixFingerprint = NewType('PrefixFingerprint', int)
 
 #: Maximum number of parts per datagram, the newest ones. At about eight bytes
@@ -30,7 +30,8 @@
 #: deployment (890). Peers may go on reporting an upstream that has terminated.
 MAX_UPSTREAMS: Final = 1000
 
-#: Parts by upstream as hosts report them: fingerprint and tokens alternate.
+#: Parts by upstream as hosts report them: a flat list in which each fingerprint
+#: is followed by the part's tokens.
 PrefixReport = dict[UpstreamIncarnation, list[int]]
 
 
@@ -104,43 +105,46 @@
         self._sent: list[_SentPart] = []
 
     def is_cached(
-        self, upstream: UpstreamIncarnation, mark: PrefixFingerprint
+        self, upstream: UpstreamIncarnation, fingerprint: PrefixFingerprint
     ) -> bool:
         """Return whether an upstream has probably cached a part."""
         known = self._upstreams.get(upstream)
-        return known is not None and mark in known.parts
+        return known is not None and fingerprint in known.parts
 
     def record_sent(
         self,
         upstream: UpstreamIncarnation,
         parts: tuple[FingerprintedPart, ...],
-        memory: int,
+        cache_size: int,
     ) -> None:
         """Record the parts that this host sends to an upstream.
 
         Args:
             upstream: The upstream.
             parts: Parts of the prompt.
-            memory: Size of the upstream's cache in tokens; 0 if unknown.
+            cache_size: Size of the upstream's cache in tokens; 0 if unknown.
         """
         now = self._clock.now()
         for part in parts:
             self._use(upstream, part)
             self._sent.append(_SentPart(upstream, part, now))
         cached = self._upstreams.get(upstream)
-        while cached and memory and cached.tokens > memory:
+        while cached and cache_size and cached.tokens > cache_size:
             cached.evict_oldest()
 
     def merge(self, prefixes: PrefixReport) -> None:
-        """Merge the parts that another host has sent."""
-        for upstream, numbers in prefixes.items():
-            for mark, tokens in zip(numbers[::2], numbers[1::2], strict=False):
+        """Merge the parts that another host has sent to upstreams."""
+        for upstream, pairs in prefixes.items():
+            for fingerprint, tokens in zip(
+                pairs[::2], pairs[1::2], strict=False
+            ):
                 self._use(
-                    upstream, FingerprintedPart(PrefixFingerprint(mark), tokens)
+                    upstream,
+                    FingerprintedPart(PrefixFingerprint(fingerprint), tokens),
                 )
 
     def recent(self, span: float) -> PrefixReport:
-        """Return the parts that this host has sent recently.
+        """Return the parts that this host has sent to upstreams recently.
 
         Args:
             span: Age limit in seconds.
--- a/src/nutmegroad/fleet/crash_rows.py
+++ b/src/nutmegroad/fleet/crash_rows.py
@@ -1,9 +1,11 @@
-"""Crash reports and probe executions in the platform's store.
+"""Synchronizes crash reports and probe executions with the platform's store.
 
 Hosts exchange crash reports by datagrams. The rows are for hosts that do not
 receive these, and for hosts that start when no host that knows them is left.
-One row holds all lasting reports, so nothing has to be cleaned up; a second row
-holds which request was claimed for a probe execution, and when.
+One row holds all lasting reports, so nothing has to be cleaned up. A second row
+holds the requests that were claimed for a probe execution, and when. In a probe
+execution, one host executes a blocked request to find out whether it still
+crashes upstreams.
 """
 
 from collections.abc import Callable
@@ -40,21 +42,22 @@
 _LOG: Final = part_logger('crashes')
 
 CRASHES_KEY_PREFIX: Final = 'crashes/'
-_ENDS: Final = 'ends'
-_TRIALS: Final = 'trials'
+_CRASHES_ROW: Final = 'ends'
+_PROBES_ROW: Final = 'trials'
 
-#: Crashes under a request from which it is written to the store. Most requests
-#: that are hit by a crash are answered elsewhere and never written.
+#: Minimum number of crashes under a request for it to be written to the store.
+#: Most requests that were running during a crash are answered by another
+#: upstream and never written.
 MIN_CRASHES_WRITTEN: Final = 2
 
 #: Maximum number of crashes in the row, so that it stays below half of the
 #: platform's size limit. Once the row is full, only harmful requests are added.
 MAX_CRASHES: Final = 400
 
-#: Maximum number of answers in the row.
+#: Maximum number of answers in the same row.
 MAX_ANSWERS: Final = 200
 
-#: Seconds between checks for something to write.
+#: Seconds between checks whether the row has to be written.
 CHECK_INTERVAL: Final = 0.25
 
 #: Seconds by which the second host delays a write that any host may make.
@@ -64,12 +67,12 @@
 #: unavailable, datagrams have informed all hosts that can be reached.
 RETRY_INTERVAL: Final = 2.0
 
-#: Seconds between writes that only clear requests. Nobody is refused in the
-#: meantime, since hosts report answers to each other.
+#: Seconds between writes that only clear requests. In the meantime no request
+#: is refused because of the old row, since hosts report answers to each other.
 CLEAR_INTERVAL: Final = 5.0
 
 #: Seconds between probe executions of any two requests. A request that crashes
-#: upstreams does so at once, so only one probe is running at the time of a
+#: upstreams does so immediately, so only one probe is running at the time of a
 #: crash.
 PROBE_INTERVAL: Final = 1.0
 
@@ -78,8 +81,8 @@
 PROBE_TIMEOUT: Final = 10.0
 
 
-class _EndRow(Struct, frozen=True, array_like=True):
-    """A crash in the store; times are seconds of the store's clock."""
+class _CrashEntry(Struct, frozen=True, array_like=True):
+    """Crash of an upstream; times are seconds of the store's clock."""
 
     content: ContentFingerprint
     upstream: UpstreamFingerprint
@@ -87,22 +90,22 @@
     ended: float
 
 
-class _AnswerRow(Struct, frozen=True, array_like=True):
-    """A complete answer in the store, timed by the store's clock."""
+class _AnswerEntry(Struct, frozen=True, array_like=True):
+    """Complete answer to a request; time in seconds of the store's clock."""
 
     content: ContentFingerprint
     moment: float
 
 
-class _CrashRow(Struct, frozen=True):
+class _CrashesRow(Struct, frozen=True):
     """The row of crashes and of answers that cleared requests."""
 
-    ends: tuple[_EndRow, ...] = ()
-    answers: tuple[_AnswerRow, ...] = ()
+    ends: tuple[_CrashEntry, ...] = ()
+    answers: tuple[_AnswerEntry, ...] = ()
 
 
-class _ProbeRow(Struct, frozen=True, array_like=True):
-    """A probe execution; its time is the store's."""
+class _ProbeEntry(Struct, frozen=True, array_like=True):
+    """Probe execution; time in seconds of the store's clock."""
 
     content: ContentFingerprint
     began: float
@@ -111,7 +114,7 @@
 class _ProbesRow(Struct, frozen=True):
     """The row of the last probe executions."""
 
-    trials: tuple[_ProbeRow, ...] = ()
+    trials: tuple[_ProbeEntry, ...] = ()
 
 
 class CrashRows:
@@ -138,7 +141,7 @@
         self._store_clock = store_clock
         self._clock = clock
         self._rank = rank
-        self._row = _CrashRow()
+        self._row = _CrashesRow()
         self._version = 0
         self._probes = _ProbesRow()
         self._probes_version = 0
@@ -156,11 +159,11 @@
         Raises:
             DecodeError: If the row can't be decoded.
         """
-        if name == _ENDS:
-            self._row = msgspec.json.decode(row.content, type=_CrashRow)
+        if name == _CRASHES_ROW:
+            self._row = msgspec.json.decode(row.content, type=_CrashesRow)
             self._version = row.version
             self._merge_row(store_time)
-        elif name == _TRIALS:
+        elif name == _PROBES_ROW:
             self._probes = msgspec.json.decode(row.content, type=_ProbesRow)
             self._probes_version = row.version
 
@@ -169,7 +172,7 @@
 
         The rows that the store still has are read next.
         """
-        self._row = _CrashRow()
+        self._row = _CrashesRow()
         self._version = 0
         self._probes_version = 0
 
@@ -184,7 +187,7 @@
             await self.write()
 
     async def write(self) -> None:
-        """Write at once what the row lacks, if anything.
+        """Write immediately what the row lacks, if anything.
 
         Called by the host that has seen a request become harmful: no other host
         may know of it yet, and this host may crash itself.
@@ -193,9 +196,12 @@
             await self._write()
 
     async def claim_probe(self, content: ContentFingerprint) -> bool:
-        """Return whether this host may execute a harmful request now.
+        """Claim a probe execution of a harmful request.
 
-        At most one of all hosts may; without the store none may.
+        At most one host can claim it; while the store is unavailable, none can.
+
+        Returns:
+            Whether this host may execute the request now.
         """
         now = self._store_clock.now()
         recent = tuple(
@@ -208,8 +214,8 @@
             for probe in recent
         ):
             return False
-        probes = _ProbesRow((*recent, _ProbeRow(content, now)))
-        key = f'{CRASHES_KEY_PREFIX}{_TRIALS}'
+        probes = _ProbesRow((*recent, _ProbeEntry(content, now)))
+        key = f'{CRASHES_KEY_PREFIX}{_PROBES_ROW}'
         outcome = await self._store.commit(
             (RowCondition(FLEET_TABLE, key, self._probes_version),),
             (RowPut(FLEET_TABLE, key, msgspec.json.encode(probes)),),
@@ -223,12 +229,12 @@
     def _merge_row(self, store_time: float) -> None:
         """Merge the crashes and answers of the row."""
         for row in self._row.ends:
-            end = UpstreamCrash(
+            crash = UpstreamCrash(
                 row.upstream,
                 self._to_local_time(row.began, store_time),
                 self._to_local_time(row.ended, store_time),
             )
-            self._tracker.record_crash(row.content, end)
+            self._tracker.record_crash(row.content, crash)
         for answer in self._row.answers:
             answered = self._to_local_time(answer.moment, store_time)
             self._tracker.record_answer(answer.content, answered)
@@ -254,11 +260,11 @@
         """Return the requests with a crash that the row lacks."""
         known = {(row.content, row.upstream) for row in self._row.ends}
         is_full = len(known) >= MAX_CRASHES
-        least = HARMFUL_CRASHES if is_full else MIN_CRASHES_WRITTEN
+        minimum = HARMFUL_CRASHES if is_full else MIN_CRASHES_WRITTEN
         return {
-            content: ends
-            for content, ends in self._tracker.crashes(least).items()
-            if any((content, end.upstream) not in known for end in ends)
+            content: crashes
+            for content, crashes in self._tracker.crashes(minimum).items()
+            if any((content, crash.upstream) not in known for crash in crashes)
         }
 
     def _cleared(self) -> set[ContentFingerprint]:
@@ -269,7 +275,7 @@
     async def _write(self) -> None:
         """Write the row, unless another host has written it first."""
         row = self._build_row()
-        key = f'{CRASHES_KEY_PREFIX}{_ENDS}'
+        key = f'{CRASHES_KEY_PREFIX}{_CRASHES_ROW}'
         self._written_at = self._clock.now()
         outcome = await self._store.commit(
             (RowCondition(FLEET_TABLE, key, self._version),),
@@ -294,33 +300,33 @@
             self._failed_at = self._clock.now()
         _LOG.decision('crashes not written', why=why)
 
-    def _build_row(self) -> _CrashRow:
-        """Return the row with all that this host knows."""
-        ends = self._tracker.crashes(MIN_CRASHES_WRITTEN)
+    def _build_row(self) -> _CrashesRow:
+        """Return the row to write, with what this host knows."""
+        crashes = self._tracker.crashes(MIN_CRASHES_WRITTEN)
         for row in self._row.ends:
             known = self._tracker.crashes_of(row.content)
             if known:
-                ends[row.content] = known
-        heaviest = sorted(ends.items(), key=_severity, reverse=True)
-        rows = [
-            self._end_row(content, end)
-            for content, under in heaviest
-            for end in under
+                crashes[row.content] = known
+        most_severe = sorted(crashes.items(), key=_severity, reverse=True)
+        entries = [
+            self._crash_entry(content, crash)
+            for content, under_request in most_severe
+            for crash in under_request
         ]
-        return _CrashRow(tuple(rows[:MAX_CRASHES]), self._answers())
+        return _CrashesRow(tuple(entries[:MAX_CRASHES]), self._answers())
 
-    def _end_row(
-        self, content: ContentFingerprint, end: UpstreamCrash
-    ) -> _EndRow:
+    def _crash_entry(
+        self, content: ContentFingerprint, crash: UpstreamCrash
+    ) -> _CrashEntry:
         """Return a crash as it is stored."""
-        return _EndRow(
+        return _CrashEntry(
             content,
-            end.upstream,
-            self._to_store_time(end.sent_at),
-            self._to_store_time(end.crashed_at),
+            crash.upstream,
+            self._to_store_time(crash.sent_at),
+            self._to_store_time(crash.crashed_at),
         )
 
-    def _answers(self) -> tuple[_AnswerRow, ...]:
+    def _answers(self) -> tuple[_AnswerEntry, ...]:
         """Return the answers that cleared requests of the row."""
         times = {row.content: row.moment for row in self._row.answers}
         for cleared in self._cleared():
@@ -329,22 +335,22 @@
                 times[cleared] = self._to_store_time(answered)
         newest = sorted(times.items(), key=_answer_time, reverse=True)
         return tuple(
-            _AnswerRow(content, moment)
+            _AnswerEntry(content, moment)
             for content, moment in newest[:MAX_ANSWERS]
         )
 
     def _to_store_time(self, time: float) -> float:
         """Convert a time of this host's clock to the store's seconds."""
-        behind = self._clock.now() - self._store_clock.now()
-        return round(time - behind, 3)
+        host_lead = self._clock.now() - self._store_clock.now()
+        return round(time - host_lead, 3)
 
 
 def _severity(
     entry: tuple[ContentFingerprint, tuple[UpstreamCrash, ...]],
 ) -> tuple[int, float]:
     """Return the sort key of a request: crashes, then time of the latest."""
-    ends = entry[1]
-    return len(ends), max((end.crashed_at for end in ends), default=0)
+    crashes = entry[1]
+    return len(crashes), max((crash.crashed_at for crash in crashes), default=0)
 
 
 def _answer_time(entry: tuple[ContentFingerprint, float]) -> float:
--- a/src/nutmegroad/fleet/crash_tracker.py
+++ b/src/nutmegroad/fleet/crash_tracker.py
@@ -3,9 +3,10 @@
 A request may crash each upstream that executes it, and it is sent again under
 other ids to any host. Requests are therefore tracked by content, and hosts
 exchange their records. One crash can't distinguish the request from those that
-merely ran beside it, which are tracked too: three crashes in series make a
-request harmful. One host at a time may then execute it once more as a
-probe; an answer clears it, and another crash blocks it for much longer.
+merely ran beside it, which are tracked too: a request counts as harmful, and is
+blocked, only after three crashes in series. One host at a time may then execute
+it once more as a probe; an answer clears it, and another crash blocks it for
+much longer.
 """
 
 from dataclasses import dataclass, field
@@ -29,11 +30,12 @@
 #: all hosts know of the crash, and the crashed upstreams are still down.
 PROBE_DELAY: Final = 1.0
 
-#: Seconds of blocking once a probe execution has crashed an upstream as well:
-#: it has to be repaired by hand. Doubles with each further crash.
+#: Seconds for which a request is blocked once a probe execution of it has
+#: crashed an upstream as well: the upstream has to be repaired by hand. Doubles
+#: with each further crash.
 BLOCK_PAUSE: Final = 600.0
 
-#: Maximum pause in seconds: one day.
+#: Maximum seconds for which a request is blocked: one day.
 MAX_BLOCK_PAUSE: Final = 86_400.0
 
 #: Seconds for which a request that is not harmful yet is tracked.
@@ -130,7 +132,7 @@
 
 @dataclass(slots=True)
 class _Record:
-    """What is known of one request.
+    """Crashes of upstreams under one request, and its last answer.
 
     Attributes:
         crashes: Crashes under it, by upstream.
@@ -146,7 +148,7 @@
     def latest_time(self) -> float:
         """Return the time of the last crash, else of the last answer."""
         return max(
-            (end.crashed_at for end in self.crashes.values()),
+            (crash.crashed_at for crash in self.crashes.values()),
             default=self.answered_at,
         )
 
@@ -159,21 +161,21 @@
         """
         count = 0
         last = NEVER
-        for end in sorted(self.crashes.values(), key=_crash_time):
-            if end.sent_at >= last - REPORT_SLACK:
+        for crash in sorted(self.crashes.values(), key=_crash_time):
+            if crash.sent_at >= last - REPORT_SLACK:
                 count += 1
-                last = end.crashed_at
+                last = crash.crashed_at
         return count
 
-    def record_crash(self, end: UpstreamCrash) -> None:
+    def record_crash(self, crash: UpstreamCrash) -> None:
         """Record a crash, unless a later answer is known."""
-        if end.crashed_at <= self.answered_at:
+        if crash.crashed_at <= self.answered_at:
             return
         if len(self.crashes) < HARMFUL_CRASHES:
-            self._forget_before(end.crashed_at - RETENTION)
-        known = self.crashes.get(end.upstream)
-        self.crashes[end.upstream] = (
-            end if known is None else known.earlier(end)
+            self._forget_before(crash.crashed_at - RETENTION)
+        known = self.crashes.get(crash.upstream)
+        self.crashes[crash.upstream] = (
+            crash if known is None else known.earlier(crash)
         )
 
     def record_answer(self, time: float) -> bool:
@@ -188,9 +190,9 @@
     def _forget_before(self, time: float) -> None:
         """Forget the crashes up to a time."""
         self.crashes = {
-            upstream: end
-            for upstream, end in self.crashes.items()
-            if end.crashed_at > time
+            upstream: crash
+            for upstream, crash in self.crashes.items()
+            if crash.crashed_at > time
         }
 
 
@@ -238,8 +240,8 @@
         count = record.series_length
         if count < HARMFUL_CRASHES:
             return None
-        over = record.latest_time + _pause(count) - self._clock.now()
-        return BlockedRequest(count, max(0, over))
+        remaining = record.latest_time + _pause(count) - self._clock.now()
+        return BlockedRequest(count, max(0, remaining))
 
     def count_harmful(self) -> int:
         """Return how many requests count as harmful."""
@@ -250,14 +252,14 @@
         )
 
     def record_crash(
-        self, content: ContentFingerprint, end: UpstreamCrash
+        self, content: ContentFingerprint, crash: UpstreamCrash
     ) -> None:
         """Record the crash of an upstream under a request."""
         record = self._records.pop(content, None) or _Record()
         self._records[content] = record
-        record.record_crash(end)
+        record.record_crash(crash)
         self._report_until = max(
-            self._report_until, end.crashed_at + REPORTING_PERIOD
+            self._report_until, crash.crashed_at + REPORTING_PERIOD
         )
         if len(self._records) > MAX_REQUESTS:
             self._evict()
@@ -275,17 +277,17 @@
         return True
 
     def crashes(
-        self, least: int
+        self, minimum: int
     ) -> dict[ContentFingerprint, tuple[UpstreamCrash, ...]]:
-        """Return the requests with at least so many crashes, and the crashes.
+        """Return the requests with a number of crashes, and their crashes.
 
         Args:
-            least: Minimum number of crashes.
+            minimum: Minimum number of crashes of a returned request.
         """
         return {
             content: tuple(record.crashes.values())
             for content, record in self._records.items()
-            if len(record.crashes) >= least
+            if len(record.crashes) >= minimum
         }
 
     def crashes_of(
@@ -309,73 +311,73 @@
             return CrashReport()
         now = self._clock.now()
         oldest = now - REPORTING_PERIOD
-        ends: list[tuple[int, ReportedCrash]] = []
+        crashes: list[tuple[int, ReportedCrash]] = []
         answers = []
         for content, record in self._records.items():
             count = len(record.crashes)
-            ends.extend(
-                (-count, _report_of(content, end, now))
-                for end in record.crashes.values()
-                if end.crashed_at >= oldest
+            crashes.extend(
+                (-count, _report_of(content, crash, now))
+                for crash in record.crashes.values()
+                if crash.crashed_at >= oldest
             )
             if record.answered_at >= oldest:
                 answers.append(
                     ReportedAnswer(content, _age(now, record.answered_at))
                 )
-        ends.sort(key=_report_order)
+        crashes.sort(key=_report_order)
         return CrashReport(
-            tuple(end for _, end in ends[:MAX_REPORTED]),
+            tuple(crash for _, crash in crashes[:MAX_REPORTED]),
             tuple(answers[:MAX_REPORTED]),
         )
 
-    def merge(self, crashes: CrashReport) -> None:
+    def merge(self, report: CrashReport) -> None:
         """Merge a report from another host."""
         now = self._clock.now()
-        for reported in crashes.crashes:
-            end = UpstreamCrash(
+        for reported in report.crashes:
+            crash = UpstreamCrash(
                 reported.upstream,
                 now - reported.sent_age / _MILLISECONDS,
                 now - reported.crash_age / _MILLISECONDS,
             )
-            self.record_crash(reported.content, end)
-        for answer in crashes.answers:
+            self.record_crash(reported.content, crash)
+        for answer in report.answers:
             self.record_answer(answer.content, now - answer.age / _MILLISECONDS)
 
     def _evict(self) -> None:
-        """Evict old requests, then the oldest ones that are not harmful."""
+        """Evict old requests, then the oldest others, harmful ones last."""
         oldest = self._clock.now() - RETENTION
         for content, record in tuple(self._records.items()):
             harmful = len(record.crashes) >= HARMFUL_CRASHES
             if not harmful and record.latest_time < oldest:
                 self._records.pop(content)
-        by_weight = sorted(
+        harmless_first = sorted(
             self._records.items(),
             key=lambda entry: len(entry[1].crashes) >= HARMFUL_CRASHES,
         )
         # Evicts many at once, so that it does not run for each request.
-        for content, _ in by_weight[
+        for content, _ in harmless_first[
             : len(self._records) - REQUESTS_AFTER_EVICTION
         ]:
             self._records.pop(content)
 
 
-def _pause(ends: int) -> float:
+def _pause(crash_count: int) -> float:
     """Return for how many seconds crashes in series block a request."""
-    if ends <= HARMFUL_CRASHES:
+    if crash_count <= HARMFUL_CRASHES:
         return PROBE_DELAY
-    doubled = BLOCK_PAUSE * float(2 ** (ends - HARMFUL_CRASHES - 1))
+    doubled = BLOCK_PAUSE * float(2 ** (crash_count - HARMFUL_CRASHES - 1))
     return min(MAX_BLOCK_PAUSE, doubled)
 
 
 def _report_of(
-    content: ContentFingerprint, end: UpstreamCrash, now: float
+    content: ContentFingerprint, crash: UpstreamCrash, now: float
 ) -> ReportedCrash:
     """Return a crash as it is reported."""
     return ReportedCrash(
         content,
-        end.upstream,
-        _age(now, end.sent_at),
-        _age(now, end.crashed_at),
+        crash.upstream,
+        _age(now, crash.sent_at),
+        _age(now, crash.crashed_at),
     )
 
 
@@ -384,9 +386,9 @@
     return max(0, int((now - time) * _MILLISECONDS))
 
 
-def _crash_time(end: UpstreamCrash) -> float:
+def _crash_time(crash: UpstreamCrash) -> float:
     """Return when an upstream crashed; a sort key."""
-    return end.crashed_at
+    return crash.crashed_at
 
 
 def _report_order(pair: tuple[int, ReportedCrash]) -> int:
--- a/src/nutmegroad/fleet/evidence_gossip.py
+++ b/src/nutmegroad/fleet/evidence_gossip.py
@@ -14,12 +14,13 @@
 from nutmegroad.fleet.gossip_queue import DatagramCapacity, GossipQueue, Source
 from nutmegroad.foundations.types import HostId, ServiceName
 
-#: Counts per datagram within a failure domain, some 60 bytes each.
+#: Maximum counts per datagram within a failure domain, some 60 bytes each: new
+#: ones, and others that are sent in rotation.
 _LOCAL_NEW: Final = 15
 _LOCAL_OTHERS: Final = 10
 
-#: Counts per datagram between failure domains. There are more of them, since
-#: such a datagram stands for a whole domain.
+#: The same between failure domains. More of the counts are new ones, since such
+#: a datagram reports on behalf of a whole domain.
 _REMOTE_NEW: Final = 25
 _REMOTE_OTHERS: Final = 8
 
@@ -102,19 +103,20 @@
         )
 
     def __len__(self) -> int:
-        """Return the number of counts that are sent."""
+        """Return the number of keys whose counts are sent."""
         return len(self._known)
 
-    def add(self, key: CountsKey, source: Source, *, news: bool) -> None:
-        """Send counts that have grown.
+    def add(self, key: CountsKey, source: Source, *, urgent: bool) -> None:
+        """Add counts that have grown to those that are sent.
 
         Args:
             key: Key of the counts.
             source: Where the counts were made.
-            news: Whether all hosts need them in time.
+            urgent: Whether to send them in the next datagrams, not only in
+                rotation.
         """
         self._known[key] = None
-        if news:
+        if urgent:
             self._gossip.add_new(key, source)
         else:
             self._gossip.record_source(key, source)
@@ -148,11 +150,11 @@
         self, own: list[CountsKey], keys: list[CountsKey]
     ) -> CountsReport:
         """Return a report of the counts with some keys."""
-        home = [key for key in keys if self._gossip.is_local_entry(key)]
-        others = [key for key in keys if not self._gossip.is_local_entry(key)]
+        local = [key for key in keys if self._gossip.is_local_entry(key)]
+        remote = [key for key in keys if not self._gossip.is_local_entry(key)]
         return CountsReport(
-            tuple(map(self._counts_of, dict.fromkeys((*own, *home)))),
-            tuple(map(self._counts_of, dict.fromkeys(others))),
+            tuple(map(self._counts_of, dict.fromkeys((*own, *local)))),
+            tuple(map(self._counts_of, dict.fromkeys(remote))),
         )
 
     def _counts_of(self, key: CountsKey) -> IncarnationCounts:
--- a/src/nutmegroad/fleet/evidence_tracker.py
+++ b/src/nutmegroad/fleet/evidence_tracker.py
@@ -46,32 +46,32 @@
 
     Attributes:
         order: Its number.
-        runs: Counts by host and incarnation.
+        by_incarnation: Counts by host and incarnation.
         sums: Their sum by kind of request.
     """
 
     order: int
-    runs: dict[tuple[HostId, HostIncarnation], Evidence] = field(
+    by_incarnation: dict[tuple[HostId, HostIncarnation], Evidence] = field(
         default_factory=dict
     )
     sums: dict[KindNumber, Answers] = field(default_factory=dict)
 
     def merge(self, host: HostId, evidence: Evidence) -> Evidence | None:
-        """Merge the counts of an incarnation, unless as many are known.
+        """Merge the counts of an incarnation, unless as many or more are known.
 
         Returns:
             The counts known of that incarnation before; None if nothing was
             merged.
         """
-        name = (host, evidence.run)
-        known = self.runs.get(name)
-        if known is None and len(self.runs) >= MAX_INCARNATIONS:
+        key = (host, evidence.run)
+        known = self.by_incarnation.get(key)
+        if known is None and len(self.by_incarnation) >= MAX_INCARNATIONS:
             return None
         before = known or Evidence(self.order, evidence.run)
         if before.count >= evidence.count:
             return None
         add_kinds(self.sums, before.kinds, -1)
-        self.runs[name] = evidence
+        self.by_incarnation[key] = evidence
         add_kinds(self.sums, evidence.kinds)
         return before
 
@@ -178,7 +178,7 @@
         known = self._counts_of(service, order)
         if known is None:
             return 0
-        return len({host for host, _ in known.runs})
+        return len({host for host, _ in known.by_incarnation})
 
     def stop(self, service: ServiceName) -> None:
         """Stop sending the counts of a rollout that has ended."""
@@ -200,7 +200,7 @@
         is_own = (key.host, key.incarnation) == (self._host, self._run)
         if known is None or is_own:
             return self.own(key.service, key.order)
-        return known.runs[key.host, key.incarnation]
+        return known.by_incarnation[key.host, key.incarnation]
 
     def _counts_of(self, service: ServiceName, order: int) -> _Counts | None:
         """Return the counts of an order, or None if it is not a recent one."""
@@ -216,7 +216,7 @@
         evidence: Evidence,
         source: Source,
     ) -> None:
-        """Merge counts of one of the last orders."""
+        """Merge counts if their order is one of the last ones."""
         known = self._counts_of(service, evidence.order)
         if known is None:
             known = self._add_order(service, evidence.order)
@@ -229,8 +229,9 @@
         self._gossip.add(
             CountsKey(service, evidence.order, host, evidence.run),
             source,
-            # Other changes are sent in rotation, early enough for a verdict.
-            news=evidence.total.new_poor > before.total.new_poor,
+            # Other changes are sent in rotation, in time for the decision on
+            # the rollout.
+            urgent=evidence.total.new_poor > before.total.new_poor,
         )
 
     def _add_order(self, service: ServiceName, order: int) -> _Counts | None:
