--- a/src/nutmegroad/fleet/feed_timing.py
+++ b/src/nutmegroad/fleet/feed_timing.py
@@ -1,12 +1,13 @@
 """Timing of the calls by which hosts follow tables of the platform's store.
 
-Each answer has a cost, and each change wakes every host. A host therefore waits
-at the store and pauses between answers, so that changes that come meanwhile
-share an answer. Both take up a part of the time within which a change has to be
-in force on every host, even if the host that reads for others loses the store
-without notice. Wait and pause together are shorter than the time for which that
-host's updates are valid, and this validity leaves its followers a quarter of
-the bound to ask the store themselves.
+Each answer of the store has a cost, and each change wakes every host. A host
+therefore asks the store to hold its answer back until there is a change (the
+wait), and pauses between answers, so that changes that come meanwhile share an
+answer. Both take up a part of the bound: the time within which a change has to
+be in force on every host, even if the host that reads for others loses the
+store without notice. Wait and pause together are shorter than the time for
+which that host's updates are valid, and this validity leaves its followers a
+quarter of the bound to ask the store themselves.
 """
 
 from dataclasses import replace
@@ -14,9 +15,9 @@
 
 from nutmegroad.fleet.followers import FeedTiming
 
-#: Maximum fraction of the keys' validity for which the store is asked to wait:
-#: an answer is slightly old when it arrives, and a lost answer is noticed after
-#: a second.
+#: Maximum fraction of the validity of the keys for which the store is asked to
+#: wait: an answer is slightly old when it arrives, and a lost answer is noticed
+#: only after a second.
 KEY_VALIDITY_FRACTION: Final = 0.6
 
 #: Fractions of a bound for which the store is asked to wait for a change, for
--- a/src/nutmegroad/fleet/followers.py
+++ b/src/nutmegroad/fleet/followers.py
@@ -20,7 +20,8 @@
 
 #: Initial and maximum seconds between retries after a failure. A configuration
 #: has to be in force three seconds after the store is available again: one
-#: second is for a call that hangs, one for this delay at its maximum.
+#: second is for a call that hangs, one for this delay at its maximum, jitter
+#: included.
 INITIAL_RETRY_DELAY: Final = 0.1
 MAX_RETRY_DELAY: Final = 0.6
 
@@ -38,7 +39,7 @@
         """Apply changes of the table."""
 
     def confirm(self, moment: float, read: RowsRead) -> None:
-        """Record that nothing newer existed at a time of this host's clock.
+        """Record that the state was current at a time of this host's clock.
 
         Args:
             moment: Clock time in seconds.
@@ -161,8 +162,8 @@
                 return self._record_failure(read)
             self._replace(read)
             return True
-        # A call to an unresponsive store hangs for as long as the store was to
-        # wait, even if the store has become available meanwhile.
+        # A call to an unresponsive store hangs for as long as the store was
+        # asked to wait, even if the store has become available meanwhile.
         wait = 0 if self._failing else self._wait
         found = await self._store.changes(
             self._table,
--- a/src/nutmegroad/fleet/hosts.py
+++ b/src/nutmegroad/fleet/hosts.py
@@ -28,9 +28,10 @@
 
 
 class FleetHosts:
-    """Shares loads and sessions with all hosts and store reads with local ones.
+    """A host's registration, gossip and store access as one object.
 
-    Local hosts are those of the same failure domain.
+    The host shares loads and sessions with all hosts, and store reads with the
+    hosts of its failure domain.
 
     Args:
         host: This host.
@@ -57,11 +58,13 @@
         self._own = own
         self._first = first
         self.store_clock = StoreClock(clock)
-        #: The platform's store, with positions for versions.
+        #: The platform's store, with positions in place of versions.
         self.store = EraStore(store)
         self.store.subscribe_to_restores(self.store_clock.reset)
-        run = HostIncarnation(randomness.getrandbits(_INCARNATION_BITS))
-        self.shared_state = new_shared_state(host, run, clock, session_span)
+        incarnation = HostIncarnation(randomness.getrandbits(_INCARNATION_BITS))
+        self.shared_state = new_shared_state(
+            host, incarnation, clock, session_span
+        )
         self.peers = PeerGossip(host, own, self.shared_state, clock)
         #: Crash reports in the store.
         self.crash_rows = CrashRows(
@@ -71,7 +74,7 @@
             clock,
             self.duty_rank,
         )
-        self._announcement = HostRegistration(host, own, self.store, clock)
+        self._registration = HostRegistration(host, own, self.store, clock)
         self._link = UpdateLink(
             host, own, lambda: self.peers.local_hosts, clock
         )
@@ -84,7 +87,7 @@
                 self._server,
                 self.store_clock,
                 clock,
-                self._announcement.wait_for_startup,
+                self._registration.wait_for_startup,
                 self.store.observe_position,
             ),
             clock,
@@ -112,17 +115,17 @@
 
     def add_host(self, host: HostId, row: HostRow) -> None:
         """Add a host that was found in the store."""
-        self._announcement.observe_row(host, row)
+        self._registration.observe_row(host, row)
         self.peers.add_host(host, row)
 
     def on_store_restored(self) -> None:
         """Record that the store may have lost this host's row and others."""
-        self._announcement.on_store_restored()
+        self._registration.on_store_restored()
         self.crash_rows.on_store_restored()
 
     def on_hosts_loaded(self) -> None:
         """Record that the full fleet table was read."""
-        self._announcement.on_hosts_loaded()
+        self._registration.on_hosts_loaded()
         self._link.start()
 
     def duty_rank(self, duty: str) -> int:
@@ -140,7 +143,7 @@
     def tasks(self) -> tuple[Coroutine[Any, Any, None], ...]:
         """Return the coroutines that run as long as the host does."""
         return (
-            self._announcement.run(first=self._first),
+            self._registration.run(first=self._first),
             self.peers.run(),
             self.crash_rows.run(),
             self._server.run(),
--- a/src/nutmegroad/fleet/loads.py
+++ b/src/nutmegroad/fleet/loads.py
@@ -105,14 +105,15 @@
     def begin(
         self, upstream: UpstreamIncarnation, load: Load
     ) -> Callable[[], None]:
-        """Count a request, and return the function that ends its prompt part.
+        """Count a request that this host sends.
 
         Args:
             upstream: Where the request is sent.
             load: The load that it adds.
 
         Returns:
-            A function to call once the upstream has processed the prompt.
+            A function to call once the upstream has processed the prompt; it
+            subtracts the load of the prompt.
         """
         self._add_own(upstream, load)
         for callback in self._request_callbacks:
@@ -127,7 +128,15 @@
         return prompt_done
 
     def end(self, upstream: UpstreamIncarnation, load: Load) -> None:
-        """Subtract a request whose prompt has been subtracted before."""
+        """Subtract a request that has ended.
+
+        The load of its prompt has to be subtracted before, by the function that
+        ``begin`` returned.
+
+        Args:
+            upstream: Where the request was sent.
+            load: The load that was passed to ``begin``.
+        """
         self._add_own(upstream, Load(-load.running, 0, -load.tokens))
 
     def replace_reported(self, host: HostId, loads: Loads) -> None:
@@ -143,8 +152,8 @@
     def update_reported(self, host: HostId, loads: Loads) -> None:
         """Update the loads that a peer has reported for some upstreams."""
         known = self._by_peer.get(host)
-        whole = loads if known is None else {**known.loads, **loads}
-        self.replace_reported(host, whole)
+        merged = loads if known is None else {**known.loads, **loads}
+        self.replace_reported(host, merged)
 
     def _remove_expired(self) -> None:
         """Remove the expired loads of peers."""
--- a/src/nutmegroad/fleet/old_version_sessions.py
+++ b/src/nutmegroad/fleet/old_version_sessions.py
@@ -21,12 +21,12 @@
 #: fingerprint cost no more than one request that stays on the old version.
 SessionFingerprint = NewType('SessionFingerprint', int)
 
-#: Fingerprints per datagram: at about eight bytes each, an Ethernet frame.
+#: Maximum fingerprints per datagram within a failure domain, new ones and, in
+#: rotation, others: at about eight bytes each, they fill an Ethernet frame.
 _LOCAL_NEW: Final = 100
 _LOCAL_OTHERS: Final = 30
 
-#: Fingerprints per datagram between failure domains, where traffic is
-#: expensive.
+#: The same between failure domains, where traffic is expensive.
 _REMOTE_NEW: Final = 50
 _REMOTE_OTHERS: Final = 20
 
@@ -71,7 +71,7 @@
     Args:
         clock: The host's clock.
         span: Seconds after which a session without requests has ended.
-        begin: Offset at which the rotation of fingerprints starts.
+        offset: Offset at which the rotation of fingerprints starts.
     """
 
     @property
@@ -84,14 +84,14 @@
         """Whether other failure domains may lack a session."""
         return self._gossip.has_remote_updates
 
-    def __init__(self, clock: Clock, span: float, begin: int = 0) -> None:
+    def __init__(self, clock: Clock, span: float, offset: int = 0) -> None:
         self._clock = clock
         self._span = span
         self._last_seen: dict[SessionFingerprint, float] = {}
         self._gossip: GossipQueue[SessionFingerprint] = GossipQueue(
             DatagramCapacity(_LOCAL_NEW, _LOCAL_OTHERS),
             DatagramCapacity(_REMOTE_NEW, _REMOTE_OTHERS),
-            begin,
+            offset,
         )
 
     def __len__(self) -> int:
--- a/src/nutmegroad/fleet/peer_gossip.py
+++ b/src/nutmegroad/fleet/peer_gossip.py
@@ -3,8 +3,7 @@
 Hosts of a failure domain send each other reports in each gossip round. Hosts of
 other domains receive reports only in a small fleet, where these arrive often
 enough to be useful; in a larger fleet they receive digests, from a few hosts of
-a domain at a time.
-Hosts find each other in the platform's store.
+a domain at a time. Hosts find each other in the platform's store.
 """
 
 import asyncio
@@ -46,9 +45,10 @@
 #: have seen it: their reports arrive with a delay.
 SESSION_SLACK: Final = 1.0
 
-#: Hosts of this failure domain that receive a report per round: all of them in
-#: today's fleets, and a bound on the cost of gossip in larger ones. At
-#: forty-four hosts, each receives a report from each about once a second.
+#: Maximum number of hosts of this failure domain that receive a report per
+#: round: all of them in today's fleets; in larger ones it bounds the cost of
+#: gossip. In a domain of forty-four hosts, each receives a report from each
+#: other one about once a second.
 LOCAL_PER_ROUND: Final = 8
 
 #: Hosts of other failure domains that receive a report per round.
@@ -105,7 +105,7 @@
 
 def new_shared_state(
     host: HostId,
-    run: HostIncarnation,
+    incarnation: HostIncarnation,
     clock: Clock,
     session_span: float,
 ) -> SharedState:
@@ -113,15 +113,17 @@
 
     Args:
         host: The host.
-        run: Its current incarnation.
+        incarnation: Its current incarnation.
         clock: The host's clock.
         session_span: Seconds within which requests belong to one session.
     """
-    marks = OldVersionSessions(clock, session_span + SESSION_SLACK, run)
+    sessions = OldVersionSessions(
+        clock, session_span + SESSION_SLACK, incarnation
+    )
     return SharedState(
         LoadLedger(clock),
-        marks,
-        EvidenceTracker(host, run),
+        sessions,
+        EvidenceTracker(host, incarnation),
         CachedPrefixes(clock),
         DomainMonitor(clock),
         CrashTracker(clock),
@@ -195,7 +197,10 @@
     def count_responsive(self) -> int:
         """Return how many other hosts have sent a message recently."""
         oldest = self._clock.now() - RESPONSIVE_PERIOD
-        return sum(heard >= oldest for heard in self._last_received.values())
+        return sum(
+            received_at >= oldest
+            for received_at in self._last_received.values()
+        )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport for sending."""
--- a/src/nutmegroad/fleet/remote_rounds.py
+++ b/src/nutmegroad/fleet/remote_rounds.py
@@ -18,13 +18,13 @@
 #: updates. The second one compensates for a paused host or a lost datagram.
 SENDERS_PER_ROUND: Final = 2
 
-#: Factor by which rounds are rarer when there are no updates. These only
-#: replace lost datagrams and show that the domain is reachable.
+#: Factor by which a host sends less often when there are no updates. Such
+#: datagrams only replace lost ones and show that the domain is reachable.
 IDLE_FACTOR: Final = 4
 
 
 class RemoteRounds:
-    """Knows the remote hosts, and the rounds in which this host sends to them.
+    """Decides when this host sends to remote domains, and to which hosts.
 
     Args:
         host: This host.
@@ -63,10 +63,10 @@
             domain_size: Number of hosts in its domain, including this one.
             has_updates: Whether there are updates to send.
         """
-        pause = 1 if has_updates else IDLE_FACTOR
-        interval = math.ceil(domain_size / SENDERS_PER_ROUND) * pause
+        factor = 1 if has_updates else IDLE_FACTOR
+        interval = math.ceil(domain_size / SENDERS_PER_ROUND) * factor
         # Spreads the senders evenly over the interval, whatever its length.
-        return (round_number + rank * pause) % interval == 0
+        return (round_number + rank * factor) % interval == 0
 
     def receivers(self) -> list[HostRow]:
         """Return the next receiver in each remote domain, in rotation."""
