--- a/src/nutmegroad/fleet/shared_store.py
+++ b/src/nutmegroad/fleet/shared_store.py
@@ -1,8 +1,9 @@
 """Store access in which one host of a failure domain reads for all.
 
 Each answer of the store has a cost, and each change would wake every host. A
-host that follows another one therefore waits for its updates, and asks the
-store only for what these do not provide. Writes always go to the store itself.
+host that follows another one therefore waits for the updates of that host, and
+asks the store only for what these do not contain. Writes always go to the store
+itself.
 """
 
 from collections.abc import Awaitable, Callable
@@ -29,19 +30,20 @@
 _LOG: Final = part_logger('news')
 
 #: Seconds for which a host that starts waits for a snapshot from another host,
-#: and for which a host that has lost its source waits for another one: the time
-#: of a connection within the failure domain and of the transfer of the table.
-#: After that it asks the store.
+#: and for which a host whose link was lost waits for another host to follow:
+#: the time of a connection within the failure domain and of the transfer of the
+#: table. After that it asks the store.
 SNAPSHOT_WAIT: Final = 0.5
 SOURCE_WAIT: Final = 0.4
 
-#: Seconds after which a host asks the store itself, to calibrate its store
-#: clock: by then two steady clocks have drifted by hundredths of a second.
+#: Seconds after the last calibration of its store clock after which a host asks
+#: the store itself: by then two steady clocks have drifted by hundredths of a
+#: second.
 CALIBRATION_INTERVAL: Final = 60.0
 
 #: Seconds between a host's own attempts while the store is unavailable and
-#: another host reports when it is available again: the store may refuse just
-#: this host. Together with a call that hangs for a second, a change is still
+#: another host reports when it is available again: the store may refuse this
+#: host alone. Together with a call that hangs for a second, a change is still
 #: known within the bound after an outage.
 FOLLOWER_RETRY_INTERVAL: Final = 1.5
 
@@ -83,8 +85,9 @@
     async def snapshot(self, table: str) -> RowsRead | Refusal:
         """Return all rows of a table as of one point in time.
 
-        A host that starts reads the table of hosts from the store itself: from
-        it, the host learns which host to follow, and the store's time.
+        A host that starts reads the table of hosts from the store itself: the
+        table names the hosts that it may follow, and the answer calibrates its
+        store clock.
         """
         await self._wait_for_startup()
         if table != FLEET_TABLE or self._store_clock.age < CALIBRATION_INTERVAL:
@@ -124,8 +127,8 @@
             updates_until: Clock time in seconds until which updates from
                 another host are awaited.
         """
-        left = max(0, updates_until - self._clock.now())
-        await self._link.wait_until_decided(min(left, SOURCE_WAIT))
+        remaining = max(0, updates_until - self._clock.now())
+        await self._link.wait_until_decided(min(remaining, SOURCE_WAIT))
         if self._link.serves(table):
             received = await self._changes_from_peer(
                 table, after, updates_until
@@ -134,8 +137,8 @@
                 self._on_position(received.version)
                 self._forward(table, after, received)
                 return received
-            # The missed changes can be read at once, and only an answer that
-            # the store does not hold back calibrates the clock.
+            # The missed changes can be read immediately, and only an answer
+            # that the store does not hold back calibrates the clock.
             wait = 0
         asked = self._clock.now()
         found = await self._store.changes(table, after, wait)
@@ -154,11 +157,12 @@
 
         Args:
             table: The table that could not be read.
-            seconds: Time to wait where no other host can report the return.
+            seconds: Time to wait if no other host can report that the store is
+                available again.
         """
         if self._link.source is None or self._link.serves(table):
-            # No host can report it, or the one followed has not seen the
-            # failure.
+            # Either no host is followed, or the followed one has not reported
+            # the store as unavailable, so it won't report its return either.
             await self._clock.sleep(seconds)
         else:
             await self._link.wait(table, max(seconds, FOLLOWER_RETRY_INTERVAL))
@@ -174,9 +178,9 @@
     async def _snapshot_from_peer(self, table: str) -> RowsRead | None:
         """Return a snapshot from another host, or None to ask the store.
 
-        Only the first snapshot of a table is awaited: a host that starts while
-        the store is unavailable must not notice its return later because of the
-        wait.
+        As long as no host is followed, only the first snapshot of a table is
+        awaited: a host that starts while the store is unavailable must not
+        notice its return later because of the wait.
         """
         if table in self._awaited_tables and self._link.source is None:
             return None
--- a/src/nutmegroad/fleet/store_clock.py
+++ b/src/nutmegroad/fleet/store_clock.py
@@ -35,12 +35,15 @@
         return self._clock.now() - self._calibrated_at
 
     def now(self) -> float:
-        """Return the store's seconds, or the host's before the first answer."""
+        """Return the store's time in seconds.
+
+        Before the first answer of the store, it is the host's time.
+        """
         now = self._clock.now()
         return now if self._lead is None else now - self._lead
 
     def reset(self) -> None:
-        """Discard the calibration: the store's clock may have been set."""
+        """Discard the calibration; the store's clock may have been reset."""
         self._lead = None
         self._calibrated_at = float('-inf')
 
--- a/src/nutmegroad/fleet/store_interface.py
+++ b/src/nutmegroad/fleet/store_interface.py
@@ -28,13 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsRead:
-    """Rows of one table at one time, or the changes since another.
+    """All rows of a table as of one point in time, or the rows changed since.
 
     Attributes:
         rows: The rows.
-        version: The store's version at that time.
-        store_time: Seconds on the store's steady clock.
-        relayed: Whether another host has read them.
+        version: The store's version up to which they are complete.
+        store_time: Seconds on the store's steady clock at that version.
+        relayed: Whether another host has read them and sent them to this one.
         is_snapshot: Whether they are a full snapshot, though only changes were
             requested.
         era: The store's era; None if it names none.
@@ -112,8 +112,8 @@
 class Store(Protocol):
     """Calls on the platform's store.
 
-    A refusal whose ``ran`` is ``UNKNOWN`` may hide a write that took effect or
-    takes effect seconds later.
+    If the ``ran`` of a refusal is ``UNKNOWN``, the write may have taken effect,
+    or may take effect seconds later.
     """
 
     async def snapshot(self, table: str) -> RowsRead | Refusal:
--- a/src/nutmegroad/fleet/table_cache.py
+++ b/src/nutmegroad/fleet/table_cache.py
@@ -19,7 +19,11 @@
         self._store_time = read.store_time
 
     def apply(self, update: TableUpdate) -> bool:
-        """Apply an update and return whether no change before it is missing."""
+        """Apply an update, unless changes before it are missing.
+
+        Returns:
+            Whether it was applied.
+        """
         if update.base > self.version:
             return False
         for row in update.rows:
@@ -59,7 +63,7 @@
 
 
 class TableCache:
-    """Caches all tables that are followed."""
+    """Caches the tables that this host reads, for its followers."""
 
     def __init__(self) -> None:
         self._tables: dict[str, CachedTable] = {}
@@ -77,7 +81,7 @@
             self.drop(update.table)
 
     def drop(self, table: str) -> None:
-        """Drop a table, since its age is not known any more."""
+        """Drop a table whose age is not known any more."""
         self._tables.pop(table, None)
 
     def updates_since(
--- a/src/nutmegroad/fleet/table_updates.py
+++ b/src/nutmegroad/fleet/table_updates.py
@@ -61,13 +61,20 @@
         return RowsRead(rows, self.version, self.store_time, relayed=True)
 
     def marker(self) -> 'TableUpdate':
-        """Return an update without rows that starts where this one ends."""
+        """Return an update without rows at the version where this one ends.
+
+        A follower that receives it in place of this update reads the rows from
+        the store.
+        """
         return TableUpdate(
             self.table, self.version, self.version, self.store_time
         )
 
     def merged_with(self, later: 'TableUpdate') -> 'TableUpdate':
-        """Return this update merged with a later one of the same table."""
+        """Return this update merged with a later one of the same table.
+
+        If changes between the two are missing, the later one alone is returned.
+        """
         if later.base > self.version:
             return later
         return TableUpdate(
@@ -105,7 +112,7 @@
         )
 
     def marker(self) -> TableUpdate:
-        """Return an update without rows that starts at this snapshot."""
+        """Return an update without rows at the version of this snapshot."""
         return TableUpdate(
             self.table, self.version, self.version, self.store_time
         )
@@ -147,8 +154,8 @@
     """A peer sent bytes that are not a valid frame."""
 
 
-#: Errors that end a link: it was reset, closed, silent for too long, or carried
-#: an invalid frame.
+#: Errors that end a link: it was reset or closed, no frame arrived in time, or
+#: a frame was invalid.
 LINK_ERRORS: Final = (OSError, EOFError, TimeoutError, FrameError)
 
 
@@ -189,7 +196,7 @@
     try:
         return _DECODER.decode(_unpack(payload))
     except (zlib.error, msgspec.DecodeError) as error:
-        raise FrameError(str(error)) from error
+        raise FrameError(f'invalid frame of {size} bytes: {error}') from error
 
 
 def _unpack(payload: bytes) -> bytes:
--- a/src/nutmegroad/fleet/update_link.py
+++ b/src/nutmegroad/fleet/update_link.py
@@ -1,10 +1,11 @@
 """Link on which a host follows the table updates of another host.
 
 One host of a failure domain reads the store for the others: the first in a
-ranking that all hosts compute alike. The others follow it. A host reads the
-store itself if no host ranks before it, and also while its link is unresponsive
-and no other host to follow is found in time. A host only ever follows one that
-ranks before it, so there are no cycles.
+ranking that all hosts compute alike. The others follow it: they connect to it
+and receive its updates. A host reads the store itself if no host ranks before
+it, and also while its link is unresponsive and no other host to follow is found
+in time. A host only ever follows one that ranks before it, so there are no
+cycles.
 """
 
 import asyncio
@@ -154,7 +155,7 @@
         self.source: HostId | None = None
 
     def start(self) -> None:
-        """Record that the other hosts are known now."""
+        """Record that the other hosts are known, so one can be selected."""
         self._started.set()
 
     async def wait_until_decided(self, seconds: float) -> None:
@@ -208,7 +209,8 @@
         """
         pending = self._tables.setdefault(table, _PendingUpdates())
         if pending.update is None:
-            # The loss of the store is known already; wait for its return.
+            # It was reported before that the store is unavailable; wait until
+            # the followed host can read it again.
             pending.received.clear()
         try:
             async with asyncio.timeout(seconds):
@@ -228,17 +230,18 @@
         Args:
             table: The table.
             after: The version that is known.
-            until: Clock time in seconds until which updates are awaited.
-                Updates received before are returned later, too.
+            until: Clock time in seconds until which updates are awaited. After
+                that, only updates that were received already are returned.
 
         Returns:
             None if the store has to be asked: nothing came in time, the link
-            was lost, or this host has missed a change.
+            was lost, the followed host has lost the store, or this host has
+            missed a change.
         """
         self._known_versions[table] = after
         while self.serves(table) and not self._has_missed(table, after):
-            left = max(0, until - self._clock.now())
-            if not await self.wait(table, left):
+            remaining = max(0, until - self._clock.now())
+            if not await self.wait(table, remaining):
                 return None
             found = self._tables[table].after(after)
             if found is not None:
@@ -269,8 +272,8 @@
         """Return the host to follow, or None to read the store."""
         now = self._clock.now()
         by_rank = {
-            _rank(host, each): host
-            for host, each in self._local_hosts().items()
+            _rank(host, row): host
+            for host, row in self._local_hosts().items()
             if self._may_follow(host, now)
         }
         first = min(by_rank, default=None)
@@ -279,7 +282,7 @@
         return by_rank[first]
 
     def _may_follow(self, host: HostId, now: float) -> bool:
-        """Return whether a host may be followed, not having failed recently."""
+        """Return whether a host is not excluded from being followed."""
         exclusion = self._exclusions.get(host)
         return exclusion is None or now >= exclusion.until
 
--- a/src/nutmegroad/fleet/update_server.py
+++ b/src/nutmegroad/fleet/update_server.py
@@ -83,13 +83,13 @@
             self._send(encode_or_marker(update))
 
     def send_snapshot(self, table: str, read: RowsRead) -> None:
-        """Send a table of which this host has read a full snapshot."""
+        """Send the full snapshot of a table."""
         cached = self._cache.replace(table, read)
         if self._followers:
             self._send(encode_or_marker(cached.snapshot()))
 
     def send_unavailable(self, table: str) -> None:
-        """Report that the store does not answer."""
+        """Report that a call for a table was not answered by the store."""
         self._cache.drop(table)
         self._send(encode(StoreUnavailable(table)))
 
@@ -128,7 +128,8 @@
                 continue
             if writer.transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
                 _LOG.decision(
-                    'follower disconnected', reason='it does not read'
+                    'follower disconnected',
+                    reason=f'more than {MAX_BUFFERED_BYTES} bytes unread',
                 )
                 writer.transport.abort()
                 continue
--- a/tests/test_shared_store.py
+++ b/tests/test_shared_store.py
@@ -40,21 +40,21 @@
 
     Attributes:
         version: Its version; a row has the version that it was written at.
-        away: Whether it does not answer.
+        unavailable: Whether it refuses all calls.
         calls: Number of calls.
         waits: Seconds that it was asked to wait, by call for changes.
     """
 
     def __init__(self) -> None:
         self.version = 1
-        self.away = False
+        self.unavailable = False
         self.calls = 0
         self.waits: list[float] = []
 
     def read(self, after: int) -> RowsRead | Refusal:
-        """Return the changes after a version."""
+        """Count a call, and return the changes after a version."""
         self.calls += 1
-        if self.away:
+        if self.unavailable:
             return AWAY
         rows = tuple(
             StoredRow(f'k{number}', b'x', number)
@@ -72,19 +72,19 @@
         after: int,
         wait: float,
     ) -> RowsRead | HistoryLost | Refusal:
-        """Return the changes at once."""
+        """Return the changes immediately."""
         self.waits.append(wait)
         return self.read(after)
 
 
 class RelayedClockTest(unittest.TestCase):
-    """Age of what another host has read."""
+    """Conversion of the times in relayed answers to a host's clock."""
 
     def test_time_is_the_stores_own(self) -> None:
-        """Pattern: a host is paused, and then sends what it has read before.
+        """Pattern: a host is paused, and then sends what it read before.
 
-        The time comes from the store's clock, so the delay does not make it
-        newer.
+        The answer carries the time of the store's clock, so the delay does not
+        make it look newer than it is.
         """
         clock = ManualClock(start=50)
         store_clock = StoreClock(clock)
@@ -99,7 +99,7 @@
 
 
 class Host:
-    """The part of a host that reads the store.
+    """The parts of a host that read the store and serve its followers.
 
     Args:
         name: Its name.
@@ -143,7 +143,7 @@
 
 
 class SharedReadingTest(unittest.IsolatedAsyncioTestCase):
-    """Five hosts with one store."""
+    """Five hosts of one failure domain, of which one reads the store."""
 
     async def asyncSetUp(self) -> None:
         """Start all hosts, and wait until four of them follow another one."""
@@ -157,7 +157,7 @@
             await host.server.open(address, self.stack)
         for host in self.hosts.values():
             self.run_host(host)
-        await self.until(lambda: len(self.followers()) == 4)
+        await self.wait_until(lambda: len(self.followers()) == 4)
         self.reader = next(
             each for each in self.hosts.values() if each.link.source is None
         )
@@ -181,27 +181,30 @@
             if host.link.source and self.hosts.get(host.link.source) is reader
         ]
 
-    async def until(self, condition: Callable[[], object]) -> None:
-        """Wait for a condition, however long that takes."""
+    async def wait_until(self, condition: Callable[[], object]) -> None:
+        """Wait for a condition, without a timeout."""
         while not condition():
             await asyncio.sleep(0.01)
 
-    async def served(self) -> Host:
-        """Return a host that follows one which has read the table."""
+    async def served_follower(self) -> Host:
+        """Return a follower of a host that has read the table."""
         readers = [
             host for host in self.hosts.values() if self.followers_of(host)
         ]
         await readers[0].store.snapshot(TABLE)
         follower = self.followers_of(readers[0])[0]
         self.reader = readers[0]
-        await self.until(lambda: follower.link.serves(TABLE))
+        await self.wait_until(lambda: follower.link.serves(TABLE))
         # The rows that the reader had before are received first.
         await follower.store.changes(TABLE, self.platform.version, 60, FOREVER)
         return follower
 
     async def test_followers_ask_nothing_of_the_store(self) -> None:
-        """Pattern: sixty hosts each read each change: a tenth of the worth."""
-        follower = await self.served()
+        """Guards against followers that call the store for each change.
+
+        Each answer of the store has a cost, and there may be sixty hosts.
+        """
+        follower = await self.served_follower()
         before = self.platform.calls
         asked = asyncio.create_task(
             follower.store.changes(TABLE, 1, 60, FOREVER)
@@ -216,17 +219,23 @@
         self.assertEqual(self.platform.calls, before + 1)
 
     async def test_what_was_missed_is_read(self) -> None:
-        """A host that knows less than its reader had read asks the store."""
+        """Pattern: the updates of the reader start after a follower's version.
+
+        The follower has to ask the store for the changes between the two.
+        """
         self.platform.version = 5
-        follower = await self.served()
+        follower = await self.served_follower()
         found = await follower.store.changes(TABLE, 2, 60, FOREVER)
         assert isinstance(found, RowsRead)
         self.assertEqual([row.version for row in found.rows], [3, 4, 5])
         self.assertFalse(found.relayed)
 
     async def test_reader_that_dies_is_replaced(self) -> None:
-        """Pattern: the host that reads for others is killed."""
-        follower = await self.served()
+        """Pattern: the host that reads for others is killed.
+
+        Its follower, which waits for an update, asks the store.
+        """
+        follower = await self.served_follower()
         asked = asyncio.create_task(
             follower.store.changes(TABLE, 1, 60, FOREVER)
         )
@@ -239,8 +248,11 @@
     async def test_followers_of_a_lost_reader_are_served_by_the_next(
         self,
     ) -> None:
-        """Pattern: the reader is killed; forty hosts requested three tables."""
-        await self.served()
+        """Pattern: the reader is killed, and all its followers call the store.
+
+        Seen as forty hosts that requested three tables each.
+        """
+        await self.served_follower()
         first = self.reader
         self.stack.callback(self.hosts.update, dict(self.hosts))
         for name, host in tuple(self.hosts.items()):
@@ -248,7 +260,7 @@
                 self.hosts.pop(name)
         first.server._close()
         rest = list(self.hosts.values())
-        await self.until(
+        await self.wait_until(
             lambda: sum(host.link.source in self.hosts for host in rest) == 3,
         )
         before = self.platform.calls
@@ -259,19 +271,19 @@
         self.assertEqual(self.platform.calls, before + 1)
 
     async def test_host_that_starts_receives_full_snapshots(self) -> None:
-        """Pattern: power returns everywhere; each host read three tables.
+        """Pattern: all hosts start after a power cut; each reads three tables.
 
         Seen at 195 hosts as two of three and a half thousand calls on a calm
-        day, and as many again when all hosts started at once.
+        day, and as many again when all hosts started at the same time.
         """
         self.platform.version = 7
-        await self.served()
+        await self.served_follower()
         before = self.platform.calls
-        newcomer = Host('f', self.platform, self.hosts)
-        newcomer.row = HostRow('127.0.0.1', newcomer.row.port, 'north', -1)
-        newcomer.link._own = newcomer.row
-        self.run_host(newcomer)
-        found = await newcomer.store.snapshot(TABLE)
+        added = Host('f', self.platform, self.hosts)
+        added.row = HostRow('127.0.0.1', added.row.port, 'north', -1)
+        added.link._own = added.row
+        self.run_host(added)
+        found = await added.store.snapshot(TABLE)
         assert isinstance(found, RowsRead)
         self.assertEqual(
             (found.is_snapshot, found.relayed, found.version, len(found.rows)),
@@ -280,19 +292,19 @@
         self.assertEqual(self.platform.calls, before)
 
     async def test_host_that_starts_alone_asks_the_store_in_time(self) -> None:
-        """Pattern: there is no other host, or the host table is not read."""
-        lonely = Host('z', self.platform, {})
-        lonely.row = HostRow('127.0.0.1', lonely.row.port, 'south')
-        found = await lonely.store.snapshot(TABLE)
+        """Pattern: there is no other host, or the fleet table can't be read."""
+        alone = Host('z', self.platform, {})
+        alone.row = HostRow('127.0.0.1', alone.row.port, 'south')
+        found = await alone.store.snapshot(TABLE)
         assert isinstance(found, RowsRead)
         self.assertFalse(found.relayed)
 
     async def test_snapshot_replaces_what_a_follower_knew(self) -> None:
-        """Pattern: a row was removed while a host had lost its reader."""
-        told: list[str] = []
+        """Pattern: a row was removed while a follower had lost its reader."""
+        calls: list[str] = []
         sink = Mock(
-            replace=lambda read: told.append('replace'),
-            apply=lambda read: told.append('apply'),
+            replace=lambda read: calls.append('replace'),
+            apply=lambda read: calls.append('apply'),
         )
         rows = (StoredRow('k', b'', 9),)
         answers = [
@@ -316,45 +328,45 @@
         )
         for _ in answers:
             await follower.step()
-        self.assertEqual(told, ['replace', 'replace', 'apply'])
+        self.assertEqual(calls, ['replace', 'replace', 'apply'])
 
     async def test_reader_reports_the_loss_of_the_store(self) -> None:
         """Pattern: the store refuses the host that reads for others."""
-        follower = await self.served()
+        follower = await self.served_follower()
         asked = asyncio.create_task(
             follower.store.changes(TABLE, 1, 60, FOREVER)
         )
         await asyncio.sleep(0)
-        self.platform.away = True
+        self.platform.unavailable = True
         await self.reader.store.changes(TABLE, 1, 0, FOREVER)
         self.assertEqual(await asked, AWAY)
         self.assertFalse(follower.link.serves(TABLE))
 
     async def test_return_of_the_store_is_reported(self) -> None:
         """Pattern: the store is back; a host that waits to retry is woken."""
-        follower = await self.served()
-        self.platform.away = True
+        follower = await self.served_follower()
+        self.platform.unavailable = True
         await self.reader.store.changes(TABLE, 1, 0, FOREVER)
-        await self.until(lambda: not follower.link.serves(TABLE))
-        resting = asyncio.create_task(
+        await self.wait_until(lambda: not follower.link.serves(TABLE))
+        paused = asyncio.create_task(
             follower.store.pause_after_failure(TABLE, 60)
         )
         await asyncio.sleep(0)
-        self.platform.away = False
+        self.platform.unavailable = False
         await self.reader.store.changes(TABLE, 1, 0, FOREVER)
-        await resting
+        await paused
         self.assertTrue(follower.link.serves(TABLE))
 
     async def test_clock_is_calibrated_by_an_immediate_answer(
         self,
     ) -> None:
-        """Pattern: a calm table; each answer is held back for seconds.
+        """Pattern: without changes, each answer is held back for seconds.
 
-        Found by reading: a host whose clock calibration was a minute old asked
-        the store to wait, could not calibrate by the answer, and followed no
-        host any more.
+        A host whose clock calibration was a minute old asked the store to wait.
+        It could not calibrate the clock by such an answer, and therefore used
+        no updates of other hosts any more.
         """
-        follower = await self.served()
+        follower = await self.served_follower()
         follower.store_clock._calibrated_at -= 100
         await follower.store.changes(TABLE, 1, 60, FOREVER)
         self.assertEqual(self.platform.waits[-1], 0)
@@ -362,11 +374,11 @@
     async def test_clock_is_calibrated_from_the_start_of_the_call(self) -> None:
         """Pattern: a host was busy when the store first answered it.
 
-        It took all updates for older than they were. A call that it made after
-        waiting for updates did not help, since it was dated from before the
-        wait.
+        The delay made all updates look older than they were. A later call did
+        not correct this if the host had waited for updates before it: the call
+        was dated from before that wait.
         """
-        follower = await self.served()
+        follower = await self.served_follower()
         follower.store_clock._lead -= 10
         until = follower.store._clock.now() + 0.1
         found = await follower.store.changes(TABLE, 1, 60, until)
--- a/tests/test_silent_reader.py
+++ b/tests/test_silent_reader.py
@@ -1,13 +1,12 @@
-"""A host that reads the store for others loses it without notice.
-
-Routes that a confirmed configuration had added were refused as unknown by two
-hosts of one failure domain, later than the bound. The host that both followed
-was cut off from the platform's store only: it went on sending keep-alives and
-waited some three seconds for an answer, while they waited for its updates.
-Cause: a follower took the life of the link for the age of its updates.
-Evidence: with readers cut off from just the store while the configuration
-changes, their followers were late, and no other hosts. The list of upstreams
-was affected too; it had waited for twenty seconds.
+"""Tests of hosts whose reader loses the store without notice.
+
+A reader is a host that reads the platform's store for others, its followers.
+When a reader was cut off from the store only, it went on sending keep-alives
+and waited some three seconds for an answer of the store. Its followers inferred
+from the keep-alives that its updates were recent, and went on waiting for them:
+two of them refused routes of a confirmed configuration as unknown, later than
+the bound allows. Only followers of such readers were late. The list of
+upstreams was affected too, with a wait of twenty seconds.
 """
 
 import asyncio
@@ -42,32 +41,32 @@
 #: Seconds within which a change has to be in force: today's shortest bound.
 BOUND: Final = 2.0
 #: Seconds for which unconfirmed keys are valid.
-TRUST: Final = 5.0
+KEY_VALIDITY: Final = 5.0
 #: Seconds until an unanswered call on the store fails, in addition to the
 #: seconds that the store was asked to wait.
-ANSWER: Final = 1.0
-#: Seconds from a calm state until the fault, and from the fault until the
-#: configuration changes: covers all phases of a reader's calls.
+CALL_TIMEOUT: Final = 1.0
+#: Seconds without faults before the fault, and seconds from the fault until the
+#: table changes: covers all phases of a reader's calls.
 PHASES: Final = tuple(
     (step / 3, more / 3) for step in range(10) for more in range(10)
 )
 #: Seconds without faults in which calls are counted: less than the minute after
 #: which a host calibrates its clock by a call.
-CALM: Final = 30.0
+QUIET_PERIOD: Final = 30.0
 
 
 class ChangingStore:
-    """A store that may leave single hosts without an answer.
+    """A store that may leave the calls of some hosts without an answer.
 
     Attributes:
         version: Version of its one row.
-        silent: Hosts whose calls are not answered.
+        unanswered: Hosts whose calls are not answered.
         calls: Number of calls by host.
     """
 
     def __init__(self) -> None:
         self.version = 1
-        self.silent: set[str] = set()
+        self.unanswered: set[str] = set()
         self.calls: dict[str, int] = {}
         self._changed = asyncio.Event()
 
@@ -103,7 +102,7 @@
         self._host = host
 
     async def snapshot(self, table: str) -> RowsRead | Refusal:
-        """Return the row."""
+        """Return the one row."""
         return await self.changes(table, 0, 0)
 
     async def changes(
@@ -112,15 +111,15 @@
         after: int,
         wait: float,
     ) -> RowsRead | Refusal:
-        """Return the row once it is newer, or nothing after the wait."""
+        """Return the row if it is newer, waiting for a change if it is not."""
         store = self._store
         store.calls[self._host] = store.calls.get(self._host, 0) + 1
         loop = asyncio.get_running_loop()
-        latest = loop.time() + wait
-        if not self._is_silent and store.version <= after:
+        wait_end = loop.time() + wait
+        if not self._is_unanswered and store.version <= after:
             await store.next_change(wait)
-        if self._is_silent:
-            await asyncio.sleep(max(0, latest - loop.time()) + ANSWER)
+        if self._is_unanswered:
+            await asyncio.sleep(max(0, wait_end - loop.time()) + CALL_TIMEOUT)
             return AWAY
         rows = (StoredRow('config', b'', store.version),)
         if store.version <= after:
@@ -128,13 +127,13 @@
         return RowsRead(rows, store.version, loop.time())
 
     @property
-    def _is_silent(self) -> bool:
-        """Whether this host gets no answer."""
-        return self._host in self._store.silent
+    def _is_unanswered(self) -> bool:
+        """Whether the calls of this host are not answered."""
+        return self._host in self._store.unanswered
 
 
 class MemoryLink:
-    """Delivers the frames of a host to its follower.
+    """In-memory connection that delivers the frames of a host to its follower.
 
     Attributes:
         stream: Where the follower reads.
@@ -157,20 +156,20 @@
     Args:
         name: Its name.
         platform: The platform's store.
-        pace: How it follows the table.
+        timing: How it follows the table.
 
     Attributes:
-        taken: When each version was applied.
+        received: Loop time in seconds at which each version was received.
     """
 
     def __init__(
         self,
         name: str,
         platform: ChangingStore,
-        pace: FeedTiming,
+        timing: FeedTiming,
     ) -> None:
         clock = VirtualClock(cast(VirtualLoop, asyncio.get_running_loop()))
-        self.taken: dict[int, float] = {}
+        self.received: dict[int, float] = {}
         self.server = UpdateServer(clock)
         row = HostRow('127.0.0.1', 1, 'north')
         self.link = UpdateLink(HostId(name), row, dict, clock)
@@ -184,12 +183,12 @@
             no_wait,
             ignore_position,
         )
-        sink = Mock(apply=self._take, replace=self._take)
+        sink = Mock(apply=self._record, replace=self._record)
         self.follower = TableFollower(
             shared,
             TABLE,
             sink,
-            pace,
+            timing,
             clock,
             store_clock,
             random.Random(1),
@@ -203,11 +202,11 @@
         )
         return self.link._read(HostId('reader'), link.stream)
 
-    def _take(self, read: RowsRead) -> None:
-        """Record when a version was received."""
+    def _record(self, read: RowsRead) -> None:
+        """Record when new versions were received."""
         now = asyncio.get_running_loop().time()
         for row in read.rows:
-            self.taken.setdefault(row.version, now)
+            self.received.setdefault(row.version, now)
 
 
 #: A scenario for two hosts; returns seconds, or another value to check.
@@ -218,13 +217,13 @@
     """A host that reads the store, and its follower.
 
     Args:
-        pace: How both follow the table.
+        timing: How both follow the table.
     """
 
-    def __init__(self, pace: FeedTiming) -> None:
+    def __init__(self, timing: FeedTiming) -> None:
         self.platform = ChangingStore()
-        self.reader = Host('reader', self.platform, pace)
-        self.follower = Host('follower', self.platform, pace)
+        self.reader = Host('reader', self.platform, timing)
+        self.follower = Host('follower', self.platform, timing)
         self.reader.link._decided.set()
         self._tasks = [
             asyncio.create_task(work)
@@ -249,7 +248,7 @@
 
 
 class SilentReaderTest(unittest.TestCase):
-    """Changes reach a host whose reader has lost the store."""
+    """Checks when changes reach a host whose reader has lost the store."""
 
     def test_configuration_is_in_force_in_time(self) -> None:
         """Pattern: only the host that reads for others loses the store.
@@ -257,9 +256,9 @@
         Covers keys that are valid forever, too, where only the bound on changes
         makes a host call the store.
         """
-        for trust in (TRUST, None):
+        for key_validity in (KEY_VALIDITY, None):
             self.assert_in_time(
-                operator_timing(trust, BOUND), change_in_silence
+                operator_timing(key_validity, BOUND), change_in_silence
             )
 
     def test_draining_upstreams_are_known_in_time(self) -> None:
@@ -269,58 +268,69 @@
     def test_change_is_in_time_once_the_store_is_back(self) -> None:
         """Pattern: the store answered no host, then all but the reader.
 
-        A call that hangs for a second and the pause after it have to end before
-        the bound does, counted from when the outage is no excuse any more.
+        A call that hangs for a second and the pause after it have to end within
+        the bound, counted from when an outage does not excuse delays any more.
         """
-        self.assert_in_time(operator_timing(TRUST, BOUND), change_after_outage)
+        self.assert_in_time(
+            operator_timing(KEY_VALIDITY, BOUND), change_after_outage
+        )
 
     def test_host_that_only_its_reader_can_serve_is_updated(self) -> None:
         """Pattern: the store answered no host, then all but one follower.
 
-        The follower's own calls go on failing; its reader's updates are recent
-        again.
+        The follower's own calls go on failing, but its reader sends recent
+        updates again.
         """
-        self.assert_in_time(operator_timing(TRUST, BOUND), change_by_the_reader)
+        self.assert_in_time(
+            operator_timing(KEY_VALIDITY, BOUND), change_by_the_reader
+        )
 
     def test_followers_of_a_healthy_reader_ask_nothing(self) -> None:
-        """Pattern: each host asks for itself, and calls cost a tenth."""
-        for pace in (operator_timing(TRUST, BOUND), bounded_timing(BOUND)):
-            calls = self.run_pair(pace, calls_in_calm)
+        """Guards against followers that call the store without need.
+
+        As long as the reader's updates are recent, a follower makes no calls of
+        its own.
+        """
+        for timing in (
+            operator_timing(KEY_VALIDITY, BOUND),
+            bounded_timing(BOUND),
+        ):
+            calls = self.run_pair(timing, calls_without_fault)
             self.assertEqual(calls, 0)
 
-    def assert_in_time(self, pace: FeedTiming, scenario: Scenario) -> None:
+    def assert_in_time(self, timing: FeedTiming, scenario: Scenario) -> None:
         """Assert that a change arrives within the bound, in all phases."""
         late = {
             phase: found
             for phase in PHASES
-            if (found := self.run_pair(pace, partial(scenario, phase=phase)))
+            if (found := self.run_pair(timing, partial(scenario, phase=phase)))
             > BOUND
         }
         self.assertEqual(late, {})
 
     def run_pair(
         self,
-        pace: FeedTiming,
+        timing: FeedTiming,
         scenario: Scenario,
     ) -> float:
         """Run a scenario with two hosts, on virtual time."""
 
-        async def whole() -> float:
+        async def run_scenario() -> float:
             """Create the hosts, run the scenario, and stop them."""
-            pair = Pair(pace)
+            pair = Pair(timing)
             try:
                 await pair.settle()
                 return await scenario(pair)
             finally:
                 pair.close()
 
-        return run_virtually(VirtualLoop(), whole())
+        return run_virtually(VirtualLoop(), run_scenario())
 
 
 async def change_in_silence(pair: Pair, phase: tuple[float, float]) -> float:
     """Return the delay of a change after the reader has lost the store."""
     await asyncio.sleep(phase[0])
-    pair.platform.silent.add('reader')
+    pair.platform.unanswered.add('reader')
     await asyncio.sleep(phase[1])
     return await delay_of_change(pair)
 
@@ -340,34 +350,34 @@
     phase: tuple[float, float],
     served: str,
 ) -> float:
-    """Return the delay of a change after an outage, as one host is served."""
+    """Return the delay of a change after the store answers one host again."""
     await asyncio.sleep(phase[0])
-    pair.platform.silent.update(('reader', 'follower'))
+    pair.platform.unanswered.update(('reader', 'follower'))
     await asyncio.sleep(4 + phase[1])
-    pair.platform.silent.discard(served)
-    # The excuse of a host ends three seconds after the outage; with it, this
-    # change has to be in force three seconds after the outage.
+    pair.platform.unanswered.discard(served)
+    # An outage excuses delays until three seconds after its end, so this
+    # change has to be in force by then: two seconds after it was made.
     await asyncio.sleep(1)
     return await delay_of_change(pair)
 
 
 async def delay_of_change(pair: Pair) -> float:
-    """Change the table; return the seconds until the follower has it."""
+    """Change the table and return the seconds until the follower has it."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     pair.platform.change()
     version = pair.platform.version
-    while version not in pair.follower.taken:
+    while version not in pair.follower.received:
         await asyncio.sleep(0.05)
-        if loop.time() - began > CALM:
+        if loop.time() - began > QUIET_PERIOD:
             break
-    return pair.follower.taken.get(version, float('inf')) - began
+    return pair.follower.received.get(version, float('inf')) - began
 
 
-async def calls_in_calm(pair: Pair) -> float:
+async def calls_without_fault(pair: Pair) -> float:
     """Return how often the follower calls the store without any fault."""
     before = pair.platform.calls.get('follower', 0)
-    await asyncio.sleep(CALM)
+    await asyncio.sleep(QUIET_PERIOD)
     return pair.platform.calls.get('follower', 0) - before
 
 
