--- a/src/nutmegroad/fleet/domain_monitor.py
+++ b/src/nutmegroad/fleet/domain_monitor.py
@@ -1,11 +1,11 @@
 """Detects failure domains that have become unreachable.
 
-Where a domain is cut off, each host would find that out for each upstream by
-itself, at the cost of a request and several seconds each. But any message from
-a domain, a datagram of one of its hosts or an answer of one of its upstreams,
-shows that the domain is reachable; the hosts of one domain report to each other
-how long ago they received one. A domain from which messages came frequently and
-then stopped is likely cut off.
+Without this, each host would have to find out for each upstream that its domain
+is cut off, at the cost of a request and several seconds each. But any message
+from a domain, a datagram of one of its hosts or an answer of one of its
+upstreams, shows that the domain is reachable; the hosts of one domain report to
+each other how long ago they received one. A domain from which messages came
+frequently and then stopped is likely cut off.
 
 This is only a suspicion: other upstreams are preferred, and requests that wait
 for an answer from there are executed elsewhere if that is allowed.
@@ -25,7 +25,7 @@
 MIN_TIMEOUT: Final = 0.8
 
 #: Multiple of the mean interval between messages after which a domain is
-#: suspected. By chance alone so long a gap occurs once in three thousand
+#: suspected. By chance alone, a gap that long occurs once in three thousand
 #: intervals.
 TIMEOUT_INTERVALS: Final = 8.0
 
--- a/src/nutmegroad/fleet/duty_delays.py
+++ b/src/nutmegroad/fleet/duty_delays.py
@@ -1,4 +1,4 @@
-"""Staggered delays for a duty that any host may perform."""
+"""Staggered delays for a duty: a task that any one of the hosts performs."""
 
 import math
 
@@ -11,6 +11,6 @@
 
     Args:
         rank: The host's rank among all hosts for the duty; 0 for the first.
-        spread: Seconds for which the second host waits.
+        spread: Seconds for which the second host waits; the first doesn't wait.
     """
     return spread * math.log2(1 + rank)
--- a/src/nutmegroad/fleet/eras.py
+++ b/src/nutmegroad/fleet/eras.py
@@ -74,9 +74,9 @@
         self._callbacks.append(callback)
 
     def observe_position(self, stored_position: int) -> None:
-        """Take the era from a position that another host has sent."""
+        """Record the era of a position that another host has sent."""
         if self._has_era or era_of(stored_position):
-            self._record_era(era_of(stored_position), told=True)
+            self._record_era(era_of(stored_position), from_host=True)
 
     async def snapshot(self, table: str) -> RowsRead | Refusal:
         """Return all rows of a table as of one point in time."""
@@ -160,7 +160,7 @@
         return replace(row, version=position(self.era, row.version))
 
     def _is_current(self, era: int | None, known: int) -> bool:
-        """Return whether an answer may be used, and record its era.
+        """Record the era of an answer, and return whether it may be used.
 
         Args:
             era: The era that the answer names; None if it names none.
@@ -169,11 +169,11 @@
         if era is None:
             return True
         if era >= self.era:
-            if self._record_era(era, told=False):
+            if self._record_era(era, from_host=False):
                 self._notify()
             return True
         if known < self.era:
-            # The answer was made before the store was restored.
+            # The store made the answer before it was restored.
             return False
         if self._last_lower_era != era:
             self._last_lower_era = era
@@ -185,12 +185,12 @@
         for callback in self._callbacks:
             callback()
 
-    def _record_era(self, era: int, *, told: bool) -> bool:
+    def _record_era(self, era: int, *, from_host: bool) -> bool:
         """Record an era and return whether the store has been restored.
 
         Args:
             era: The era.
-            told: Whether another host has reported it.
+            from_host: Whether another host has reported it.
         """
         first = not self._has_era
         self._has_era = True
@@ -205,7 +205,7 @@
             'store came back from a copy',
             before=before,
             era=era,
-            told=told,
+            told=from_host,
         )
         return True
 
--- a/src/nutmegroad/fleet/evidence_tracker.py
+++ b/src/nutmegroad/fleet/evidence_tracker.py
@@ -81,7 +81,7 @@
 
     Args:
         host: This host.
-        run: The current incarnation of this host.
+        incarnation: The current incarnation of this host.
     """
 
     @property
@@ -94,15 +94,15 @@
         """Whether other failure domains may lack some counts."""
         return self._gossip.has_remote_updates
 
-    def __init__(self, host: HostId, run: HostIncarnation) -> None:
+    def __init__(self, host: HostId, incarnation: HostIncarnation) -> None:
         self._host = host
-        self._run = run
+        self._incarnation = incarnation
         self._own: dict[ServiceName, Evidence] = {}
         # Only of the last orders, in ascending order of their numbers.
         self._counts: dict[ServiceName, list[_Counts]] = {}
         #: Incremented whenever counts were merged.
         self.changes = 0
-        self._gossip = CountsGossip(self._look_up, run)
+        self._gossip = CountsGossip(self._look_up, incarnation)
         # Number of the last order of each service that has ended.
         self._ended_orders: dict[ServiceName, int] = {}
 
@@ -110,7 +110,7 @@
         """Return the counts of this incarnation of the host for an order."""
         known = self._own.get(service)
         if known is None or known.order != order:
-            return Evidence(order, self._run)
+            return Evidence(order, self._incarnation)
         return known
 
     def count(
@@ -153,7 +153,7 @@
             source: Where the counts were made, seen from this host. Counts read
                 from a row of the store may use the default.
         """
-        if (host, evidence.run) != (self._host, self._run):
+        if (host, evidence.run) != (self._host, self._incarnation):
             self._merge(service, host, evidence, source)
 
     def local_report(self) -> CountsReport:
@@ -190,14 +190,14 @@
     def _own_keys(self) -> list[CountsKey]:
         """Return the keys of the counts of this incarnation of the host."""
         return [
-            CountsKey(service, evidence.order, self._host, self._run)
+            CountsKey(service, evidence.order, self._host, self._incarnation)
             for service, evidence in self._own.items()
         ]
 
     def _look_up(self, key: CountsKey) -> Evidence:
         """Return the counts with a key."""
         known = self._counts_of(key.service, key.order)
-        is_own = (key.host, key.incarnation) == (self._host, self._run)
+        is_own = (key.host, key.incarnation) == (self._host, self._incarnation)
         if known is None or is_own:
             return self.own(key.service, key.order)
         return known.by_incarnation[key.host, key.incarnation]
--- a/src/nutmegroad/fleet/gossip_queue.py
+++ b/src/nutmegroad/fleet/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Gossip queue: selects the entries of each datagram by epidemic dissemination.
+"""Selects the entries of each gossip datagram, by epidemic dissemination.
 
 A new entry is part of the next few datagrams of the host that received it, and
 so of each further host that receives it: after a few rounds all hosts have it,
