--- a/src/nutmegroad/fleet/evidence_tracker.py
+++ b/src/nutmegroad/fleet/evidence_tracker.py
@@ -46,32 +46,32 @@
 
     Attributes:
         order: Its number.
-        runs: Counts by host and incarnation.
+        by_incarnation: Counts by host and incarnation.
         sums: Their sum by kind of request.
     """
 
     order: int
-    runs: dict[tuple[HostId, HostIncarnation], Evidence] = field(
+    by_incarnation: dict[tuple[HostId, HostIncarnation], Evidence] = field(
         default_factory=dict
     )
     sums: dict[KindNumber, Answers] = field(default_factory=dict)
 
     def merge(self, host: HostId, evidence: Evidence) -> Evidence | None:
-        """Merge the counts of an incarnation, unless as many are known.
+        """Merge the counts of an incarnation, unless as many or more are known.
 
         Returns:
             The counts known of that incarnation before; None if nothing was
             merged.
         """
-        name = (host, evidence.run)
-        known = self.runs.get(name)
-        if known is None and len(self.runs) >= MAX_INCARNATIONS:
+        key = (host, evidence.run)
+        known = self.by_incarnation.get(key)
+        if known is None and len(self.by_incarnation) >= MAX_INCARNATIONS:
             return None
         before = known or Evidence(self.order, evidence.run)
         if before.count >= evidence.count:
             return None
         add_kinds(self.sums, before.kinds, -1)
-        self.runs[name] = evidence
+        self.by_incarnation[key] = evidence
         add_kinds(self.sums, evidence.kinds)
         return before
 
@@ -81,7 +81,7 @@
 
     Args:
         host: This host.
-        run: The current incarnation of this host.
+        incarnation: The current incarnation of this host.
     """
 
     @property
@@ -94,15 +94,15 @@
         """Whether other failure domains may lack some counts."""
         return self._gossip.has_remote_updates
 
-    def __init__(self, host: HostId, run: HostIncarnation) -> None:
+    def __init__(self, host: HostId, incarnation: HostIncarnation) -> None:
         self._host = host
-        self._run = run
+        self._incarnation = incarnation
         self._own: dict[ServiceName, Evidence] = {}
         # Only of the last orders, in ascending order of their numbers.
         self._counts: dict[ServiceName, list[_Counts]] = {}
         #: Incremented whenever counts were merged.
         self.changes = 0
-        self._gossip = CountsGossip(self._look_up, run)
+        self._gossip = CountsGossip(self._look_up, incarnation)
         # Number of the last order of each service that has ended.
         self._ended_orders: dict[ServiceName, int] = {}
 
@@ -110,7 +110,7 @@
         """Return the counts of this incarnation of the host for an order."""
         known = self._own.get(service)
         if known is None or known.order != order:
-            return Evidence(order, self._run)
+            return Evidence(order, self._incarnation)
         return known
 
     def count(
@@ -153,7 +153,7 @@
             source: Where the counts were made, seen from this host. Counts read
                 from a row of the store may use the default.
         """
-        if (host, evidence.run) != (self._host, self._run):
+        if (host, evidence.run) != (self._host, self._incarnation):
             self._merge(service, host, evidence, source)
 
     def local_report(self) -> CountsReport:
@@ -178,7 +178,7 @@
         known = self._counts_of(service, order)
         if known is None:
             return 0
-        return len({host for host, _ in known.runs})
+        return len({host for host, _ in known.by_incarnation})
 
     def stop(self, service: ServiceName) -> None:
         """Stop sending the counts of a rollout that has ended."""
@@ -190,17 +190,17 @@
     def _own_keys(self) -> list[CountsKey]:
         """Return the keys of the counts of this incarnation of the host."""
         return [
-            CountsKey(service, evidence.order, self._host, self._run)
+            CountsKey(service, evidence.order, self._host, self._incarnation)
             for service, evidence in self._own.items()
         ]
 
     def _look_up(self, key: CountsKey) -> Evidence:
         """Return the counts with a key."""
         known = self._counts_of(key.service, key.order)
-        is_own = (key.host, key.incarnation) == (self._host, self._run)
+        is_own = (key.host, key.incarnation) == (self._host, self._incarnation)
         if known is None or is_own:
             return self.own(key.service, key.order)
-        return known.runs[key.host, key.incarnation]
+        return known.by_incarnation[key.host, key.incarnation]
 
     def _counts_of(self, service: ServiceName, order: int) -> _Counts | None:
         """Return the counts of an order, or None if it is not a recent one."""
@@ -216,7 +216,7 @@
         evidence: Evidence,
         source: Source,
     ) -> None:
-        """Merge counts of one of the last orders."""
+        """Merge counts if their order is one of the last ones."""
         known = self._counts_of(service, evidence.order)
         if known is None:
             known = self._add_order(service, evidence.order)
@@ -229,8 +229,9 @@
         self._gossip.add(
             CountsKey(service, evidence.order, host, evidence.run),
             source,
-            # Other changes are sent in rotation, early enough for a verdict.
-            news=evidence.total.new_poor > before.total.new_poor,
+            # Other changes are sent in rotation, in time for the decision on
+            # the rollout.
+            urgent=evidence.total.new_poor > before.total.new_poor,
         )
 
     def _add_order(self, service: ServiceName, order: int) -> _Counts | None:
