--- a/src/nutmegroad/canary/gate.py
+++ b/src/nutmegroad/canary/gate.py
@@ -45,8 +45,9 @@
 #: new version.
 SESSION_PIN_FRACTION: Final = 0.5
 
-#: Number of kinds of request. A service has few routes. Where a configuration
-#: has more, some routes share a number and are judged together.
+#: Number of kinds of request. Each route is mapped to a kind. A service has
+#: few routes. Where a configuration has more, some routes share a kind and are
+#: judged together.
 KIND_COUNT: Final = 8
 
 
@@ -124,7 +125,7 @@
         session = request.session
         if session is None:
             return
-        if self._covering_rollout(service, session) is not None:
+        if self._pinning_rollout(service, session) is not None:
             self._log_session(request, service, version)
         self._record_version(service, session, version)
 
@@ -150,7 +151,7 @@
         self,
         request: CallerRequest,
         upstream: Upstream,
-        observed: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) -> None:
         """Count the outcome of an attempt as evidence on its version.
 
@@ -159,21 +160,23 @@
         """
         entry = upstream.entry
         kind = kind_number(request.route.name)
-        if observed is AttemptOutcome.INTERRUPTED:
+        if outcome is AttemptOutcome.INTERRUPTED:
             self._interruptions.record(entry.incarnation, kind)
             return
-        for broken in self._interruptions.pop_interrupted(entry.incarnation):
+        for interrupted_kind in self._interruptions.pop_interrupted(
+            entry.incarnation
+        ):
             self._state.observe(
                 entry.service,
                 entry.version,
-                broken,
+                interrupted_kind,
                 poor=True,
             )
         self._state.observe(
             entry.service,
             entry.version,
             kind,
-            poor=observed is AttemptOutcome.POOR,
+            poor=outcome is AttemptOutcome.POOR,
         )
 
     def _steady_upstreams(
@@ -210,7 +213,7 @@
         current = self._sessions.version(rollout.order.service, session)
         if current == to:
             return True
-        if self._must_stay(rollout):
+        if self._pins_sessions(rollout):
             on_old_version = self._fingerprints.is_live(
                 fingerprint_session(rollout.order.service, session)
             )
@@ -226,23 +229,23 @@
     ) -> None:
         """Record the version on which a session is now."""
         self._sessions.record(service, session, version)
-        rollout = self._covering_rollout(service, session)
+        rollout = self._pinning_rollout(service, session)
         if rollout is not None and version != rollout.order.to:
             self._fingerprints.record(fingerprint_session(service, session))
 
-    def _covering_rollout(
+    def _pinning_rollout(
         self,
         service: ServiceName,
         session: SessionName,
     ) -> Rollout | None:
-        """Return the rollout whose canary share covers a session, or None.
+        """Return the rollout whose canary share may include a session.
 
-        None also if sessions may already be moved.
+        None if there is none, or if it no longer pins sessions.
         """
         rollout = self._state.registry.rollout(service)
-        if rollout is None or not self._must_stay(rollout):
+        if rollout is None or not self._pins_sessions(rollout):
             return None
-        return rollout if self._can_cover(session) else None
+        return rollout if self._may_be_in_canary(session) else None
 
     def _log_session(
         self,
@@ -250,7 +253,10 @@
         service: ServiceName,
         version: SoftwareVersion,
     ) -> None:
-        """Log what was known of a session that the canary share covers."""
+        """Log the version that a session gets, and what was known before.
+
+        Called for sessions that the canary share may include.
+        """
         session = request.session
         if session is None:
             return
@@ -268,13 +274,13 @@
     def _fingerprint_active(self, order: RolloutOrder) -> None:
         """Fingerprint the sessions that were active before an order arrived."""
         for session, seen in self._sessions.active(order.service):
-            if seen.version != order.to and self._can_cover(session):
+            if seen.version != order.to and self._may_be_in_canary(session):
                 self._fingerprints.record(
                     fingerprint_session(order.service, session), seen.timestamp
                 )
 
-    def _can_cover(self, session: SessionName) -> bool:
-        """Return whether a canary share can cover a session.
+    def _may_be_in_canary(self, session: SessionName) -> bool:
+        """Return whether the largest canary share would include a session.
 
         Other sessions need no fingerprint.
         """
@@ -282,8 +288,8 @@
             _hash_fraction(session) < self._state.canary_share + MAX_EXTRA_SHARE
         )
 
-    def _must_stay(self, rollout: Rollout) -> bool:
-        """Return whether sessions must not be moved to the new version."""
+    def _pins_sessions(self, rollout: Rollout) -> bool:
+        """Return whether sessions must stay on the version they run on."""
         if rollout.stage is None:
             return True
         if rollout.stage.ended:
@@ -319,9 +325,12 @@
 
 
 def kind_number(name: str) -> KindNumber:
-    """Return the number of a kind of request.
+    """Return the number of the kind of request that a route is mapped to.
 
-    All hosts compute the same number from a name.
+    All hosts compute the same number.
+
+    Args:
+        name: Name of the route.
     """
     return KindNumber(xxh3_64_intdigest(name.encode()) % KIND_COUNT)
 
--- a/src/nutmegroad/canary/interrupted_attempts.py
+++ b/src/nutmegroad/canary/interrupted_attempts.py
@@ -25,7 +25,7 @@
 
 
 class InterruptedAttempts:
-    """Remembers interrupted attempts by upstream.
+    """Remembers interrupted attempts until their upstream answers again.
 
     Args:
         clock: The host's clock.
@@ -47,9 +47,13 @@
         self,
         upstream: UpstreamIncarnation,
     ) -> tuple[KindNumber, ...]:
-        """Return the kinds of request interrupted at an upstream that answered.
+        """Return the kinds of the requests that were interrupted recently.
 
-        The upstream's interruptions are removed.
+        Called when the upstream has answered. All its interruptions are
+        removed; those older than ``ANSWER_WINDOW`` are not returned.
+
+        Args:
+            upstream: The upstream that has answered.
         """
         oldest = self._clock.now() - ANSWER_WINDOW
         interrupted = self._interrupted.pop(upstream, ())
--- a/src/nutmegroad/canary/order_matching.py
+++ b/src/nutmegroad/canary/order_matching.py
@@ -14,13 +14,13 @@
 
 @unique
 class OrderMatch(Enum):
-    """How a row of the operator's relates to the order that a host knows."""
+    """How an operator's row relates to the order that a host knows."""
 
     #: Nothing new.
     KNOWN = 'known'
     #: The known order, at a position of a later era.
     SAME_ORDER = 'again'
-    #: A later order, or one before the known order, out of the backup.
+    #: Either a later order, or an earlier one that comes from the backup.
     DOUBTFUL = 'doubtful'
     #: A later order.
     NEW = 'new'
@@ -42,7 +42,9 @@
         return OrderMatch.NEW
     if asks_for(seen, known.to, known.duration):
         return OrderMatch.SAME_ORDER
-    # The rows that a backup lacks come after its end.
+    # A row with a lower version may come from the backup and precede the known
+    # order. It may also be later, as a restored store assigns versions again.
+    # A row with a higher version is later in either case.
     if version_of(seen.number) < version_of(written):
         return OrderMatch.DOUBTFUL
     return OrderMatch.NEW
@@ -56,7 +58,7 @@
 def has_earlier_number(order: RolloutOrder, row: RolloutRow) -> bool:
     """Return whether a row names an order by a number of an earlier era.
 
-    This serves hosts that have started after the store was restored.
+    The check serves hosts that have started after the store was restored.
     """
     if era_of(row.order) >= era_of(order.number):
         return False
--- a/src/nutmegroad/canary/rollout_registry.py
+++ b/src/nutmegroad/canary/rollout_registry.py
@@ -111,7 +111,7 @@
         return has_earlier_number(self.rollout.order, row)
 
     def _renumber(self, number: int) -> None:
-        """Know the order by a number from now on."""
+        """Use another number for the order from now on."""
         before = self.rollout.order
         if number != before.number:
             self.adopted = number < before.number
@@ -174,7 +174,7 @@
     def apply_order(
         self, order: RolloutOrder, *, at_start: bool = False
     ) -> None:
-        """Apply a row of the operator's unless a later order is known.
+        """Apply an operator's row if it is new; set a doubtful one aside.
 
         Args:
             order: Content of the row.
@@ -302,7 +302,12 @@
 
 
 def _log_loss(known: _KnownRollout, stored: str) -> None:
-    """Log which stage of a rollout the store has lost, and which it has."""
+    """Log that the store lacks a rollout's stage.
+
+    Args:
+        known: The rollout.
+        stored: Stage that the store has instead; empty for none.
+    """
     rollout = known.rollout
     _LOG.decision(
         'roll-out stage missing from the store',
--- a/src/nutmegroad/canary/rollouts.py
+++ b/src/nutmegroad/canary/rollouts.py
@@ -48,8 +48,8 @@
 #: rollout.
 FULL_UNTIL: Final = 0.78
 
-#: Fraction of the duration in which the share then grows to 1; less if less
-#: time is left.
+#: Fraction of the duration in which the share grows to 1 once the full rollout
+#: has begun; less if less time is left.
 RAMP_FRACTION: Final = 0.14
 
 #: Fractions of the duration after which the rollout ends. After the first it
@@ -60,7 +60,7 @@
 ROLL_BACK_FROM: Final = 0.92
 
 #: Minimum fraction of the duration for which the new version gets all traffic
-#: before the old one is given up.
+#: before the rollout may succeed.
 MIN_FULL_TRAFFIC: Final = 0.01
 
 
--- a/src/nutmegroad/canary/sessions.py
+++ b/src/nutmegroad/canary/sessions.py
@@ -48,7 +48,7 @@
         service: ServiceName,
         session: SessionName,
     ) -> SoftwareVersion | None:
-        """Return the version of an active session, or None."""
+        """Return the version on which an active session last ran, or None."""
         last = self.last_run(service, session)
         return None if last is None else last.version
 
@@ -72,10 +72,10 @@
     ) -> Iterator[tuple[SessionName, LastRun]]:
         """Yield the active sessions of a service, the latest one first."""
         oldest = self._clock.now() - self._session_timeout
-        for (used, session), seen in reversed(self._seen.items()):
+        for (session_service, session), seen in reversed(self._seen.items()):
             if seen.timestamp < oldest:
                 return
-            if used == service:
+            if session_service == service:
                 yield session, seen
 
     def record(
--- a/src/nutmegroad/canary/state.py
+++ b/src/nutmegroad/canary/state.py
@@ -122,8 +122,8 @@
 
     def answer_count(self, rollout: Rollout) -> int:
         """Return the approximate number of answers at all hosts."""
-        whole = self._assess(rollout).judgement.totals
-        return whole.count * self._group_count(rollout)
+        totals = self._assess(rollout).judgement.totals
+        return totals.count * self._group_count(rollout)
 
     def _halt_if_bad(self, rollout: Rollout) -> bool:
         """Halt a rollout if its answers show that the version is bad."""
@@ -158,10 +158,11 @@
         return assessment
 
     def _group_count(self, rollout: Rollout) -> int:
-        """Return how many groups of hosts judge by answers of their own.
+        """Return how many groups of hosts judge by different answers.
 
-        A host of a large fleet receives only a part of the answers in time, and
-        any host may make a step.
+        A host of a large fleet receives the counts of only some hosts in time,
+        and any host may make a step. The number of groups is the number of
+        hosts divided by the number of hosts whose counts have arrived.
         """
         order = rollout.order
         reporting = self._evidence.count_hosts(order.service, order.number)
--- a/src/nutmegroad/canary/steps.py
+++ b/src/nutmegroad/canary/steps.py
@@ -51,8 +51,8 @@
 STEP_INTERVAL: Final = 0.25
 
 #: Seconds by which the second host delays a step that any host may make, so
-#: that usually the first host's write is the only one. The delay grows ever
-#: less from host to host, so that many lost hosts cost little time.
+#: that usually the first host's write is the only one. The delay grows less
+#: with each further rank, so that many lost hosts cost little time.
 RANK_DELAY: Final = 0.8
 
 #: Poor answers from which a host writes its counts to the store. Hosts send
@@ -233,7 +233,7 @@
         yield self._status.status(rollout.order, rollout.stage)
 
     async def _wait_for_rank(self, name: str) -> None:
-        """Wait behind the hosts that rank before this one for a task."""
+        """Give the hosts that rank before this one time to do a task."""
         delay = duty_delay(self._rank(name), RANK_DELAY)
         await self._clock.sleep(delay)
 
--- a/src/nutmegroad/canary/verdicts.py
+++ b/src/nutmegroad/canary/verdicts.py
@@ -25,19 +25,20 @@
 )
 from nutmegroad.foundations.likelihoods import Assurance, Wealth, log_ratio
 
-#: Minimum for the fraction of poor answers that a good version may have by bad
-#: luck of its hosts: crashes and lost answers affect the old version too.
+#: Minimum of the fraction of poor answers that a good version may have.
+#: Crashes and lost answers make answers poor whatever the version is.
 MIN_EXPECTED: Final = 0.08
 
-#: How the expected fraction follows the old version's: a factor of two and a
-#: small offset, because the old version has more upstreams to average over, but
-#: at most a difference that a caller would notice.
+#: A good version may have the old version's fraction of poor answers times
+#: this factor plus this offset, because the old version has more upstreams to
+#: average over. The excess is limited to a difference that a caller would
+#: notice.
 EXPECTED_FACTOR: Final = 2.0
 EXPECTED_OFFSET: Final = 0.03
 MAX_ABOVE_BASELINE: Final = 0.12
 
-#: Fraction of poor answers of the old version above which a comparison shows
-#: nothing.
+#: Maximum fraction of poor answers of the old version that is assumed; above
+#: it a comparison shows nothing.
 MAX_BASELINE: Final = 0.5
 
 #: Poor answers below which no version counts as bad.
@@ -66,13 +67,14 @@
 KIND_FALSE_SUCCESS_ODDS: Final = 12
 
 #: Fraction of a service's answers from which a kind of request must be shown to
-#: be good by itself. Of rarer kinds too few answers arrive in any time.
+#: be good by itself. Of rarer kinds too few answers arrive in time.
 COMMON_FRACTION: Final = 0.1
 
-#: How far the assurance may exceed the required level, and how far it may fall
-#: below 0. With more above, a version that turns bad late would be kept for its
-#: earlier answers. With more below, a good version could not recover from a
-#: disturbance.
+#: The assurance is a log-likelihood ratio that grows with answers that speak
+#: for a version. The bounds limit how far it may exceed the required level,
+#: and how far it may fall below 0. With a higher maximum, a version that turns
+#: bad late would be kept for its earlier answers. With a lower minimum, a good
+#: version could not recover from a disturbance.
 MAX_EXCESS: Final = 3.0
 MIN_ASSURANCE: Final = -4.0
 
@@ -85,8 +87,8 @@
 #: chance, and with a fraction of 0 a single poor answer would be proof.
 MIN_BASELINE: Final = 0.02
 
-#: Answers of the old version in which the recent counts are halved: some
-#: seconds of one kind of request.
+#: Number of new answers of the old version that halve the weight of earlier
+#: ones in the recent counts: some seconds of one kind of request.
 RECENT_HALF_LIFE: Final = 40.0
 
 _HALF: Final = 0.5
@@ -132,12 +134,12 @@
         return max(MIN_EXPECTED, min(grown, baseline + MAX_ABOVE_BASELINE))
 
     def replace_sums(self, seen: Answers) -> Answers:
-        """Replace the sums, and return what is new in them."""
+        """Replace the sums, and return the answers that were added."""
         fresh = seen.plus(self.seen, -1)
         self.seen = seen
-        fade = _HALF ** (max(0, fresh.old) / RECENT_HALF_LIFE)
-        self._recent = self._recent * fade + fresh.old
-        self._recent_poor = self._recent_poor * fade + fresh.old_poor
+        decay = _HALF ** (max(0, fresh.old) / RECENT_HALF_LIFE)
+        self._recent = self._recent * decay + fresh.old
+        self._recent_poor = self._recent_poor * decay + fresh.old_poor
         return fresh
 
 
@@ -183,14 +185,14 @@
 
     def reason(self) -> str:
         """Return one line with the figures behind the verdict."""
-        whole = self.totals
+        totals = self.totals
         weakest = min(
             (kind.assurance.strength for kind in self._kinds.values()),
             default=0,
         )
         return (
-            f'{whole.new_poor} of {whole.new} poor, '
-            f'before {whole.old_poor} of {whole.old}; '
+            f'{totals.new_poor} of {totals.new} poor, '
+            f'before {totals.old_poor} of {totals.old}; '
             f'for {self._assurance.strength:.1f}, '
             f'least of a kind {weakest:.1f}, '
             f'against {self._strongest_evidence():.1f}'
@@ -209,8 +211,8 @@
             return
         baseline, expected = kind.baseline, kind.expected
         against = [
-            log_ratio(poor, good, _degraded(expected, part), expected)
-            for part in DEGRADATIONS
+            log_ratio(poor, good, _degraded(expected, fraction), expected)
+            for fraction in DEGRADATIONS
         ]
         self._against.add(against)
         kind.against.add(against)
@@ -232,6 +234,11 @@
         return max((self._against.strength, *tests))
 
 
-def _degraded(poor: float, part: float) -> float:
-    """Return the fraction of poor answers if a part of the others fails too."""
-    return poor + part * (1 - poor)
+def _degraded(poor: float, fraction: float) -> float:
+    """Return the fraction of poor answers of a degraded version.
+
+    Args:
+        poor: Fraction of poor answers without the degradation.
+        fraction: Fraction of the other answers that the degradation spoils.
+    """
+    return poor + fraction * (1 - poor)
