--- a/src/nutmegroad/rollouts/_exposure_gossip.py
+++ b/src/nutmegroad/rollouts/_exposure_gossip.py
@@ -11,13 +11,13 @@
 
 #: Number of hosts to which each host sends evidence in every period.
 FANOUT: Final = 3
-#: Seconds without a sign of it after which an incarnation of a host counts as
-#: ended. A domain that is cut off for some minutes is not forgotten.
+#: Seconds of absence from the member list after which an incarnation of a host
+#: counts as ended. A domain that is cut off for some minutes is not forgotten.
 FOLD_AFTER_SECONDS: Final = 900.0
 
 
 class ExposureGossip:
-    """Gossips evidence periodically, and broadcasts quarantines at once.
+    """Gossips evidence periodically, and broadcasts quarantines immediately.
 
     Args:
         mesh: Links to the other hosts.
@@ -44,8 +44,8 @@
         self._randomness = randomness
         self._period = period
         self._last_seen: dict[Incarnation, float] = {}
-        mesh.handle(EvidenceMessage, self._take_evidence)
-        mesh.handle(QuarantineMessage, self._take_quarantines)
+        mesh.handle(EvidenceMessage, self._receive_evidence)
+        mesh.handle(QuarantineMessage, self._receive_quarantines)
         # This host itself has stopped sending requests to the version before it
         # broadcasts the quarantine.
         quarantines.listen(self._broadcast)
@@ -75,6 +75,7 @@
             self._mesh.tell(host, message)
 
     def _fold(self) -> None:
+        """Drop the evidence cells of incarnations that have ended."""
         now = self._clock.now()
         for member in self._mesh.members():
             self._last_seen[member.incarnation] = now
@@ -88,14 +89,14 @@
         if now >= FOLD_AFTER_SECONDS:
             self._evidence.fold(frozenset(self._last_seen))
 
-    async def _take_evidence(
+    async def _receive_evidence(
         self,
         sender: HostId,
         message: EvidenceMessage,
     ) -> None:
         self._evidence.merge(message.cells)
 
-    async def _take_quarantines(
+    async def _receive_quarantines(
         self,
         sender: HostId,
         message: QuarantineMessage,
--- a/src/nutmegroad/rollouts/evidence.py
+++ b/src/nutmegroad/rollouts/evidence.py
@@ -37,6 +37,7 @@
 
 #: Minimum seconds of which a logarithm is taken.
 _MIN_SECONDS: Final = 1e-4
+#: Decimal places to which sums are rounded.
 _DIGITS: Final = 4
 
 
@@ -57,8 +58,8 @@
         """Standard deviation; 0 without values."""
         if not self.count:
             return 0
-        spread = self.squares / self.count - self.mean * self.mean
-        return math.sqrt(max(spread, 0))
+        variance = self.squares / self.count - self.mean * self.mean
+        return math.sqrt(max(variance, 0))
 
     def plus(self, other: 'Moments') -> 'Moments':
         """Return the moments of both samples together."""
@@ -221,7 +222,8 @@
         """Merge cells received from another host."""
         for cell in cells:
             name = (cell.incarnation, *cell.key)
-            # This host knows its own cells best.
+            # This host's own cells are up to date. Cells of folded incarnations
+            # are in the sums already and would be counted twice.
             if cell.incarnation in {self._incarnation, *self._folded}:
                 continue
             known = self._cells.get(name, EvidenceCell(*name)).tally
@@ -229,7 +231,7 @@
                 self._put(cell, cell.tally.minus(known))
 
     def fold(self, live: frozenset[Incarnation]) -> None:
-        """Keep only the sums of incarnations that have ended.
+        """Drop the cells of incarnations that have ended, but keep the sums.
 
         Args:
             live: Incarnations of hosts that membership still knows.
@@ -251,6 +253,7 @@
         return EvidenceMessage(tuple(map(self._cells.__getitem__, names)))
 
     def _repeats(self) -> list[_CellId]:
+        """Return the next own cells that are sent again, in rotation."""
         own = [name for name in self._cells if name[0] == self._incarnation]
         if not own:
             return []
@@ -259,6 +262,7 @@
         return own[start : start + REPEATED_CELLS]
 
     def _put(self, cell: EvidenceCell, fresh: Tally) -> None:
+        """Store a changed cell, and report its new attempts to listeners."""
         name = (cell.incarnation, *cell.key)
         self._cells[name] = cell
         self._sums[cell.key] = self.total(*cell.key).plus(fresh)
@@ -279,10 +283,10 @@
         return None
     first = end.seconds if end.first_token is None else end.first_token
     tokens = max(end.output_tokens, 1)
-    pace = (end.seconds - first) / tokens
+    per_token = (end.seconds - first) / tokens
     return Tally(
         answers=1,
         first_token=moments_of(math.log(max(first, _MIN_SECONDS))),
-        seconds_per_token=moments_of(math.log(max(pace, _MIN_SECONDS))),
+        seconds_per_token=moments_of(math.log(max(per_token, _MIN_SECONDS))),
         length=moments_of(math.log(tokens)),
     )
--- a/src/nutmegroad/rollouts/exposure.py
+++ b/src/nutmegroad/rollouts/exposure.py
@@ -31,15 +31,16 @@
 #: Strength from which the last version of a task is quarantined, too.
 STRONG_STRENGTH: Final = 2 * WEAK_STRENGTH
 
-#: Ratings of its own past with which a steady version is compared.
+#: Number of ratings of its own past with which a steady version is compared.
 REFERENCE_RATINGS: Final = 1000
-#: Strength from which ratings no longer count as a good past.
+#: Strength of the evidence against a version from which its ratings are no
+#: longer added to its past.
 SUSPICION_STRENGTH: Final = 2.0
-#: Attempts of its own past with which a steady version is compared.
+#: Number of attempts of its own past with which a steady version is compared.
 REFERENCE_ATTEMPTS: Final = 500
-#: Ratings from which a version may serve as a reference for another.
+#: Minimum number of ratings that serve as a reference.
 MIN_REFERENCE_RATINGS: Final = 20
-#: Answers from which a version may serve as a reference for another.
+#: Minimum number of answers that serve as a reference.
 MIN_REFERENCE_ANSWERS: Final = 50
 
 #: Tolerated drop of a mean score below its reference.
@@ -58,6 +59,7 @@
 #: Tolerated factor of times to the first token, as a logarithm.
 LATENCY_TOLERANCE: Final = math.log(2)
 
+#: Standard errors by which a reference mean is lowered.
 _DEVIATIONS: Final = 2
 
 
@@ -177,8 +179,8 @@
         if min_score is not None:
             tests.rated = tests.rated.plus(sample)
             tests.ratings.add(tally, min_score)
-        is_open = tests.past_ratings.count < REFERENCE_RATINGS
-        if is_open and tests.ratings.strength < SUSPICION_STRENGTH:
+        needs_past = tests.past_ratings.count < REFERENCE_RATINGS
+        if needs_past and tests.ratings.strength < SUSPICION_STRENGTH:
             tests.past_ratings = tests.past_ratings.plus(sample)
         self._judge(key, tests)
 
@@ -221,6 +223,7 @@
             tests.latency.add(fresh.first_token, concurrent, LATENCY_TOLERANCE)
 
     def _tests_of(self, entry: VersionEntry, task: TaskName) -> VersionTests:
+        """Return a version's tests; restart them if its identity changed."""
         key = (entry.version, task)
         identity = (entry.epoch, entry.stage)
         tests = self._tests.get(key)
--- a/src/nutmegroad/rollouts/exposure_part.py
+++ b/src/nutmegroad/rollouts/exposure_part.py
@@ -1,4 +1,4 @@
-"""Part that guards against bad versions."""
+"""Part that tests versions on evidence and quarantines the bad ones."""
 
 from typing import Final
 
--- a/src/nutmegroad/rollouts/order_controller.py
+++ b/src/nutmegroad/rollouts/order_controller.py
@@ -186,6 +186,7 @@
         )
 
     def _engine_domains(self) -> tuple[DomainId, ...]:
+        """Return the domains that have engines, in order."""
         states = self._parts.directory.states()
         return tuple(
             sorted({state.info.domain for state in states if is_engine(state)}),
@@ -224,24 +225,28 @@
         return now - since >= longest
 
     async def _send(self, order: PlannedOrder, lease: Lease) -> None:
+        """Send one order under a lease."""
         gate = self._gate(order, lease)
         refusal = await self._parts.engines.order(
             order.state.info,
             EngineOrder(order.action, order.version, lease.number, gate),
         )
-        what = f'{order.action.value} {order.version}'
+        description = f'{order.action.value} {order.version}'
         engine = order.state.info.upstream
         if refusal is None:
             self._pending.add(order, self._clock.now())
             _LOG.info(
                 'order %s sent to engine %s, fencing number %d',
-                what,
+                description,
                 engine,
                 lease.number,
             )
             return
         _LOG.warning(
-            'order %s for engine %s failed: %s', what, engine, refusal.reason
+            'order %s for engine %s failed: %s',
+            description,
+            engine,
+            refusal.reason,
         )
 
     def _gate(self, order: PlannedOrder, lease: Lease) -> Gate:
--- a/src/nutmegroad/rollouts/orders.py
+++ b/src/nutmegroad/rollouts/orders.py
@@ -1,9 +1,9 @@
 """Orders to engines: which versions each engine is to load or unload.
 
 Orders follow from a desired state: the versions that the preset and the
-rollouts want are compared with the engines' reports, again and again. A lost
-order is therefore sent again, and an order that a host got through to an engine
-after its lease had expired is corrected.
+rollouts want are compared with the engines' reports periodically. A lost order
+is therefore sent again, and an order that reached an engine after its sender's
+lease had expired is corrected.
 """
 
 from collections.abc import Iterable, Mapping
@@ -92,9 +92,9 @@
             for version in state.report.versions
         }
         self.sent_at = {
-            name: given
-            for name, given in self.sent_at.items()
-            if now - given < ORDER_TIMEOUT and name not in loaded
+            name: sent_at
+            for name, sent_at in self.sent_at.items()
+            if now - sent_at < ORDER_TIMEOUT and name not in loaded
         }
 
 
@@ -123,7 +123,7 @@
         ]
 
     def missing(self, desired: DesiredState) -> list[PlannedOrder]:
-        """Return the missing loads, the most urgent first."""
+        """Return the load orders that are missing, the most urgent first."""
         orders: list[PlannedOrder] = []
         ranked = sorted(
             desired.wanted.items(),
@@ -134,8 +134,9 @@
         return orders
 
     def unneeded(self, desired: DesiredState) -> list[PlannedOrder]:
-        """Return the unloads of versions that nobody may use and nothing uses.
+        """Return the unload orders for versions that are unneeded and idle.
 
+        A version is unneeded if no workspace may use it and it is not wanted.
         An allowed version stays, so its last replica stays, too.
         """
         orders = []
@@ -151,7 +152,7 @@
         return orders
 
     def replica_count(self, version: VersionId) -> int:
-        """Return how many engines have a version, or soon will."""
+        """Return how many engines have a version or were sent a load order."""
         return sum(
             self._has(state, report, version) for state, report in self._engines
         )
@@ -159,6 +160,7 @@
     def _missing_loads(
         self, version: VersionId, need: int
     ) -> list[PlannedOrder]:
+        """Return the missing load orders of a version, best engines first."""
         missing = need - self.replica_count(version)
         if missing <= 0:
             return []
@@ -170,7 +172,7 @@
         without.sort(key=lambda ranked: ranked[0])
         return [
             PlannedOrder(state, OrderAction.LOAD, version)
-            for _load_rank, state in without[:missing]
+            for _, state in without[:missing]
         ]
 
     def _has(
@@ -179,6 +181,7 @@
         report: EngineReport,
         version: VersionId,
     ) -> bool:
+        """Return whether an engine has a version or was sent a load order."""
         if version in report.versions:
             return True
         engine = state.info.upstream
@@ -189,6 +192,7 @@
         state: UpstreamState,
         report: EngineReport,
     ) -> tuple[int, int, str]:
+        """Return the sort key of engines: few versions, then little work."""
         engine = state.info.upstream
         loading = sum(
             name[0] == engine and name[1] is OrderAction.LOAD
--- a/src/nutmegroad/rollouts/quarantines.py
+++ b/src/nutmegroad/rollouts/quarantines.py
@@ -31,6 +31,7 @@
 #: Number of quarantined task classes from which a version gets no work at all.
 MIN_TASKS_FOR_ALL: Final = 2
 
+#: Seconds after which a refused caller should try again.
 _RETRY_AFTER: Final = 30.0
 
 
@@ -174,7 +175,9 @@
             return
         level = known.level if known.is_active else known.level + 1
         record = QuarantineRecord(*name, level, int(grade), reason)
-        _LOG.warning('%s for %s: %s', version, task, reason)
+        _LOG.warning(
+            'version %s quarantined for the task %r: %s', version, task, reason
+        )
         self.merge((record,))
 
     def lift(self, version: VersionId, author: str) -> int:
--- a/src/nutmegroad/rollouts/rollout_controller.py
+++ b/src/nutmegroad/rollouts/rollout_controller.py
@@ -31,7 +31,7 @@
 
 #: Name of the lease under which all rollouts are advanced.
 ROLLOUTS_LEASE: Final = 'rollouts'
-#: Fraction of the period by which reads are spread either way.
+#: Maximum jitter of the period between reads, as a fraction of it.
 JITTER: Final = 0.2
 
 
@@ -108,8 +108,8 @@
             rollouts = await self.read()
             if rollouts and is_mine():
                 await self.advance(rollouts)
-            spread = self._randomness.uniform(-JITTER, JITTER)
-            await self._clock.sleep(self._period * (1 + spread))
+            jitter = self._randomness.uniform(-JITTER, JITTER)
+            await self._clock.sleep(self._period * (1 + jitter))
 
     async def read(self) -> tuple[Rollout, ...]:
         """Read the rollouts, and apply their shares on this host."""
@@ -131,6 +131,7 @@
                 await self._advance_one(rollout, lease)
 
     async def _advance_one(self, rollout: Rollout, lease: Lease) -> None:
+        """Claim a rollout's row, or take the next step if it is claimed."""
         state = rollout.state
         entry = self._parts.configuration.version_entry(state.version)
         if entry is None or entry.epoch != state.epoch:
@@ -155,14 +156,15 @@
         wanted: RolloutState,
         lease: Lease,
     ) -> None:
+        """Write a state if the lease is valid and no older than the state."""
         if wanted.fencing > lease.number:
             return
         if self._parts.leases.check(lease) is not None:
             return
         fenced = replace(wanted, fencing=lease.number)
-        moved = await self._parts.store.write(rollout.row, fenced)
-        if not isinstance(moved, Refusal):
-            self._parts.shares.update(moved)
+        written = await self._parts.store.write(rollout.row, fenced)
+        if not isinstance(written, Refusal):
+            self._parts.shares.update(written)
 
     def _findings(
         self,
@@ -177,9 +179,9 @@
         reference = Moments()
         if before is not None:
             reference = self._totals(VersionId(before), tasks)[1]
-        standing = self._parts.quarantines.all_active(state.version)
+        active = self._parts.quarantines.all_active(state.version)
         return Findings(
-            blocked=standing[0].reason if standing else '',
+            blocked=active[0].reason if active else '',
             bound=self._parts.shares.bound(state.version),
             seconds=self._clock.now() - start.since,
             answers=answers - start.answers,
@@ -194,6 +196,7 @@
         answers: int,
         ratings: Moments,
     ) -> _StepStart:
+        """Return the start of the present step; record it if it is new."""
         known = self._step_starts.get(state.version)
         if known is None or known.state.share != state.share:
             known = _StepStart(state, self._clock.now(), answers, ratings)
@@ -201,6 +204,7 @@
         return known
 
     def _tasks(self, version: VersionId) -> tuple[TaskName, ...]:
+        """Return the tasks to which the preset in force assigns a version."""
         accepted = self._parts.configuration.accepted
         if accepted is None:
             return ()
--- a/src/nutmegroad/rollouts/rollout_service.py
+++ b/src/nutmegroad/rollouts/rollout_service.py
@@ -133,6 +133,7 @@
         epoch: Epoch,
         author: OperatorId,
     ) -> Refusal | None:
+        """Start a rollout with the first share, over any earlier one."""
         if self._quarantines.all_active(version):
             reason = f'The version {version} is in quarantine; lift that first.'
             return Refusal(ResultCode.OPERATOR_REQUEST_INVALID, reason)
@@ -147,6 +148,7 @@
         phase: Phase,
         author: OperatorId,
     ) -> Refusal | None:
+        """Change the phase of a rollout."""
         found = await self._store.find(version)
         if isinstance(found, Refusal):
             return found
@@ -159,10 +161,11 @@
         wanted = found.state.after(step)
         return self._apply(await self._store.write(found.row, wanted))
 
-    def _apply(self, moved: Rollout | Refusal) -> Refusal | None:
-        if isinstance(moved, Refusal):
-            return moved
-        self._shares.update(moved)
+    def _apply(self, written: Rollout | Refusal) -> Refusal | None:
+        """Apply a written rollout on this host, or return the refusal."""
+        if isinstance(written, Refusal):
+            return written
+        self._shares.update(written)
         return None
 
 
--- a/src/nutmegroad/rollouts/rollout_shares.py
+++ b/src/nutmegroad/rollouts/rollout_shares.py
@@ -113,12 +113,15 @@
         return True
 
     async def _receive(self, sender: HostId, message: RolloutMessage) -> None:
+        """Store a rollout that another host has sent."""
         row = Row(message.key, message.text, message.version)
         try:
             rollout = decode_rollout(row)
         except msgspec.DecodeError:
             _LOG.warning(
-                'host %s sent a rollout row that cannot be decoded', sender
+                'host %s sent the rollout row %r, which cannot be decoded',
+                sender,
+                message.key,
             )
             return
         self.update(rollout)
--- a/src/nutmegroad/rollouts/sequential.py
+++ b/src/nutmegroad/rollouts/sequential.py
@@ -4,8 +4,8 @@
 reference by more than a tolerance. While the hypothesis holds, the expected
 wealth of a bet does not grow, whatever the distribution of the scores. The
 wealth never falls below its initial value (a cumulative sum). A change late in
-a long life is therefore detected as fast as one at its start, and the mean time
-to a false alarm is at least the inverse of the level.
+the life of a version is therefore detected as fast as one at its start, and
+the mean time to a false alarm is at least the inverse of the level.
 """
 
 import math
@@ -15,8 +15,9 @@
 from nutmegroad.quality.ratings import RatingTally, score_of
 from nutmegroad.rollouts.evidence import Moments
 
-#: Fractions of the maximum bet: large ones detect a large drop within a few
-#: ratings, small ones a slight drop within a few hundred.
+#: Fractions of the wealth that are bet on each rating: large ones detect a
+#: large drop within a few ratings, small ones a slight drop within a few
+#: hundred.
 BETS: Final = (0.1, 0.3, 0.9)
 #: Factors by which the failure rate of a bad version is assumed to rise.
 RATE_FACTORS: Final = (3.0, 10.0)
@@ -25,6 +26,8 @@
 
 #: Minimum range above a reference score, so that every bet is bounded.
 _MIN_RANGE: Final = 0.05
+#: Maximum failure rate that is assumed of a bad version, and maximum fraction
+#: of its wealth that a bet loses by one rating.
 _MAX_RATE: Final = 0.9
 #: Minimum standard deviation of logarithms of lengths and of seconds.
 _MIN_DEVIATION: Final = 0.5
@@ -128,8 +131,13 @@
 
 
 def _log_bet(bet: float, fall: float) -> float:
-    """Return the logarithm of the factor by which one score changes a bet.
+    """Return the logarithm of the factor by which one rating changes wealth.
 
-    The middle of a bucket may lie above 1 - min_score by half a bucket.
+    A loss is at most ``_MAX_RATE`` of the wealth, so the factor stays above 0.
+
+    Args:
+        bet: Fraction of the wealth that is bet on a low score.
+        fall: How far the score lies below the minimum mean score, as a
+            fraction of the range above it; negative for a higher score.
     """
     return math.log1p(max(bet * fall, -_MAX_RATE))
--- a/src/nutmegroad/rollouts/trials_part.py
+++ b/src/nutmegroad/rollouts/trials_part.py
@@ -13,5 +13,5 @@
     needs = (RolloutShares, CanaryPolicy)
 
     async def open(self, kernel: Kernel) -> None:
-        """Replace the rule that only knows the preset."""
+        """Replace the default rule, which only knows the preset."""
         kernel.need(CanaryPolicy).rule = kernel.need(RolloutShares)
