--- a/src/nutmegroad/records/at_most_once.py
+++ b/src/nutmegroad/records/at_most_once.py
@@ -45,7 +45,7 @@
 SETTLE_TIMEOUT: Final = 0.25
 #: Seconds after a table failure during which claims are refused immediately.
 TABLE_PAUSE: Final = 1.0
-#: Maximum number of claims retained while their outcomes can not be stored.
+#: Maximum number of claims retained while their outcomes cannot be stored.
 MAX_UNSETTLED: Final = 10_000
 
 _NO_KEY: Final = IdempotencyKey('')
@@ -111,7 +111,15 @@
 
 @dataclass(slots=True)
 class _PendingClaim:
-    """A claim whose outcome is not in the table yet."""
+    """A claim whose outcome is not in the table yet.
+
+    Attributes:
+        request: Id of the request that made the claim.
+        fingerprint: Hash of the request's content.
+        claim: The claim; None until its row has been written.
+        reply: The outcome; None until it is known.
+        storing: Held while the outcome is written.
+    """
 
     request: RequestId
     fingerprint: str
@@ -120,6 +128,7 @@
     storing: asyncio.Lock = field(default_factory=asyncio.Lock)
 
 
+#: What a claim may result in.
 ClaimResult = ExecutionGrant | FirstAnswer | ForwardRequired | Refusal
 
 
@@ -153,7 +162,7 @@
 
     @property
     def unsettled(self) -> int:
-        """Return the number of outcomes that are not stored yet."""
+        """Number of outcomes that are not stored yet."""
         return len(self._unstored_rows()) + len(self._abandoned)
 
     async def claim(self, claim_request: ClaimRequest) -> ClaimResult:
@@ -171,7 +180,7 @@
 
     async def settle(
         self,
-        run: ExecutionGrant,
+        grant: ExecutionGrant,
         reply: ServiceReply | Refusal,
     ) -> ServiceReply | Refusal:
         """Record the outcome of a request.
@@ -181,24 +190,24 @@
             is corrected.
         """
         if isinstance(reply, Refusal):
-            reply = run.fence.review(reply)
-        if run.spent is not None:
-            self._issuer.settle(run.spent, reply)
-        if run.claim is not None:
-            await self._settle_claim(run.claim, reply)
+            reply = grant.fence.review(reply)
+        if grant.spent is not None:
+            self._issuer.settle(grant.spent, reply)
+        if grant.claim is not None:
+            await self._settle_claim(grant.claim, reply)
         return reply
 
-    def settle_unknown(self, run: ExecutionGrant) -> None:
+    def settle_unknown(self, grant: ExecutionGrant) -> None:
         """Record that a request was aborted with unknown outcome."""
         refusal = Refusal(
             ResultCode.OUTCOME_UNKNOWN,
             'The request was aborted; it may have been executed.',
             Ran.UNKNOWN,
         )
-        if run.spent is not None:
-            self._issuer.settle(run.spent, refusal)
-        if run.claim is not None:
-            self._pending.pop(run.claim.row, None)
+        if grant.spent is not None:
+            self._issuer.settle(grant.spent, refusal)
+        if grant.claim is not None:
+            self._pending.pop(grant.claim.row, None)
 
     async def settle_pending(self) -> None:
         """Retry storing outcomes that could not be stored before."""
@@ -280,7 +289,11 @@
         claim_request: ClaimRequest,
         refusal: Refusal,
     ) -> ExecutionGrant | Refusal:
-        """Allow a repeatable request while the table is unavailable."""
+        """Allow a repeatable request while the table is unavailable.
+
+        Returns:
+            The right to execute it; for any other request the refusal.
+        """
         if refusal.code is not ResultCode.INTENT_UNAVAILABLE:
             return refusal
         if not claim_request.repeatable:
@@ -292,7 +305,7 @@
         pending: _PendingClaim,
         claim_request: ClaimRequest,
     ) -> FirstAnswer | Refusal:
-        """Answer a repeat of a request that this host has claimed."""
+        """Answer a repeat of a request that this host claimed before."""
         if pending.fingerprint != claim_request.fingerprint:
             return key_reused()
         if isinstance(pending.reply, ServiceReply):
@@ -377,5 +390,7 @@
             self._pending.pop(row)
             self._metrics.record_event('answer_forgotten')
             _LOG.error(
-                'dropped the outcome of %s, which could not be stored', row
+                'dropped the outcome of the intent row %r, which could not be '
+                'stored',
+                row,
             )
--- a/src/nutmegroad/records/billing.py
+++ b/src/nutmegroad/records/billing.py
@@ -131,21 +131,21 @@
 
     @property
     def pending(self) -> int:
-        """Return the number of records not stored yet."""
+        """Number of records not stored yet."""
         return self._pending
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return the incarnation that names this host's batches."""
+        """Incarnation that names this host's batches."""
         return self._incarnation
 
     @property
     def batches(self) -> tuple[Batch, ...]:
-        """Return the batches not stored yet, oldest first."""
+        """Batches not stored yet, oldest first."""
         return tuple(self._batches)
 
     def started(self, start: AttemptStart) -> None:
-        """Start to sum the cost of a request."""
+        """Start to sum the costs of a request's attempts."""
         self._costs.setdefault(start.request, 0)
 
     def ended(self, end: AttemptEnd) -> None:
@@ -160,12 +160,12 @@
     def record(self, record: BillingRecord) -> None:
         """Add the only record of a request, including its attempt costs."""
         cost = self._costs.pop(RequestId(record.request), 0)
-        once = self._invariants.check(
+        is_first = self._invariants.check(
             ONE_RECORD,
             record.request not in self._recorded,
             f'the request {record.request} is recorded twice',
         )
-        if not once:
+        if not is_first:
             return
         self._remember(record.request)
         if self._pending >= self._max_unstored:
@@ -187,8 +187,8 @@
     def adopt(self, batch: Batch) -> None:
         """Add the batch of a terminated host; its object name is unchanged."""
         for known in self._batches:
-            same = known.incarnation == batch.incarnation
-            if same and known.sequence == batch.sequence:
+            is_same_owner = known.incarnation == batch.incarnation
+            if is_same_owner and known.sequence == batch.sequence:
                 # Two peers may copy their adopted batches to each other.
                 return
         batch.copied = 0
@@ -236,7 +236,7 @@
             self._recorded.popitem(last=False)
 
     def _overflow(self, record: BillingRecord) -> None:
-        """Log a record in full that exceeds the limit of unstored records."""
+        """Write a record in full to the log, as too many are not stored yet."""
         self._metrics.record_event('billing_overflow')
         text = msgspec.json.encode(record).decode()
         _LOG.error(
--- a/src/nutmegroad/records/forwards.py
+++ b/src/nutmegroad/records/forwards.py
@@ -66,6 +66,7 @@
     headers: dict[str, str]
 
 
+#: Executes a forwarded request and returns the reply.
 RequestHandler = Callable[[ForwardedRequest], Awaitable[ForwardedReply]]
 
 
@@ -122,6 +123,8 @@
 
     def _is_replaced(self, ticket: Ticket) -> bool:
         """Return whether a later incarnation of the issuer is known."""
+        # Tickets of this host's present incarnation are not forwarded, so a
+        # ticket of this host is from an earlier one.
         if ticket.host == self._host:
             return True
         return any(
--- a/src/nutmegroad/records/intents.py
+++ b/src/nutmegroad/records/intents.py
@@ -39,6 +39,7 @@
     WorkspaceId,
 )
 
+#: Key prefix of intent rows, and name prefix of objects with large answers.
 _PREFIX: Final = 'intent/'
 _ANSWERS: Final = 'answers/'
 #: Maximum size in bytes of an answer that is stored in the row itself.
@@ -109,7 +110,7 @@
 
     @property
     def row(self) -> RowKey:
-        """Return the key of the intent row."""
+        """Key of the intent row."""
         return RowKey(f'{_PREFIX}{self.workspace}/{self.key}')
 
 
@@ -152,8 +153,8 @@
     Attributes:
         incarnation: The incarnation of this host.
         nonces: Returns a nonce that is never repeated.
-        is_terminated: Whether another incarnation has terminated for good.
-            An incarnation that merely sends no messages may be cut off.
+        is_terminated: Returns whether another incarnation has terminated; one
+            that merely sends no messages may only be cut off.
     """
 
     incarnation: Incarnation
@@ -288,7 +289,7 @@
         if isinstance(body, Refusal):
             return Refusal(
                 ResultCode.STILL_RUNNING,
-                'The request has run; its first answer can not be read now.',
+                'The request has run; its first answer cannot be read now.',
                 Ran.RAN,
                 retry_after=5,
             )
@@ -302,11 +303,11 @@
         proposed: Intent,
         spec: IntentSpec,
     ) -> Claim | Refusal:
-        """Handle a key whose first request has no answer."""
+        """Claim a key again whose first request has no answer, if allowed."""
         open_until = self._open_until(found)
-        free = found.state is IntentState.NOT_RUN
+        is_free = found.state is IntentState.NOT_RUN
         # A repeatable request may be taken over from a terminated owner.
-        if free or (spec.repeatable and open_until <= self._clock.wall()):
+        if is_free or (spec.repeatable and open_until <= self._clock.wall()):
             rewritten = await self._put(row.key, proposed, row.version)
             if isinstance(rewritten, Refusal):
                 return rewritten
@@ -318,7 +319,7 @@
         return still_running(left) if left > 0 else outcome_unknown()
 
     def _open_until(self, intent: Intent) -> float:
-        """Return the wall time until which a request may run."""
+        """Return the wall time, in seconds, until which a request may run."""
         if self._owner.is_terminated(Incarnation(intent.owner)):
             return 0
         return intent.ends + END_MARGIN
@@ -361,7 +362,7 @@
     """Return the refusal for a key or ticket used by another request."""
     return Refusal(
         ResultCode.KEY_REUSED,
-        'The idempotency key was used for another request.',
+        'The idempotency key or ticket was used for another request.',
     )
 
 
@@ -373,7 +374,7 @@
     """
     return Refusal(
         ResultCode.STILL_RUNNING,
-        'A request with this idempotency key is running.',
+        'A request with this idempotency key or ticket is running.',
         Ran.UNKNOWN,
         retry_after=min(max(seconds, 0.1), 1),
     )
--- a/src/nutmegroad/records/part.py
+++ b/src/nutmegroad/records/part.py
@@ -51,10 +51,10 @@
         domain = kernel.settings.domain
         sender = RecordSender(biller, mesh, domain, kernel.clock, metrics)
         kernel.stack.push_async_callback(sender.close)
-        keeper = RecordCopyStore(biller, mesh, kernel.clock, metrics)
-        keeper.listen()
+        copy_store = RecordCopyStore(biller, mesh, kernel.clock, metrics)
+        copy_store.listen()
 
-        kernel.spawn(_flush_often(kernel, sender, keeper), 'billing')
+        kernel.spawn(_flush_periodically(kernel, sender, copy_store), 'billing')
         kernel.provide(Biller, biller)
         kernel.provide(RecordSender, sender)
 
@@ -87,7 +87,7 @@
         once = AtMostOnce(intents, issuer, kernel.clock, invariants, metrics)
         kernel.stack.push_async_callback(once.settle_pending)
 
-        kernel.spawn(_settle_often(kernel, once), 'records')
+        kernel.spawn(_settle_periodically(kernel, once), 'records')
         kernel.provide(IntentLedger, intents)
         kernel.provide(TicketIssuer, issuer)
         kernel.provide(AtMostOnce, once)
@@ -124,23 +124,23 @@
     return is_terminated
 
 
-async def _flush_often(
+async def _flush_periodically(
     kernel: Kernel,
     sender: RecordSender,
-    keeper: RecordCopyStore,
+    copy_store: RecordCopyStore,
 ) -> None:
     """Store batches periodically until cancelled."""
     state = kernel.need(Metrics).state
     while True:
         jitter = kernel.randomness.uniform(-FLUSH_JITTER, FLUSH_JITTER)
         await kernel.clock.sleep(FLUSH_PERIOD * (1 + jitter))
-        keeper.take_over()
+        copy_store.take_over()
         await sender.flush()
         state.unstored('billing', sender.pending)
-        state.unstored('held', keeper.held)
+        state.unstored('held', copy_store.held)
 
 
-async def _settle_often(kernel: Kernel, once: AtMostOnce) -> None:
+async def _settle_periodically(kernel: Kernel, once: AtMostOnce) -> None:
     """Retry unstored outcomes periodically until cancelled."""
     state = kernel.need(Metrics).state
     while True:
--- a/src/nutmegroad/records/record_copies.py
+++ b/src/nutmegroad/records/record_copies.py
@@ -21,7 +21,7 @@
 HAND_TIMEOUT: Final = 0.5
 #: Maximum number of peers tried one after the other.
 MAX_PEERS_TRIED: Final = 2
-#: Number of peers that receive the records that a host can not store when it
+#: Number of peers that receive the records that a host cannot store when it
 #: stops. No other copy remains then, and one of these peers may terminate
 #: before it has copied the records to another one.
 COPIES_AT_STOP: Final = 2
@@ -122,7 +122,7 @@
 
     @property
     def pending(self) -> int:
-        """Return the number of records not stored yet."""
+        """Number of records not stored yet."""
         return self._biller.pending
 
     async def hand(self, last: bool = False) -> bool:
@@ -138,7 +138,7 @@
         # next holder.
         async with self._lock:
             for _ in range(MAX_PEERS_TRIED):
-                if await self._hand_all(last):
+                if await self._copy_all(last):
                     return True
         return False
 
@@ -147,7 +147,7 @@
         open_batches = self._biller.batches
         refusal = await self._biller.flush()
         if refusal is not None:
-            # Records that can not be stored must at least have a second copy.
+            # Records that cannot be stored must at least have a second copy.
             await self.hand()
             return
         receiver = self._receiver
@@ -161,8 +161,8 @@
         await self.flush()
         if not self._biller.pending:
             return
-        taken = [await self._copy_at_stop() for _ in range(COPIES_AT_STOP)]
-        holders = sum(taken)
+        accepted = [await self._copy_at_stop() for _ in range(COPIES_AT_STOP)]
+        holders = sum(accepted)
         event = 'billing_handed_at_stop' if holders else 'billing_lost_at_stop'
         self._metrics.record_event(event)
         _LOG.warning(
@@ -176,21 +176,21 @@
         """Copy all batches to one peer, then exclude this peer."""
         for batch in self._biller.batches:
             batch.copied = 0
-        handed = await self.hand(last=True)
-        if handed and self._receiver is not None:
+        accepted = await self.hand(last=True)
+        if accepted and self._receiver is not None:
             self._excluded_until[self._receiver.host] = (
                 self._clock.now() + EXCLUSION_PERIOD
             )
-        return handed
+        return accepted
 
-    async def _hand_all(self, last: bool) -> bool:
+    async def _copy_all(self, last: bool) -> bool:
         """Copy all batches to one peer."""
         for batch in self._biller.batches:
-            if not await self._hand_batch(batch, last):
+            if not await self._copy_batch(batch, last):
                 return False
         return True
 
-    async def _hand_batch(self, batch: Batch, last: bool) -> bool:
+    async def _copy_batch(self, batch: Batch, last: bool) -> bool:
         """Copy the part of a batch that the receiver does not hold."""
         receiver = self._choose_receiver()
         if receiver is None:
@@ -217,9 +217,10 @@
         return False
 
     def _choose_receiver(self) -> Member | None:
-        """Return the receiver.
+        """Return the peer that receives copies, or None if there is none.
 
-        A new receiver is sent every batch from its first record.
+        The receiver is kept as long as it is live and accepts records. A new
+        receiver is sent every batch from its first record.
         """
         members = self._mesh.members()
         now = self._clock.now()
@@ -240,7 +241,7 @@
         return self._receiver
 
     def _rank(self, member: Member) -> tuple[bool, bool, str]:
-        """Order peers: local failure domain first, then next by name."""
+        """Return the sort key of peers: local failure domain, then name."""
         own = self._biller.incarnation
         return (
             member.domain != self._domain,
@@ -281,7 +282,7 @@
 
     @property
     def held(self) -> int:
-        """Return the number of records held for other hosts."""
+        """Number of records held for other hosts."""
         return sum(len(batch.records) for batch in self._held.values())
 
     def listen(self) -> None:
--- a/src/nutmegroad/records/runs.py
+++ b/src/nutmegroad/records/runs.py
@@ -137,19 +137,19 @@
 
     async def _execute(
         self,
-        run: ExecutionGrant,
+        grant: ExecutionGrant,
         work: Execute,
         cancelled_record: CancelledRecord,
     ) -> RequestResult:
         """Execute a claimed request; it is always settled and billed."""
         ended: RequestResult | None = None
         try:
-            ended = await work(run.fence)
+            ended = await work(grant.fence)
         finally:
             if ended is None:
-                self._once.settle_unknown(run)
+                self._once.settle_unknown(grant)
                 self._biller.record(cancelled_record())
         self._biller.record(ended.record)
-        reply = await self._once.settle(run, ended.reply)
+        reply = await self._once.settle(grant, ended.reply)
         await self._sender.hand()
         return RequestResult(reply, ended.record)
--- a/src/nutmegroad/records/tickets.py
+++ b/src/nutmegroad/records/tickets.py
@@ -33,13 +33,14 @@
 #: that an expired ticket can still be known to be unspent.
 SPENT_RETENTION: Final = 1800.0
 #: Maximum number of spent tickets retained. Beyond it, tickets are refused;
-#: none is dropped early.
+#: no spent ticket is dropped early.
 MAX_SPENT: Final = 50_000
 #: Maximum total size of retained answers in bytes; the oldest are dropped.
 MAX_ANSWER_BYTES: Final = 33_554_432
 
 #: Seconds after which a caller may retry when the limit is reached.
 _FULL_RETRY_AFTER: Final = 30
+#: Separates these signatures from others made with the same key.
 _SALT: Final = 'nutmegroad-ticket'
 
 
@@ -148,14 +149,14 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return the incarnation whose tickets can be spent here."""
+        """Incarnation whose tickets can be spent here."""
         return self._incarnation
 
     def issue(self, workspace: WorkspaceId) -> str | Refusal:
         """Return a new ticket; needs no write and no message."""
-        self._forget()
+        self._drop_expired()
         if len(self._spent) >= self._max_spent:
-            return _full()
+            return _limit_reached()
         self._issued += 1
         ticket = Ticket(
             workspace,
@@ -182,17 +183,17 @@
             The spent ticket if the request may be executed, the first answer
             if there is one, or a refusal that says why nothing may be sent.
         """
-        self._forget()
+        self._drop_expired()
         spent = self._spent.get(ticket.number)
         if spent is not None:
             return self._repeat(spent, fingerprint)
         now = self._clock.now()
         if now >= ticket.until + SPENT_RETENTION - TICKET_LIFETIME:
-            return _forgotten()
+            return _outcome_forgotten()
         if now >= ticket.until:
             return ticket_invalid('has expired and was never used')
         if len(self._spent) >= self._max_spent:
-            return _full()
+            return _limit_reached()
         # Retained for at least as long as an expired ticket can still be
         # reported as unspent.
         until = now + SPENT_RETENTION
@@ -241,7 +242,7 @@
             Ran.RAN,
         )
 
-    def _forget(self) -> None:
+    def _drop_expired(self) -> None:
         """Drop spent tickets whose retention has ended, oldest first."""
         now = self._clock.now()
         while self._spent:
@@ -260,11 +261,15 @@
 
 
 def ticket_invalid(why: str) -> Refusal:
-    """Return the refusal for a ticket that can not be used."""
+    """Return the refusal for a ticket that cannot be used.
+
+    Args:
+        why: Rest of the sentence that begins with ``The ticket``.
+    """
     return Refusal(ResultCode.TICKET_INVALID, f'The ticket {why}.')
 
 
-def _forgotten() -> Refusal:
+def _outcome_forgotten() -> Refusal:
     """Return the refusal for a ticket older than the retention period."""
     return Refusal(
         ResultCode.OUTCOME_UNKNOWN,
@@ -273,7 +278,7 @@
     )
 
 
-def _full() -> Refusal:
+def _limit_reached() -> Refusal:
     """Return the refusal for when no more tickets can be retained."""
     return Refusal(
         ResultCode.OVERLOADED,
