--- a/experiments/configuration/hosts.py
+++ b/experiments/configuration/hosts.py
@@ -95,22 +95,22 @@
 
         self._mesh.handle(kind, handle)
 
-    def tell(self, host: HostId, message: Message) -> bool:
+    def send(self, host: HostId, message: Message) -> bool:
         """Queue a message to a host; return false if it is not linked."""
-        return self._mesh.tell(host, message)
+        return self._mesh.send(host, message)
 
-    def tell_all(self, message: Message) -> int:
+    def broadcast(self, message: Message) -> int:
         """Queue a message to all linked hosts; return their number."""
-        return self._mesh.tell_all(message)
+        return self._mesh.broadcast(message)
 
-    async def ask(
+    async def request(
         self,
         host: HostId,
         message: Message,
         timeout: float,
     ) -> Message | Refusal:
         """Send a request; return its reply when the host is not paused."""
-        reply = await self._mesh.ask(host, message, timeout)
+        reply = await self._mesh.request(host, message, timeout)
         await self._clock.sleep(0)
         return reply
 
--- a/experiments/costs/records_cost.py
+++ b/experiments/costs/records_cost.py
@@ -213,12 +213,12 @@
             domain=DOMAIN,
             address=Address('127.0.0.1', 0),
             presence=Presence.LIVE,
-            heard=0,
+            last_seen=0,
         )
         self.handle = links.handle
-        self.tell = links.tell
-        self.tell_all = links.tell_all
-        self.ask = links.ask
+        self.send = links.send
+        self.broadcast = links.broadcast
+        self.request = links.request
 
     def members(self) -> tuple[Member, ...]:
         """Return the member of the other host."""
--- a/experiments/slopes/mesh_hosts.py
+++ b/experiments/slopes/mesh_hosts.py
@@ -205,7 +205,7 @@
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
         """Register nothing, as no message arrives."""
 
-    def tell(self, host: HostId, message: Message) -> bool:
+    def send(self, host: HostId, message: Message) -> bool:
         """Send nothing."""
         return False
 
@@ -213,11 +213,11 @@
         """Send nothing."""
         return 0
 
-    def tell_all(self, message: Message) -> int:
+    def broadcast(self, message: Message) -> int:
         """Send nothing."""
         return 0
 
-    async def ask(
+    async def request(
         self,
         host: HostId,
         message: Message,
--- a/experiments/soak/hosts.py
+++ b/experiments/soak/hosts.py
@@ -37,7 +37,7 @@
 from nutmegroad.foundations.invariants import Invariants
 from nutmegroad.foundations.metrics import Metrics
 from nutmegroad.foundations.types import Address, DomainId, HostId, Presence
-from nutmegroad.kernel.core import Kernel, MakePart, Part
+from nutmegroad.kernel.core import Kernel, Part, PartFactory
 from nutmegroad.kernel.settings import Settings
 from nutmegroad.membership.duties import Duties
 from nutmegroad.membership.members import Members
@@ -102,13 +102,13 @@
 
     is_alive = True
 
-    def tell(self, host: HostId, message: Message) -> bool:
+    def send(self, host: HostId, message: Message) -> bool:
         """Queue a message to one host."""
-        return self.is_alive and super().tell(host, message)
+        return self.is_alive and super().send(host, message)
 
-    def tell_all(self, message: Message) -> int:
+    def broadcast(self, message: Message) -> int:
         """Queue a message to all hosts."""
-        return super().tell_all(message) if self.is_alive else 0
+        return super().broadcast(message) if self.is_alive else 0
 
 
 class MemoryMembers:
@@ -347,6 +347,6 @@
         }
 
 
-def _factory_of(part: Part) -> MakePart:
+def _factory_of(part: Part) -> PartFactory:
     """Return a factory that returns an existing part."""
     return lambda: part
--- a/src/nutmegroad/adapters/_event_streams.py
+++ b/src/nutmegroad/adapters/_event_streams.py
@@ -6,7 +6,7 @@
 from msgspec import DecodeError, Struct
 from msgspec.json import Decoder
 
-from nutmegroad.contracts.upstreams import AnswerEvent, Ending, Piece
+from nutmegroad.contracts.upstreams import AnswerEnd, AnswerEvent, Piece
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import AttemptId, Ran
 
@@ -107,7 +107,7 @@
 
     attempt: AttemptId
     expected: int = 0
-    ending: Ending | None = None
+    ending: AnswerEnd | None = None
     is_over: bool = False
     duplicates: int = 0
 
@@ -124,7 +124,7 @@
             return self._stop(ResultCode.UPSTREAM_ERROR, reason)
         return self._read_chunk(chunk)
 
-    def close(self) -> Ending | Refusal:
+    def close(self) -> AnswerEnd | Refusal:
         """Return the ending, or a refusal if the stream ended without one."""
         if self.ending is None:
             reason = 'The engine closed the stream before the answer ended.'
@@ -153,7 +153,7 @@
         choice = chunk.choices[0] if chunk.choices else Choice()
         if choice.finish_reason is not None:
             usage = chunk.usage or Usage()
-            self.ending = Ending(
+            self.ending = AnswerEnd(
                 reason=choice.finish_reason,
                 prompt_tokens=usage.prompt_tokens,
                 output_tokens=usage.completion_tokens,
--- a/src/nutmegroad/adapters/_http_answers.py
+++ b/src/nutmegroad/adapters/_http_answers.py
@@ -18,7 +18,7 @@
     refusal_for_error,
     upstream_url,
 )
-from nutmegroad.contracts.upstreams import AnswerEvent, Attempt, Ending
+from nutmegroad.contracts.upstreams import AnswerEnd, AnswerEvent, Attempt
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Ran
 
@@ -127,13 +127,13 @@
         async for received in response.content.iter_any():
             for line in splitter.feed(received):
                 event = reader.read(line)
-                self._is_finished = isinstance(event, Ending)
+                self._is_finished = isinstance(event, AnswerEnd)
                 if event is not None:
                     yield event
                 if reader.is_over:
                     return
         event = reader.close()
-        self._is_finished = isinstance(event, Ending)
+        self._is_finished = isinstance(event, AnswerEnd)
         yield event
 
     def _failure(self, error: Exception) -> AnswerEvent:
--- a/src/nutmegroad/adapters/_http_upstreams.py
+++ b/src/nutmegroad/adapters/_http_upstreams.py
@@ -22,7 +22,7 @@
     refusal_for_error,
     upstream_url,
 )
-from nutmegroad.contracts._watch_rows import REPORTS_PART
+from nutmegroad.contracts._report_rows import REPORTS_PART
 from nutmegroad.contracts.upstreams import (
     AnswerEvent,
     Attempt,
--- a/src/nutmegroad/callers/_stop_guard.py
+++ b/src/nutmegroad/callers/_stop_guard.py
@@ -17,7 +17,7 @@
 from nutmegroad.foundations.metrics import Metrics
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import RequestId
-from nutmegroad.kernel.stops import GracefulStop, ended_by_stop
+from nutmegroad.kernel.stops import GracefulStop, cancelled_by_stop
 
 #: Key under which an HTTP request stores the stream of its answer.
 STREAM_KEY: Final = RequestKey('stream', EventStream)
@@ -52,7 +52,7 @@
             if refusal is not None:
                 self._metrics.refused(refusal.code)
                 return refuse(refusal, _NO_REQUEST_ID)
-            with self._stop.request():
+            with self._stop.track_request():
                 return await self._handle(request, handler)
 
         return guard
@@ -79,7 +79,7 @@
         task = asyncio.current_task()
         if task is not None:
             task.uncancel()
-        return await self._reply_stopped(http, ended_by_stop())
+        return await self._reply_stopped(http, cancelled_by_stop())
 
     async def _reply_stopped(
         self,
--- a/src/nutmegroad/callers/intake.py
+++ b/src/nutmegroad/callers/intake.py
@@ -15,7 +15,7 @@
     Configuration,
 )
 from nutmegroad.contracts.documents import TaskEntry, WorkspaceEntry
-from nutmegroad.contracts.requests import ModelRequest, SessionClaim
+from nutmegroad.contracts.requests import ModelRequest, SessionBinding
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.secrets import hash_of, is_same
@@ -238,7 +238,7 @@
         self,
         headers: Mapping[str, str],
         workspace: WorkspaceEntry,
-    ) -> tuple[str, SessionClaim | None] | Refusal:
+    ) -> tuple[str, SessionBinding | None] | Refusal:
         """Return the name of a request's session and its claim.
 
         The name is empty if there is no session. The claim is None unless
@@ -313,7 +313,7 @@
     task: TaskEntry,
     workspace: WorkspaceEntry,
     accepted: AcceptedConfiguration,
-    claim: SessionClaim | None,
+    claim: SessionBinding | None,
 ) -> tuple[VersionId, ...] | Refusal:
     """Return the versions that may answer a request.
 
--- a/src/nutmegroad/callers/named_sessions.py
+++ b/src/nutmegroad/callers/named_sessions.py
@@ -136,7 +136,7 @@
         stored = self._store(key, row.text)
         message = SessionMemory(key, row.text)
         for host in self._cache_peers(key):
-            self._mesh.tell(host, message)
+            self._mesh.send(host, message)
         return stored
 
     def _store(self, key: str, text: str) -> SessionToken:
@@ -161,7 +161,7 @@
         """Return the row from the first peer that has it; empty if none."""
         question = SessionQuestion(key)
         asks = [
-            self._mesh.ask(host, question, PEER_TIMEOUT)
+            self._mesh.request(host, question, PEER_TIMEOUT)
             for host in self._cache_peers(key)
         ]
         for reply in await asyncio.gather(*asks):
--- a/src/nutmegroad/callers/session_pins.py
+++ b/src/nutmegroad/callers/session_pins.py
@@ -6,7 +6,7 @@
 from nutmegroad.callers.named_sessions import NamedSessions
 from nutmegroad.callers.session_tokens import SessionSigner, SessionToken
 from nutmegroad.configuration.in_force import Configuration
-from nutmegroad.contracts.requests import ModelRequest, SessionClaim
+from nutmegroad.contracts.requests import ModelRequest, SessionBinding
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.types import Epoch, VersionId
 from nutmegroad.routing.dispatch import Dispatcher
@@ -66,7 +66,7 @@
         claim = model.session
         if claim is None:
             name = intake.session or model.request
-            claim = SessionClaim(name, version, self._epoch(version))
+            claim = SessionBinding(name, version, self._epoch(version))
         return self._signer.sign(model.workspace, model.task, claim)
 
     async def _begin(
--- a/src/nutmegroad/callers/session_tokens.py
+++ b/src/nutmegroad/callers/session_tokens.py
@@ -10,7 +10,7 @@
 from itsdangerous import BadData, URLSafeSerializer
 from msgspec import Struct
 
-from nutmegroad.contracts.requests import SessionClaim
+from nutmegroad.contracts.requests import SessionBinding
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Epoch, TaskName, VersionId, WorkspaceId
 
@@ -39,9 +39,9 @@
     epoch: int
 
     @property
-    def claim(self) -> SessionClaim:
+    def claim(self) -> SessionBinding:
         """The name, version and epoch, as a model request carries them."""
-        return SessionClaim(
+        return SessionBinding(
             self.name,
             VersionId(self.version),
             Epoch(self.epoch),
@@ -66,7 +66,7 @@
         self,
         workspace: WorkspaceId,
         task: TaskName,
-        claim: SessionClaim,
+        claim: SessionBinding,
     ) -> str:
         """Return the token of a session."""
         token = SessionToken(
--- a/src/nutmegroad/cli/program.py
+++ b/src/nutmegroad/cli/program.py
@@ -22,7 +22,7 @@
 from nutmegroad.cli._cli_output import format_json
 from nutmegroad.cli._cli_table import COMMANDS, Command
 from nutmegroad.foundations.types import Address
-from nutmegroad.kernel._setting_specs import read_targets
+from nutmegroad.kernel._setting_specs import parse_targets
 
 #: Environment variable with the addresses of operators' listeners, separated
 #: by commas.
@@ -166,7 +166,7 @@
     """Return the addresses of the operators' listeners that were named."""
     text = args.operators or environ.get(OPERATORS_VARIABLE, '')
     try:
-        addresses = read_targets(text)
+        addresses = parse_targets(text)
     except ValueError:
         addresses = ()
     if addresses:
--- a/src/nutmegroad/configuration/_decoding.py
+++ b/src/nutmegroad/configuration/_decoding.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from nutmegroad.contracts.documents import Document
-from nutmegroad.contracts.problems import Problem, choices_of
+from nutmegroad.contracts.problems import Problem, describe_choices
 
 _MESSAGE: Final = re.compile(
     r'(?P<fault>.*?)(?: - at (?:`|key in `)(?P<path>[^`]*)`)?',
@@ -75,7 +75,7 @@
     for step in _steps(path):
         if isinstance(step, str):
             kind = _field_type(kind, step)
-    return choices_of(_names_of(kind))
+    return describe_choices(_names_of(kind))
 
 
 def _field_type(kind: Any, name: str) -> Any:
--- a/src/nutmegroad/configuration/_plan_checks.py
+++ b/src/nutmegroad/configuration/_plan_checks.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from nutmegroad.contracts.documents import Document, WorkspaceEntry
-from nutmegroad.contracts.problems import Problem, choices_of
+from nutmegroad.contracts.problems import Problem, describe_choices
 from nutmegroad.foundations.types import TaskName, VersionId
 
 
@@ -106,7 +106,7 @@
         yield Problem(
             f'{path}.versions',
             f'"{workspace.name}" may use no version for {task.label}',
-            choices_of(task.qualities),
+            describe_choices(task.qualities),
         )
         return
     target = workspace.targets.get(task.name, task.target)
--- a/src/nutmegroad/configuration/announcements.py
+++ b/src/nutmegroad/configuration/announcements.py
@@ -73,7 +73,7 @@
         notice = self._confirmations.notice
         sent = 0
         for host in hosts:
-            sent += self._mesh.tell(host, notice)
+            sent += self._mesh.send(host, notice)
             if sent >= count:
                 break
 
@@ -89,4 +89,4 @@
         if notice.revision < configuration.revision or (
             notice.facts_digest != configuration.withdrawals_digest
         ):
-            self._mesh.tell(host, self._confirmations.notice)
+            self._mesh.send(host, self._confirmations.notice)
--- a/src/nutmegroad/configuration/checks.py
+++ b/src/nutmegroad/configuration/checks.py
@@ -22,7 +22,12 @@
     Stage,
     parse_document,
 )
-from nutmegroad.contracts.problems import Problem, references, repeated, unknown
+from nutmegroad.contracts.problems import (
+    Problem,
+    duplicate_names,
+    invalid_references,
+    undefined_names,
+)
 from nutmegroad.foundations.types import VersionId
 
 __all__ = ('Problem', 'check_document', 'read_document')
@@ -76,7 +81,7 @@
         '$.operators[{0}].token_hash': (ent.token_hash for ent in operators),
     }
     for path, names in named.items():
-        yield from repeated(path, names)
+        yield from duplicate_names(path, names)
     yield from _check_keys(document)
     if not document.presets:
         yield Problem('$.presets', 'there is no preset', 'one or more')
@@ -105,12 +110,14 @@
     ids = {entry.id for entry in document.versions}
     for index, entry in enumerate(document.versions):
         path = f'$.versions[{index}]'
-        yield from unknown(f'{path}.quality', 'task', entry.quality, tasks)
+        yield from undefined_names(
+            f'{path}.quality', 'task', entry.quality, tasks
+        )
         if entry.replaces is None:
             continue
         others = ids - {entry.id}
         path = f'{path}.replaces'
-        yield from unknown(path, _VERSION, (entry.replaces,), others)
+        yield from undefined_names(path, _VERSION, (entry.replaces,), others)
 
 
 def _check_tasks(document: Document) -> Iterator[Problem]:
@@ -137,7 +144,7 @@
     for index, service in enumerate(document.services):
         path = f'$.services[{index}].calls'
         rules = service.calls
-        yield from repeated(f'{path}[{{0}}]', map(_rule_text, rules))
+        yield from duplicate_names(f'{path}[{{0}}]', map(_rule_text, rules))
         for rule_index, rule in enumerate(rules):
             if not rule.path or rule.path.startswith('/'):
                 yield Problem(
@@ -154,14 +161,18 @@
     services = {service.name for service in document.services}
     for index, entry in enumerate(document.workspaces):
         path = f'$.workspaces[{index}]'
-        yield from references(f'{path}.versions', _VERSION, entry.versions, ids)
-        yield from references(
+        yield from invalid_references(
+            f'{path}.versions', _VERSION, entry.versions, ids
+        )
+        yield from invalid_references(
             f'{path}.services',
             'service',
             entry.services,
             services,
         )
-        yield from unknown(f'{path}.targets', 'task', entry.targets, tasks)
+        yield from undefined_names(
+            f'{path}.targets', 'task', entry.targets, tasks
+        )
 
 
 def _check_presets(document: Document) -> Iterator[Problem]:
@@ -171,10 +182,12 @@
     for index, preset in enumerate(document.presets):
         path = f'$.presets[{index}]'
         named = [entry.task for entry in preset.tasks]
-        yield from references(f'{path}.tasks', 'task', named, tasks)
-        yield from unknown(f'{path}.preload', _VERSION, preset.preload, ids)
+        yield from invalid_references(f'{path}.tasks', 'task', named, tasks)
+        yield from undefined_names(
+            f'{path}.preload', _VERSION, preset.preload, ids
+        )
         for task_index, entry in enumerate(preset.tasks):
-            yield from references(
+            yield from invalid_references(
                 f'{path}.tasks[{task_index}].versions',
                 _VERSION,
                 entry.versions,
@@ -191,7 +204,7 @@
     """Check that a preset's rollouts are of versions in that stage."""
     ids = {entry.id for entry in document.versions}
     rollouts = [entry.version for entry in preset.rollouts]
-    yield from references(path, _VERSION, rollouts, ids)
+    yield from invalid_references(path, _VERSION, rollouts, ids)
     for index, version in enumerate(rollouts):
         entry = document.version(VersionId(version))
         if entry is not None and entry.stage is not Stage.ROLLOUT:
--- a/src/nutmegroad/configuration/differences.py
+++ b/src/nutmegroad/configuration/differences.py
@@ -11,7 +11,7 @@
 from nutmegroad.contracts.documents import (
     CallRule,
     Document,
-    DocumentPart,
+    DocumentSection,
     PresetTask,
     RolloutShare,
 )
@@ -61,8 +61,8 @@
 
 def _compare_entries(
     label: str,
-    old: Iterable[DocumentPart],
-    new: Iterable[DocumentPart],
+    old: Iterable[DocumentSection],
+    new: Iterable[DocumentSection],
 ) -> Iterator[Difference]:
     """Compare the entries of a section, matched by their keys."""
     before = {_key_of(entry): entry for entry in old}
@@ -92,8 +92,8 @@
 
 def _compare_fields(
     subject: str,
-    old: DocumentPart,
-    new: DocumentPart,
+    old: DocumentSection,
+    new: DocumentSection,
 ) -> Iterator[Difference]:
     """Compare two entries field by field."""
     for field in msgspec.structs.fields(type(old)):
@@ -113,7 +113,7 @@
         return _compare_mappings
     if not isinstance(old, tuple):
         return _compare_value
-    if any(isinstance(entry, DocumentPart) for entry in (*old, *new)):
+    if any(isinstance(entry, DocumentSection) for entry in (*old, *new)):
         return _compare_lists
     return _compare_names
 
@@ -148,8 +148,8 @@
 def _compare_lists(
     subject: str,
     name: str,
-    old: Collection[DocumentPart],
-    new: Collection[DocumentPart],
+    old: Collection[DocumentSection],
+    new: Collection[DocumentSection],
 ) -> Iterator[Difference]:
     """Compare two lists of entries, such as the tasks of a preset."""
     label = f'{subject}, {_words(name).removesuffix("s")}'
--- a/src/nutmegroad/configuration/peer_queries.py
+++ b/src/nutmegroad/configuration/peer_queries.py
@@ -123,7 +123,7 @@
             hosts.insert(0, first)
         attempts = 0
         for host in hosts:
-            reply = await self._mesh.ask(
+            reply = await self._mesh.request(
                 host,
                 DocumentQuestion(digest),
                 REPLY_TIMEOUT,
@@ -143,7 +143,7 @@
         """Fetch and add the withdrawals that a peer knows."""
         after = ''
         for _ in range(_MAX_PAGES):
-            reply = await self._mesh.ask(
+            reply = await self._mesh.request(
                 host,
                 WithdrawalsQuestion(after),
                 REPLY_TIMEOUT,
@@ -159,7 +159,9 @@
         """Ask the first host with a link; return None if it does not reply."""
         for host in hosts:
             sent_at = self._clock.now()
-            reply = await self._mesh.ask(host, HeadQuestion(), REPLY_TIMEOUT)
+            reply = await self._mesh.request(
+                host, HeadQuestion(), REPLY_TIMEOUT
+            )
             if isinstance(reply, HeadReply):
                 confirmed = None if reply.age is None else sent_at - reply.age
                 return PeerHead(host, reply.notice, confirmed)
--- a/src/nutmegroad/configuration/progress.py
+++ b/src/nutmegroad/configuration/progress.py
@@ -174,7 +174,7 @@
     async def _ask_host(self, member: Member, change: Change) -> HostProgress:
         """Ask one host."""
         question = ProgressQuestion(change)
-        reply = await self._mesh.ask(member.host, question, _HOST_TIMEOUT)
+        reply = await self._mesh.request(member.host, question, _HOST_TIMEOUT)
         if isinstance(reply, ProgressReply) and reply.hosts:
             return reply.hosts[0]
         return HostProgress(member.host, member.domain)
@@ -190,7 +190,7 @@
         for member in members:
             if attempts == _MAX_ATTEMPTS:
                 break
-            reply = await self._mesh.ask(
+            reply = await self._mesh.request(
                 member.host,
                 question,
                 _DOMAIN_TIMEOUT,
--- a/src/nutmegroad/contracts/_watch_rows.py
+++ b/src/nutmegroad/contracts/_report_rows.py
@@ -30,7 +30,7 @@
     """The load report of one engine, as an array on the wire.
 
     Attributes:
-        run: Hash of the engine's id and address.
+        endpoint: Hash of the engine's id and address.
         age: Tenths of a second since the engine was polled.
         running: Requests in its batch.
         queued: Requests in its queue.
@@ -42,7 +42,7 @@
         fencing: Highest fencing number that it has seen.
     """
 
-    run: int
+    endpoint: int
     age: int
     running: int
     queued: int
@@ -125,9 +125,12 @@
         flags = _DRAINING * report.leaving
         flags += _CHECKS_FENCING * report.checks_fencing
         row = ReportRow(
-            run=run_of(state.info),
+            endpoint=endpoint_hash(state.info),
             age=max(
-                0, round(_TENTHS_PER_SECOND * (self._now - state.reported))
+                0,
+                round(
+                    _TENTHS_PER_SECOND * (self._now - state.report_requested_at)
+                ),
             ),
             running=report.running,
             queued=report.queued,
@@ -145,7 +148,7 @@
         )
 
 
-class RunIndex:
+class EndpointIndex:
     """Finds engines by the hash of their endpoint."""
 
     def __init__(self) -> None:
@@ -165,7 +168,7 @@
         self._states = {}
         collisions: set[int] = set()
         for state in known:
-            endpoint = run_of(state.info)
+            endpoint = endpoint_hash(state.info)
             if endpoint in self._states:
                 collisions.add(endpoint)
             self._states[endpoint] = state
@@ -177,12 +180,12 @@
         return self._states.get(endpoint)
 
 
-def run_of(info: UpstreamInfo) -> int:
+def endpoint_hash(info: UpstreamInfo) -> int:
     """Return the 32-bit hash of an upstream's id and address."""
     return xxhash.xxh32_intdigest(f'{info.upstream} {info.address}'.encode())
 
 
-def report_of_row(
+def decode_report(
     row: ReportRow,
     names: tuple[str, ...],
     known: EngineReport | None,
@@ -215,6 +218,6 @@
     )
 
 
-def age_of(row: ReportRow) -> float:
+def report_age(row: ReportRow) -> float:
     """Return the age of a report when its row was sent, in seconds."""
     return max(0, row.age) / _TENTHS_PER_SECOND
--- a/src/nutmegroad/contracts/decisions.py
+++ b/src/nutmegroad/contracts/decisions.py
@@ -56,7 +56,7 @@
         cost: Cost of the attempt.
         text: The complete answer, if there was one.
         cached_tokens: Prompt tokens found in the engine's prefix cache.
-        out_of_time: Whether the deadline passed or the caller disconnected
+        abandoned: Whether the deadline passed or the caller disconnected
             while the upstream was working. Such an end is no evidence about
             the version or the upstream.
     """
@@ -70,7 +70,7 @@
     cost: float
     text: str
     cached_tokens: int = 0
-    out_of_time: bool = False
+    abandoned: bool = False
 
 
 class Observer(Protocol):
@@ -151,7 +151,7 @@
         """Return a permit to hold while the request runs, or a refusal."""
 
 
-class Spender(Protocol):
+class RetryRequester(Protocol):
     """What a retry is charged to: a model request, or a service call."""
 
     @property
@@ -166,7 +166,7 @@
 class RetryBudget(Protocol):
     """Limits retries to a fraction of the traffic."""
 
-    def spend(self, request: Spender) -> bool:
+    def spend(self, request: RetryRequester) -> bool:
         """Take one retry out of the budget.
 
         Returns:
--- a/src/nutmegroad/contracts/documents.py
+++ b/src/nutmegroad/contracts/documents.py
@@ -67,13 +67,13 @@
     OPERATE = 'operate'
 
 
-class DocumentPart(
+class DocumentSection(
     Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
     """Base of all sections of the document; rejects unknown fields."""
 
 
-class VersionEntry(DocumentPart):
+class VersionEntry(DocumentSection):
     """A version of a model, and its prices.
 
     Attributes:
@@ -103,7 +103,7 @@
         return VersionId(self.id)
 
 
-class TaskEntry(DocumentPart):
+class TaskEntry(DocumentSection):
     """A task class: requests of the same kind.
 
     Attributes:
@@ -127,7 +127,7 @@
     cascade: bool = True
 
 
-class WorkspaceEntry(DocumentPart):
+class WorkspaceEntry(DocumentSection):
     """A workspace: its key, its permissions and its requirements.
 
     Attributes:
@@ -169,7 +169,7 @@
         return WorkspaceId(self.name)
 
 
-class PresetTask(DocumentPart):
+class PresetTask(DocumentSection):
     """The settings of a preset for one task class.
 
     Attributes:
@@ -184,7 +184,7 @@
     target: Fraction | None = None
 
 
-class RolloutShare(DocumentPart):
+class RolloutShare(DocumentSection):
     """The maximum traffic share of a version in rollout under a preset.
 
     Attributes:
@@ -196,7 +196,7 @@
     share: Fraction
 
 
-class PresetEntry(DocumentPart):
+class PresetEntry(DocumentSection):
     """A set of routing settings, such as for peak load; one is in force.
 
     Attributes:
@@ -220,7 +220,7 @@
         return PresetName(self.name)
 
 
-class CallRule(DocumentPart):
+class CallRule(DocumentSection):
     """A rule about which calls of a plain service may be repeated.
 
     Attributes:
@@ -234,7 +234,7 @@
     repeatable: bool
 
 
-class ServiceEntry(DocumentPart):
+class ServiceEntry(DocumentSection):
     """A plain service.
 
     Attributes:
@@ -254,7 +254,7 @@
         return ServiceName(self.name)
 
 
-class OperatorEntry(DocumentPart):
+class OperatorEntry(DocumentSection):
     """An operator.
 
     Attributes:
@@ -273,7 +273,7 @@
         return OperatorId(self.name)
 
 
-class Document(DocumentPart):
+class Document(DocumentSection):
     """A complete configuration.
 
     Attributes:
--- a/src/nutmegroad/contracts/fences.py
+++ b/src/nutmegroad/contracts/fences.py
@@ -57,11 +57,11 @@
         self._passed = 0
 
     @property
-    def passed(self) -> int:
+    def sent_count(self) -> int:
         """The number of attempts that were sent and may have been executed."""
         return self._passed
 
-    def check(self) -> Refusal | None:
+    def admit(self) -> Refusal | None:
         """Admit and count an attempt that is sent now.
 
         Returns:
@@ -87,7 +87,7 @@
         self._passed += 1
         return None
 
-    def attempt(self) -> 'AttemptFence':
+    def new_attempt(self) -> 'AttemptFence':
         """Return the fence of a new attempt."""
         return AttemptFence(self)
 
@@ -128,7 +128,7 @@
         self._passed = False
         self._ran = False
 
-    def check(self) -> Refusal | None:
+    def admit(self) -> Refusal | None:
         """Admit the attempt if it is sent now for the first time.
 
         Returns:
@@ -136,11 +136,11 @@
         """
         if self._passed:
             return None
-        refusal = self._fence.check()
+        refusal = self._fence.admit()
         self._passed = refusal is None
         return refusal
 
-    def end(self, reply: object) -> None:
+    def record_end(self, reply: object) -> None:
         """Record the end of the attempt.
 
         Args:
--- a/src/nutmegroad/contracts/peers.py
+++ b/src/nutmegroad/contracts/peers.py
@@ -51,7 +51,7 @@
         domain: Its failure domain.
         address: The address on which it listens for peers.
         presence: Whether it is live, leaving or gone.
-        heard: Clock seconds at which it was last seen.
+        last_seen: Clock seconds at which it was last seen.
     """
 
     host: HostId
@@ -59,7 +59,7 @@
     domain: DomainId
     address: Address
     presence: Presence
-    heard: float
+    last_seen: float
 
 
 class Mesh(Protocol):
@@ -71,13 +71,13 @@
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
         """Register the handler for messages of a type."""
 
-    def tell(self, host: HostId, message: Message) -> bool:
+    def send(self, host: HostId, message: Message) -> bool:
         """Queue a message to a host; return false if it has no link."""
 
-    def tell_all(self, message: Message) -> int:
+    def broadcast(self, message: Message) -> int:
         """Queue a message on every link; return on how many it was queued."""
 
-    async def ask(
+    async def request(
         self,
         host: HostId,
         message: Message,
--- a/src/nutmegroad/contracts/problems.py
+++ b/src/nutmegroad/contracts/problems.py
@@ -23,13 +23,13 @@
         return f'{self.path}: {self.wrong}; expected {self.expected}.'
 
 
-def choices_of(names: Collection[str]) -> str:
+def describe_choices(names: Collection[str]) -> str:
     """Return the valid names as the end of a sentence."""
     quoted = ', '.join(f'"{name}"' for name in sorted(names))
     return f'one of {quoted}' if quoted else 'none, as none is defined'
 
 
-def repeated(path: str, names: Iterable[str]) -> Iterator[Problem]:
+def duplicate_names(path: str, names: Iterable[str]) -> Iterator[Problem]:
     """Yield a problem for each name that repeats an earlier one.
 
     Args:
@@ -47,7 +47,7 @@
             )
 
 
-def unknown(
+def undefined_names(
     path: str,
     kind: str,
     names: Iterable[str],
@@ -64,16 +64,16 @@
     for name in names:
         if name not in known:
             wrong = f'{kind} "{name}" is not defined'
-            yield Problem(path, wrong, choices_of(known))
+            yield Problem(path, wrong, describe_choices(known))
 
 
-def references(
+def invalid_references(
     path: str,
     kind: str,
     names: Collection[str],
     known: Collection[str],
 ) -> Iterator[Problem]:
     """Yield the problems of a list of names: duplicates and undefined ones."""
-    yield from repeated(f'{path}[{{0}}]', names)
+    yield from duplicate_names(f'{path}[{{0}}]', names)
     for index, name in enumerate(names):
-        yield from unknown(f'{path}[{index}]', kind, (name,), known)
+        yield from undefined_names(f'{path}[{index}]', kind, (name,), known)
--- a/src/nutmegroad/contracts/requests.py
+++ b/src/nutmegroad/contracts/requests.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SessionClaim:
+class SessionBinding:
     """The version that a session is bound to.
 
     Attributes:
@@ -67,7 +67,7 @@
     output_tokens: int
     prefix: int
     key: IdempotencyKey
-    session: SessionClaim | None
+    session: SessionBinding | None
     body: dict[str, object]
     fence: Fence | None = None
 
--- a/src/nutmegroad/contracts/upstreams.py
+++ b/src/nutmegroad/contracts/upstreams.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class AnswerEnd:
     """The event that an answer is complete.
 
     Attributes:
@@ -83,7 +83,7 @@
 
 #: A stream yields pieces and then one ending; a refusal may end it at any
 #: point.
-AnswerEvent = Piece | Ending | Refusal
+AnswerEvent = Piece | AnswerEnd | Refusal
 
 
 @dataclass(frozen=True, slots=True)
@@ -216,32 +216,32 @@
     Attributes:
         info: Its entry in the host list.
         report: Last report of an engine; None if there is none.
-        reported: Clock seconds at which that report was requested.
+        report_requested_at: Clock seconds at which that report was requested.
         in_flight: Requests from this host that it is executing.
-        failures: Failed polls of its load report since the last success.
-        leaving: Whether it gets no new requests because it is reported to
+        failed_polls: Failed polls of its load report since the last success.
+        draining: Whether it gets no new requests because it is reported to
             be draining or refuses connections.
-        leaving_since: Clock seconds at which that was last reported or
+        draining_since: Clock seconds at which that was last reported or
             observed.
-        refusals: Connections refused since the last one that was
+        refused_connections: Connections refused since the last one that was
             accepted.
         first_seen: Clock seconds at which this host learned of it.
-        in_flight_versions: Requests from this host that it is executing, by
+        in_flight_by_version: Requests from this host that it is executing, by
             version.
     """
 
     info: UpstreamInfo
     report: EngineReport | None = None
-    reported: float = 0
+    report_requested_at: float = 0
     in_flight: int = 0
-    failures: int = 0
-    leaving: bool = False
-    leaving_since: float = 0
-    refusals: int = 0
+    failed_polls: int = 0
+    draining: bool = False
+    draining_since: float = 0
+    refused_connections: int = 0
     first_seen: float = 0
-    in_flight_versions: dict[VersionId, int] = field(default_factory=dict)
+    in_flight_by_version: dict[VersionId, int] = field(default_factory=dict)
 
     @property
-    def is_open(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether it may get new requests: listed as live and not draining."""
-        return self.info.presence is Presence.LIVE and not self.leaving
+        return self.info.presence is Presence.LIVE and not self.draining
--- a/src/nutmegroad/daemon/part.py
+++ b/src/nutmegroad/daemon/part.py
@@ -67,7 +67,7 @@
         """Connect the stop to the membership and to the dispatch gate."""
         settings = kernel.settings
         stop = GracefulStop(kernel.clock, settings.lame_duck, settings.drain)
-        stop.listen(kernel.need(Members).leave)
+        stop.on_start(kernel.need(Members).leave)
         kernel.need(Gatekeeper).add_condition(stop.gate_refusal)
         kernel.provide(GracefulStop, stop)
 
--- a/src/nutmegroad/daemon/program.py
+++ b/src/nutmegroad/daemon/program.py
@@ -84,7 +84,7 @@
         """Open all parts, and print their addresses and ``ready``."""
         self._stop_trigger.handle_signals(asyncio.get_running_loop())
         await self._kernel.start()
-        self._kernel.need(GracefulStop).when_asked(self._stop_trigger)
+        self._kernel.need(GracefulStop).on_stop_request(self._stop_trigger)
         for name, address in self._kernel.listening.items():
             sys.stdout.write(f'listening {name} {address}\n')
         sys.stdout.write('ready\n')
--- a/src/nutmegroad/kernel/_setting_specs.py
+++ b/src/nutmegroad/kernel/_setting_specs.py
@@ -78,7 +78,7 @@
     return address
 
 
-def read_targets(text: str) -> tuple[Address, ...]:
+def parse_targets(text: str) -> tuple[Address, ...]:
     """Parse comma-separated addresses to connect to; may be empty."""
     if not text.strip():
         return ()
@@ -226,7 +226,7 @@
     ),
     Spec(
         'seeds',
-        read_targets,
+        parse_targets,
         'comma-separated addresses, each an IPv4 address and a port',
         'peer addresses for joining the mesh',
         '',
--- a/src/nutmegroad/kernel/core.py
+++ b/src/nutmegroad/kernel/core.py
@@ -51,9 +51,9 @@
 
 
 #: Creates a part.
-MakePart = Callable[[], Part]
+PartFactory = Callable[[], Part]
 
-_NO_REPLACEMENTS: Final[Mapping[str, MakePart]] = MappingProxyType({})
+_NO_REPLACEMENTS: Final[Mapping[str, PartFactory]] = MappingProxyType({})
 
 
 class Kernel:
@@ -144,7 +144,7 @@
 
     async def start(
         self,
-        replacing: Mapping[str, MakePart] = _NO_REPLACEMENTS,
+        replacing: Mapping[str, PartFactory] = _NO_REPLACEMENTS,
     ) -> None:
         """Start every registered part, each after the parts it depends on.
 
--- a/src/nutmegroad/kernel/stops.py
+++ b/src/nutmegroad/kernel/stops.py
@@ -28,11 +28,11 @@
 
 
 @unique
-class Phase(IntEnum):
+class StopPhase(IntEnum):
     """The phase of a host's graceful stop."""
 
     SERVING = 0
-    LEAVING = 1
+    LAME_DUCK = 1
     REFUSING = 2
     CANCELLING = 3
 
@@ -51,53 +51,53 @@
         self._clock = clock
         self._lame_duck = lame_duck
         self._limit = limit
-        self._phase = Phase.SERVING
+        self._phase = StopPhase.SERVING
         self._open: dict[asyncio.Task[object], int] = {}
         self._listeners: list[Callable[[], object]] = []
         self._request_listeners: list[Callable[[], object]] = []
 
     @property
-    def phase(self) -> Phase:
+    def phase(self) -> StopPhase:
         """The current phase."""
         return self._phase
 
     @property
     def is_ready(self) -> bool:
         """Whether the load balancer may send requests to this host."""
-        return self._phase is Phase.SERVING
+        return self._phase is StopPhase.SERVING
 
     @property
     def open_requests(self) -> int:
         """The number of open requests."""
         return sum(self._open.values())
 
-    def listen(self, listener: Callable[[], object]) -> None:
+    def on_start(self, listener: Callable[[], object]) -> None:
         """Register a function that is called when the stop starts."""
         self._listeners.append(listener)
 
-    def when_asked(self, listener: Callable[[], object]) -> None:
+    def on_stop_request(self, listener: Callable[[], object]) -> None:
         """Register a function that is called when a stop is requested."""
         self._request_listeners.append(listener)
 
-    def ask(self) -> None:
+    def request_stop(self) -> None:
         """Request a stop from the process of this host, without waiting."""
         for listener in self._request_listeners:
             listener()
 
     def refusal(self) -> Refusal | None:
         """Return why new requests are refused; None if they are accepted."""
-        if self._phase < Phase.REFUSING:
+        if self._phase < StopPhase.REFUSING:
             return None
         return _stopping_refusal(Ran.NOT_RUN)
 
     def gate_refusal(self) -> Refusal | None:
         """Return why no attempt may be sent any more, or None."""
-        if self._phase is not Phase.CANCELLING:
+        if self._phase is not StopPhase.CANCELLING:
             return None
         return _stopping_refusal(Ran.NOT_RUN)
 
     @contextmanager
-    def request(self) -> Iterator[None]:
+    def track_request(self) -> Iterator[None]:
         """Count the current task as an open request within the context."""
         task = asyncio.current_task()
         if task is None:
@@ -117,18 +117,18 @@
             The number of requests that were cancelled; 0 if a stop is under
             way already.
         """
-        if self._phase is not Phase.SERVING:
+        if self._phase is not StopPhase.SERVING:
             return 0
         started = self._clock.now()
-        self._phase = Phase.LEAVING
+        self._phase = StopPhase.LAME_DUCK
         _LOG.info('stopping with %d open requests', self.open_requests)
         for listener in self._listeners:
             listener()
         await self._clock.sleep(min(self._lame_duck, self._limit))
-        self._phase = Phase.REFUSING
+        self._phase = StopPhase.REFUSING
         await self._wait(started + self._limit)
         cancelled = self.open_requests
-        self._phase = Phase.CANCELLING
+        self._phase = StopPhase.CANCELLING
         for task in tuple(self._open):
             task.cancel()
         await self._wait(self._clock.now() + CANCELLATION_GRACE)
@@ -151,7 +151,7 @@
     )
 
 
-def ended_by_stop() -> Refusal:
+def cancelled_by_stop() -> Refusal:
     """Return the refusal of a request that was cancelled by the stop."""
     return Refusal(
         ResultCode.HOST_STOPPING,
--- a/src/nutmegroad/membership/_coordinator.py
+++ b/src/nutmegroad/membership/_coordinator.py
@@ -91,7 +91,7 @@
             *_FETCH_INTERVAL
         )
         self._differing_digests.clear()
-        reply = await self._mesh.ask(host, TableRequest(), _FETCH_TIMEOUT)
+        reply = await self._mesh.request(host, TableRequest(), _FETCH_TIMEOUT)
         if not isinstance(reply, TableReply):
             return
         is_local = domain == self._table.identity.domain
--- a/src/nutmegroad/membership/_member_table.py
+++ b/src/nutmegroad/membership/_member_table.py
@@ -297,7 +297,7 @@
                 domain=record.identity.domain,
                 address=record.identity.address,
                 presence=record.presence,
-                heard=self._reachability.last_seen(record.host),
+                last_seen=self._reachability.last_seen(record.host),
             )
             for record in self.others()
             if not self._reachability.is_domain_unreachable(
--- a/src/nutmegroad/membership/links.py
+++ b/src/nutmegroad/membership/links.py
@@ -164,11 +164,11 @@
         """Register the handler for a type of message."""
         self._receiver.handle(kind, handler)
 
-    def tell(self, host: HostId, message: Message) -> bool:
+    def send(self, host: HostId, message: Message) -> bool:
         """Queue a message; false if there is no link or no capacity."""
         return self.multicast((host,), message) == 1
 
-    def tell_all(self, message: Message) -> int:
+    def broadcast(self, message: Message) -> int:
         """Queue a message on every link; return on how many."""
         return self.multicast([peer.host for peer in self._table], message)
 
@@ -179,7 +179,7 @@
         """
         return self._sender.send(hosts, message)
 
-    async def ask(
+    async def request(
         self,
         host: HostId,
         message: Message,
--- a/src/nutmegroad/operators/_host_calls.py
+++ b/src/nutmegroad/operators/_host_calls.py
@@ -130,12 +130,12 @@
                 f'The host {call.host!r} is unknown or gone.',
             )
         direct = replace(call, relay=False)
-        reply = await self._mesh.ask(call.host, direct, _HOST_TIMEOUT)
+        reply = await self._mesh.request(call.host, direct, _HOST_TIMEOUT)
         for relay in self._relays_to(member):
             if not isinstance(reply, Refusal):
                 break
             relayed = replace(call, relay=True)
-            reply = await self._mesh.ask(relay, relayed, _RELAY_TIMEOUT)
+            reply = await self._mesh.request(relay, relayed, _RELAY_TIMEOUT)
         return reply
 
     async def relay(self, call: Call) -> Message | None:
@@ -147,7 +147,7 @@
         if not call.relay:
             return None
         direct = replace(call, relay=False)
-        reply = await self._mesh.ask(call.host, direct, _HOST_TIMEOUT)
+        reply = await self._mesh.request(call.host, direct, _HOST_TIMEOUT)
         return None if isinstance(reply, Refusal) else reply
 
     def _relays_to(self, target: Member) -> tuple[HostId, ...]:
--- a/src/nutmegroad/operators/interface.py
+++ b/src/nutmegroad/operators/interface.py
@@ -197,7 +197,7 @@
                 domain=state.info.domain,
                 kind=state.info.kind.value,
                 address=str(state.info.address),
-                presence='live' if state.is_open else 'leaving',
+                presence='live' if state.accepts_requests else 'leaving',
                 versions=state.report.versions if state.report else (),
                 in_flight=state.in_flight,
             )
--- a/src/nutmegroad/operators/operator_hosts.py
+++ b/src/nutmegroad/operators/operator_hosts.py
@@ -104,7 +104,7 @@
     def _start_drain(self, order: DrainOrder) -> DrainReply:
         """Start to stop; no effect if the stop has already begun."""
         _LOG.info('drain of this host requested by %s', order.operator)
-        self._stop.ask()
+        self._stop.request_stop()
         return DrainReply(self._host, self._stop.open_requests)
 
 
@@ -178,5 +178,5 @@
             member.domain,
             member.presence.value,
             str(member.address),
-            max(self._clock.now() - member.heard, 0),
+            max(self._clock.now() - member.last_seen, 0),
         )
--- a/src/nutmegroad/quality/quality_sharing.py
+++ b/src/nutmegroad/quality/quality_sharing.py
@@ -184,12 +184,12 @@
         hosts = self._hosts()
         chosen = self._randomness.sample(hosts, min(FANOUT, len(hosts)))
         for host in chosen:
-            self._mesh.tell(host, QualityMark(self._position))
+            self._mesh.send(host, QualityMark(self._position))
 
     async def fetch_from(self, host: HostId) -> bool:
         """Fetch the changes from a host; return whether it had any."""
         question = QualityAsk(self._position)
-        reply = await self._mesh.ask(host, question, ASK_TIMEOUT)
+        reply = await self._mesh.request(host, question, ASK_TIMEOUT)
         if not isinstance(reply, QualityReply):
             return False
         return self._estimates.merge(reply.state)
@@ -220,7 +220,7 @@
             self._ahead = host
             self._ahead_found.set()
         elif mark.position < self._position:
-            self._mesh.tell(host, QualityMark(self._position))
+            self._mesh.send(host, QualityMark(self._position))
 
     async def _answer_ask(self, host: HostId, ask: QualityAsk) -> QualityReply:
         """Return the state with the cells changed since a position."""
--- a/src/nutmegroad/quality/ratings.py
+++ b/src/nutmegroad/quality/ratings.py
@@ -219,7 +219,7 @@
         hosts = [member.host for member in self._mesh.members()]
         count = min(FANOUT, len(hosts))
         for host in self._randomness.sample(hosts, count):
-            self._mesh.tell(host, state)
+            self._mesh.send(host, state)
 
 
 def score_of(bucket: int) -> float:
--- a/src/nutmegroad/records/forwards.py
+++ b/src/nutmegroad/records/forwards.py
@@ -110,7 +110,7 @@
                 Ran.UNKNOWN,
             )
         for member in self._route(ticket):
-            reply = await self._mesh.ask(
+            reply = await self._mesh.request(
                 member.host,
                 request,
                 request.seconds + FORWARD_MARGIN,
@@ -161,7 +161,7 @@
         if request.relayed:
             return None
         relayed = replace(request, relayed=True)
-        reply = await self._mesh.ask(
+        reply = await self._mesh.request(
             HostId(request.host),
             relayed,
             request.seconds + FORWARD_MARGIN,
--- a/src/nutmegroad/records/record_copies.py
+++ b/src/nutmegroad/records/record_copies.py
@@ -154,7 +154,7 @@
         if receiver is not None and open_batches:
             sequence = open_batches[-1].sequence
             incarnation = self._biller.incarnation
-            self._mesh.tell(receiver.host, BatchesStored(incarnation, sequence))
+            self._mesh.send(receiver.host, BatchesStored(incarnation, sequence))
 
     async def close(self) -> None:
         """Store all batches at a graceful stop, or copy them to peers."""
@@ -206,7 +206,7 @@
             records,
             last,
         )
-        reply = await self._mesh.ask(receiver.host, message, HAND_TIMEOUT)
+        reply = await self._mesh.request(receiver.host, message, HAND_TIMEOUT)
         if isinstance(reply, CopiesAccepted):
             batch.copied = min(reply.held, place + len(records))
             return batch.copied == place + len(records)
--- a/src/nutmegroad/rollouts/_exposure_gossip.py
+++ b/src/nutmegroad/rollouts/_exposure_gossip.py
@@ -66,13 +66,13 @@
         self._fold()
 
     def _broadcast(self) -> None:
-        self._mesh.tell_all(self._quarantines.message())
+        self._mesh.broadcast(self._quarantines.message())
 
     def _send_to_some(self, message: Message, count: int) -> None:
         hosts = [member.host for member in self._mesh.members()]
         chosen = self._randomness.sample(hosts, min(count, len(hosts)))
         for host in chosen:
-            self._mesh.tell(host, message)
+            self._mesh.send(host, message)
 
     def _fold(self) -> None:
         """Drop the evidence cells of incarnations that have ended."""
@@ -104,4 +104,4 @@
         # The listener broadcasts what is new.
         self._quarantines.merge(message.records)
         if self._quarantines.has_newer_than(message.records):
-            self._mesh.tell(sender, self._quarantines.message())
+            self._mesh.send(sender, self._quarantines.message())
--- a/src/nutmegroad/rollouts/evidence.py
+++ b/src/nutmegroad/rollouts/evidence.py
@@ -273,7 +273,7 @@
 
 def _count(end: AttemptEnd) -> Tally | None:
     """Return the evidence in an attempt, or None if there is none."""
-    if end.out_of_time:
+    if end.abandoned:
         return None
     if end.code in FAILURES:
         return Tally(errors=1)
--- a/src/nutmegroad/rollouts/order_controller.py
+++ b/src/nutmegroad/rollouts/order_controller.py
@@ -267,7 +267,7 @@
         """Return why an order is no longer wanted, or None."""
         version = order.version
         if order.action is OrderAction.UNLOAD:
-            if order.state.in_flight_versions.get(version):
+            if order.state.in_flight_by_version.get(version):
                 reason = f'{version} has work in flight.'
                 return Refusal(ResultCode.UPSTREAM_BUSY, reason)
             return None
--- a/src/nutmegroad/rollouts/orders.py
+++ b/src/nutmegroad/rollouts/orders.py
@@ -143,7 +143,7 @@
         for state, report in self._engines:
             for version in report.versions:
                 order = PlannedOrder(state, OrderAction.UNLOAD, version)
-                is_idle = not state.in_flight_versions.get(version)
+                is_idle = not state.in_flight_by_version.get(version)
                 is_needed = (
                     version in desired.allowed or version in desired.wanted
                 )
@@ -204,7 +204,7 @@
 
 def _takes_orders(state: UpstreamState) -> bool:
     """Return whether an upstream is an engine that may get new work."""
-    return state.is_open and is_engine(state)
+    return state.accepts_requests and is_engine(state)
 
 
 def desired_state(
--- a/src/nutmegroad/rollouts/rollout_shares.py
+++ b/src/nutmegroad/rollouts/rollout_shares.py
@@ -109,7 +109,7 @@
             return False
         self._known[version] = rollout
         row = rollout.row
-        self._mesh.tell_all(RolloutMessage(row.key, row.text, row.version))
+        self._mesh.broadcast(RolloutMessage(row.key, row.text, row.version))
         return True
 
     async def _receive(self, sender: HostId, message: RolloutMessage) -> None:
--- a/src/nutmegroad/routing/_ejection.py
+++ b/src/nutmegroad/routing/_ejection.py
@@ -163,4 +163,4 @@
 
     def admits(self, state: UpstreamState, now: float) -> bool:
         """Return whether an upstream may get work."""
-        return self.health(state).admits(now, state.reported)
+        return self.health(state).admits(now, state.report_requested_at)
--- a/src/nutmegroad/routing/_engine_pools.py
+++ b/src/nutmegroad/routing/_engine_pools.py
@@ -134,7 +134,7 @@
 
 def can_serve(state: UpstreamState, version: VersionId) -> bool:
     """Return whether an engine can take new work for a version right now."""
-    if not state.is_open:
+    if not state.accepts_requests:
         return False
     return state.report is not None and version in state.report.versions
 
--- a/src/nutmegroad/routing/_estimates.py
+++ b/src/nutmegroad/routing/_estimates.py
@@ -163,10 +163,13 @@
 
     def load(self, state: UpstreamState) -> float:
         """Return the estimated number of requests there, from all hosts."""
-        if state.report is not None and state.reported != self._reported:
-            self._reported = state.reported
+        if (
+            state.report is not None
+            and state.report_requested_at != self._reported
+        ):
+            self._reported = state.report_requested_at
             total = state.report.running + state.report.queued
-            seen = self._own_at(state.reported - REPORT_LAG)
+            seen = self._own_at(state.report_requested_at - REPORT_LAG)
             others = max(0, total - seen)
             gain = _REPORT_GAIN
             self._other_load += (others - self._other_load) * gain
--- a/src/nutmegroad/routing/_slots.py
+++ b/src/nutmegroad/routing/_slots.py
@@ -187,7 +187,7 @@
             return tuple(
                 state
                 for state in self._directory.states()
-                if is_engine(state) and state.report and state.is_open
+                if is_engine(state) and state.report and state.accepts_requests
             )
         found = {
             state.info.upstream: state
--- a/src/nutmegroad/routing/attempts.py
+++ b/src/nutmegroad/routing/attempts.py
@@ -7,8 +7,8 @@
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.contracts.decisions import AttemptEnd, AttemptStart, Observers
 from nutmegroad.contracts.upstreams import (
+    AnswerEnd,
     Attempt,
-    Ending,
     EngineClient,
     Gate,
     Piece,
@@ -62,7 +62,7 @@
     next_index: int = 0
     first_piece_at: float | None = None
     last_piece_at: float = -math.inf
-    ending: Ending | None = None
+    ending: AnswerEnd | None = None
     refusal: Refusal | None = None
 
     @property
@@ -192,7 +192,7 @@
                 if isinstance(event, Refusal):
                     received.refusal = event
                     return
-                if isinstance(event, Ending):
+                if isinstance(event, AnswerEnd):
                     _accept_ending(received, event)
                     return
                 # Time that the caller takes to read a piece must not count
@@ -281,7 +281,7 @@
             cost=self._cost(execution.start, prompt, output),
             text=''.join(received.pieces) if ending else '',
             cached_tokens=ending.cached_tokens if ending else 0,
-            out_of_time=self._is_out_of_time(execution, began),
+            abandoned=self._is_out_of_time(execution, began),
         )
 
     def _is_out_of_time(
@@ -316,7 +316,7 @@
         return cost_of(entry, prompt, output)
 
 
-def _accept_ending(received: Received, ending: Ending) -> None:
+def _accept_ending(received: Received, ending: AnswerEnd) -> None:
     """Accept the end marker unless pieces received before are missing."""
     if received.next_index < len(received.pieces):
         received.refusal = _crossed_answer()
--- a/src/nutmegroad/routing/directory.py
+++ b/src/nutmegroad/routing/directory.py
@@ -119,7 +119,7 @@
         for removed in sorted(set(self._states) - listed) if whole else ():
             state = self._states.pop(removed)
             # Requests that still refer to this state must see it as draining.
-            state.leaving = True
+            state.draining = True
         for info in upstreams:
             self._update_one(info)
         self._stale = True
@@ -162,8 +162,8 @@
         asked = self._clock.now() if asked is None else asked
         previous = state.report
         state.report = report
-        state.reported = asked
-        state.refusals = 0
+        state.report_requested_at = asked
+        state.refused_connections = 0
         if previous is None or previous.versions != report.versions:
             self._stale = True
         if report.leaving:
@@ -173,10 +173,10 @@
             self._begin_leaving(
                 state, DrainingSource.REPORT, announced_again=announced_again
             )
-        elif state.leaving and asked >= state.leaving_since + REPORT_LAG:
+        elif state.draining and asked >= state.draining_since + REPORT_LAG:
             # Only the upstream's own report clears the draining state,
             # whichever source has set it.
-            state.leaving = False
+            state.draining = False
             self._stale = True
 
     def reported_by_peer(
@@ -201,10 +201,10 @@
         if report.leaving:
             self._begin_leaving(state, DrainingSource.PEER)
         previous = state.report
-        if previous is not None and asked <= state.reported:
+        if previous is not None and asked <= state.report_requested_at:
             return
         state.report = report
-        state.reported = asked
+        state.report_requested_at = asked
         if previous is None or previous.versions != report.versions:
             self._stale = True
 
@@ -239,15 +239,15 @@
         state = self._states.get(upstream)
         if state is None:
             return
-        state.refusals += 1
-        if state.refusals >= REFUSALS_UNTIL_DRAINING:
+        state.refused_connections += 1
+        if state.refused_connections >= REFUSALS_UNTIL_DRAINING:
             self._begin_leaving(state, DrainingSource.REFUSED)
 
     def answered(self, upstream: UpstreamId) -> None:
         """Record that an upstream accepted a request."""
         state = self._states.get(upstream)
         if state is not None:
-            state.refusals = 0
+            state.refused_connections = 0
 
     @contextmanager
     def in_flight(
@@ -256,7 +256,7 @@
         version: VersionId,
     ) -> Iterator[None]:
         """Count a request as in flight at an upstream within the context."""
-        counts = state.in_flight_versions
+        counts = state.in_flight_by_version
         state.in_flight += 1
         counts[version] = counts.get(version, 0) + 1
         try:
@@ -271,7 +271,7 @@
         now = self._clock.now()
         if known is None or known.info.address != info.address:
             if known is not None:
-                known.leaving = True
+                known.draining = True
             # A new address means a new incarnation: discard the old state.
             known = UpstreamState(info, first_seen=now)
             self._states[info.upstream] = known
@@ -295,10 +295,10 @@
         Listeners are called if it is new or if the upstream has announced
         it again (``announced_again``).
         """
-        state.leaving_since = self._clock.now()
-        is_new = not state.leaving
+        state.draining_since = self._clock.now()
+        is_new = not state.draining
         if is_new:
-            state.leaving = True
+            state.draining = True
             self._stale = True
         if is_new or announced_again:
             for listener in self._listeners:
@@ -316,7 +316,7 @@
         oldest = self._clock.now() - FIRST_REPORT_TIMEOUT
         return bool(self._states) and all(
             state.report is not None
-            or state.failures > 0
+            or state.failed_polls > 0
             or state.first_seen <= oldest
             for state in self._states.values()
             if is_engine(state) and state.info.domain == domain
@@ -330,7 +330,9 @@
         versions = defaultdict(list)
         services: defaultdict[ServiceName, list[UpstreamState]]
         services = defaultdict(list)
-        open_states = [one for one in self._states.values() if one.is_open]
+        open_states = [
+            one for one in self._states.values() if one.accepts_requests
+        ]
         for state in open_states:
             if state.info.service:
                 services[state.info.service].append(state)
@@ -343,13 +345,13 @@
 
 def _retry_service(state: UpstreamState, now: float) -> None:
     """Allow requests again to a listed service that refused connections."""
-    if state.info.kind is UpstreamKind.ENGINE or not state.refusals:
+    if state.info.kind is UpstreamKind.ENGINE or not state.refused_connections:
         return
-    excluded_for = now - state.leaving_since
-    if state.leaving and excluded_for >= SERVICE_RETRY_DELAY:
-        state.leaving = False
+    excluded_for = now - state.draining_since
+    if state.draining and excluded_for >= SERVICE_RETRY_DELAY:
+        state.draining = False
         # A single further refusal excludes the service again.
-        state.refusals = REFUSALS_UNTIL_DRAINING - 1
+        state.refused_connections = REFUSALS_UNTIL_DRAINING - 1
 
 
 def is_engine(state: UpstreamState) -> bool:
--- a/src/nutmegroad/routing/draining_notices.py
+++ b/src/nutmegroad/routing/draining_notices.py
@@ -61,7 +61,7 @@
         # Connections may be refused because this host's network is cut.
         # Other hosts must not take that for the upstream's own notice.
         if source in {DrainingSource.REPORT, DrainingSource.LIST}:
-            self._mesh.tell_all(_notice(info.upstream, info.address))
+            self._mesh.broadcast(_notice(info.upstream, info.address))
 
     async def _receive(self, host: HostId, message: UpstreamDraining) -> None:
         """Apply a notice from another host, and forward it if it is new."""
@@ -78,7 +78,7 @@
             if other != host and not (
                 from_own_domain and domain == self._domain
             ):
-                self._mesh.tell(other, message)
+                self._mesh.send(other, message)
 
 
 def _notice(upstream: UpstreamId, address: Address) -> UpstreamDraining:
--- a/src/nutmegroad/routing/gates.py
+++ b/src/nutmegroad/routing/gates.py
@@ -86,7 +86,7 @@
             """Run all checks, the attempt fence last."""
             refusal = self.check(context)
             if refusal is None and context.attempt_fence is not None:
-                return context.attempt_fence.check()
+                return context.attempt_fence.admit()
             return refusal
 
         return check
@@ -102,7 +102,7 @@
                 'The deadline passed before the request was sent.',
             )
         upstream = context.upstream
-        if not upstream.is_open:
+        if not upstream.accepts_requests:
             return Refusal(
                 ResultCode.UPSTREAM_LEAVING,
                 f'The upstream {upstream.info.upstream} is draining.',
--- a/src/nutmegroad/routing/harmful.py
+++ b/src/nutmegroad/routing/harmful.py
@@ -207,7 +207,7 @@
         while True:
             await self._clock.sleep(BROADCAST_INTERVAL)
             if self._crashes.has_updates:
-                self._mesh.tell_all(CrashDigest(self._crashes.report()))
+                self._mesh.broadcast(CrashDigest(self._crashes.report()))
 
     async def _receive(self, host: HostId, digest: CrashDigest) -> None:
         """Store the entries that another host has sent."""
--- a/src/nutmegroad/routing/policies.py
+++ b/src/nutmegroad/routing/policies.py
@@ -4,7 +4,11 @@
 from contextlib import AbstractContextManager, contextmanager
 
 from nutmegroad.configuration.in_force import Configuration
-from nutmegroad.contracts.decisions import AttemptEnd, AttemptStart, Spender
+from nutmegroad.contracts.decisions import (
+    AttemptEnd,
+    AttemptStart,
+    RetryRequester,
+)
 from nutmegroad.contracts.documents import VersionEntry
 from nutmegroad.contracts.requests import ModelRequest, Plan
 from nutmegroad.foundations.results import Refusal, ResultCode
@@ -72,7 +76,7 @@
 class UnboundedRetries:
     """Allows every retry; the dispatcher's own limit still applies."""
 
-    def spend(self, request: Spender) -> bool:
+    def spend(self, request: RetryRequester) -> bool:
         """Allow the retry."""
         return True
 
--- a/src/nutmegroad/routing/remote_loads.py
+++ b/src/nutmegroad/routing/remote_loads.py
@@ -10,13 +10,13 @@
 from collections import defaultdict
 from typing import Final
 
-from nutmegroad.contracts._watch_rows import (
+from nutmegroad.contracts._report_rows import (
+    EndpointIndex,
     LoadAsk,
     LoadReply,
     RowWriter,
-    RunIndex,
-    age_of,
-    report_of_row,
+    decode_report,
+    report_age,
 )
 from nutmegroad.contracts.peers import Mesh
 from nutmegroad.foundations.clocks import Clock
@@ -57,7 +57,7 @@
         self._clock = clock
         self._randomness = randomness
         self._domain = domain
-        self._index = RunIndex()
+        self._index = EndpointIndex()
         mesh.handle(LoadAsk, self._answer)
 
     async def run(self) -> None:
@@ -81,7 +81,7 @@
         """Ask a domain's hosts in random order until one answers."""
         self._randomness.shuffle(hosts)
         for host in hosts:
-            reply = await self._mesh.ask(host, LoadAsk(), ASK_TIMEOUT)
+            reply = await self._mesh.request(host, LoadAsk(), ASK_TIMEOUT)
             if isinstance(reply, LoadReply):
                 self._apply(reply)
                 return
@@ -91,11 +91,11 @@
         self._index.refresh(self._directory.states())
         now = self._clock.now()
         for row in reply.rows:
-            state = self._index.find(row.run)
-            report = report_of_row(row, reply.names, None)
+            state = self._index.find(row.endpoint)
+            report = decode_report(row, reply.names, None)
             if state is None or report is None:
                 continue
-            self._sharer.take_report(state, report, now - age_of(row))
+            self._sharer.take_report(state, report, now - report_age(row))
 
     async def _answer(self, host: HostId, ask: LoadAsk) -> LoadReply:
         """Return the reports of the engines in this host's domain."""
--- a/src/nutmegroad/routing/retries.py
+++ b/src/nutmegroad/routing/retries.py
@@ -12,7 +12,7 @@
     AttemptEnd,
     AttemptStart,
     Observers,
-    Spender,
+    RetryRequester,
 )
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.results import ResultCode
@@ -86,7 +86,7 @@
         self._last: tuple[RequestId, ResultCode] | None = None
         self._retried: RequestId | None = None
 
-    def spend(self, request: Spender) -> bool:
+    def spend(self, request: RetryRequester) -> bool:
         """Take one retry from the budget; return whether there was one."""
         now = self._clock.now()
         code = self._code_of(request.request)
--- a/src/nutmegroad/routing/selection.py
+++ b/src/nutmegroad/routing/selection.py
@@ -275,7 +275,7 @@
         if not can_serve(state, search.version):
             return 'draining or version not loaded'
         health = self._view(state).health
-        if not health.admits(search.now, state.reported):
+        if not health.admits(search.now, state.report_requested_at):
             return 'ejected'
         return ''
 
--- a/src/nutmegroad/routing/service_traffic.py
+++ b/src/nutmegroad/routing/service_traffic.py
@@ -8,7 +8,7 @@
     AttemptStart,
     Observer,
     RetryBudget,
-    Spender,
+    RetryRequester,
 )
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.metrics import Metrics
@@ -66,7 +66,7 @@
 
     def started(
         self,
-        call: Spender,
+        call: RetryRequester,
         service: ServiceName,
         attempt: AttemptId,
         upstream: UpstreamId,
@@ -91,7 +91,7 @@
         self._retries.ended(end)
         self._metrics.service_attempt_ended(running.start.task, code)
 
-    def may_retry(self, call: Spender, code: ResultCode) -> bool:
+    def may_retry(self, call: RetryRequester, code: ResultCode) -> bool:
         """Take a retry from the budget, and count it if there was one."""
         if not self._retries.spend(call):
             return False
@@ -100,7 +100,7 @@
 
     def finished(
         self,
-        call: Spender,
+        call: RetryRequester,
         service: ServiceName,
         code: ResultCode,
     ) -> None:
--- a/src/nutmegroad/routing/services.py
+++ b/src/nutmegroad/routing/services.py
@@ -212,7 +212,7 @@
         number: int,
     ) -> ServiceReply | Refusal:
         """Make one attempt."""
-        attempt_fence = request.fence.attempt()
+        attempt_fence = request.fence.new_attempt()
         context = GateContext(
             request.workspace,
             TaskName(''),
@@ -251,7 +251,7 @@
         finally:
             health.ended(call.attempt, code, self._clock.now())
             self._traffic.ended(call.attempt, code)
-        attempt_fence.end(reply)
+        attempt_fence.record_end(reply)
         if isinstance(reply, ServiceReply):
             self._directory.answered(state.info.upstream)
         elif reply.code is ResultCode.UPSTREAM_UNREACHABLE:
--- a/src/nutmegroad/routing/slot_exchange.py
+++ b/src/nutmegroad/routing/slot_exchange.py
@@ -115,7 +115,7 @@
             fanout = DIGEST_FANOUT if domain == self._identity.domain else 1
             receivers = self._randomness.sample(hosts, min(fanout, len(hosts)))
             for host in receivers:
-                self._mesh.tell(host, digest)
+                self._mesh.send(host, digest)
 
     def _missing_slots(self) -> int:
         """Return how many more slots this host could use."""
@@ -140,7 +140,7 @@
             ask = ShareRequest(wanted=wanted, claim=min(claim, wanted))
             requested_at = self._clock.now()
             host = HostId(digest.host)
-            reply = await self._mesh.ask(host, ask, _LOAN_TIMEOUT)
+            reply = await self._mesh.request(host, ask, _LOAN_TIMEOUT)
             if isinstance(reply, ShareLoan) and reply.slots > 0:
                 self._ledger.borrow(reply.slots, requested_at)
                 wanted -= reply.slots
--- a/src/nutmegroad/routing/steps.py
+++ b/src/nutmegroad/routing/steps.py
@@ -201,7 +201,7 @@
         number = progress.usage.attempts + 1
         attempt = AttemptId(f'{progress.request.request}.{number}.{nonce}')
         fence = progress.request.fence
-        attempt_fence = None if fence is None else fence.attempt()
+        attempt_fence = None if fence is None else fence.new_attempt()
         return _AttemptSetup(choice, attempt, received, attempt_fence)
 
     def _set_up_retry(
@@ -247,7 +247,7 @@
         finally:
             self._record_attempt(progress, execution)
             if setup.attempt_fence is not None:
-                setup.attempt_fence.end(execution.received.refusal)
+                setup.attempt_fence.record_end(execution.received.refusal)
         return execution
 
     def _record_attempt(
--- a/src/nutmegroad/routing/watch.py
+++ b/src/nutmegroad/routing/watch.py
@@ -11,7 +11,7 @@
 from types import TracebackType
 from typing import Any, Final, Protocol, Self
 
-from nutmegroad.contracts._watch_rows import WATCH_PART
+from nutmegroad.contracts._report_rows import WATCH_PART
 from nutmegroad.contracts.platform import HostList
 from nutmegroad.contracts.upstreams import (
     EngineClient,
@@ -253,12 +253,12 @@
             requested_at = self._clock.now()
             report = await self._engines.report(state.info)
         if isinstance(report, Refusal):
-            state.failures += 1
+            state.failed_polls += 1
             if report.code is ResultCode.UPSTREAM_UNREACHABLE:
                 self._directory.refused(upstream)
             self._plan.record_answer(state, report)
             return
-        state.failures = 0
+        state.failed_polls = 0
         if self._directory.state(upstream) is state:
             self._directory.reported(upstream, report, requested_at)
             self._plan.record_answer(state, report)
--- a/src/nutmegroad/routing/watch_sharing.py
+++ b/src/nutmegroad/routing/watch_sharing.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from typing import Final
 
-from nutmegroad.contracts._watch_rows import (
+from nutmegroad.contracts._report_rows import (
+    EndpointIndex,
     RowWriter,
-    RunIndex,
     WatchReports,
-    age_of,
-    report_of_row,
-    run_of,
+    decode_report,
+    endpoint_hash,
+    report_age,
 )
 from nutmegroad.contracts.peers import Mesh, Message
 from nutmegroad.contracts.upstreams import EngineReport, UpstreamState
@@ -102,7 +102,7 @@
         self._domain = domain
         self._period = period
         self._listed = PeerEntryCache(clock)
-        self._index = RunIndex()
+        self._index = EndpointIndex()
         self._upstream_count = 0
         self._ranks: dict[UpstreamId, int] = {}
         self._broadcasts: dict[int, _Broadcast] = {}
@@ -145,7 +145,7 @@
             return True
         if state.report is None:
             return True
-        age = self._clock.now() - state.reported
+        age = self._clock.now() - state.report_requested_at
         return age > self._report_timeout(state)
 
     def poll_interval(self, state: UpstreamState) -> float:
@@ -166,7 +166,7 @@
         if upstream not in self._ranks:
             return
         if isinstance(answer, Refusal):
-            self._failed.add(run_of(state.info))
+            self._failed.add(endpoint_hash(state.info))
         elif self._needs_broadcast(state, answer):
             self._pending[upstream] = state
 
@@ -200,7 +200,7 @@
         self, state: UpstreamState, report: EngineReport
     ) -> bool:
         """Return whether a report has to be broadcast now."""
-        last = self._broadcasts.get(run_of(state.info))
+        last = self._broadcasts.get(endpoint_hash(state.info))
         if last is None:
             return True
         age = self._clock.now() - last.at
@@ -220,7 +220,7 @@
         report = state.report
         if report is None:
             return
-        run = run_of(state.info)
+        run = endpoint_hash(state.info)
         last = self._broadcasts.get(run)
         # Unchanged versions are repeated at times for hosts that missed a
         # message.
@@ -245,14 +245,14 @@
         """Apply reports that another host has broadcast."""
         now = self._clock.now()
         for row in message.rows:
-            state = self._index.find(row.run)
+            state = self._index.find(row.endpoint)
             if state is None:
                 continue
-            report = report_of_row(row, message.names, state.report)
+            report = decode_report(row, message.names, state.report)
             if report is None:
                 continue
-            self._broadcasts[row.run] = _Broadcast(now, now, report)
-            self.take_report(state, report, now - age_of(row))
+            self._broadcasts[row.endpoint] = _Broadcast(now, now, report)
+            self.take_report(state, report, now - report_age(row))
         for run in message.failed:
             failed = self._index.find(run)
             if failed is not None:
@@ -274,7 +274,7 @@
             asked: Approximate clock seconds at which it was requested.
         """
         self._directory.reported_by_peer(state.info.upstream, report, asked)
-        if state.leaving and not report.leaving:
+        if state.draining and not report.leaving:
             # Only a report requested by this host clears the draining state.
             self._to_verify.add(state.info.upstream)
 
@@ -293,7 +293,7 @@
     """Send a message to all hosts of a domain."""
     for member in mesh.members():
         if member.domain == domain:
-            mesh.tell(member.host, message)
+            mesh.send(member.host, message)
 
 
 def _differs(known: EngineReport, report: EngineReport) -> bool:
--- a/src/nutmegroad/testing/_memory_mesh.py
+++ b/src/nutmegroad/testing/_memory_mesh.py
@@ -144,7 +144,7 @@
             domain=self.domain,
             address=_NO_ADDRESS,
             presence=self.presence,
-            heard=last_seen,
+            last_seen=last_seen,
         )
 
     def handle(self, kind: type[Sent], handler: Handler[Sent]) -> None:
@@ -152,19 +152,19 @@
         self._kinds.add(kind)
         self._handlers[kind] = handler
 
-    def tell(self, host: HostId, message: Message) -> bool:
+    def send(self, host: HostId, message: Message) -> bool:
         """Send a message; return false if there is no link to the host."""
         if not self._is_linked(host):
             return False
         self._network.send_frame(self.host, host, _Frame(as_plain(message)))
         return True
 
-    def tell_all(self, message: Message) -> int:
+    def broadcast(self, message: Message) -> int:
         """Send a message on every link; return the number of links."""
         hosts = [member.host for member in self.members()]
-        return sum(self.tell(host, message) for host in hosts)
+        return sum(self.send(host, message) for host in hosts)
 
-    async def ask(
+    async def request(
         self,
         host: HostId,
         message: Message,
--- a/tests/memory_links.py
+++ b/tests/memory_links.py
@@ -106,22 +106,22 @@
     def members(self) -> tuple[Member, ...]:
         return self.table.members()
 
-    def tell(self, host: HostId, message: Message) -> bool:
-        return host in self.last_received and self.peer.tell(host, message)
+    def send(self, host: HostId, message: Message) -> bool:
+        return host in self.last_received and self.peer.send(host, message)
 
     def multicast(self, hosts: Iterable[HostId], message: Message) -> int:
-        return sum(self.tell(host, message) for host in hosts)
+        return sum(self.send(host, message) for host in hosts)
 
-    def tell_all(self, message: Message) -> int:
+    def broadcast(self, message: Message) -> int:
         return self.multicast(tuple(self.last_received), message)
 
-    async def ask(
+    async def request(
         self,
         host: HostId,
         message: Message,
         timeout: float,
     ) -> Message | Refusal:
-        return await self.peer.ask(host, message, timeout)
+        return await self.peer.request(host, message, timeout)
 
 
 class Host:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -70,7 +70,7 @@
         """Ask the first host for its head."""
         host: HostId = next(hosts, HostId(''))
         asked = self._clock.now()
-        reply = await self._mesh.ask(host, HeadQuestion(), REPLY_TIMEOUT)
+        reply = await self._mesh.request(host, HeadQuestion(), REPLY_TIMEOUT)
         if not isinstance(reply, HeadReply):
             return None
         age = reply.age
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -16,9 +16,9 @@
 from nutmegroad.contracts.documents import Concern, parse_document
 from nutmegroad.contracts.requests import ModelRequest
 from nutmegroad.contracts.upstreams import (
+    AnswerEnd,
     AnswerEvent,
     Attempt,
-    Ending,
     EngineReport,
     Piece,
 )
@@ -62,7 +62,7 @@
 #: Pieces of a complete answer.
 WORDS = tuple(f'w{number} ' for number in range(10))
 #: Final event of a complete answer.
-ENDING = Ending('stop', 5, len(WORDS))
+ENDING = AnswerEnd('stop', 5, len(WORDS))
 
 #: Returns the events of an engine's answer to an attempt. Events that are
 #: callable are awaited instead of being sent.
--- a/tests/routing_samples.py
+++ b/tests/routing_samples.py
@@ -30,7 +30,7 @@
 from nutmegroad.routing.directory import Directory
 from nutmegroad.routing.fleet_load import FleetLoad
 from nutmegroad.routing.shares import ShareLedger
-from tests.shared_documents import VERSION, configure
+from tests.sample_configuration import VERSION, make_configuration
 
 HOME: Final = DomainId('petaling')
 AWAY: Final = DomainId('cyberjaya')
@@ -139,7 +139,7 @@
         # The engine reports no free slots, so only the static parts count.
         busy = report(running=slots, slots=slots)
         self.directory.reported(UpstreamId('e1'), busy)
-        configuration = configure(clock, queue_limit, **shares)
+        configuration = make_configuration(clock, queue_limit, **shares)
         self.slots = HostSlots(
             identity,
             self.directory,
--- a/tests/shared_documents.py
+++ b/tests/sample_configuration.py
@@ -18,7 +18,7 @@
 VERSION: Final = VersionId('drafting@1')
 
 
-def configure(
+def make_configuration(
     clock: Clock,
     queue_limit: float,
     **shares: float,
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -84,7 +84,7 @@
         for wanted in (ORDER, order(2, ticket=ticket)):
             run = await self.run_of(self.one, wanted)
             await self.rig.clock.jump(LEASE)
-            refusal = run.fence.attempt().check()
+            refusal = run.fence.new_attempt().admit()
             assert refusal is not None
             self.assertIs(ResultCode.HOST_PAUSED, refusal.code)
             self.assertIs(Ran.NOT_RUN, refusal.ran)
@@ -97,29 +97,29 @@
         await self.rig.clock.advance(LEASE)
         run = await claiming
         assert isinstance(run, ExecutionGrant)
-        self.assertIsNotNone(run.fence.attempt().check())
+        self.assertIsNotNone(run.fence.new_attempt().admit())
 
     async def test_an_attempt_proved_not_run_allows_another(self) -> None:
         run = await self.run_of(self.one)
-        attempt_fence = run.fence.attempt()
-        self.assertIsNone(attempt_fence.check())
-        attempt_fence.end(NOT_RUN)
-        attempt_fence = run.fence.attempt()
-        self.assertIsNone(attempt_fence.check())
-        attempt_fence.end(UNKNOWN)
+        attempt_fence = run.fence.new_attempt()
+        self.assertIsNone(attempt_fence.admit())
+        attempt_fence.record_end(NOT_RUN)
+        attempt_fence = run.fence.new_attempt()
+        self.assertIsNone(attempt_fence.admit())
+        attempt_fence.record_end(UNKNOWN)
         with self.assertRaises(AssertionError):
-            run.fence.attempt().check()
+            run.fence.new_attempt().admit()
 
     async def test_an_attempt_that_is_resumed_crosses_once(self) -> None:
         run = await self.run_of(self.one)
-        attempt_fence = run.fence.attempt()
-        self.assertIsNone(attempt_fence.check())
-        attempt_fence.end(UNKNOWN)
+        attempt_fence = run.fence.new_attempt()
+        self.assertIsNone(attempt_fence.admit())
+        attempt_fence.record_end(UNKNOWN)
         await self.rig.clock.jump(LEASE)
-        self.assertIsNone(attempt_fence.check())
+        self.assertIsNone(attempt_fence.admit())
         # A failed resumption does not show that nothing was executed before.
-        attempt_fence.end(NOT_RUN)
-        self.assertEqual(1, run.fence.passed)
+        attempt_fence.record_end(NOT_RUN)
+        self.assertEqual(1, run.fence.sent_count)
 
     async def test_the_daemon_prevents_and_counts_what_tests_raise(
         self,
@@ -127,9 +127,9 @@
         counted = CountedInvariants(self.rig.metrics)
         terms = FenceTerms(ORDER.request, repeatable=False)
         fence = Fence(terms, self.rig.clock, counted)
-        self.assertIsNone(fence.attempt().check())
+        self.assertIsNone(fence.new_attempt().admit())
         with self.assertLogs('absl', 'ERROR'):
-            second = fence.attempt().check()
+            second = fence.new_attempt().admit()
             reviewed = fence.review(NOT_RUN)
         assert second is not None
         self.assertIs(ResultCode.OUTCOME_UNKNOWN, second.code)
@@ -201,8 +201,8 @@
 
     async def work(self, fence: Fence) -> RequestResult:
         """Answer once the gate is open."""
-        attempt_fence = fence.attempt()
-        self.assertIsNone(attempt_fence.check())
+        attempt_fence = fence.new_attempt()
+        self.assertIsNone(attempt_fence.admit())
         await self.gate.wait()
         return RequestResult(ANSWER, self.record)
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -4,7 +4,7 @@
 import unittest
 from collections.abc import Awaitable, Callable
 
-from nutmegroad.contracts.upstreams import Attempt, Ending, Piece
+from nutmegroad.contracts.upstreams import AnswerEnd, Attempt, Piece
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Ran
 from nutmegroad.routing.directory import DrainingSource
@@ -42,7 +42,7 @@
 
 def shorter_answer(attempt: Attempt) -> list[object]:
     """End before the pieces that were sent already."""
-    return [Ending('stop', 5, 3)]
+    return [AnswerEnd('stop', 5, 3)]
 
 
 class ResumeTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -20,7 +20,7 @@
 from nutmegroad.contracts.documents import Withdrawal
 from nutmegroad.foundations.metrics import Metrics
 from nutmegroad.foundations.types import RequestId
-from nutmegroad.kernel.stops import GracefulStop, Phase
+from nutmegroad.kernel.stops import GracefulStop, StopPhase
 from nutmegroad.records.billing import Biller
 from tests.hosts import WholeHost, fast_engine
 from tests.quick import ENDLESS
@@ -274,9 +274,9 @@
         self,
     ) -> None:
         stop = self.host.kernel.need(GracefulStop)
-        with stop.request():
+        with stop.track_request():
             stopping = asyncio.create_task(stop.run())
-            while stop.phase is not Phase.REFUSING:
+            while stop.phase is not StopPhase.REFUSING:
                 await asyncio.sleep(0.01)
             response = await self.send()
         await stopping
@@ -299,9 +299,9 @@
         self.addCleanup(opened[1].close)
         self.assertEqual(await self.request_on(opened), (200, False))
         stop = self.host.kernel.need(GracefulStop)
-        with stop.request():
+        with stop.track_request():
             stopping = asyncio.create_task(stop.run())
-            while stop.phase is not Phase.REFUSING:
+            while stop.phase is not StopPhase.REFUSING:
                 await asyncio.sleep(0.01)
             self.assertEqual(await self.request_on(opened), (503, True))
             self.assertEqual(await opened[0].read(), b'')
@@ -317,7 +317,7 @@
         self.addCleanup(opened[1].close)
         self.assertEqual(await self.request_on(opened), (200, False))
         stop = self.host.kernel.need(GracefulStop)
-        stop._phase = Phase.LEAVING
+        stop._phase = StopPhase.LAME_DUCK
         self.assertEqual(await self.request_on(opened), (200, True))
         self.assertEqual(await opened[0].read(), b'')
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -184,7 +184,7 @@
     async def test_a_drain_stops_the_host(self) -> None:
         stop = self.host.kernel.need(GracefulStop)
         asked: list[bool] = []
-        stop.when_asked(lambda: asked.append(True))
+        stop.on_stop_request(lambda: asked.append(True))
         result = await self.run_cli('--format=json host drain h1')
         self.assertEqual(result.reply, {'host': 'h1', 'open_requests': 0})
         self.assertEqual(asked, [True])
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -75,7 +75,7 @@
                 drain()
                 self.assertEqual(self.open_engines(), {'two'})
                 assert state is not None
-                self.assertTrue(state.leaving)
+                self.assertTrue(state.draining)
 
     async def test_its_own_reports_do_not_overrule_the_list(self) -> None:
         leaving = replace(engine_info('one'), presence=Presence.LEAVING)
@@ -85,7 +85,7 @@
         self.assertEqual(self.open_engines(), {'two'})
         state = self.directory.state(ONE)
         assert state is not None
-        self.assertFalse(state.is_open)
+        self.assertFalse(state.accepts_requests)
 
     async def test_only_its_own_later_report_clears_draining(self) -> None:
         self.directory.mark_draining(ONE)
@@ -107,7 +107,7 @@
         self.directory.reported(ONE, report_of(A1))
         self.assertEqual(self.open_engines(), {'one', 'two'})
         assert before is not None
-        self.assertTrue(before.leaving)
+        self.assertTrue(before.draining)
         old = engine_info('one').address
         self.directory.mark_draining(ONE, old)
         self.assertEqual(self.open_engines(), {'one', 'two'})
@@ -174,7 +174,7 @@
 
     def draining_states(self) -> list[bool]:
         states = [directory.state(ONE) for directory in self.directories]
-        return [state is not None and state.leaving for state in states]
+        return [state is not None and state.draining for state in states]
 
     async def test_an_upstreams_notice_reaches_all_while_the_list_lags(
         self,
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -6,7 +6,7 @@
 
 from nutmegroad.contracts.decisions import AttemptEnd
 from nutmegroad.contracts.documents import Withdrawal
-from nutmegroad.contracts.requests import ModelRequest, Plan, SessionClaim
+from nutmegroad.contracts.requests import ModelRequest, Plan, SessionBinding
 from nutmegroad.contracts.upstreams import Attempt, Piece
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Epoch, Ran, UpstreamId, VersionId
@@ -102,7 +102,7 @@
 
     async def asyncSetUp(self) -> None:
         self.rig = HostRig(ManualClock())
-        self.session = SessionClaim('s', SMALL, Epoch(0))
+        self.session = SessionBinding('s', SMALL, Epoch(0))
 
     async def send(self) -> Answer | Refusal:
         return await self.rig.ask(session=self.session)
--- a/tests/test_graceful_stop.py
+++ b/tests/test_graceful_stop.py
@@ -5,7 +5,7 @@
 
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Ran
-from nutmegroad.kernel.stops import GracefulStop, Phase
+from nutmegroad.kernel.stops import GracefulStop, StopPhase
 from nutmegroad.testing.virtual import ManualClock
 
 
@@ -19,7 +19,7 @@
 
     def open_request(self, seconds: float) -> asyncio.Task[None]:
         async def work() -> None:
-            with self.stop.request():
+            with self.stop.track_request():
                 try:
                     await self.clock.sleep(seconds)
                     self.outcomes.append('completed')
@@ -29,13 +29,13 @@
         return asyncio.create_task(work())
 
     async def test_host_is_not_ready_before_it_refuses_requests(self) -> None:
-        phases: list[Phase] = []
-        self.stop.listen(lambda: phases.append(self.stop.phase))
+        phases: list[StopPhase] = []
+        self.stop.on_start(lambda: phases.append(self.stop.phase))
         task = asyncio.create_task(self.stop.run())
         await self.clock.settle()
         self.assertFalse(self.stop.is_ready)
         self.assertIsNone(self.stop.refusal())
-        self.assertEqual(phases, [Phase.LEAVING])
+        self.assertEqual(phases, [StopPhase.LAME_DUCK])
         await self.clock.advance(1)
         refusal = self.stop.refusal()
         assert refusal is not None
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -21,9 +21,9 @@
     HttpServiceClient,
 )
 from nutmegroad.contracts.upstreams import (
+    AnswerEnd,
     AnswerEvent,
     Attempt,
-    Ending,
     EngineOrder,
     EngineReport,
     OrderAction,
@@ -233,9 +233,9 @@
         events = await self.answer(attempt_at(engine.address))
         pieces = [event for event in events if isinstance(event, Piece)]
         self.assertEqual(list(range(8)), [piece.index for piece in pieces])
-        self.assertEqual(Ending('stop', 1, 8), events[-1])
+        self.assertEqual(AnswerEnd('stop', 1, 8), events[-1])
         resumed = await self.answer(attempt_at(engine.address, skip=3))
-        self.assertEqual(events[3:], [*resumed[:-1], Ending('stop', 1, 8)])
+        self.assertEqual(events[3:], [*resumed[:-1], AnswerEnd('stop', 1, 8)])
 
     async def test_faults_become_refusals(self) -> None:
         cases = (
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -13,7 +13,7 @@
 from nutmegroad.callers.session_tokens import SessionSigner, SessionToken
 from nutmegroad.configuration.checks import check_document
 from nutmegroad.contracts.documents import WorkspaceEntry
-from nutmegroad.contracts.requests import SessionClaim
+from nutmegroad.contracts.requests import SessionBinding
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.secrets import hash_of, is_same
 from nutmegroad.foundations.types import (
@@ -39,7 +39,7 @@
 
 OLD = 'the-key-until-today'
 NEW = 'the-key-from-now-on'
-CLAIM = SessionClaim('s', VersionId('m@1'), Epoch(0))
+CLAIM = SessionBinding('s', VersionId('m@1'), Epoch(0))
 WORKSPACE = WorkspaceId('w')
 
 #: Own key and additionally accepted key of a host, in each rotation step.
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -177,15 +177,15 @@
         return opened[1]
 
     async def assert_works(self, one: Host, two: Host) -> None:
-        reply = await one.links.ask(two.host, Ask('hello'), 5)
+        reply = await one.links.request(two.host, Ask('hello'), 5)
         self.assertEqual(reply, Reply('hello to one'))
 
     async def test_hosts_exchange_messages_both_ways(self) -> None:
         one, two = await self.pair()
         await self.assert_works(one, two)
-        reply = await two.links.ask(one.host, Ask('hello'), 5)
+        reply = await two.links.request(one.host, Ask('hello'), 5)
         self.assertEqual(reply, Reply('hello to two'))
-        self.assertEqual(two.links.tell_all(Ask('all')), 1)
+        self.assertEqual(two.links.broadcast(Ask('all')), 1)
         await wait_until(lambda: 'all' in one.texts)
 
     async def test_a_wrong_key_is_refused_and_counted(self) -> None:
@@ -257,7 +257,7 @@
     async def test_message_over_the_limit_is_not_sent(self) -> None:
         one, two = await self.pair()
         huge = Ask('a' * LinkLimits().max_message_bytes)
-        self.assertFalse(one.links.tell(two.host, huge))
+        self.assertFalse(one.links.send(two.host, huge))
         self.assertEqual(one.count('links_message_too_large'), 1)
         await self.assert_works(one, two)
 
@@ -291,7 +291,7 @@
                 two.links.maintain_links([one.address])
                 await wait_until(one.links.linked)
                 await wait_until(two.links.linked)
-                reply = await one.links.ask(two.host, Ask('hello'), 5)
+                reply = await one.links.request(two.host, Ask('hello'), 5)
                 self.assertIsInstance(reply, Reply)
                 self.assertEqual(len(one.links.linked()), 1)
                 self.assertEqual(len(two.links.linked()), 1)
@@ -309,7 +309,7 @@
         one.links.maintain_links([from_one.address])
         two.links.maintain_links([from_two.address])
         await wait_until(lambda: one.links.linked() and two.links.linked())
-        request = one.links.ask(two.host, Ask('hello'), 5)
+        request = one.links.request(two.host, Ask('hello'), 5)
         pending_reply = asyncio.ensure_future(request)
         from_two.released.set()
         await wait_until(lambda: two.texts)
@@ -337,7 +337,7 @@
     async def test_messages_of_an_old_incarnation_are_dropped(self) -> None:
         one, two = await self.pair()
         two.roster.known[one.host] = 8
-        self.assertTrue(one.links.tell(two.host, Ask('late')))
+        self.assertTrue(one.links.send(two.host, Ask('late')))
         await wait_until(lambda: two.count('links_old_message'))
         self.assertEqual(two.texts, [])
 
@@ -346,7 +346,7 @@
         later = await self.host('one', generation=2)
         later.links.maintain_links([two.address])
         await wait_until(later.links.linked)
-        two.links.tell(one.host, Ask('to the later'))
+        two.links.send(one.host, Ask('to the later'))
         await wait_until(lambda: later.texts)
         self.assertEqual(one.texts, [])
 
@@ -361,7 +361,7 @@
     async def test_outcome_of_request_to_a_lost_host_is_unknown(self) -> None:
         one, two = await self.pair()
         two.links.handle(Ask, never_answer)
-        request = one.links.ask(two.host, Ask('?'), 99)
+        request = one.links.request(two.host, Ask('?'), 99)
         pending_reply = asyncio.ensure_future(request)
         await wait_until(lambda: two.links.linked())
         await asyncio.sleep(0.05)
@@ -373,14 +373,14 @@
     async def test_failing_handler_refuses_and_keeps_the_link(self) -> None:
         one, two = await self.pair()
         with self.assertLogs(level='ERROR'):
-            reply = await one.links.ask(two.host, Ask('fail'), 5)
+            reply = await one.links.request(two.host, Ask('fail'), 5)
         assert isinstance(reply, Refusal)
         self.assertEqual(reply.code, ResultCode.PEER_REFUSED)
         await self.assert_works(one, two)
 
     async def test_request_without_a_link_was_not_run(self) -> None:
         one = await self.host('one')
-        reply = await one.links.ask(HostId('nobody'), Ask('?'), 5)
+        reply = await one.links.request(HostId('nobody'), Ask('?'), 5)
         assert isinstance(reply, Refusal)
         self.assertEqual(reply.ran, Ran.NOT_RUN)
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -233,7 +233,7 @@
         old = hosts[0].table.own
         await self.stop(hosts[0])
         heartbeat = Heartbeat(0, wanted=True, news=(old,))
-        hosts[1].links.tell(hosts[2].name, heartbeat)
+        hosts[1].links.send(hosts[2].name, heartbeat)
         await self.clock.advance(1)
         self.assertEqual(hosts[2].presence_of(old.host), Presence.GONE)
         await self.clock.jump(GONE_RETENTION)
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -27,7 +27,7 @@
     Withdrawal,
 )
 from nutmegroad.contracts.platform import Rating
-from nutmegroad.contracts.requests import ModelRequest, Plan, SessionClaim
+from nutmegroad.contracts.requests import ModelRequest, Plan, SessionBinding
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import (
     Epoch,
@@ -152,7 +152,7 @@
 
     def test_a_session_keeps_its_version(self) -> None:
         self.rate(SMALL, DOSSIER, 0.5, 80)
-        claim = SessionClaim('s', SMALL, Epoch(0))
+        claim = SessionBinding('s', SMALL, Epoch(0))
         plan = self.plan(DOSSIER, session=claim, versions=(SMALL,))
         self.assertEqual(plan.steps, (SMALL,))
 
--- a/tests/test_records_random.py
+++ b/tests/test_records_random.py
@@ -157,12 +157,12 @@
 
     def send_attempt(self, fence: Fence, work: str) -> ServiceReply | Refusal:
         """Send one attempt, whose reply may be lost before or after it ran."""
-        attempt_fence = fence.attempt()
-        refusal = attempt_fence.check()
+        attempt_fence = fence.new_attempt()
+        refusal = attempt_fence.admit()
         if refusal is not None:
             return refusal
         if self.one_in(5):
-            attempt_fence.end(NOT_RUN)
+            attempt_fence.record_end(NOT_RUN)
             return NOT_RUN
         if self.one_in(5):
             return UNKNOWN
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -25,7 +25,7 @@
     report,
     start_of,
 )
-from tests.shared_documents import VERSION
+from tests.sample_configuration import VERSION
 
 _NONE: Final[frozenset[UpstreamId]] = frozenset()
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -32,7 +32,7 @@
 from nutmegroad.routing.service_traffic import ServiceTraffic
 from nutmegroad.routing.services import ServiceCaller, ServiceRequest
 from nutmegroad.testing.virtual import ManualClock
-from tests.shared_documents import configure
+from tests.sample_configuration import make_configuration
 
 _PORTAL = ServiceName('portal')
 _RULE = CallRule(method='GET', path='*', repeatable=True)
@@ -59,7 +59,7 @@
         self.clock = ManualClock()
         self.metrics = Metrics(float)
         self.client = ScriptedServices()
-        configuration = configure(self.clock, 1)
+        configuration = make_configuration(self.clock, 1)
         directory = Directory(self.clock)
         directory.update(tuple(self.upstream(name) for name in 'abc'))
         retries = ProportionalRetries(self.clock)
--- a/tests/test_testing.py
+++ b/tests/test_testing.py
@@ -82,7 +82,7 @@
         return Pong(ping.number + 1)
 
     async def ask(self) -> Message | Refusal:
-        request = asyncio.ensure_future(self.one.ask(TWO, Ping(1), 2))
+        request = asyncio.ensure_future(self.one.request(TWO, Ping(1), 2))
         await self.clock.advance(3)
         return await request
 
@@ -91,7 +91,7 @@
 
     async def test_a_cut_link_loses_messages_silently(self) -> None:
         self.mesh.cut_domain(DomainId('west'))
-        self.assertTrue(self.one.tell(TWO, Ping(1)))
+        self.assertTrue(self.one.send(TWO, Ping(1)))
         reply = await self.ask()
         assert isinstance(reply, Refusal)
         self.assertEqual((reply.ran, self.numbers), (Ran.UNKNOWN, []))
@@ -100,8 +100,8 @@
 
     async def test_a_noticed_cut_refuses_messages_immediately(self) -> None:
         self.mesh.cut(ONE, TWO, noticed=True)
-        self.assertFalse(self.one.tell(TWO, Ping(1)))
-        reply = await self.one.ask(TWO, Ping(1), 2)
+        self.assertFalse(self.one.send(TWO, Ping(1)))
+        reply = await self.one.request(TWO, Ping(1), 2)
         assert isinstance(reply, Refusal)
         self.assertEqual(reply.ran, Ran.NOT_RUN)
         self.assertEqual(self.one.members(), ())
@@ -115,7 +115,7 @@
                 self.numbers.clear()
                 self.mesh.faults.reorder = reorder
                 for number in range(20):
-                    self.one.tell(TWO, Ping(number))
+                    self.one.send(TWO, Ping(number))
                 await self.clock.advance(5)
                 self.assertEqual(sorted(self.numbers), list(range(20)))
                 self.assertEqual(self.numbers == list(range(20)), in_order)
@@ -129,6 +129,6 @@
                 self.numbers.clear()
                 self.mesh.faults = NetworkFaults()
                 setattr(self.mesh.faults, name, 1)
-                self.one.tell(TWO, Ping(5))
+                self.one.send(TWO, Ping(5))
                 await self.clock.advance(1)
                 self.assertEqual(self.numbers, received)
--- a/tests/test_watch_sharing.py
+++ b/tests/test_watch_sharing.py
@@ -262,9 +262,9 @@
         assert state is not None
         assert state.report is not None
         west.sharer.take_report(state, state.report, self.clock.now())
-        self.assertTrue(state.leaving)
+        self.assertTrue(state.draining)
         before = self.deployment.polls[ONE]
         await self.clock.advance(4)
         # The host has polled the engine itself, which clears the state.
         self.assertGreater(self.deployment.polls[ONE], before)
-        self.assertFalse(state.leaving)
+        self.assertFalse(state.draining)
