--- a/models/rollout_returns.py
+++ b/models/rollout_returns.py
@@ -208,12 +208,12 @@
             store_lacks = int(host.stage != _NO_STAGE)
             return host._replace(stage_version=0, store_lacks=store_lacks)
         host = host._replace(stage_version=rows.stage_version)
-        is_same = rows.number in {host.number, host.order_position}
+        secrets_equal = rows.number in {host.number, host.order_position}
         adopts = self._adopts(host, rows.number)
-        if self._is_ahead(host, rows, is_same=is_same or adopts):
+        if self._is_ahead(host, rows, secrets_equal=secrets_equal or adopts):
             number = rows.number if adopts else host.number
             return host._replace(number=number, store_lacks=1)
-        if not (is_same or adopts):
+        if not (secrets_equal or adopts):
             return host._replace(stage=_NO_STAGE, end_number=0, store_lacks=0)
         return host._replace(
             number=rows.number,
@@ -242,11 +242,11 @@
             and number // _ERA_FACTOR < host.number // _ERA_FACTOR
         )
 
-    def _is_ahead(self, host: Host, rows: Rows, *, is_same: bool) -> bool:
+    def _is_ahead(self, host: Host, rows: Rows, *, secrets_equal: bool) -> bool:
         """Return whether a host is ahead of the stage's row."""
         if host.stage == _NO_STAGE or not self._mechanisms.forward_only:
             return False
-        if not is_same:
+        if not secrets_equal:
             return rows.number < host.number
         # If both have the same progress, the lower number is kept.
         stored_progress = (*_progress(rows), -rows.number)
--- a/src/nutmegroad/adapters/_http_costs.py
+++ b/src/nutmegroad/adapters/_http_costs.py
@@ -43,5 +43,7 @@
         len(name) + len(text) + _HEADER_OVERHEAD
         for name, text in response.raw_headers
     )
-    account.sent(part, _HEAD_OVERHEAD + target_size + request_headers + sent)
-    account.received(part, _HEAD_OVERHEAD + response_headers + received)
+    account.add_sent(
+        part, _HEAD_OVERHEAD + target_size + request_headers + sent
+    )
+    account.add_received(part, _HEAD_OVERHEAD + response_headers + received)
--- a/src/nutmegroad/adapters/_http_platform.py
+++ b/src/nutmegroad/adapters/_http_platform.py
@@ -174,7 +174,7 @@
         if self._account is not None:
             kind = 'writes' if call.is_write else 'reads'
             service = self._part.replace(' ', '_')
-            self._account.count(f'platform_{service}_{kind}')
+            self._account.count_event(f'platform_{service}_{kind}')
 
     async def _exchange(self, call: _Call) -> _Reply:
         """Send a call, receive its reply and record the traffic."""
--- a/src/nutmegroad/callers/_http_middleware.py
+++ b/src/nutmegroad/callers/_http_middleware.py
@@ -27,7 +27,7 @@
 from nutmegroad.callers._stop_guard import STREAM_KEY
 from nutmegroad.callers.answer_streams import EventStream
 from nutmegroad.callers.replies import REQUEST_HEADER, code_of, refuse
-from nutmegroad.foundations.logs import about_request, part_logger
+from nutmegroad.foundations.logs import part_logger, request_context
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import RequestId
 from nutmegroad.kernel.core import Kernel
@@ -67,7 +67,7 @@
             if isinstance(request.protocol, Connection):
                 request.protocol.cancel_header_timer()
             request_id = self._new_id()
-            with about_request(request_id):
+            with request_context(request_id):
                 reply = await self._answer(request, handler, request_id)
             if not reply.prepared:
                 _set_request_id(reply, request_id)
--- a/src/nutmegroad/callers/_stop_guard.py
+++ b/src/nutmegroad/callers/_stop_guard.py
@@ -107,7 +107,7 @@
 
     def _report_open(self) -> None:
         """Update the metric of open requests."""
-        self._metrics.state.in_flight(self._stop.open_requests)
+        self._metrics.state.set_in_flight(self._stop.open_requests)
 
 
 def _is_gone(http: Request) -> bool:
--- a/src/nutmegroad/callers/intake.py
+++ b/src/nutmegroad/callers/intake.py
@@ -18,7 +18,7 @@
 from nutmegroad.contracts.requests import ModelRequest, SessionBinding
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.results import Refusal, ResultCode
-from nutmegroad.foundations.secrets import hash_of, is_same
+from nutmegroad.foundations.secrets import hash_secret, secrets_equal
 from nutmegroad.foundations.types import (
     IdempotencyKey,
     RequestId,
@@ -123,9 +123,9 @@
             retry_after=1,
         )
     key = headers.get('Authorization', '').removeprefix(_BEARER)
-    key_hash = hash_of(key)
+    key_hash = hash_secret(key)
     for entry in accepted.document.workspaces:
-        if any(is_same(key_hash, known) for known in entry.key_hashes):
+        if any(secrets_equal(key_hash, known) for known in entry.key_hashes):
             return entry
     return Refusal(
         ResultCode.UNAUTHENTICATED,
--- a/src/nutmegroad/callers/interface.py
+++ b/src/nutmegroad/callers/interface.py
@@ -33,7 +33,7 @@
 from nutmegroad.callers.service_routes import IncomingServiceCall, check_key
 from nutmegroad.contracts.documents import WorkspaceEntry
 from nutmegroad.contracts.upstreams import ServiceReply
-from nutmegroad.foundations.logs import present_request
+from nutmegroad.foundations.logs import current_request
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import RequestId, ServiceName, WorkspaceId
 from nutmegroad.records.at_most_once import ForwardRequired
@@ -162,7 +162,7 @@
 
     def _request_id(self) -> RequestId:
         """Return the id assigned to the current request, or a new one."""
-        present = present_request()
+        present = current_request()
         if present is not None:
             return present
         nonce = f'{self._context.randomness.getrandbits(_NONCE_BITS):016x}'
--- a/src/nutmegroad/canary/verdicts.py
+++ b/src/nutmegroad/canary/verdicts.py
@@ -23,7 +23,11 @@
     KindNumber,
     sum_answers,
 )
-from nutmegroad.foundations.likelihoods import Assurance, Wealth, log_ratio
+from nutmegroad.foundations.likelihoods import (
+    ClampedLogRatio,
+    MixtureCusum,
+    log_likelihood_ratio,
+)
 
 #: Minimum of the fraction of poor answers that a good version may have.
 #: Crashes and lost answers make answers poor whatever the version is.
@@ -109,8 +113,8 @@
     def __init__(self) -> None:
         level = math.log(KIND_FALSE_SUCCESS_ODDS)
         self.seen = NO_ANSWERS
-        self.against = Wealth(len(DEGRADATIONS))
-        self.assurance = Assurance(MIN_ASSURANCE, level + MAX_EXCESS)
+        self.against = MixtureCusum(len(DEGRADATIONS))
+        self.assurance = ClampedLogRatio(MIN_ASSURANCE, level + MAX_EXCESS)
         self._recent: float = 0
         self._recent_poor: float = 0
 
@@ -149,8 +153,8 @@
     def __init__(self) -> None:
         level = math.log(FALSE_SUCCESS_ODDS)
         self._kinds: dict[KindNumber, _KindTests] = {}
-        self._against = Wealth(len(DEGRADATIONS))
-        self._assurance = Assurance(MIN_ASSURANCE, level + MAX_EXCESS)
+        self._against = MixtureCusum(len(DEGRADATIONS))
+        self._assurance = ClampedLogRatio(MIN_ASSURANCE, level + MAX_EXCESS)
 
     @property
     def totals(self) -> Answers:
@@ -211,15 +215,17 @@
             return
         baseline, expected = kind.baseline, kind.expected
         against = [
-            log_ratio(poor, good, _degraded(expected, fraction), expected)
+            log_likelihood_ratio(
+                poor, good, _degraded(expected, fraction), expected
+            )
             for fraction in DEGRADATIONS
         ]
         self._against.add(against)
         kind.against.add(against)
         slight = _degraded(baseline, MARGIN)
-        self._assurance.add(log_ratio(poor, good, baseline, slight))
+        self._assurance.add(log_likelihood_ratio(poor, good, baseline, slight))
         severe = _degraded(baseline, KIND_MARGIN)
-        kind.assurance.add(log_ratio(poor, good, baseline, severe))
+        kind.assurance.add(log_likelihood_ratio(poor, good, baseline, severe))
 
     def _is_bad(self, groups: int) -> bool:
         """Return whether the answers show that the version is bad."""
--- a/src/nutmegroad/configuration/part.py
+++ b/src/nutmegroad/configuration/part.py
@@ -92,8 +92,8 @@
 ) -> None:
     """Update the metrics of the configuration, until cancelled."""
     while True:
-        metrics.state.revision(configuration.revision)
-        metrics.state.heard(configuration.highest_known_revision)
-        metrics.state.isolated(configuration.isolated)
-        metrics.state.lease_age(configuration.confirmation_age)
+        metrics.state.set_revision(configuration.revision)
+        metrics.state.set_revision_heard(configuration.highest_known_revision)
+        metrics.state.set_isolated(configuration.isolated)
+        metrics.state.set_lease_age(configuration.confirmation_age)
         await clock.sleep(_METRICS_INTERVAL)
--- a/src/nutmegroad/daemon/part.py
+++ b/src/nutmegroad/daemon/part.py
@@ -51,9 +51,11 @@
             kernel.settings.lease,
         )
         poller = kernel.need(ConfigurationPoller)
-        kernel.need(Gatekeeper).add_condition(detector.refusal)
+        kernel.need(Gatekeeper).add_condition(detector.dispatch_refusal)
         kernel.spawn(detector.run(), 'pauses')
-        kernel.spawn(detector.confirm_after(poller.poll), 'confirmations')
+        kernel.spawn(
+            detector.confirm_after_pauses(poller.poll), 'confirmations'
+        )
         kernel.provide(PauseDetector, detector)
 
 
--- a/src/nutmegroad/daemon/pauses.py
+++ b/src/nutmegroad/daemon/pauses.py
@@ -62,7 +62,7 @@
             self.tick()
             await self._clock.sleep(TICK_INTERVAL)
 
-    async def confirm_after(
+    async def confirm_after_pauses(
         self, poll: Callable[[], Awaitable[object]]
     ) -> None:
         """After each pause, poll until dispatch is allowed again.
@@ -73,7 +73,7 @@
         while True:
             await self._pause_detected.wait()
             self._pause_detected.clear()
-            while self.refusal() is not None:
+            while self.dispatch_refusal() is not None:
                 await poll()
                 await self._clock.sleep(TICK_INTERVAL)
 
@@ -88,7 +88,7 @@
             self._pause_detected.set()
             _LOG.warning('this process was paused for %.2f s', gap)
 
-    def refusal(self) -> Refusal | None:
+    def dispatch_refusal(self) -> Refusal | None:
         """Return why nothing may be dispatched now, or None."""
         # Queued work may run before the next regular tick.
         self.tick()
--- a/src/nutmegroad/daemon/program.py
+++ b/src/nutmegroad/daemon/program.py
@@ -12,7 +12,11 @@
 from nutmegroad.daemon.plugins import load_plugins
 from nutmegroad.foundations.clocks import SystemClock
 from nutmegroad.foundations.exceptions import RegistryError, SettingsError
-from nutmegroad.foundations.logs import LogFormat, part_logger, set_up_logs
+from nutmegroad.foundations.logs import (
+    LogFormat,
+    configure_logging,
+    part_logger,
+)
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.settings import Settings, format_settings, read_settings
 from nutmegroad.kernel.stops import GracefulStop
@@ -109,7 +113,7 @@
     if settings.print_settings:
         sys.stdout.write(f'{format_settings(origins)}\n')
         return 0
-    set_up_logs(LogFormat(settings.log_format), sys.stderr)
+    configure_logging(LogFormat(settings.log_format), sys.stderr)
     try:
         load_plugins(settings.plugins)
     except RegistryError as registry_error:
--- a/src/nutmegroad/foundations/_cost_metrics.py
+++ b/src/nutmegroad/foundations/_cost_metrics.py
@@ -35,7 +35,7 @@
             gained = count - self._published_events.get(event, 0)
             self._metrics.host_event(event, gained)
             self._published_events[event] = count
-        self._metrics.state.resident(resident_bytes())
+        self._metrics.state.set_resident_bytes(resident_bytes())
 
 
 def resident_bytes() -> int:
--- a/src/nutmegroad/foundations/_quality_metrics.py
+++ b/src/nutmegroad/foundations/_quality_metrics.py
@@ -57,7 +57,7 @@
             registry=registry,
         )
 
-    def estimate(
+    def set_estimate(
         self,
         version: VersionId,
         task: TaskName,
@@ -76,12 +76,14 @@
             self._quality.labels(version, task, bound).set(quality)
         self._ratings.labels(version, task).set(ratings)
 
-    def forget(self) -> None:
+    def clear_estimates(self) -> None:
         """Remove all estimates, so that only current ones are set again."""
         self._quality.clear()
         self._ratings.clear()
 
-    def service(self, position: int, silence: float, *, frozen: bool) -> None:
+    def set_rating_service(
+        self, position: int, silence: float, *, frozen: bool
+    ) -> None:
         """Set the state of the rating service.
 
         Args:
@@ -94,6 +96,6 @@
         self._silence.set(silence)
         self._frozen.set(frozen)
 
-    def sampled(self, outcome: str) -> None:
+    def count_sample(self, outcome: str) -> None:
         """Count an answer that was sampled for rating, by its outcome."""
         self._samples.labels(outcome).inc()
--- a/src/nutmegroad/foundations/accounting.py
+++ b/src/nutmegroad/foundations/accounting.py
@@ -15,16 +15,16 @@
 class Account(Protocol):
     """Receives the costs and events that parts report."""
 
-    def sent(self, part: str, size: int) -> None:
+    def add_sent(self, part: str, size: int) -> None:
         """Add one sent message of ``size`` bytes."""
 
-    def received(self, part: str, size: int) -> None:
+    def add_received(self, part: str, size: int) -> None:
         """Add one received message of ``size`` bytes."""
 
-    def worked(self, part: str, seconds: float) -> None:
+    def add_processor_time(self, part: str, seconds: float) -> None:
         """Add processor time in seconds."""
 
-    def count(self, event: str) -> None:
+    def count_event(self, event: str) -> None:
         """Count an event, such as a refusal."""
 
     def processor_time(self) -> float:
@@ -73,23 +73,23 @@
         self._costs: defaultdict[str, PartCost] = defaultdict(PartCost)
         self._events: Counter[str] = Counter()
 
-    def sent(self, part: str, size: int) -> None:
+    def add_sent(self, part: str, size: int) -> None:
         """Add one sent message of ``size`` bytes."""
         cost = self._costs[part]
         cost.sent_bytes += size
         cost.sent_messages += 1
 
-    def received(self, part: str, size: int) -> None:
+    def add_received(self, part: str, size: int) -> None:
         """Add one received message of ``size`` bytes."""
         cost = self._costs[part]
         cost.received_bytes += size
         cost.received_messages += 1
 
-    def worked(self, part: str, seconds: float) -> None:
+    def add_processor_time(self, part: str, seconds: float) -> None:
         """Add processor time in seconds."""
         self._costs[part].processor_seconds += seconds
 
-    def count(self, event: str) -> None:
+    def count_event(self, event: str) -> None:
         """Count an event."""
         self._events[event] += 1
 
@@ -106,7 +106,7 @@
         return dict(self._events)
 
 
-class Metered(Coroutine[Any, Any, Outcome]):
+class MeteredCoroutine(Coroutine[Any, Any, Outcome]):
     """Wraps a coroutine and charges its processor time to a part.
 
     Only the steps of the coroutine itself are charged, not what other tasks
@@ -151,4 +151,4 @@
             return step(*args)
         finally:
             seconds = self._account.processor_time() - started_at
-            self._account.worked(self._part, seconds)
+            self._account.add_processor_time(self._part, seconds)
--- a/src/nutmegroad/foundations/likelihoods.py
+++ b/src/nutmegroad/foundations/likelihoods.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 
-def log_ratio(
+def log_likelihood_ratio(
     hits: int,
     misses: int,
     chance: float,
@@ -32,7 +32,7 @@
     return hits * hit + misses * miss
 
 
-class Wealth:
+class MixtureCusum:
     """A mixture of bets whose log wealth never falls below its start.
 
     Clamping each log wealth at its initial value (a cumulative sum, CUSUM)
@@ -62,7 +62,7 @@
         ]
 
 
-class Assurance:
+class ClampedLogRatio:
     """The log wealth of one bet, clamped between two bounds.
 
     Above the upper bound, old counts would outweigh new ones for long; below
--- a/src/nutmegroad/foundations/log_bounds.py
+++ b/src/nutmegroad/foundations/log_limits.py
@@ -85,7 +85,7 @@
         return suppressed
 
 
-class UnblockingHandler(standard_logging.Handler):
+class NonBlockingHandler(standard_logging.Handler):
     """Writes lines to a file descriptor, and drops lines rather than block.
 
     Args:
@@ -118,7 +118,7 @@
             self._pending += line
         self._flush()
 
-    def report(self) -> None:
+    def report_losses(self) -> None:
         """Log how many lines were suppressed or dropped since last time."""
         lines = [
             format_decision(
@@ -152,7 +152,7 @@
             self._pending = b''
 
 
-def standard_output(now: Callable[[], float]) -> UnblockingHandler:
+def stdout_handler(now: Callable[[], float]) -> NonBlockingHandler:
     """Return a handler that writes to the standard output."""
     sys.stdout.flush()
-    return UnblockingHandler(sys.stdout.fileno(), LogRateLimiter(now))
+    return NonBlockingHandler(sys.stdout.fileno(), LogRateLimiter(now))
--- a/src/nutmegroad/foundations/logs.py
+++ b/src/nutmegroad/foundations/logs.py
@@ -251,7 +251,7 @@
 
 
 @contextmanager
-def about_request(request: RequestId) -> Iterator[None]:
+def request_context(request: RequestId) -> Iterator[None]:
     """Add a request's id to every line that the block logs."""
     token = _REQUEST.set(request)
     try:
@@ -260,7 +260,7 @@
         _REQUEST.reset(token)
 
 
-def present_request() -> RequestId | None:
+def current_request() -> RequestId | None:
     """Return the request that the current task serves, if any."""
     return _REQUEST.get()
 
@@ -270,7 +270,7 @@
     return PartLogger(part)
 
 
-def set_up_logs(log_format: LogFormat, stream: TextIO) -> None:
+def configure_logging(log_format: LogFormat, stream: TextIO) -> None:
     """Send all logs of ``absl.logging`` to a stream.
 
     Args:
@@ -283,10 +283,10 @@
     # absl's own handler writes only after absl has parsed its flags. Here
     # argparse parses them, so absl's logger passes its records to this
     # handler.
-    use_handler(standard_logging.StreamHandler(stream), formatter)
+    install_handler(standard_logging.StreamHandler(stream), formatter)
 
 
-def use_handler(
+def install_handler(
     handler: standard_logging.Handler,
     formatter: standard_logging.Formatter,
 ) -> None:
--- a/src/nutmegroad/foundations/metrics.py
+++ b/src/nutmegroad/foundations/metrics.py
@@ -123,15 +123,15 @@
             registry,
         )
 
-    def first_token(self, task: TaskName, seconds: float) -> None:
+    def observe_first_token(self, task: TaskName, seconds: float) -> None:
         """Observe the time from a request to its first token."""
         self._first_token.labels(task).observe(seconds)
 
-    def between_tokens(self, task: TaskName, seconds: float) -> None:
+    def observe_between_tokens(self, task: TaskName, seconds: float) -> None:
         """Observe the time between two tokens."""
         self._between_tokens.labels(task).observe(seconds)
 
-    def whole_time(self, task: TaskName, seconds: float) -> None:
+    def observe_whole_time(self, task: TaskName, seconds: float) -> None:
         """Observe the time from a request to the end of its answer."""
         self._whole_time.labels(task).observe(seconds)
 
@@ -184,42 +184,42 @@
             registry=registry,
         )
 
-    def revision(self, revision: Revision) -> None:
+    def set_revision(self, revision: Revision) -> None:
         """Set the configuration revision in force."""
         self._revision_gauge.set(revision)
 
-    def heard(self, revision: Revision) -> None:
+    def set_revision_heard(self, revision: Revision) -> None:
         """Set the highest configuration revision known to the host."""
         self._revision_heard_gauge.set(revision)
 
-    def isolated(self, isolated: bool) -> None:
+    def set_isolated(self, isolated: bool) -> None:
         """Set whether the host is isolated.
 
         It is isolated while nothing confirms its configuration.
         """
         self._isolated_gauge.set(isolated)
 
-    def lease_age(self, seconds: float) -> None:
+    def set_lease_age(self, seconds: float) -> None:
         """Set the seconds since the configuration was last confirmed."""
         self._lease_age_gauge.set(seconds)
 
-    def in_flight(self, requests: int) -> None:
+    def set_in_flight(self, requests: int) -> None:
         """Set the number of requests that are being executed."""
         self._in_flight_gauge.set(requests)
 
-    def queued(self, requests: int) -> None:
+    def set_queued(self, requests: int) -> None:
         """Set the number of queued requests."""
         self._queued_gauge.set(requests)
 
-    def resident(self, size: int) -> None:
+    def set_resident_bytes(self, size: int) -> None:
         """Set the resident memory of the process, in bytes."""
         self._resident_gauge.set(size)
 
-    def unstored(self, kind: str, records: int) -> None:
+    def set_unstored_records(self, kind: str, records: int) -> None:
         """Set the number of records of a kind that wait to be stored."""
         self._unstored_gauge.labels(kind).set(records)
 
-    def members(self, presence: Presence, hosts: int) -> None:
+    def set_members(self, presence: Presence, hosts: int) -> None:
         """Set the number of known hosts in a lifecycle state."""
         self._members_gauge.labels(presence.value).set(hosts)
 
--- a/src/nutmegroad/foundations/secrets.py
+++ b/src/nutmegroad/foundations/secrets.py
@@ -8,7 +8,7 @@
 import hmac
 
 
-def hash_of(secret: str) -> str:
+def hash_secret(secret: str) -> str:
     """Return the SHA-256 hash of a secret, as documents store it.
 
     A secret that is not valid text, as a caller may send it, has a hash too.
@@ -17,7 +17,7 @@
     return hashlib.sha256(content).hexdigest()
 
 
-def is_same(given: str, known: str) -> bool:
+def secrets_equal(given: str, known: str) -> bool:
     """Return whether two texts are equal, in constant time."""
     return hmac.compare_digest(
         given.encode(errors='surrogateescape'),
--- a/src/nutmegroad/foundations/timeouts.py
+++ b/src/nutmegroad/foundations/timeouts.py
@@ -61,7 +61,7 @@
         """Restart the idle timeout, since there was activity."""
         self._touched_at = self._clock.now()
 
-    def hold(self) -> None:
+    def suspend(self) -> None:
         """Suspend the idle timeout until a touch; the deadline still holds."""
         self._touched_at = math.inf
 
--- a/src/nutmegroad/kernel/core.py
+++ b/src/nutmegroad/kernel/core.py
@@ -20,7 +20,7 @@
 from types import MappingProxyType
 from typing import Any, Final, Protocol, Self, TypeVar, cast
 
-from nutmegroad.foundations.accounting import Account, Metered
+from nutmegroad.foundations.accounting import Account, MeteredCoroutine
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.exceptions import RegistryError
 from nutmegroad.foundations.logs import part_logger
@@ -136,7 +136,7 @@
         """
         account = self._provided.get(Account)
         if account is not None:
-            coroutine = Metered(account, name, coroutine)
+            coroutine = MeteredCoroutine(account, name, coroutine)
         task = asyncio.create_task(coroutine, name=name)
         task.add_done_callback(_log_failure)
         self.stack.push_async_callback(_cancel, task)
--- a/src/nutmegroad/membership/_connection.py
+++ b/src/nutmegroad/membership/_connection.py
@@ -202,8 +202,8 @@
         while True:
             frames = await queue.take_all()
             for frame in frames:
-                account.sent(frame.part, len(frame.packed))
-            account.count('links_segments')
+                account.add_sent(frame.part, len(frame.packed))
+            account.count_event('links_segments')
             if not await self._send(frames):
                 return
 
--- a/src/nutmegroad/membership/_coordinator.py
+++ b/src/nutmegroad/membership/_coordinator.py
@@ -212,7 +212,7 @@
         if self._context.clock.now() - self._started_at > _STARTUP_PERIOD:
             # Another process runs under the same host id, and it is the later
             # one.
-            self._context.account.count('members_superseded')
+            self._context.account.count_event('members_superseded')
             _LOG.error(
                 'a later incarnation of this host is running, generation %d',
                 known,
@@ -239,7 +239,7 @@
 
     def _remove_host(self, host: HostId) -> None:
         _LOG.info('host %s declared gone', host)
-        self._context.account.count('members_gone')
+        self._context.account.count_event('members_gone')
         self._table.declare_gone(host)
         self._detector.forget(host)
         self._links.drop(host)
--- a/src/nutmegroad/membership/_link_lifecycle.py
+++ b/src/nutmegroad/membership/_link_lifecycle.py
@@ -8,7 +8,7 @@
 from typing import Any, Final
 
 from nutmegroad.foundations._owned_tasks import OwnedTasks
-from nutmegroad.foundations.accounting import Metered
+from nutmegroad.foundations.accounting import MeteredCoroutine
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.types import Address
 from nutmegroad.membership._connection import LINKS_PART, Connection, Frame
@@ -80,7 +80,7 @@
                 self._context.clock, seconds, opening
             )
         except (OSError, TimeoutError):
-            self._context.account.count('links_unreachable')
+            self._context.account.count_event('links_unreachable')
             return None
         stream = HandshakeStream(reader, writer)
         handshake = initiate_handshake(stream, self._credentials())
@@ -93,7 +93,7 @@
     ) -> AuthenticatedConnection | None:
         """Authenticate an incoming connection; None if it is rejected."""
         if self._unauthenticated >= self._context.limits.max_unauthenticated:
-            self._context.account.count('links_too_many_unknown')
+            self._context.account.count_event('links_too_many_unknown')
             writer.transport.abort()
             return None
         self._unauthenticated += 1
@@ -135,13 +135,13 @@
         except HandshakeError as error:
             self._report_failure(error)
         except TimeoutError:
-            self._context.account.count('links_handshake_slow')
+            self._context.account.count_event('links_handshake_slow')
         except OSError:
-            self._context.account.count('links_handshake_cut')
+            self._context.account.count_event('links_handshake_cut')
         return None
 
     def _report_failure(self, error: HandshakeError) -> None:
-        self._context.account.count(error.event)
+        self._context.account.count_event(error.event)
         _LOG.info('handshake failed: %s', error.event)
         if error.known:
             self._generation_outdated(error.known)
@@ -185,13 +185,13 @@
         connection = authenticated.connection
         peer = self._table.add(connection)
         if peer is None:
-            self._context.account.count('links_old_incarnation')
+            self._context.account.count_event('links_old_incarnation')
             connection.abort()
             return
         if peer.connection is connection:
             self._start_link(peer, tasks)
         else:
-            self._context.account.count('links_doubled')
+            self._context.account.count_event('links_doubled')
         try:
             await self._read(authenticated, peer)
         finally:
@@ -223,7 +223,7 @@
         """Start writing on the current connection of a peer."""
         account = self._context.account
         work = peer.connection.write(peer.queue, account)
-        writing = Metered(account, LINKS_PART, work)
+        writing = MeteredCoroutine(account, LINKS_PART, work)
         peer.connection.write_task = tasks.start(writing)
         _LOG.info('link to host %s opened', peer.host)
         self._listener.link_opened(peer.identity)
@@ -236,7 +236,7 @@
         event = await authenticated.connection.read(
             unpacker, authenticated.early_bytes, receive
         )
-        self._context.account.count(event)
+        self._context.account.count_event(event)
 
     def _receive(
         self,
@@ -266,8 +266,8 @@
                 pending_since is not None
                 and now - pending_since > limits.write_timeout
             ):
-                self._context.account.count('links_stalled')
+                self._context.account.count_event('links_stalled')
                 connection.abort()
             elif now - connection.last_received > limits.idle_timeout:
-                self._context.account.count('links_silent')
+                self._context.account.count_event('links_silent')
                 connection.abort()
--- a/src/nutmegroad/membership/_message_receiver.py
+++ b/src/nutmegroad/membership/_message_receiver.py
@@ -6,7 +6,7 @@
 
 from nutmegroad.contracts.peers import Handler, Message, Sent
 from nutmegroad.foundations._owned_tasks import OwnedTasks
-from nutmegroad.foundations.accounting import Metered
+from nutmegroad.foundations.accounting import MeteredCoroutine
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal, ResultCode
@@ -135,12 +135,12 @@
     def receive(self, peer: Peer, frame: Frame, size: int) -> None:
         """Process one frame of a peer."""
         if self._roster.newer_generation(peer.identity):
-            self._context.account.count('links_old_message')
+            self._context.account.count_event('links_old_message')
             peer.connection.abort()
             return
         message = self._message_types.decode(frame.body)
         part = LINKS_PART if message is None else message.part
-        self._context.account.received(part, size)
+        self._context.account.add_received(part, size)
         if frame.kind in {FrameKind.REPLY, FrameKind.REFUSED}:
             self._resolve_reply(peer, frame, message)
             return
@@ -157,7 +157,7 @@
             reason = f'Host {peer.host} refused: {frame.body}'
             reply = Refusal(ResultCode.PEER_REFUSED, reason, Ran.UNKNOWN)
         if not self._pending.resolve(peer.host, frame.number, reply):
-            self._context.account.count('links_late_reply')
+            self._context.account.count_event('links_late_reply')
 
     def _start_handler(
         self, peer: Peer, frame: Frame, message: Message | None
@@ -172,7 +172,7 @@
         peer.running_handlers += 1
         work = self._run_handler(peer, frame, message, handler)
         account = self._context.account
-        self._tasks.start(Metered(account, message.part, work))
+        self._tasks.start(MeteredCoroutine(account, message.part, work))
 
     async def _run_handler(
         self,
@@ -202,11 +202,11 @@
         self._enqueue(peer, QueuedFrame(packed, reply.part))
 
     def _refuse(self, peer: Peer, frame: Frame, event: str) -> None:
-        self._context.account.count(event)
+        self._context.account.count_event(event)
         if frame.kind is FrameKind.REQUEST:
             packed = pack_frame(FrameKind.REFUSED, frame.number, event)
             self._enqueue(peer, QueuedFrame(packed, LINKS_PART))
 
     def _enqueue(self, peer: Peer, queued: QueuedFrame) -> None:
         if not peer.queue.put(queued):
-            self._context.account.count('links_queue_full')
+            self._context.account.count_event('links_queue_full')
--- a/src/nutmegroad/membership/_peer_table.py
+++ b/src/nutmegroad/membership/_peer_table.py
@@ -224,7 +224,7 @@
     ) -> int:
         packed = pack_frame(kind, number, as_plain(message))
         if len(packed) > self._context.limits.max_message_bytes:
-            self._context.account.count('links_message_too_large')
+            self._context.account.count_event('links_message_too_large')
             return 0
         lazy = message.lazy and kind is FrameKind.NOTIFICATION
         frame = QueuedFrame(packed, message.part, message.replaceable, lazy)
@@ -236,5 +236,5 @@
             return False
         if peer.queue.put(frame):
             return True
-        self._context.account.count('links_queue_full')
+        self._context.account.count_event('links_queue_full')
         return False
--- a/src/nutmegroad/membership/links.py
+++ b/src/nutmegroad/membership/links.py
@@ -12,7 +12,7 @@
 
 from nutmegroad.contracts.peers import Handler, Member, Message, Sent
 from nutmegroad.foundations._owned_tasks import OwnedTasks
-from nutmegroad.foundations.accounting import Metered
+from nutmegroad.foundations.accounting import MeteredCoroutine
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Address, HostId
 from nutmegroad.membership._connection import LINKS_PART
@@ -201,7 +201,9 @@
 
     def _accept(self, reader: StreamReader, writer: StreamWriter) -> None:
         work = self._run_accepted(reader, writer)
-        self._tasks.start(Metered(self._context.account, LINKS_PART, work))
+        self._tasks.start(
+            MeteredCoroutine(self._context.account, LINKS_PART, work)
+        )
 
     async def _run_accepted(
         self,
@@ -219,7 +221,9 @@
         host = authenticated.connection.identity.host
         self._table.add_alias(address, host)
         work = self._runner.run(authenticated, self._tasks)
-        self._tasks.start(Metered(self._context.account, LINKS_PART, work))
+        self._tasks.start(
+            MeteredCoroutine(self._context.account, LINKS_PART, work)
+        )
         # The task adds the connection to the table when it first runs.
         await asyncio.sleep(0)
         return self._table.is_linked(address)
--- a/src/nutmegroad/membership/members.py
+++ b/src/nutmegroad/membership/members.py
@@ -14,7 +14,7 @@
 from nutmegroad.contracts.peers import Member
 from nutmegroad.contracts.platform import HostList
 from nutmegroad.foundations._owned_tasks import OwnedTasks
-from nutmegroad.foundations.accounting import Metered
+from nutmegroad.foundations.accounting import MeteredCoroutine
 from nutmegroad.foundations.results import Refusal
 from nutmegroad.foundations.types import DomainId, HostId, Presence
 from nutmegroad.membership._coordinator import Coordinator
@@ -128,7 +128,7 @@
             jitter = self._context.randomness.uniform(-_JITTER, _JITTER)
             await clock.sleep(interval * (1 + jitter))
             if clock.now() - started > _PAUSE_FACTOR * interval:
-                self._context.account.count('members_own_pause')
+                self._context.account.count_event('members_own_pause')
                 self._reachability.reset_timers()
             self._coordinator.tick()
 
@@ -145,4 +145,4 @@
 
     def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         account = self._context.account
-        self._tasks.start(Metered(account, MEMBERS_PART, work))
+        self._tasks.start(MeteredCoroutine(account, MEMBERS_PART, work))
--- a/src/nutmegroad/operators/operator_access.py
+++ b/src/nutmegroad/operators/operator_access.py
@@ -23,7 +23,7 @@
 from nutmegroad.contracts.documents import Role
 from nutmegroad.contracts.problems import Problem
 from nutmegroad.foundations.results import Refusal, ResultCode
-from nutmegroad.foundations.secrets import hash_of, is_same
+from nutmegroad.foundations.secrets import hash_secret, secrets_equal
 from nutmegroad.foundations.types import OperatorId, RequestId, Revision
 
 Body = TypeVar('Body', bound=Struct)
@@ -118,11 +118,15 @@
         token = http.headers.get('Authorization', '').removeprefix(_BEARER)
         accepted = self._configuration.accepted
         entries = accepted.document.operators if accepted else ()
-        if not entries and token and is_same(token, self._bootstrap_token):
+        if (
+            not entries
+            and token
+            and secrets_equal(token, self._bootstrap_token)
+        ):
             return BOOTSTRAP
-        token_hash = hash_of(token)
+        token_hash = hash_secret(token)
         for entry in entries:
-            if is_same(entry.token_hash, token_hash):
+            if secrets_equal(entry.token_hash, token_hash):
                 if role is Role.OPERATE and entry.role is Role.READ:
                     return Refusal(
                         ResultCode.OPERATOR_NOT_PERMITTED,
--- a/src/nutmegroad/operators/part.py
+++ b/src/nutmegroad/operators/part.py
@@ -66,7 +66,7 @@
     presences = [member.presence for member in members]
     for presence in Presence:
         count = presences.count(presence)
-        kernel.need(Metrics).state.members(presence, count)
+        kernel.need(Metrics).state.set_members(presence, count)
 
 
 @register('part', 'operators')
--- a/src/nutmegroad/quality/part.py
+++ b/src/nutmegroad/quality/part.py
@@ -117,7 +117,7 @@
             kernel.clock,
             kernel.randomness,
         )
-        sampler.count_outcome = kernel.need(Metrics).quality.sampled
+        sampler.count_outcome = kernel.need(Metrics).quality.count_sample
         kernel.need(Observers).add(sampler)
         kernel.spawn(sampler.run(), 'rating samples')
 
@@ -140,9 +140,9 @@
 ) -> None:
     """Set the metrics to the current estimates."""
     quality = metrics.quality
-    quality.forget()
+    quality.clear_estimates()
     tracker = estimates.tracker
-    quality.service(
+    quality.set_rating_service(
         tracker.position, estimates.seconds_since_rating, frozen=tracker.frozen
     )
     accepted = configuration.accepted
@@ -157,4 +157,4 @@
                 'mean': estimate.mean,
                 'upper': estimate.upper,
             }
-            quality.estimate(version, task, bounds, estimate.ratings)
+            quality.set_estimate(version, task, bounds, estimate.ratings)
--- a/src/nutmegroad/records/part.py
+++ b/src/nutmegroad/records/part.py
@@ -136,8 +136,8 @@
         await kernel.clock.sleep(FLUSH_PERIOD * (1 + jitter))
         copy_store.take_over()
         await sender.flush()
-        state.unstored('billing', sender.pending)
-        state.unstored('held', copy_store.held)
+        state.set_unstored_records('billing', sender.pending)
+        state.set_unstored_records('held', copy_store.held)
 
 
 async def _settle_periodically(kernel: Kernel, once: AtMostOnce) -> None:
@@ -146,4 +146,4 @@
     while True:
         await kernel.clock.sleep(SETTLE_PERIOD)
         await once.settle_pending()
-        state.unstored('answers', once.unsettled)
+        state.set_unstored_records('answers', once.unsettled)
--- a/src/nutmegroad/rollouts/sequential.py
+++ b/src/nutmegroad/rollouts/sequential.py
@@ -11,7 +11,10 @@
 import math
 from typing import Final
 
-from nutmegroad.foundations.likelihoods import Wealth, log_ratio
+from nutmegroad.foundations.likelihoods import (
+    MixtureCusum,
+    log_likelihood_ratio,
+)
 from nutmegroad.quality.ratings import RatingTally, score_of
 from nutmegroad.rollouts.evidence import Moments
 
@@ -37,7 +40,7 @@
     """Tests whether scores between 0 and 1 have fallen below a mean."""
 
     def __init__(self) -> None:
-        self._wealth = Wealth(len(BETS))
+        self._wealth = MixtureCusum(len(BETS))
 
     @property
     def strength(self) -> float:
@@ -67,7 +70,7 @@
     """Tests whether a fraction of failures has risen above a rate."""
 
     def __init__(self) -> None:
-        self._wealth = Wealth(len(RATE_FACTORS))
+        self._wealth = MixtureCusum(len(RATE_FACTORS))
 
     @property
     def strength(self) -> float:
@@ -84,7 +87,7 @@
         """
         risen = [min(max_rate * factor, _MAX_RATE) for factor in RATE_FACTORS]
         self._wealth.add(
-            log_ratio(failed, good, rate, max_rate) for rate in risen
+            log_likelihood_ratio(failed, good, rate, max_rate) for rate in risen
         )
 
 
@@ -100,7 +103,7 @@
     """
 
     def __init__(self, sign: int = 1) -> None:
-        self._wealth = Wealth(len(SHIFTS))
+        self._wealth = MixtureCusum(len(SHIFTS))
         self._sign = sign
 
     @property
--- a/src/nutmegroad/routing/attempts.py
+++ b/src/nutmegroad/routing/attempts.py
@@ -197,7 +197,7 @@
                     return
                 # Time that the caller takes to read a piece must not count
                 # against the upstream.
-                watchdog.hold()
+                watchdog.suspend()
                 received.last_piece_at = math.inf
                 received.refusal = await self._accept_piece(
                     event, received, sink
--- a/src/nutmegroad/routing/request_progress.py
+++ b/src/nutmegroad/routing/request_progress.py
@@ -110,16 +110,20 @@
         """Write a piece, recording its latency."""
         now = self._clock.now()
         if self.pieces_written:
-            self._latency.between_tokens(self._task, now - self._last_piece_at)
+            self._latency.observe_between_tokens(
+                self._task, now - self._last_piece_at
+            )
         else:
-            self._latency.first_token(self._task, now - self._started_at)
+            self._latency.observe_first_token(
+                self._task, now - self._started_at
+            )
         self.pieces_written += 1
         self._last_piece_at = now
         await self._inner.write(text)
 
     def finish(self) -> None:
         """Record the time that the complete answer took."""
-        self._latency.whole_time(
+        self._latency.observe_whole_time(
             self._task, self._clock.now() - self._started_at
         )
 
--- a/src/nutmegroad/routing/watch.py
+++ b/src/nutmegroad/routing/watch.py
@@ -18,7 +18,7 @@
     EngineReport,
     UpstreamState,
 )
-from nutmegroad.foundations.accounting import Account, Metered
+from nutmegroad.foundations.accounting import Account, MeteredCoroutine
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal, ResultCode
@@ -271,7 +271,7 @@
         account = self._plan.account
         if account is None:
             return asyncio.create_task(work)
-        return asyncio.create_task(Metered(account, WATCH_PART, work))
+        return asyncio.create_task(MeteredCoroutine(account, WATCH_PART, work))
 
     def _jittered(self, seconds: float) -> float:
         """Return some seconds, varied at random."""
--- a/tests/recorders.py
+++ b/tests/tcp_proxies.py
@@ -8,19 +8,19 @@
 from nutmegroad.foundations.types import Address
 
 
-class Recorder:
+class RecordingProxy:
     """A proxy that records what the connecting host sends.
 
     Args:
         target: Address to which connections are forwarded.
 
     Attributes:
-        heard: All bytes that were received from connecting hosts.
+        received: All bytes that were received from connecting hosts.
         address: Address at which the proxy listens.
     """
 
     def __init__(self, target: Address) -> None:
-        self.heard = bytearray()
+        self.received = bytearray()
         self._target = target
         self._server: asyncio.Server | None = None
 
@@ -54,7 +54,7 @@
         replies = asyncio.ensure_future(
             self._forward_replies(target_reader, writer)
         )
-        await _copy(reader, target_writer, self.heard)
+        await _copy(reader, target_writer, self.received)
         await replies
 
     async def _forward_replies(
@@ -64,7 +64,7 @@
         await _copy(reader, writer, bytearray())
 
 
-class Holder(Recorder):
+class HoldingProxy(RecordingProxy):
     """A proxy that holds back all but the first chunk of the replies.
 
     Args:
@@ -98,6 +98,6 @@
     writer.close()
 
 
-async def echo_back(reader: StreamReader, writer: StreamWriter) -> None:
+async def echo_received(reader: StreamReader, writer: StreamWriter) -> None:
     """Send all received bytes back to the sender."""
     await _copy(reader, writer, bytearray())
--- a/tests/test_accounting.py
+++ b/tests/test_accounting.py
@@ -6,7 +6,7 @@
 import asyncio
 import unittest
 
-from nutmegroad.foundations.accounting import Ledger, Metered, PartCost
+from nutmegroad.foundations.accounting import Ledger, MeteredCoroutine, PartCost
 
 
 class ManualProcessorTime:
@@ -36,10 +36,10 @@
 
     def test_totals_are_per_part(self) -> None:
         ledger = Ledger(ManualProcessorTime())
-        ledger.sent('one', 10)
-        ledger.sent('one', 5)
-        ledger.received('two', 7)
-        ledger.count('refused')
+        ledger.add_sent('one', 10)
+        ledger.add_sent('one', 5)
+        ledger.add_received('two', 7)
+        ledger.count_event('refused')
         self.assertEqual(
             ledger.costs(),
             {
@@ -52,14 +52,14 @@
     async def test_task_is_charged_for_its_own_steps_only(self) -> None:
         processor = ManualProcessorTime()
         ledger = Ledger(processor)
-        metered = Metered(ledger, 'part', processor.work())
+        metered = MeteredCoroutine(ledger, 'part', processor.work())
         self.assertEqual(await asyncio.create_task(metered), 'done')
         self.assertEqual(processor.seconds, 53)
         self.assertEqual(ledger.costs()['part'].processor_seconds, 3)
 
     async def test_cancelled_task_ends(self) -> None:
         ledger = Ledger(ManualProcessorTime())
-        metered = Metered(ledger, 'part', asyncio.sleep(1000))
+        metered = MeteredCoroutine(ledger, 'part', asyncio.sleep(1000))
         task = asyncio.create_task(metered)
         await asyncio.sleep(0)
         task.cancel()
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -90,7 +90,7 @@
         self.clock = ManualClock()
         self.rig = HostRig(self.clock)
         self.detector = PauseDetector(self.clock, self.rig.configuration, 8)
-        self.rig.gatekeeper.add_condition(self.detector.refusal)
+        self.rig.gatekeeper.add_condition(self.detector.dispatch_refusal)
 
     async def send(self) -> ResultCode:
         """Send a request, and return the code of its outcome."""
@@ -114,7 +114,7 @@
             await self.clock.advance(0.1)
             self.detector.tick()
         self.assertTrue(self.rig.configuration.isolated)
-        self.assertIsNone(self.detector.refusal())
+        self.assertIsNone(self.detector.dispatch_refusal())
 
     async def test_a_pause_is_followed_by_an_immediate_confirmation(
         self,
@@ -125,11 +125,11 @@
             reads.append(self.clock.now())
             self.rig.configuration.confirm(Revision(1), self.clock.now())
 
-        task = asyncio.create_task(self.detector.confirm_after(confirm))
+        task = asyncio.create_task(self.detector.confirm_after_pauses(confirm))
         await self.clock.settle()
         await self.clock.jump(2)
-        self.assertIsNotNone(self.detector.refusal())
+        self.assertIsNotNone(self.detector.dispatch_refusal())
         await self.clock.settle()
         self.assertEqual(reads, [2])
-        self.assertIsNone(self.detector.refusal())
+        self.assertIsNone(self.detector.dispatch_refusal())
         task.cancel()
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -15,7 +15,7 @@
 from nutmegroad.contracts.documents import WorkspaceEntry
 from nutmegroad.contracts.requests import SessionBinding
 from nutmegroad.foundations.results import Refusal
-from nutmegroad.foundations.secrets import hash_of, is_same
+from nutmegroad.foundations.secrets import hash_secret, secrets_equal
 from nutmegroad.foundations.types import (
     DomainId,
     Epoch,
@@ -148,7 +148,7 @@
 class WorkspaceKeyTest(unittest.TestCase):
     def test_a_key_belongs_to_one_workspace_only(self) -> None:
         document = document_of(version_of(VersionId('m@1')))
-        for old in (hash_of('a'), hash_of('b')):
+        for old in (hash_secret('a'), hash_secret('b')):
             two = (
                 workspace_entry('one', 'a', None),
                 workspace_entry('two', 'b', old),
@@ -158,16 +158,16 @@
             self.assertEqual(paths, ['$.workspaces[1].old_key_hash'])
 
     def test_strings_with_lone_surrogates_are_accepted(self) -> None:
-        self.assertFalse(is_same('\udcff', 'a'))
-        self.assertEqual(hash_of('a'), hash_of('a'))
-        self.assertNotEqual(hash_of('\udcff'), hash_of('a'))
+        self.assertFalse(secrets_equal('\udcff', 'a'))
+        self.assertEqual(hash_secret('a'), hash_secret('a'))
+        self.assertNotEqual(hash_secret('\udcff'), hash_secret('a'))
 
 
 def workspace_entry(name: str, key: str, old: str | None) -> WorkspaceEntry:
     """Return the entry of a workspace."""
     return WorkspaceEntry(
         name=name,
-        key_hash=hash_of(key),
+        key_hash=hash_secret(key),
         old_key_hash=old,
         versions=('m@1',),
     )
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -24,7 +24,7 @@
 from nutmegroad.membership._link_context import LinkContext, LinkLimits
 from nutmegroad.membership.links import Links
 from nutmegroad.testing.virtual import ManualClock
-from tests.recorders import Holder, Recorder, echo_back
+from tests.tcp_proxies import HoldingProxy, RecordingProxy, echo_received
 
 KEY = b'a key for tests'
 #: Seconds between checks of a condition, and number of checks after which a
@@ -198,7 +198,7 @@
 
     async def test_a_listener_without_the_key_is_refused(self) -> None:
         # The listener echoes, so that a host receives its own proof.
-        echo = await asyncio.start_server(echo_back, '127.0.0.1', 0)
+        echo = await asyncio.start_server(echo_received, '127.0.0.1', 0)
         await self.enterAsyncContext(echo)
         port = echo.sockets[0].getsockname()[1]
         one = await self.host('one')
@@ -211,7 +211,7 @@
         # replays what the first host sent.
         one = await self.host('one')
         two = await self.host('two')
-        recorder = Recorder(two.address)
+        recorder = RecordingProxy(two.address)
         await self.enterAsyncContext(recorder)
         one.links.maintain_links([recorder.address])
         await wait_until(lambda: one.links.linked())
@@ -219,7 +219,7 @@
         two.links.drop(one.host)
         await wait_until(lambda: not two.links.linked())
         writer = await self.connect(two)
-        writer.write(bytes(recorder.heard))
+        writer.write(bytes(recorder.received))
         await wait_until(lambda: two.count('links_wrong_key'))
         self.assertEqual(two.links.linked(), {})
 
@@ -303,7 +303,10 @@
         # proof yet. "two" receives it first and knows that it uses the
         # connection of "one", which still knows only the redundant one.
         one, two = await self.host('one'), await self.host('two')
-        from_one, from_two = Holder(two.address), Holder(one.address)
+        from_one, from_two = (
+            HoldingProxy(two.address),
+            HoldingProxy(one.address),
+        )
         await self.enterAsyncContext(from_one)
         await self.enterAsyncContext(from_two)
         one.links.maintain_links([from_one.address])
--- a/tests/test_log_bounds.py
+++ b/tests/test_log_limits.py
@@ -5,12 +5,12 @@
 import os
 import unittest
 
-from nutmegroad.foundations.log_bounds import (
+from nutmegroad.foundations.log_limits import (
     MAX_FAILURE_LINES,
     MAX_LINES,
     MAX_PENDING_BYTES,
     LogRateLimiter,
-    UnblockingHandler,
+    NonBlockingHandler,
 )
 from nutmegroad.foundations.logs import JsonFormatter, part_logger
 
@@ -27,7 +27,7 @@
         self.now = 100.0
         self.unread = b''
         limiter = LogRateLimiter(lambda: self.now)
-        self.handler = UnblockingHandler(write_end, limiter)
+        self.handler = NonBlockingHandler(write_end, limiter)
         self.handler.setFormatter(JsonFormatter())
         logger = standard_logging.getLogger('absl')
         logger.addHandler(self.handler)
@@ -61,7 +61,7 @@
         for _ in range(MAX_LINES + 7):
             self.log.decision('refused')
         self.assertEqual(len(self.lines()), MAX_LINES + 7)
-        self.handler.report()
+        self.handler.report_losses()
         line = self.lines()[0]
         self.assertEqual((line['of'], line['count']), ('relay: attempt', 7))
         self.now += 1
@@ -77,6 +77,6 @@
         lines_read = 0
         while count := len(self.lines()):
             lines_read += count
-            self.handler.report()
+            self.handler.report_losses()
         self.assertLess(lines_read * 300, MAX_PENDING_BYTES * 2)
         self.assertGreater(lines_read, 100)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,9 +10,9 @@
 
 from nutmegroad.foundations.logs import (
     LogFormat,
-    about_request,
+    configure_logging,
     part_logger,
-    set_up_logs,
+    request_context,
 )
 from nutmegroad.foundations.types import RequestId
 
@@ -22,7 +22,7 @@
 def _log_two_lines(log_format: LogFormat) -> str:
     """Return the text of two log lines, of which one has a request."""
     stream = io.StringIO()
-    set_up_logs(log_format, stream)
+    configure_logging(log_format, stream)
     log = part_logger('dispatch')
     log.info('took %d steps', 2, request=RequestId('r%s1'))
     log.error('has no upstream')
@@ -46,9 +46,9 @@
 
     def test_lines_in_a_request_context_name_the_request(self) -> None:
         stream = io.StringIO()
-        set_up_logs(LogFormat.TEXT, stream)
+        configure_logging(LogFormat.TEXT, stream)
         log = part_logger('dispatch')
-        with about_request(RequestId('r1')):
+        with request_context(RequestId('r1')):
             log.info('inside')
             log.exception('failed', cause=ZeroDivisionError('z'))
         log.info('outside')
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -51,19 +51,19 @@
 
 def _observe_latencies(metrics: Metrics) -> None:
     """Observe each latency of the expected lines once."""
-    metrics.latency.first_token(_TASK, 0.3)
-    metrics.latency.between_tokens(_TASK, 0.04)
-    metrics.latency.whole_time(_TASK, 2)
+    metrics.latency.observe_first_token(_TASK, 0.3)
+    metrics.latency.observe_between_tokens(_TASK, 0.04)
+    metrics.latency.observe_whole_time(_TASK, 2)
 
 
 def _set_gauges(metrics: Metrics) -> None:
     """Set the gauges to the values of the expected lines."""
-    metrics.state.revision(Revision(7))
-    metrics.state.isolated(isolated=True)
-    metrics.state.lease_age(3)
-    metrics.state.in_flight(4)
-    metrics.state.queued(5)
-    metrics.state.members(Presence.LIVE, 8)
+    metrics.state.set_revision(Revision(7))
+    metrics.state.set_isolated(isolated=True)
+    metrics.state.set_lease_age(3)
+    metrics.state.set_in_flight(4)
+    metrics.state.set_queued(5)
+    metrics.state.set_members(Presence.LIVE, 8)
 
 
 class MetricsTest(unittest.TestCase):
@@ -74,7 +74,7 @@
         _observe_latencies(metrics)
         _set_gauges(metrics)
         with metrics.control_time('mesh'):
-            metrics.state.queued(5)
+            metrics.state.set_queued(5)
         lines = metrics.render().decode().splitlines()
         for line in _EXPECTED_LINES:
             with self.subTest(line=line):
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -25,7 +25,11 @@
 from nutmegroad.canary.steps import next_stage
 from nutmegroad.canary.verdicts import Judgement, Verdict
 from nutmegroad.fleet.evidence import Answers, KindNumber
-from nutmegroad.foundations.likelihoods import Assurance, Wealth, log_ratio
+from nutmegroad.foundations.likelihoods import (
+    ClampedLogRatio,
+    MixtureCusum,
+    log_likelihood_ratio,
+)
 from nutmegroad.foundations.types import UpstreamIncarnation
 from nutmegroad.testing.virtual import ManualClock
 from nutmegroad.upstreams.directory import SoftwareVersion
@@ -260,7 +264,7 @@
 
     def test_ratio_is_a_ratio_of_probabilities(self) -> None:
         """Checked by hand: two hits and a miss at a half against a third."""
-        ratio = log_ratio(2, 1, 1 / 2, 1 / 3)
+        ratio = log_likelihood_ratio(2, 1, 1 / 2, 1 / 3)
         self.assertAlmostEqual(ratio, 0.52324814376)
 
     def test_bet_does_not_grow_while_it_is_wrong(self) -> None:
@@ -268,10 +272,10 @@
         randomness = random.Random(7)
         reached = 0
         for _ in range(2000):
-            bet = Assurance(-9, 9)
+            bet = ClampedLogRatio(-9, 9)
             for _ in range(100):
                 hit = randomness.random() < RATE
-                bet.add(log_ratio(hit, not hit, 0.02, RATE))
+                bet.add(log_likelihood_ratio(hit, not hit, 0.02, RATE))
                 if bet.strength >= LEVEL:
                     reached += 1
                     break
@@ -279,10 +283,10 @@
 
     def test_wealth_forgets_what_spoke_for_a_version(self) -> None:
         """A cumulative sum: a thousand good answers hide no later failures."""
-        wealth = Wealth(1)
-        wealth.add([log_ratio(0, 1000, 0.5, 0.1)])
+        wealth = MixtureCusum(1)
+        wealth.add([log_likelihood_ratio(0, 1000, 0.5, 0.1)])
         for _ in itertools.repeat(None, 5):
-            wealth.add([log_ratio(1, 0, 0.5, 0.1)])
+            wealth.add([log_likelihood_ratio(1, 0, 0.5, 0.1)])
         self.assertGreater(wealth.strength, 8)
 
 
