--- a/experiments/soak/upstreams.py
+++ b/experiments/soak/upstreams.py
@@ -317,7 +317,7 @@
             event = reader.read(msgspec.json.encode(scheduled.chunk))
             if event is not None:
                 yield event
-            if reader.is_over:
+            if reader.is_finished:
                 return
         yield reader.close()
 
--- a/src/nutmegroad/adapters/_remembered_list.py
+++ b/src/nutmegroad/adapters/_cached_host_list.py
@@ -9,10 +9,10 @@
 #: Maximum age in seconds of a cached result. The membership, which only needs
 #: addresses, uses the one that the watch has read: reading the list itself
 #: would cost it 8 KB per second at 890 upstreams.
-RECENT: Final = 120.0
+MAX_LIST_AGE: Final = 120.0
 
 
-class RememberedList:
+class CachedHostList:
     """A host list that caches its last result.
 
     Args:
@@ -38,20 +38,20 @@
         """Return the cached list, or read it if that is missing or too old."""
         if (
             self._cached is not None
-            and self._clock.now() - self._read_at < RECENT
+            and self._clock.now() - self._read_at < MAX_LIST_AGE
         ):
             return self._cached
         return await self.listing()
 
 
-class RecentList:
+class CachedListReader:
     """A ``HostList`` that returns a cached result unless it is too old.
 
     Args:
         cached_list: The list with its cache.
     """
 
-    def __init__(self, cached_list: RememberedList) -> None:
+    def __init__(self, cached_list: CachedHostList) -> None:
         self._cached_list = cached_list
 
     async def listing(self) -> Listing | Refusal:
@@ -59,8 +59,8 @@
         return await self._cached_list.recent()
 
 
-def recent_list(host_list: HostList) -> HostList:
+def cached_host_list(host_list: HostList) -> HostList:
     """Return a list that uses the cache of ``host_list`` if it has one."""
-    if isinstance(host_list, RememberedList):
-        return RecentList(host_list)
+    if isinstance(host_list, CachedHostList):
+        return CachedListReader(host_list)
     return host_list
--- a/src/nutmegroad/adapters/_event_streams.py
+++ b/src/nutmegroad/adapters/_event_streams.py
@@ -100,7 +100,7 @@
         attempt: Id of the attempt that each chunk must carry.
         expected: Index of the next chunk.
         ending: The ending, once its chunk has been read.
-        is_over: Whether the answer has ended, complete or with a refusal.
+        is_finished: Whether the answer has ended, complete or with a refusal.
         duplicates: Number of chunks that were dropped because a chunk with
             their index had been read before.
     """
@@ -108,12 +108,12 @@
     attempt: AttemptId
     expected: int = 0
     ending: AnswerEnd | None = None
-    is_over: bool = False
+    is_finished: bool = False
     duplicates: int = 0
 
     def read(self, event: bytes) -> AnswerEvent | None:
         """Process the data of one event; None if it yields no answer event."""
-        if self.is_over:
+        if self.is_finished:
             return None
         if event == _DONE:
             return self.close()
@@ -129,7 +129,7 @@
         if self.ending is None:
             reason = 'The engine closed the stream before the answer ended.'
             return self._stop(ResultCode.ANSWER_CUT, reason)
-        self.is_over = True
+        self.is_finished = True
         return self.ending
 
     def _read_chunk(self, chunk: Chunk) -> Piece | Refusal | None:
@@ -165,5 +165,5 @@
 
     def _stop(self, code: ResultCode, reason: str) -> Refusal:
         """Mark the answer as ended and return the refusal."""
-        self.is_over = True
+        self.is_finished = True
         return Refusal(code, reason, Ran.UNKNOWN)
--- a/src/nutmegroad/adapters/_http_answers.py
+++ b/src/nutmegroad/adapters/_http_answers.py
@@ -130,7 +130,7 @@
                 self._is_finished = isinstance(event, AnswerEnd)
                 if event is not None:
                     yield event
-                if reader.is_over:
+                if reader.is_finished:
                     return
         event = reader.close()
         self._is_finished = isinstance(event, AnswerEnd)
--- a/src/nutmegroad/adapters/_http_platform.py
+++ b/src/nutmegroad/adapters/_http_platform.py
@@ -19,7 +19,7 @@
 from msgspec.json import decode, encode
 from yarl import URL
 
-from nutmegroad.adapters._http_costs import record_exchange
+from nutmegroad.adapters._http_traffic import record_exchange
 from nutmegroad.adapters._platform_bodies import (
     CommitBody,
     ConflictBody,
--- a/src/nutmegroad/adapters/_http_upstreams.py
+++ b/src/nutmegroad/adapters/_http_upstreams.py
@@ -14,7 +14,6 @@
 
 from nutmegroad.adapters._gated_requests import SendState
 from nutmegroad.adapters._http_answers import AnswerCall
-from nutmegroad.adapters._http_costs import record_exchange
 from nutmegroad.adapters._http_sessions import (
     FAILURES,
     JSON_HEADERS,
@@ -22,6 +21,7 @@
     refusal_for_error,
     upstream_url,
 )
+from nutmegroad.adapters._http_traffic import record_exchange
 from nutmegroad.contracts._report_rows import REPORTS_PART
 from nutmegroad.contracts.upstreams import (
     AnswerEvent,
--- a/src/nutmegroad/adapters/part.py
+++ b/src/nutmegroad/adapters/part.py
@@ -2,6 +2,7 @@
 
 from aiohttp import ClientSession, TCPConnector
 
+from nutmegroad.adapters._cached_host_list import CachedHostList
 from nutmegroad.adapters._http_platform import (
     CALL_TIMEOUT,
     HttpHostList,
@@ -10,7 +11,6 @@
     HttpTable,
     HttpWeights,
 )
-from nutmegroad.adapters._remembered_list import RememberedList
 from nutmegroad.contracts.platform import (
     HostList,
     Objects,
@@ -39,8 +39,8 @@
         client_options = (session, address, CALL_TIMEOUT, account)
         kernel.provide(Table, HttpTable(*client_options))
         kernel.provide(Objects, HttpObjects(*client_options))
-        host_list = RememberedList(HttpHostList(*client_options), kernel.clock)
+        host_list = CachedHostList(HttpHostList(*client_options), kernel.clock)
         kernel.provide(HostList, host_list)
-        kernel.provide(RememberedList, host_list)
+        kernel.provide(CachedHostList, host_list)
         kernel.provide(Ratings, HttpRatings(*client_options))
         kernel.provide(Weights, HttpWeights(*client_options))
--- a/src/nutmegroad/membership/part.py
+++ b/src/nutmegroad/membership/part.py
@@ -2,7 +2,7 @@
 
 import random
 
-from nutmegroad.adapters._remembered_list import recent_list
+from nutmegroad.adapters._cached_host_list import cached_host_list
 from nutmegroad.contracts.peers import Mesh
 from nutmegroad.contracts.platform import HostList
 from nutmegroad.foundations.accounting import Account
@@ -60,7 +60,7 @@
             account=account,
             heartbeat=settings.heartbeat,
             seeds=settings.seeds,
-            host_list=recent_list(kernel.need(HostList)),
+            host_list=cached_host_list(kernel.need(HostList)),
         )
         members = Members(member_context, links, table, reachability)
         await kernel.stack.enter_async_context(members)
--- a/tests/relay_rig.py
+++ b/tests/relay_rig.py
@@ -16,7 +16,7 @@
 from nutmegroad.relay.counters import RelayCounters
 from nutmegroad.relay.host import RelayHost
 from nutmegroad_platform.names import HEADERS, TABLES
-from nutmegroad_platform.rows import Rows
+from nutmegroad_platform.rows import RowCodec
 from nutmegroad_platform.store import PlatformStore
 
 HOST = 'router.example'
@@ -203,7 +203,7 @@
         store = await self._stack.enter_async_context(
             PlatformStore(Address('127.0.0.1', self._store_port), counters),
         )
-        rows = Rows()
+        rows = RowCodec()
         return RelayHost(
             settings,
             Platform(store, HEADERS, rows, rows, TABLES, counters),
--- a/tests/test_cost_metrics.py
+++ b/tests/test_cost_metrics.py
@@ -7,10 +7,10 @@
 import asyncio
 import unittest
 
-from nutmegroad.adapters._remembered_list import (
-    RECENT,
-    RememberedList,
-    recent_list,
+from nutmegroad.adapters._cached_host_list import (
+    MAX_LIST_AGE,
+    CachedHostList,
+    cached_host_list,
 )
 from nutmegroad.contracts.platform import Listing
 from nutmegroad.foundations._cost_metrics import CostPublisher, resident_bytes
@@ -71,14 +71,14 @@
         return Listing((), ())
 
 
-class RememberedListTest(unittest.IsolatedAsyncioTestCase):
+class CachedHostListTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_recent_reading_is_reused(self) -> None:
         clock, host_list = ManualClock(), CountingHostList()
-        remembered = RememberedList(host_list, clock)
-        recent = recent_list(remembered)
+        remembered = CachedHostList(host_list, clock)
+        recent = cached_host_list(remembered)
         await remembered.listing()
         await recent.listing()
         self.assertEqual(host_list.reads, 1)
-        await clock.advance(RECENT)
+        await clock.advance(MAX_LIST_AGE)
         await recent.listing()
         self.assertEqual(host_list.reads, 2)
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -335,7 +335,7 @@
         reader = AnswerReader(AttemptId('at'))
         event = reader.read(b'{"id":"at","index":1}')
         self.assertEqual(Refusal, type(event))
-        self.assertTrue(reader.is_over)
+        self.assertTrue(reader.is_finished)
 
 
 class OtherCallTest(UpstreamCase):
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -35,7 +35,7 @@
 from nutmegroad_platform.early_sockets import EarlySockets
 from nutmegroad_platform.fields import SETTINGS_VARIABLE
 from nutmegroad_platform.program import SettingsFile, main
-from nutmegroad_platform.rows import Rows
+from nutmegroad_platform.rows import RowCodec
 from nutmegroad_platform.settings import read_settings
 from nutmegroad_platform.store import PlatformStore
 from tests.relay_rig import configuration, free_port
@@ -61,7 +61,7 @@
     def test_configuration_is_decoded(self) -> None:
         """Times are converted to seconds; unknown fields are ignored."""
         row = StoredRow('config', json.dumps(configuration()).encode(), 1)
-        table = Rows().operator_row(row)
+        table = RowCodec().operator_row(row)
         assert isinstance(table, RoutingTable)
         route = table.match('router.example', '/pay/1')
         assert route is not None
@@ -77,19 +77,19 @@
         for content in (json.dumps(no_kind), json.dumps(wrong), '{'):
             with self.subTest(content=content[:40]):
                 row = StoredRow('config', content.encode(), 1)
-                self.assertIsInstance(Rows().operator_row(row), Unreadable)
+                self.assertIsInstance(RowCodec().operator_row(row), Unreadable)
 
     def test_rows_with_unknown_keys_are_ignored(self) -> None:
         """An unknown key is not an error."""
-        self.assertIsNone(Rows().operator_row(StoredRow('new', b'', 1)))
+        self.assertIsNone(RowCodec().operator_row(StoredRow('new', b'', 1)))
 
     def test_rollout_order_is_read_and_status_is_written(self) -> None:
         """The status uses the names of states that the operator knows."""
         content = b'{"service":"s","to":"v2","durationS":12}'
-        order = Rows().operator_row(StoredRow('rollout/s', content, 7))
+        order = RowCodec().operator_row(StoredRow('rollout/s', content, 7))
         assert isinstance(order, RolloutOrder)
         self.assertEqual((order.duration, order.number), (12, 7))
-        put = Rows().status(order, Stage.ROLLED_BACK)
+        put = RowCodec().status(order, Stage.ROLLED_BACK)
         self.assertEqual((put.table, put.key), ('status', 'rollout/s'))
         self.assertEqual(
             json.loads(put.content),
@@ -98,10 +98,10 @@
 
     def test_upstream_entry_is_decoded(self) -> None:
         """An entry with an invalid address is unreadable."""
-        entry = Rows().upstream_row(entry_row('w', address='10.0.0.1:1'))
+        entry = RowCodec().upstream_row(entry_row('w', address='10.0.0.1:1'))
         assert isinstance(entry, UpstreamEntry)
         self.assertEqual(entry.address, Address('10.0.0.1', 1))
-        bad = Rows().upstream_row(entry_row('x', address='nowhere'))
+        bad = RowCodec().upstream_row(entry_row('x', address='nowhere'))
         self.assertIsInstance(bad, Unreadable)
 
 
--- a/tests/test_relay_tables.py
+++ b/tests/test_relay_tables.py
@@ -20,7 +20,7 @@
 )
 from nutmegroad.testing.virtual import ManualClock
 from nutmegroad.upstreams.directory import Directory
-from nutmegroad_platform.rows import Rows
+from nutmegroad_platform.rows import RowCodec
 from tests.relay_samples import UnavailableStore, entry_row
 
 
@@ -222,7 +222,7 @@
         """Create a sink that has received two workers."""
         self.clock = ManualClock(start=50)
         self.directory = Directory(self.clock)
-        self.sink = UpstreamSink(Rows(), self.directory, self.clock, 2)
+        self.sink = UpstreamSink(RowCodec(), self.directory, self.clock, 2)
         self.sink.update_services([ServiceName('s')])
         self.sink.replace(
             RowsRead((entry_row('a'), entry_row('b')), 1, 0),
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -38,7 +38,7 @@
 )
 from nutmegroad.testing.virtual import ManualClock
 from nutmegroad.upstreams.directory import Directory
-from nutmegroad_platform.rows import Rows
+from nutmegroad_platform.rows import RowCodec
 from tests.relay_rig import HOST, KEY, Rig, route
 from tests.relay_samples import entry_row
 
@@ -186,7 +186,9 @@
         """List an upstream that serves, one that drains, one that has left."""
         self.clock = ManualClock(100)
         self.directory = Directory(self.clock)
-        self.sink = UpstreamSink(Rows(), self.directory, self.clock, notice=2)
+        self.sink = UpstreamSink(
+            RowCodec(), self.directory, self.clock, notice=2
+        )
         self.sink.update_services(('s',))  # type: ignore[arg-type]
         self.sink.replace(self.rows('abc'))
         self.sink.apply(self.rows('b', 2, state='draining'))
--- a/tests/test_upstream_restarts.py
+++ b/tests/test_upstream_restarts.py
@@ -27,7 +27,7 @@
     IncarnationEnd,
     UpstreamEntry,
 )
-from nutmegroad_platform.rows import Rows
+from nutmegroad_platform.rows import RowCodec
 from tests.relay_rig import Rig, route
 from tests.relay_samples import entry_row
 
@@ -40,7 +40,7 @@
 
 def entry(born: int, **more: object) -> UpstreamEntry:
     """Return the entry of one incarnation of a worker."""
-    found = Rows().upstream_row(entry_row('a', born=born, **more))
+    found = RowCodec().upstream_row(entry_row('a', born=born, **more))
     assert isinstance(found, UpstreamEntry)
     return found
 
@@ -188,7 +188,7 @@
     def setUp(self) -> None:
         """Create a sink that has received two workers."""
         self.directory = Directory(ManualClock())
-        self.sink = UpstreamSink(Rows(), self.directory, ManualClock(), 2)
+        self.sink = UpstreamSink(RowCodec(), self.directory, ManualClock(), 2)
         self.sink.update_services([ServiceName('s')])
         self.apply(entry_row('a'), entry_row('b'))
 
@@ -223,7 +223,7 @@
         )
         for row in wrong:
             with self.subTest(content=row.content[:60], key=row.key):
-                self.assertIsInstance(Rows().upstream_row(row), Unreadable)
+                self.assertIsInstance(RowCodec().upstream_row(row), Unreadable)
                 self.apply(row)
                 self.assertEqual(self.known(), ['a', 'b'])
 
