--- a/models/configuration.py
+++ b/models/configuration.py
@@ -10,7 +10,7 @@
 
 from minicheck import Protocol
 
-from models.omissions import NONE_DISABLED, DisabledMechanisms
+from models.disabled_mechanisms import NONE_DISABLED, DisabledMechanisms
 
 #: Duration of the lease, in ticks.
 LEASE: Final = 2
--- a/models/heads.py
+++ b/models/heads.py
@@ -5,7 +5,7 @@
 
 from minicheck import Protocol
 
-from models.omissions import NONE_DISABLED, DisabledMechanisms
+from models.disabled_mechanisms import NONE_DISABLED, DisabledMechanisms
 
 
 class Operator(NamedTuple):
--- a/models/orders.py
+++ b/models/orders.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, Final, NamedTuple
 
-from models.exploring import explore
+from models.exploration import explore
 
 #: Duration of a lease, of its safety margin and of an order's transit, in
 #: ticks.
--- a/models/reading.py
+++ b/models/reading.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, Final, NamedTuple
 
-from models.exploring import explore
+from models.exploration import explore
 
 #: Age at which an update is too old, and longest duration of a call to the
 #: store, in ticks.
--- a/models/rollout_returns.py
+++ b/models/rollout_restores.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, Final, NamedTuple
 
-from models.exploring import explore
+from models.exploration import explore
 
 #: Versions and restores that are explored.
 MAX_VERSIONS: Final = 4
--- a/models/returns.py
+++ b/models/store_restores.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, Final, NamedTuple
 
-from models.exploring import explore
+from models.exploration import explore
 
 #: Configurations, versions and restores that are explored.
 MAX_CONFIGURATIONS: Final = 2
--- a/tests/test_model_rollout_returns.py
+++ b/tests/test_model_rollout_restores.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from models.rollout_returns import (
+from models.rollout_restores import (
     ALL_ENABLED,
     END_KEPT,
     END_RESTORED,
--- a/tests/test_model_returns.py
+++ b/tests/test_model_store_restores.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from models.returns import MUTANTS, PROPERTIES, Mechanisms, check
+from models.store_restores import MUTANTS, PROPERTIES, Mechanisms, check
 
 from tests.model_case import ModelCase
 
