--- a/experiments/fleet_soak/store.py
+++ b/experiments/fleet_soak/store.py
@@ -31,17 +31,17 @@
 
     async def forget(request: web.Request) -> web.Response:
         """Drop the change history."""
-        store.forget()
+        store.drop_history()
         return web.Response()
 
     async def copy(request: web.Request) -> web.Response:
         """Take a snapshot."""
-        snapshots.append(store.copy())
+        snapshots.append(store.snapshot())
         return web.Response()
 
     async def come_back(request: web.Request) -> web.Response:
         """Restore the oldest snapshot, and discard it."""
-        store.come_back(snapshots.pop(0))
+        store.restore(snapshots.pop(0))
         return web.Response()
 
     async def calls(request: web.Request) -> web.Response:
--- a/experiments/trials/check_power.py
+++ b/experiments/trials/check_power.py
@@ -28,7 +28,7 @@
 Signal = Callable[[AnswerPlan], bool]
 
 SIGNALS: Final[dict[str, Signal]] = {
-    'finish reason is length': lambda plan: plan.reason == 'length',
+    'finish reason is length': lambda plan: plan.finish_reason == 'length',
     'unusually short': lambda plan: len(plan.words) < _SHORT_WORDS,
     'unusually long': lambda plan: len(plan.words) > _LONG_WORDS,
     'a phrase of refusal': lambda plan: any(
--- a/fakes/answers.py
+++ b/fakes/answers.py
@@ -34,12 +34,12 @@
     Attributes:
         words: Words of the answer; the last one states the quality.
         quality: Quality from 0 to 1.
-        reason: Finish reason, ``stop`` or ``length``.
+        finish_reason: Finish reason, ``stop`` or ``length``.
     """
 
     words: tuple[str, ...]
     quality: float
-    reason: str
+    finish_reason: str
 
 
 @dataclass(slots=True)
@@ -138,5 +138,5 @@
     return AnswerPlan(
         words=(*words, f'q={quality:.2f}'),
         quality=quality,
-        reason=reason,
+        finish_reason=reason,
     )
--- a/fakes/chunks.py
+++ b/fakes/chunks.py
@@ -90,7 +90,7 @@
 
 def final_chunk(attempt: str, plan: AnswerPlan, usage: Usage) -> Chunk:
     """Return the last chunk, with the finish reason and the usage."""
-    choice = ChunkChoice(Delta(), plan.reason)
+    choice = ChunkChoice(Delta(), plan.finish_reason)
     return Chunk(attempt, len(plan.words), (choice,), usage)
 
 
@@ -102,5 +102,5 @@
 ) -> CompletionReply:
     """Return a completion that is not streamed."""
     message = Message(' '.join(plan.words))
-    choice = CompletionChoice(message, plan.reason)
+    choice = CompletionChoice(message, plan.finish_reason)
     return CompletionReply(attempt, version, (choice,), usage)
--- a/fakes/completions.py
+++ b/fakes/completions.py
@@ -17,7 +17,7 @@
 )
 from fakes.engine_settings import EngineSettings
 from fakes.faults import FaultKind, Faults, FaultTarget
-from fakes.run_records import End
+from fakes.run_records import RunState
 from nutmegroad.foundations.clocks import Clock
 
 #: Interval in seconds at which a frozen stream checks for a disconnect.
@@ -207,14 +207,14 @@
         self._request = request
         self._clock = clock
 
-    async def send(self) -> End:
+    async def send(self) -> RunState:
         """Send the stream, subject to its faults, and return how it ended."""
         try:
             return await self._stream_words()
         except ConnectionError:
-            return End.CANCELLED
+            return RunState.CANCELLED
 
-    async def _stream_words(self) -> End:
+    async def _stream_words(self) -> RunState:
         """Send words as they are generated, then the final events."""
         completion = self._completion
         await self._clock.sleep(completion.faults.start_delay)
@@ -224,7 +224,7 @@
             await completion.run.progress.wait()
             completion.run.progress.clear()
             if completion.run.is_cancelled:
-                return End.CANCELLED
+                return RunState.CANCELLED
             written = completion.run.written
             if completion.faults.stops:
                 written = min(written, completion.midpoint)
@@ -234,20 +234,20 @@
             if completion.faults.stops and sent == completion.midpoint:
                 return await self._stop_at_midpoint()
         await self.response.write_eof(completion.final_events())
-        return End.WHOLE
+        return RunState.COMPLETE
 
-    async def _stop_at_midpoint(self) -> End:
+    async def _stop_at_midpoint(self) -> RunState:
         """Stop at the midpoint: close the stream, or keep it open silently."""
         if not self._completion.faults.freezes:
             if self._request.transport is not None:
                 self._request.transport.close()
-            return End.CUT
+            return RunState.CUT
         while (
             not is_disconnected(self._request)
             and not self._completion.run.is_cancelled
         ):
             await self._clock.sleep(DISCONNECT_CHECK_INTERVAL)
-        return End.CANCELLED
+        return RunState.CANCELLED
 
 
 def attempt_id(request: web.Request) -> str:
--- a/fakes/engine.py
+++ b/fakes/engine.py
@@ -29,8 +29,8 @@
     drop_connection,
 )
 from fakes.replies import error_reply, json_reply
-from fakes.run_records import End, RunList
-from fakes.serving import Served, run
+from fakes.run_records import RunList, RunState
+from fakes.serving import LoopbackServer, run
 from nutmegroad.foundations.clocks import Clock, SystemClock
 from nutmegroad.foundations.types import Address
 
@@ -92,7 +92,7 @@
             self.faults,
             clock,
         )
-        self._server = Served(self.app, port)
+        self._server = LoopbackServer(self.app, port)
         self._add_routes()
 
     async def __aenter__(self) -> Self:
@@ -164,12 +164,14 @@
         )
         record = self.runs.start(completion.attempt, prompt, completion.run)
         self._control.update_report()
-        ended = End.CANCELLED
+        ended = RunState.CANCELLED
         try:
             if not prompt.streams:
                 await completion.run.wait_finished()
                 ended = (
-                    End.CANCELLED if completion.run.is_cancelled else End.WHOLE
+                    RunState.CANCELLED
+                    if completion.run.is_cancelled
+                    else RunState.COMPLETE
                 )
                 return json_reply(
                     completion_reply(
--- a/fakes/faults.py
+++ b/fakes/faults.py
@@ -39,7 +39,7 @@
     BAD = 'bad'
 
 
-class FaultOrder(Struct, frozen=True, forbid_unknown_fields=True):
+class FaultSpec(Struct, frozen=True, forbid_unknown_fields=True):
     """Body of ``POST /admin/faults``.
 
     Attributes:
@@ -97,7 +97,7 @@
         hits: Number of calls that it has affected.
     """
 
-    spec: FaultOrder
+    spec: FaultSpec
     since: float
     hits: int = 0
 
@@ -135,7 +135,7 @@
         self._randomness = randomness
         self._active: list[ActiveFault] = []
 
-    def add(self, spec: FaultOrder) -> None:
+    def add(self, spec: FaultSpec) -> None:
         """Activate a fault."""
         self._active.append(ActiveFault(spec, self._clock.now()))
 
@@ -162,7 +162,7 @@
         self,
         kind: FaultKind,
         target: FaultTarget = ANY_TARGET,
-    ) -> FaultOrder | None:
+    ) -> FaultSpec | None:
         """Return the fault that affects a call, if any, and count the hit."""
         fault = self.find(kind, target)
         if fault is None or self._randomness.random() >= fault.spec.share:
@@ -191,7 +191,7 @@
 
 async def _add_fault(request: web.Request) -> web.Response:
     try:
-        spec = decode(await request.read(), type=FaultOrder)
+        spec = decode(await request.read(), type=FaultSpec)
     except DecodeError as error:
         raise web.HTTPBadRequest(text=f'invalid fault: {error}') from error
     request.app[FAULTS].add(spec)
--- a/fakes/hosts.py
+++ b/fakes/hosts.py
@@ -36,7 +36,7 @@
         app.router.add_get('/hosts', self._handle_get)
         app.router.add_post('/hosts', self._handle_post)
 
-    def tell(self, listing: ListingBody) -> None:
+    def update(self, listing: ListingBody) -> None:
         """Set the list, which becomes visible after the lag."""
         visible_at = self._clock.now() + self._lag
         self._pending.append(_PendingListing(visible_at, listing))
@@ -52,5 +52,5 @@
         return json_reply(self.visible())
 
     async def _handle_post(self, request: web.Request) -> web.Response:
-        self.tell(await read_body(request, ListingBody))
+        self.update(await read_body(request, ListingBody))
         return no_content()
--- a/fakes/opaque_worker.py
+++ b/fakes/opaque_worker.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ReceivedRequest:
     """A request that a worker received.
 
     Attributes:
@@ -35,7 +35,7 @@
     body: bytes
 
     @property
-    def request(self) -> str:
+    def request_id(self) -> str:
         """Id of the request; empty if it has none."""
         return self.headers.get(REQUEST_ID.lower(), '')
 
@@ -65,12 +65,12 @@
 
 
 #: Returns the script for a request.
-ScriptFactory = Callable[[Seen], Script]
+ScriptFactory = Callable[[ReceivedRequest], Script]
 
 
-def signed(request: Seen, **more: str) -> dict[str, str]:
+def signed(request: ReceivedRequest, **more: str) -> dict[str, str]:
     """Return headers that mark a response as the worker's own."""
-    return {REQUEST_ID: request.request, SIGNATURE: 'signed', **more}
+    return {REQUEST_ID: request.request_id, SIGNATURE: 'signed', **more}
 
 
 def head(status: str, headers: dict[str, str]) -> bytes:
@@ -83,7 +83,7 @@
 def plain(body: bytes = b'fine', status: str = '200 OK') -> ScriptFactory:
     """Return a factory of scripts with a complete response."""
 
-    def make(request: Seen) -> Script:
+    def make(request: ReceivedRequest) -> Script:
         """Return a complete response."""
         length = str(len(body))
         headers = signed(request, **{'Content-Length': length})
@@ -95,10 +95,10 @@
 def rejecting(status: str = '503 Service Unavailable') -> ScriptFactory:
     """Return a factory of scripts that declare the request not executed."""
 
-    def make(request: Seen) -> Script:
+    def make(request: ReceivedRequest) -> Script:
         """Return a rejection."""
         headers = {
-            REQUEST_ID: request.request,
+            REQUEST_ID: request.request_id,
             'Nutmegroad-Not-Executed': '1',
             'Content-Length': '0',
         }
@@ -128,7 +128,7 @@
         confidence: Value of the confidence header; None for no header.
     """
 
-    def make(request: Seen) -> Script:
+    def make(request: ReceivedRequest) -> Script:
         """Return a stream of the events after ``Last-Event-Id``."""
         after = int(request.headers.get('last-event-id') or 0)
         headers = signed(request, **{'Transfer-Encoding': 'chunked'})
@@ -163,7 +163,7 @@
         restart: Restarts the worker after a crash; None for no restart.
     """
 
-    def make(request: Seen) -> Script:
+    def make(request: ReceivedRequest) -> Script:
         """Return a crash, or the script for another request."""
         if request.body != body:
             return default(request)
@@ -178,19 +178,19 @@
     """A worker on a loopback port.
 
     Attributes:
-        usual: Factory that is used when ``once`` is empty.
-        once: Script factories for the next requests, in order.
-        seen: Requests that were received completely.
+        default_script: Factory that is used when ``next_scripts`` is empty.
+        next_scripts: Script factories for the next requests, in order.
+        requests: Requests that were received completely.
         port: TCP port; 0 until the first start.
-        dropped: Requests whose connection ended before their script did.
+        aborted: Requests whose connection ended before their script did.
         crashes: Number of crashes, each caused by a request.
     """
 
-    usual: ScriptFactory = field(default_factory=plain)
-    once: deque[ScriptFactory] = field(default_factory=deque)
-    seen: list[Seen] = field(default_factory=list)
+    default_script: ScriptFactory = field(default_factory=plain)
+    next_scripts: deque[ScriptFactory] = field(default_factory=deque)
+    requests: list[ReceivedRequest] = field(default_factory=list)
     port: int = 0
-    dropped: int = 0
+    aborted: int = 0
     crashes: int = 0
     _server: asyncio.Server | None = None
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
@@ -240,7 +240,7 @@
         try:
             await self._serve_requests(reader, writer)
         except (ConnectionError, asyncio.CancelledError):
-            self.dropped += 1
+            self.aborted += 1
         finally:
             self._writers.discard(writer)
             writer.close()
@@ -255,11 +255,15 @@
             request = await _read_request(reader)
             if request is None:
                 return
-            self.seen.append(request)
-            make = self.once.popleft() if self.once else self.usual
+            self.requests.append(request)
+            make = (
+                self.next_scripts.popleft()
+                if self.next_scripts
+                else self.default_script
+            )
             script = make(request)
             if not await _write_script(script, writer):
-                self.dropped += 1
+                self.aborted += 1
                 return
             if script.crash:
                 await self._crash_and_restart(script)
@@ -282,7 +286,7 @@
     return True
 
 
-async def _read_request(reader: asyncio.StreamReader) -> Seen | None:
+async def _read_request(reader: asyncio.StreamReader) -> ReceivedRequest | None:
     """Return the next request, or None at the end of the connection."""
     try:
         text = (await reader.readuntil(b'\r\n\r\n')).decode('latin-1')
@@ -295,4 +299,6 @@
         name, _, value = line.partition(':')
         headers[name.lower()] = value.strip()
     length = int(headers.get('content-length', 0))
-    return Seen(method, target, headers, await reader.readexactly(length))
+    return ReceivedRequest(
+        method, target, headers, await reader.readexactly(length)
+    )
--- a/fakes/platform.py
+++ b/fakes/platform.py
@@ -17,7 +17,7 @@
 from fakes.middleware import CallMiddleware, RateLimit
 from fakes.objects import FakeObjects
 from fakes.ratings import FakeRatings
-from fakes.serving import Served, port_parser, run
+from fakes.serving import LoopbackServer, port_parser, run
 from fakes.tables import FakeTable
 from fakes.weights import FakeWeights
 from nutmegroad.foundations.clocks import Clock, SystemClock
@@ -101,7 +101,7 @@
         FakeObjects().add_routes(self.app)
         self.table.add_routes(self.app)
         self.hosts.add_routes(self.app)
-        self._server = Served(self.app, port)
+        self._server = LoopbackServer(self.app, port)
         self._stack = AsyncExitStack()
 
     async def __aenter__(self) -> Self:
--- a/fakes/row_store.py
+++ b/fakes/row_store.py
@@ -137,16 +137,16 @@
         row = self._rows.get((table, '', key))
         return None if row is None else row.value
 
-    def forget(self) -> None:
+    def drop_history(self) -> None:
         """Drop the history: feeds from versions before the newest get 410."""
         self._history.clear()
         self._history_start = self._ver
 
-    def copy(self) -> 'StoreCopy':
+    def snapshot(self) -> 'StoreCopy':
         """Return a snapshot of the store."""
         return StoreCopy(dict(self._rows), self._ver)
 
-    def come_back(self, copy: 'StoreCopy') -> None:
+    def restore(self, copy: 'StoreCopy') -> None:
         """Restore the store from a snapshot and start the next era.
 
         Versions after the snapshot are assigned again. Feeds from such a
--- a/fakes/run_records.py
+++ b/fakes/run_records.py
@@ -10,11 +10,11 @@
 
 
 @unique
-class End(Enum):
+class RunState(Enum):
     """State of a completion, and how it ended."""
 
     RUNNING = 'running'
-    WHOLE = 'whole'
+    COMPLETE = 'whole'
     CUT = 'cut'
     CANCELLED = 'cancelled'
 
@@ -33,7 +33,7 @@
     attempt: str
     version: str
     task: str
-    ended: End
+    ended: RunState
     at: float
 
 
@@ -58,14 +58,14 @@
             attempt,
             prompt.version,
             prompt.task,
-            End.RUNNING,
+            RunState.RUNNING,
             self._clock.wall(),
         )
         self.records.append(record)
         self._running.setdefault(attempt, []).append(run)
         return record
 
-    def end(self, record: RunRecord, run: Run, ended: End) -> None:
+    def end(self, record: RunRecord, run: Run, ended: RunState) -> None:
         """Record the end of a completion."""
         record.ended = ended
         runs = self._running.get(record.attempt, [])
--- a/fakes/service.py
+++ b/fakes/service.py
@@ -18,7 +18,7 @@
     drop_connection,
 )
 from fakes.replies import json_reply
-from fakes.serving import Served, port_parser, run
+from fakes.serving import LoopbackServer, port_parser, run
 from nutmegroad.foundations.clocks import Clock, SystemClock
 from nutmegroad.foundations.types import Address
 
@@ -84,7 +84,7 @@
         self.runs: list[CallRecord] = []
         self.leaving = False
         self.faults = Faults(self._clock, random.Random(seed))
-        self._server = Served(self.app, port)
+        self._server = LoopbackServer(self.app, port)
         add_fault_routes(self.app, self.faults)
         self.app.router.add_get('/admin/runs', self._serve_runs)
         self.app.router.add_post('/admin/leave', self._leave)
--- a/fakes/serving.py
+++ b/fakes/serving.py
@@ -18,7 +18,7 @@
 SHUTDOWN_TIMEOUT: Final = 0.1
 
 
-class Served:
+class LoopbackServer:
     """Serves an application on a loopback port while it is open.
 
     Args:
@@ -77,7 +77,7 @@
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stopping.set)
-    async with Served(app, port) as server:
+    async with LoopbackServer(app, port) as server:
         sys.stdout.write(f'listening {server.address}\n')
         sys.stdout.flush()
         await stopping.wait()
--- a/tests/quick.py
+++ b/tests/fast_engines.py
@@ -8,7 +8,7 @@
 from fakes.batching import BatchSpeed
 from fakes.engine_settings import EngineSettings, VersionSettings
 
-QUICK_SPEED: Final = BatchSpeed(
+FAST_SPEED: Final = BatchSpeed(
     slots=4,
     queue_limit=1,
     prefill_rate=1e6,
@@ -16,7 +16,7 @@
     step_per_request=0,
 )
 #: Answers take minutes, so that tests can observe them while they run.
-ENDLESS: Final = replace(QUICK_SPEED, step_base=10)
+VERY_SLOW_SPEED: Final = replace(FAST_SPEED, step_base=10)
 
 
 class ManualClock:
@@ -39,7 +39,7 @@
         await asyncio.sleep(0)
 
 
-def quick_settings(**changes: Any) -> EngineSettings:
+def fast_settings(**changes: Any) -> EngineSettings:
     """Return the settings of a fast engine, with some of them changed."""
     defaults = EngineSettings(
         versions=VersionSettings(
@@ -47,7 +47,7 @@
             loadable=('a@2',),
             load_seconds=0,
         ),
-        speed=QUICK_SPEED,
+        speed=FAST_SPEED,
         report_lag=0,
         quality=QualityTable({'a@1': 0.5, 'a@1:tag': 0.9}),
     )
--- a/tests/hosts.py
+++ b/tests/host_fixture.py
@@ -9,7 +9,7 @@
 from experiments.deployment import operate, read_example, workspace_key
 from fakes.engine import FakeEngine
 from fakes.engine_settings import EngineSettings, VersionSettings
-from fakes.faults import FaultKind, FaultOrder
+from fakes.faults import FaultKind, FaultSpec
 from fakes.platform import FakePlatform, PlatformOptions
 
 from nutmegroad.adapters._platform_bodies import ListingBody
@@ -18,7 +18,7 @@
 from nutmegroad.foundations.types import Address, DomainId, HostId
 from nutmegroad.kernel.core import Kernel
 from nutmegroad.kernel.settings import Settings
-from tests.quick import QUICK_SPEED, quick_settings
+from tests.fast_engines import FAST_SPEED, fast_settings
 
 VERSIONS: Final = ('brief-small@2', 'brief-medium@4')
 TOKEN: Final = 'a-bootstrap-token-for-tests'
@@ -27,14 +27,14 @@
 ANY_PORT: Final = Address('127.0.0.1', 0)
 
 
-def fast_engine(**changes: Any) -> EngineSettings:
+def two_version_settings(**changes: Any) -> EngineSettings:
     """Return the settings of a fast engine with two versions loaded."""
     versions = VersionSettings(loaded=VERSIONS, loadable=(), load_seconds=0)
-    defaults = {'versions': versions, 'speed': QUICK_SPEED}
-    return quick_settings(**{**defaults, **changes})
+    defaults = {'versions': versions, 'speed': FAST_SPEED}
+    return fast_settings(**{**defaults, **changes})
 
 
-class WholeHost:
+class HostFixture:
     """A platform, two engines and one host, opened together.
 
     Attributes:
@@ -57,7 +57,7 @@
         await stack.enter_async_context(self.platform)
         for engine in self.engines:
             await stack.enter_async_context(engine)
-        self.platform.hosts.tell(
+        self.platform.hosts.update(
             msgspec.convert(
                 {'upstreams': self._upstream_entries()}, ListingBody
             ),
@@ -77,7 +77,7 @@
     def fault(self, kind: FaultKind, **changes: Any) -> None:
         """Activate a fault of both engines."""
         for engine in self.engines:
-            engine.faults.add(FaultOrder(kind, scope='answers', **changes))
+            engine.faults.add(FaultSpec(kind, scope='answers', **changes))
 
     def body(self, tokens: int = 8, **changes: Any) -> dict[str, Any]:
         """Return the body of a model request."""
--- a/tests/records_rig.py
+++ b/tests/records_rig.py
@@ -7,7 +7,7 @@
 from typing import Final, Self
 
 from aiohttp import ClientSession
-from fakes.faults import FaultKind, FaultOrder
+from fakes.faults import FaultKind, FaultSpec
 from fakes.platform import FakePlatform, PlatformOptions
 
 from nutmegroad.adapters._http_platform import HttpObjects, HttpTable
@@ -132,5 +132,5 @@
     def fault(self, kind: FaultKind, scope: str, **more: object) -> None:
         """Enable a fault in a part of the platform."""
         self.platform.faults.add(
-            FaultOrder(kind, scope, **more)  # type: ignore[arg-type]
+            FaultSpec(kind, scope, **more)  # type: ignore[arg-type]
         )
--- a/tests/relay_rig.py
+++ b/tests/relay_rig.py
@@ -269,7 +269,7 @@
     def seen(self, request: str) -> int:
         """Return how many workers received a request."""
         return sum(
-            each.request == request
+            each.request_id == request
             for worker in self.workers
-            for each in worker.seen
+            for each in worker.requests
         )
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -11,9 +11,9 @@
 
 import msgspec
 from aiohttp.web import Application, Request, StreamResponse
-from fakes.faults import FaultKind, FaultOrder
-from fakes.run_records import End
-from fakes.serving import Served
+from fakes.faults import FaultKind, FaultSpec
+from fakes.run_records import RunState
+from fakes.serving import LoopbackServer
 
 from nutmegroad.callers.answer_streams import EventStream
 from nutmegroad.configuration.in_force import Configuration
@@ -22,8 +22,8 @@
 from nutmegroad.foundations.types import RequestId
 from nutmegroad.kernel.stops import GracefulStop, StopPhase
 from nutmegroad.records.billing import Biller
-from tests.hosts import WholeHost, fast_engine
-from tests.quick import ENDLESS
+from tests.fast_engines import VERY_SLOW_SPEED
+from tests.host_fixture import HostFixture, two_version_settings
 
 DONE = b'[DONE]'
 
@@ -53,7 +53,7 @@
         """Open a host with changed options of its engines."""
         self.stack = AsyncExitStack()
         self.addAsyncCleanup(self.stack.aclose)
-        self.host = WholeHost(fast_engine(**changes))
+        self.host = HostFixture(two_version_settings(**changes))
         await self.host.open(self.stack)
 
     async def send(self, *, stream: bool = False, session: str = '') -> Any:
@@ -134,13 +134,13 @@
         ):
             engine = self.host.engines[0]
             engine.faults.clear()
-            engine.faults.add(FaultOrder(kind, scope='answers'))
+            engine.faults.add(FaultSpec(kind, scope='answers'))
             for number in range(6):
                 with self.subTest(kind=kind, number=number):
                     await self.assert_complete(stream=bool(number % 2))
 
     async def test_answer_to_another_attempt_is_retried_elsewhere(self) -> None:
-        order = FaultOrder(FaultKind.CROSS, scope='answers')
+        order = FaultSpec(FaultKind.CROSS, scope='answers')
         self.host.engines[0].faults.add(order)
         for number in range(6):
             with self.subTest(number=number):
@@ -153,7 +153,7 @@
             [run.ended for run in engine.runs.records]
             for engine in self.host.engines
         ]
-        self.assertIn([End.CUT, End.WHOLE], run_ends)
+        self.assertIn([RunState.CUT, RunState.COMPLETE], run_ends)
 
     async def test_truncated_answer_ends_with_an_error(self) -> None:
         self.host.fault(FaultKind.CUT)
@@ -183,7 +183,7 @@
     """Open requests that end because the caller leaves or the host stops."""
 
     async def asyncSetUp(self) -> None:
-        await self.open(speed=ENDLESS)
+        await self.open(speed=VERY_SLOW_SPEED)
 
     async def test_execution_is_cancelled_at_the_engine_and_billed(
         self,
@@ -192,9 +192,9 @@
         biller: Any = self.host.kernel.need(Biller)
         biller.record = bills.append
         task = asyncio.create_task(self.send(stream=True))
-        await self.wait_until(lambda: self.run_ends() == [End.RUNNING])
+        await self.wait_until(lambda: self.run_ends() == [RunState.RUNNING])
         task.cancel()
-        await self.wait_until(lambda: self.run_ends() == [End.CANCELLED])
+        await self.wait_until(lambda: self.run_ends() == [RunState.CANCELLED])
         await self.wait_until(lambda: self.has_metric('outcome="ANSWER_CUT"'))
         self.assertEqual([bill.outcome for bill in bills], ['ANSWER_CUT'])
 
@@ -202,7 +202,7 @@
         stop = self.host.kernel.need(GracefulStop)
         stop._limit = 0.2
         task = asyncio.create_task(self.send())
-        await self.wait_until(lambda: self.run_ends() == [End.RUNNING])
+        await self.wait_until(lambda: self.run_ends() == [RunState.RUNNING])
         self.assertEqual(await stop.run(), 1)
         response = await task
         body = await response.json()
@@ -210,7 +210,7 @@
         self.assertEqual(body['error']['name'], 'HOST_STOPPING')
         self.assertFalse(body['error']['not_run'])
 
-    def run_ends(self) -> list[End]:
+    def run_ends(self) -> list[RunState]:
         """Return how each execution at the engines has ended."""
         runs = [
             run for engine in self.host.engines for run in engine.runs.records
@@ -245,7 +245,7 @@
     ) -> None:
         known = await self.send(session='desk')
         token = known.headers['Nutmegroad-Session']
-        self.host.platform.faults.add(FaultOrder(FaultKind.DOWN, scope='table'))
+        self.host.platform.faults.add(FaultSpec(FaultKind.DOWN, scope='table'))
         for name in ('desk', token):
             response = await self.send(session=name)
             self.assertEqual(response.status, 200)
@@ -364,7 +364,7 @@
 
         app = Application()
         app.router.add_get('/', answer)
-        served = await self.enterAsyncContext(Served(app))
+        served = await self.enterAsyncContext(LoopbackServer(app))
         address = served.address
         _, writer = await asyncio.open_connection(address.ip, address.port)
         self.addCleanup(writer.close)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -25,7 +25,7 @@
 from nutmegroad.cli.program import main
 from nutmegroad.foundations.types import Address
 from nutmegroad.kernel.stops import GracefulStop
-from tests.hosts import WholeHost, fast_engine
+from tests.host_fixture import HostFixture, two_version_settings
 
 DOCS = Path(__file__).resolve().parent.parent / 'docs'
 OPERATOR = operator_token('farah')
@@ -114,7 +114,7 @@
     """Commands against one host in this process."""
 
     async def asyncSetUp(self) -> None:
-        self.host = WholeHost(fast_engine())
+        self.host = HostFixture(two_version_settings())
         stack = await self.enterAsyncContext(AsyncExitStack())
         await self.host.open(stack)
         self.operators = str(self.host.kernel.listening['operators'])
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -48,7 +48,7 @@
         """Start the hosts."""
         self.rig = await self.enterAsyncContext(Rig(workers=9, hosts=2))
         for worker in self.rig.workers:
-            worker.usual = crashing(HARMFUL, stream())
+            worker.default_script = crashing(HARMFUL, stream())
         await self.rig.start()
 
     async def come(
@@ -127,13 +127,13 @@
         ):
             self.assertEqual(await self.come(10 + number, 0, path, body), 200)
         for worker in self.rig.workers:
-            worker.usual = stream()
+            worker.default_script = stream()
         self.assertEqual(await self.come(20, path='/draft/2'), 200)
 
     async def test_it_is_served_where_it_did_nothing(self) -> None:
         """A worker that crashes between requests does not make them harmful."""
         for worker in self.rig.workers:
-            worker.usual = plain()
+            worker.default_script = plain()
         for _ in range(ENDS + 1):
             self.assertEqual(await self.come(1, path='/look/1'), 200)
             await self.rig.workers[0].crash()
@@ -156,11 +156,11 @@
         """Start a host, and crash all its workers but one."""
         self.rig = await self.enterAsyncContext(Rig(workers=ENDS + 1))
         for worker in self.rig.workers:
-            worker.usual = crashing(HARMFUL, stream())
+            worker.default_script = crashing(HARMFUL, stream())
         await self.rig.start()
         await self.rig.ask('/draft/1', 'r1', body=HARMFUL)
         self.assertEqual(self.rig.crashes, ENDS)
-        self.before = sum(len(worker.seen) for worker in self.rig.workers)
+        self.before = sum(len(worker.requests) for worker in self.rig.workers)
 
     async def test_a_trial_lasts_until_it_reaches_an_upstream(self) -> None:
         """Attempts that no upstream accepts do not use up the probe."""
@@ -177,7 +177,7 @@
         await asyncio.sleep(PROBE_DELAY)
         number = await self.rig.add_host()
         await self.rig.ask('/draft/1', 'r2', body=HARMFUL, host=number)
-        after = sum(len(worker.seen) for worker in self.rig.workers)
+        after = sum(len(worker.requests) for worker in self.rig.workers)
         self.assertEqual(after - self.before, TRIALS)
 
 
@@ -189,7 +189,9 @@
         self.rig = await self.enterAsyncContext(Rig(workers=6))
         self.births = itertools.count(1)
         for number, worker in enumerate(self.rig.workers):
-            worker.usual = crashing(HARMFUL, stream(), self.rebirth(number))
+            worker.default_script = crashing(
+                HARMFUL, stream(), self.rebirth(number)
+            )
             self.rig.register(number, born=next(self.births))
         await self.rig.start()
 
@@ -222,7 +224,9 @@
         """Start a host whose crashed workers leave a proxy behind."""
         self.rig = await self.enterAsyncContext(Rig(workers=9))
         for number, worker in enumerate(self.rig.workers):
-            worker.usual = crashing(HARMFUL, stream(), self.left_behind(number))
+            worker.default_script = crashing(
+                HARMFUL, stream(), self.left_behind(number)
+            )
         await self.rig.start()
 
     def left_behind(self, number: int) -> Callable[[], Awaitable[None]]:
@@ -305,7 +309,7 @@
         """Start a host whose workers are registered one at a time."""
         self.rig = await self.enterAsyncContext(Rig(workers=4))
         for worker in self.rig.workers:
-            worker.usual = crashing(HARMFUL, stream(gap=0.5))
+            worker.default_script = crashing(HARMFUL, stream(gap=0.5))
         await self.rig.start()
         for number in range(len(self.rig.workers)):
             self.rig.store.remove('servers', f'w-{number}')
@@ -323,7 +327,7 @@
         beside = asyncio.create_task(
             self.rig.ask(path, f'beside-{number}', body=b'harmless'),
         )
-        await self.rig.until(lambda: len(worker.seen) == 1)
+        await self.rig.until(lambda: len(worker.requests) == 1)
         harmful = self.rig.ask('/once/1', f'harm-{number}', body=HARMFUL)
         await asyncio.gather(beside, harmful)
         self.rig.store.remove('servers', f'w-{number}')
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -11,7 +11,7 @@
 from fakes.batching import Batch, BatchSpeed, PrefixCache, Run
 from fakes.engine import FakeEngine
 
-from tests.quick import ENDLESS, ManualClock, quick_settings
+from tests.fast_engines import VERY_SLOW_SPEED, ManualClock, fast_settings
 
 
 class EngineCase(unittest.IsolatedAsyncioTestCase):
@@ -26,7 +26,7 @@
 
     async def open(self, **changes: Any) -> FakeEngine:
         """Start an engine that subsequent calls go to."""
-        engine = FakeEngine(quick_settings(**changes))
+        engine = FakeEngine(fast_settings(**changes))
         await self.stack.enter_async_context(engine)
         self.url = f'http://{engine.address}'
         return engine
@@ -106,7 +106,7 @@
         self.assertEqual('version_not_loaded', reply['error']['code'])
 
     async def test_rejects_requests_when_queue_is_full(self) -> None:
-        engine = await self.open(speed=ENDLESS)
+        engine = await self.open(speed=VERY_SLOW_SPEED)
         waiting = [asyncio.create_task(self.events(str(n))) for n in range(5)]
         while len(engine.runs.records) < 5:
             await asyncio.sleep(0)
@@ -122,7 +122,7 @@
         self.assertEqual({'cancelled'}, {entry['ended'] for entry in runs})
 
     async def test_closing_the_stream_cancels_the_run(self) -> None:
-        engine = await self.open(speed=ENDLESS)
+        engine = await self.open(speed=VERY_SLOW_SPEED)
         async with self.request_completion():
             self.assertEqual('running', engine.runs.records[0].ended.value)
         while engine.runs.records[0].ended.value == 'running':
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -46,7 +46,7 @@
     frames,
     requests,
 )
-from tests.hosts import KEY, WholeHost, fast_engine
+from tests.host_fixture import KEY, HostFixture, two_version_settings
 
 #: Seconds within which the host must answer.
 TIMEOUT: Final = 20
@@ -89,7 +89,7 @@
         self.unhandled = ErrorCollector()
         logging.getLogger().addHandler(self.unhandled)
         self.addCleanup(logging.getLogger().removeHandler, self.unhandled)
-        self.host = WholeHost(fast_engine())
+        self.host = HostFixture(two_version_settings())
         self.stack = AsyncExitStack()
         self.run_in(self.host.open(self.stack, body_timeout=0.2))
         loop = self.runner.get_loop()
--- a/tests/test_http_middleware.py
+++ b/tests/test_http_middleware.py
@@ -17,7 +17,7 @@
 from nutmegroad.callers.intake import IntakeReader
 from nutmegroad.foundations.metrics import Metrics
 from nutmegroad.foundations.types import Address
-from tests.hosts import KEY, TOKEN, WholeHost, fast_engine
+from tests.host_fixture import KEY, TOKEN, HostFixture, two_version_settings
 
 CHAT = '/v1/chat/completions'
 VALID_BODY = {
@@ -65,7 +65,7 @@
     """Invalid requests to the listeners of callers and operators."""
 
     async def asyncSetUp(self) -> None:
-        self.host = WholeHost(fast_engine())
+        self.host = HostFixture(two_version_settings())
         stack = await self.enterAsyncContext(AsyncExitStack())
         await self.host.open(stack, max_body=200_000, body_timeout=0.3)
         self.listening = self.host.kernel.listening
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -10,10 +10,10 @@
 from aiohttp.http_writer import StreamWriter
 from aiohttp.web import Application, Request, Response
 from fakes.engine import FakeEngine
-from fakes.faults import FaultKind, FaultOrder
+from fakes.faults import FaultKind, FaultSpec
 from fakes.replies import error_reply
 from fakes.service import FakeService
-from fakes.serving import Served
+from fakes.serving import LoopbackServer
 
 from nutmegroad.adapters._event_streams import AnswerReader, EventSplitter
 from nutmegroad.adapters._http_upstreams import (
@@ -43,7 +43,7 @@
     UpstreamKind,
     VersionId,
 )
-from tests.quick import ENDLESS, quick_settings
+from tests.fast_engines import VERY_SLOW_SPEED, fast_settings
 
 CLOSED = Refusal(ResultCode.HOST_PAUSED, 'The host was paused.')
 BODY = b'{"messages":[{"role":"user","content":"hi"}],"nutmegroad_tokens":8}'
@@ -137,7 +137,7 @@
 
     async def engine(self, **changes: Any) -> FakeEngine:
         """Start a simulated engine."""
-        engine = FakeEngine(quick_settings(**changes))
+        engine = FakeEngine(fast_settings(**changes))
         return await self.stack.enter_async_context(engine)
 
     async def answer(self, attempt: Attempt) -> list[AnswerEvent]:
@@ -250,7 +250,7 @@
         for kind, code in cases:
             with self.subTest(kind):
                 engine.faults.clear()
-                engine.faults.add(FaultOrder(kind, delay=600, scope='answers'))
+                engine.faults.add(FaultSpec(kind, delay=600, scope='answers'))
                 # Each case has its own attempt id, since the cancellation of
                 # the previous one may still be pending.
                 attempt = attempt_at(
@@ -263,13 +263,13 @@
 
     async def test_duplicates_are_dropped_and_counted(self) -> None:
         engine = await self.engine()
-        engine.faults.add(FaultOrder(FaultKind.DUPLICATE))
+        engine.faults.add(FaultSpec(FaultKind.DUPLICATE))
         events = await self.answer(attempt_at(engine.address))
         self.assertEqual(9, len(events))
         self.assertEqual(8, self.engines.duplicates)
 
     async def test_unloaded_version_and_full_queue_mean_not_run(self) -> None:
-        engine = await self.engine(speed=ENDLESS)
+        engine = await self.engine(speed=VERY_SLOW_SPEED)
         unloaded = attempt_at(engine.address, version=VersionId('a@9'))
         events = await self.answer(unloaded)
         code = ResultCode.VERSION_NOT_LOADED
@@ -293,13 +293,13 @@
 
         app = Application()
         app.router.add_post('/{path:.*}', refuse)
-        served = await self.stack.enter_async_context(Served(app))
+        served = await self.stack.enter_async_context(LoopbackServer(app))
         events = await self.answer(attempt_at(served.address))
         code = ResultCode.UPSTREAM_LEAVING
         self.assert_refused(events[0], code, Ran.NOT_RUN)
 
     async def test_unreachable_upstream_means_not_run(self) -> None:
-        async with FakeEngine(quick_settings()) as engine:
+        async with FakeEngine(fast_settings()) as engine:
             address = engine.address
         events = await self.answer(attempt_at(address))
         code = ResultCode.UPSTREAM_UNREACHABLE
@@ -309,7 +309,7 @@
 
     async def test_leaving_the_context_early_cancels_the_answer(self) -> None:
         engine = await self.engine()
-        engine.faults.add(FaultOrder(FaultKind.FREEZE))
+        engine.faults.add(FaultSpec(FaultKind.FREEZE))
         async with self.engines.answer(attempt_at(engine.address)) as events:
             async for _ in events:
                 break
@@ -360,7 +360,7 @@
         service = await self.stack.enter_async_context(FakeService())
         reply = await self.services.call(call_at(service.address))
         self.assertIsInstance(reply, ServiceReply)
-        service.faults.add(FaultOrder(FaultKind.LOSE_REPLY))
+        service.faults.add(FaultSpec(FaultKind.LOSE_REPLY))
         reply = await self.services.call(call_at(service.address))
         code = ResultCode.UPSTREAM_ERROR
         self.assert_refused(reply, code, Ran.UNKNOWN)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -35,7 +35,7 @@
 )
 from nutmegroad.records.tickets import Ticket, TicketSigner
 from tests.configurations import document_of, version_of
-from tests.hosts import WholeHost, fast_engine
+from tests.host_fixture import HostFixture, two_version_settings
 
 OLD = 'the-key-until-today'
 NEW = 'the-key-from-now-on'
@@ -175,7 +175,7 @@
 
 class RefusedHostTest(unittest.IsolatedAsyncioTestCase):
     async def test_wrong_cluster_key_is_counted_in_the_metrics(self) -> None:
-        host = WholeHost(fast_engine())
+        host = HostFixture(two_version_settings())
         stack = await self.enterAsyncContext(AsyncExitStack())
         await host.open(stack)
         peers = host.kernel.listening['peers']
--- a/tests/test_moved_sessions.py
+++ b/tests/test_moved_sessions.py
@@ -17,7 +17,7 @@
 from typing import Final, cast
 
 from experiments.virtual_time import VirtualClock, VirtualLoop, run_virtually
-from fakes.opaque_worker import Script, Seen, head, signed
+from fakes.opaque_worker import ReceivedRequest, Script, head, signed
 
 from nutmegroad.canary.gate import RolloutGate
 from nutmegroad.canary.interrupted_attempts import InterruptedAttempts
@@ -190,14 +190,14 @@
     def answer(self, *pieces: bytes) -> None:
         """Make the worker wait before the last piece of its answer."""
 
-        def make(seen: Seen) -> Script:
+        def make(seen: ReceivedRequest) -> Script:
             """Return the answer to a request."""
             length = str(sum(map(len, pieces)))
             begin = head('200 OK', signed(seen, **{'Content-Length': length}))
             written = (begin + pieces[0], *pieces[1:])
             return Script(written, hold=self.let_go)
 
-        self.rig.workers[0].usual = make
+        self.rig.workers[0].default_script = make
 
     def ask(self) -> 'asyncio.Task[Reply]':
         """Send a request of a session."""
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -6,14 +6,14 @@
 
 from nutmegroad.foundations.types import UpstreamId
 from nutmegroad.routing.directory import Directory
-from tests.hosts import WholeHost, fast_engine
+from tests.host_fixture import HostFixture, two_version_settings
 
 
 class ReadinessTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         stack = AsyncExitStack()
         self.addAsyncCleanup(stack.aclose)
-        self.host = WholeHost(fast_engine())
+        self.host = HostFixture(two_version_settings())
         await self.host.open(stack)
 
     async def readiness(self) -> tuple[int, str]:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,7 +6,7 @@
 from contextlib import AsyncExitStack
 
 from aiohttp import ClientSession
-from fakes.faults import FaultKind, FaultOrder, Faults, FaultTarget
+from fakes.faults import FaultKind, Faults, FaultSpec, FaultTarget
 from fakes.platform import FakePlatform, PlatformOptions
 
 from nutmegroad.adapters._http_platform import (
@@ -86,7 +86,7 @@
         self.faults = Faults(self.clock, random.Random(1))
 
     def test_fault_affects_only_its_target(self) -> None:
-        order = FaultOrder(FaultKind.SLOW, 'all', version='m@1', task='tag')
+        order = FaultSpec(FaultKind.SLOW, 'all', version='m@1', task='tag')
         self.faults.add(order)
         cases = {
             FaultTarget('table', 'm@1', 'tag'): order,
@@ -100,8 +100,8 @@
                 self.assertEqual(hit, expected)
 
     def test_fault_ends_after_its_seconds(self) -> None:
-        self.faults.add(FaultOrder(FaultKind.DOWN, seconds=2))
-        self.faults.add(FaultOrder(FaultKind.BAD, seconds=2))
+        self.faults.add(FaultSpec(FaultKind.DOWN, seconds=2))
+        self.faults.add(FaultSpec(FaultKind.BAD, seconds=2))
         self.assertIsNotNone(self.faults.hit(FaultKind.DOWN))
         self.clock.seconds += 2
         self.assertIsNone(self.faults.hit(FaultKind.DOWN))
@@ -110,7 +110,7 @@
         self.assertIsNotNone(self.faults.find(FaultKind.BAD))
 
     def test_fault_affects_its_share_of_calls(self) -> None:
-        self.faults.add(FaultOrder(FaultKind.DOWN, share=0.25))
+        self.faults.add(FaultSpec(FaultKind.DOWN, share=0.25))
         hits = [self.faults.hit(FaultKind.DOWN) for _ in range(400)]
         self.assertAlmostEqual(hits.count(None) / 400, 0.75, delta=0.1)
 
@@ -130,7 +130,7 @@
 
     def fault(self, kind: FaultKind, scope: str, count: int = 1) -> None:
         """Inject a fault into the next ``count`` calls."""
-        self.platform.faults.add(FaultOrder(kind, scope, count=count))
+        self.platform.faults.add(FaultSpec(kind, scope, count=count))
 
     def write(
         self,
@@ -239,7 +239,7 @@
 
     async def test_host_list_shows_changes_after_its_lag(self) -> None:
         hosts = HttpHostList(self.session, self.platform.address)
-        self.platform.hosts.tell(ListingBody.from_listing(LISTING))
+        self.platform.hosts.update(ListingBody.from_listing(LISTING))
         self.clock.seconds += OPTIONS.lag - 1
         self.assertEqual(await hosts.listing(), Listing((), ()))
         self.clock.seconds += 1
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -204,7 +204,7 @@
         read = await self.store.changes('t', version, 0.01)
         assert isinstance(read, RowsRead)
         self.assertEqual([row.removed for row in read.rows], [True])
-        self.rows.forget()
+        self.rows.drop_history()
         lost = await self.store.changes('t', version, 0.01)
         self.assertIsInstance(lost, HistoryLost)
 
--- a/tests/test_relay_host.py
+++ b/tests/test_relay_host.py
@@ -8,8 +8,8 @@
 from fakes.opaque_worker import (
     EVENTS,
     OpaqueWorker,
+    ReceivedRequest,
     Script,
-    Seen,
     head,
     plain,
     rejecting,
@@ -21,18 +21,18 @@
 from tests.relay_rig import HOST, KEY, Rig, configuration, route
 
 
-def never_answer(seen: Seen) -> Script:
+def never_answer(seen: ReceivedRequest) -> Script:
     """Never answer."""
     return Script((b'',), gap=3600)
 
 
-def send_truncated_body(seen: Seen) -> Script:
+def send_truncated_body(seen: ReceivedRequest) -> Script:
     """Answer with fewer bytes than announced."""
     headers = signed(seen, **{'Content-Length': '10'})
     return Script((head('200 OK', headers) + b'half',), close=True)
 
 
-def send_stray_answer_first(seen: Seen) -> Script:
+def send_stray_answer_first(seen: ReceivedRequest) -> Script:
     """Answer another request first, then this one."""
     length = {'Content-Length': '4'}
     other = {**signed(seen, **length), 'Nutmegroad-Request-Id': 'other'}
@@ -40,7 +40,7 @@
     return Script((head('200 OK', other) + b'evil' + ours + b'fine',))
 
 
-def send_extra_answer(seen: Seen) -> Script:
+def send_extra_answer(seen: ReceivedRequest) -> Script:
     """Send a second answer after the requested one."""
     ok_head = head('200 OK', signed(seen, **{'Content-Length': '4'}))
     return Script((ok_head + b'fine' + ok_head + b'more',))
@@ -57,7 +57,7 @@
     def all_workers(self, script: object) -> None:
         """Make all workers answer by one script."""
         for worker in self.rig.workers:
-            worker.usual = script  # type: ignore[assignment]
+            worker.default_script = script  # type: ignore[assignment]
 
 
 class ForwardingTest(RelayCase):
@@ -67,7 +67,7 @@
         """The raw target and the body arrive unchanged."""
         status, _, body = await self.rig.ask('/pay/a%2Fb//c?x=%20', body=b'x y')
         self.assertEqual((status, body), (200, b'fine'))
-        seen = next(w.seen[0] for w in self.rig.workers if w.seen)
+        seen = next(w.requests[0] for w in self.rig.workers if w.requests)
         self.assertEqual(seen.target, '/pay/a%2Fb//c?x=%20')
         self.assertEqual(seen.body, b'x y')
 
@@ -84,7 +84,9 @@
                 'X-Kept': 'yes',
             },
         )
-        seen = next(w.seen[0] for w in self.rig.workers if w.seen).headers
+        seen = next(
+            w.requests[0] for w in self.rig.workers if w.requests
+        ).headers
         self.assertEqual(seen['nutmegroad-tenant'], 'clerks')
         self.assertEqual(seen['x-kept'], 'yes')
         self.assertIn('nutmegroad-expect-instance', seen)
@@ -113,7 +115,7 @@
 
     async def test_cut_answer_of_a_repeatable_call_is_asked_again(self) -> None:
         """The caller gets a complete answer from another worker."""
-        self.rig.workers[0].usual = send_truncated_body
+        self.rig.workers[0].default_script = send_truncated_body
         for number in range(6):
             status, _, body = await self.rig.ask('/look/1', f'r{number}')
             self.assertEqual((status, body), (200, b'fine'))
@@ -128,7 +130,7 @@
 
     async def test_rejected_call_goes_elsewhere(self) -> None:
         """A worker's proof of non-execution permits another attempt."""
-        self.rig.workers[0].usual = rejecting()
+        self.rig.workers[0].default_script = rejecting()
         for number in range(6):
             status, _, _ = await self.rig.ask('/pay/1', f'p{number}')
             self.assertEqual(status, 200)
@@ -157,7 +159,7 @@
         )
         await self.rig.until(lambda: self.rig.host.configuration_version == 2)
         for worker in self.rig.workers:
-            worker.once.append(never_answer)
+            worker.next_scripts.append(never_answer)
         statuses = [
             (await self.rig.ask('/pay/1', f'p{number}'))[0]
             for number in range(8)
@@ -172,7 +174,7 @@
             async with asyncio.timeout(0.3):
                 await self.rig.ask('/draft/1')
         await self.rig.until(
-            lambda: sum(worker.dropped for worker in self.rig.workers),
+            lambda: sum(worker.aborted for worker in self.rig.workers),
         )
 
 
@@ -188,14 +190,14 @@
     async def test_broken_stream_goes_on_elsewhere(self) -> None:
         """The rest is requested after the last complete event."""
         broken = stream((EVENTS[0], EVENTS[1][:9]), cut=True)
-        self.rig.workers[0].usual = broken
-        self.rig.workers[1].usual = stream()
+        self.rig.workers[0].default_script = broken
+        self.rig.workers[1].default_script = stream()
         for number in range(4):
             _, _, body = await self.rig.ask('/draft/1', f's{number}')
             self.assertEqual(body, b''.join(EVENTS))
         resumed = [
             seen.headers['last-event-id']
-            for seen in self.rig.workers[1].seen
+            for seen in self.rig.workers[1].requests
             if 'last-event-id' in seen.headers
         ]
         self.assertEqual(set(resumed), {'1'})
@@ -214,7 +216,7 @@
     async def test_unsure_answer_is_asked_of_the_largest_model(self) -> None:
         """No byte of the discarded answer reaches the caller."""
 
-        def by_model(seen: Seen) -> Script:
+        def by_model(seen: ReceivedRequest) -> Script:
             """Answer as the named model would."""
             large = seen.headers['nutmegroad-model'] == 'large'
             text = b'id: 1\ndata: large\n\n' if large else b'id: 1\ndata: s\n\n'
--- a/tests/test_rollout_returns.py
+++ b/tests/test_rollout_returns.py
@@ -46,10 +46,10 @@
         self.rig.store.era = 1
         self.rig.register(1, version='v2')
         await self.rig.start()
-        self.before = self.rig.store.copy()
+        self.before = self.rig.store.snapshot()
         self.order()
         await self.rig.until(lambda: self.stage == Stage.CANARY.value)
-        self.under_way = self.rig.store.copy()
+        self.under_way = self.rig.store.snapshot()
         await self.rig.until(lambda: self.state == 'rolled_back')
         await asyncio.sleep(0.2)
 
@@ -80,7 +80,7 @@
 
     def come_back(self, copy: StoreCopy) -> int:
         """Restore the store; return the number of writes before that."""
-        self.rig.store.come_back(copy)
+        self.rig.store.restore(copy)
         return len(self.rig.store.writes)
 
     async def until_settled(self) -> None:
@@ -90,7 +90,7 @@
 
     async def test_an_ended_roll_out_stays_ended(self) -> None:
         """Nothing is lost; only the positions of the rows change."""
-        moment = self.come_back(self.rig.store.copy())
+        moment = self.come_back(self.rig.store.snapshot())
         await self.until_settled()
         self.assertEqual(self.stages_since(moment), [])
 
@@ -127,7 +127,7 @@
 
     async def test_a_host_that_starts_later_begins_nothing(self) -> None:
         """No host is left that knew the order by its first position."""
-        moment = self.come_back(self.rig.store.copy())
+        moment = self.come_back(self.rig.store.snapshot())
         await asyncio.sleep(SETTLED)
         for host in self.rig.hosts:
             await host.close()
@@ -137,7 +137,7 @@
 
     async def test_a_later_order_is_begun(self) -> None:
         """A later order is started even if it asks for the same version."""
-        moment = self.come_back(self.rig.store.copy())
+        moment = self.come_back(self.rig.store.snapshot())
         await asyncio.sleep(SETTLED)
         self.order()
         trial = Stage.CANARY.value
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -299,10 +299,10 @@
 
     async def test_a_configuration_never_goes_back(self) -> None:
         """The next one is in force though its version was assigned before."""
-        copy = self.rig.store.copy()
+        copy = self.rig.store.snapshot()
         self.rig.configure(version=2, tenants=[])
         await self.until_version(2)
-        self.rig.store.come_back(copy)
+        self.rig.store.restore(copy)
         for host in (0, 1):
             status, _, _ = await self.rig.ask('/look/1', host=host)
             self.assertEqual(status, UNAUTHENTICATED)
@@ -315,10 +315,10 @@
 
     async def test_a_host_that_starts_takes_no_key_by_the_copy(self) -> None:
         """It receives the newer version from hosts that have it in force."""
-        copy = self.rig.store.copy()
+        copy = self.rig.store.snapshot()
         self.rig.configure(version=2, tenants=[])
         await self.until_version(2)
-        self.rig.store.come_back(copy)
+        self.rig.store.restore(copy)
         # By then the hosts that it reads tables from have those of the backup.
         await asyncio.sleep(1)
         number = await self.rig.add_host()
@@ -330,12 +330,12 @@
 
     async def test_a_change_at_a_version_given_out_again_is_seen(self) -> None:
         """A feed that continued from that version would never return it."""
-        copy = self.rig.store.copy()
+        copy = self.rig.store.snapshot()
         for version in (2, 3, 4):
             self.rig.configure(version=version)
         await self.until_version(4)
         position = self.rig.store.ver
-        self.rig.store.come_back(copy)
+        self.rig.store.restore(copy)
         self.rig.configure(version=9)
         while self.rig.store.ver <= position:
             self.rig.store.put('other', 'row', b'')
@@ -343,11 +343,11 @@
 
     async def test_a_host_whose_row_is_lost_registers_again(self) -> None:
         """Hosts that start later find it."""
-        copy = self.rig.store.copy()
+        copy = self.rig.store.snapshot()
         number = await self.rig.add_host()
         key = f'host/host-{number + 1}'
         await self.rig.until(lambda: self.rig.store.content(FLEET_TABLE, key))
-        self.rig.store.come_back(copy)
+        self.rig.store.restore(copy)
         self.assertIsNone(self.rig.store.content(FLEET_TABLE, key))
         await self.rig.until(lambda: self.rig.store.content(FLEET_TABLE, key))
         row = self.rig.store.content(FLEET_TABLE, key)
@@ -356,7 +356,7 @@
     async def test_keys_and_routes_hold_through_two_returns(self) -> None:
         """Nothing that was served before is refused for long."""
         for _ in range(2):
-            self.rig.store.come_back(self.rig.store.copy())
+            self.rig.store.restore(self.rig.store.snapshot())
         for number in range(4):
             status, _, _ = await self.rig.ask(
                 '/look/1',
--- a/tests/test_upstream_restarts.py
+++ b/tests/test_upstream_restarts.py
@@ -138,7 +138,7 @@
 
     async def restart(self) -> None:
         """Restart the worker once it has a request."""
-        await self.rig.until(lambda: self.rig.workers[0].seen)
+        await self.rig.until(lambda: self.rig.workers[0].requests)
         self.rig.register(0, born=SECOND)
         self.rig.register(1, born=FIRST)
 
@@ -147,9 +147,9 @@
         first, second = self.rig.workers
         begun = stream(EVENTS[:1])
         never = asyncio.Event()
-        first.once.append(lambda seen: replace(begun(seen), hold=never))
-        first.usual = stream(EVENTS)
-        second.usual = stream(EVENTS)
+        first.next_scripts.append(lambda seen: replace(begun(seen), hold=never))
+        first.default_script = stream(EVENTS)
+        second.default_script = stream(EVENTS)
         gate = self.rig.host._context.version_gate
         with patch.object(gate, 'observe', wraps=gate.observe) as observed:
             asked = asyncio.ensure_future(
@@ -166,9 +166,9 @@
         release = asyncio.Event()
         answer = plain(b'paid')
         worker = self.rig.workers[0]
-        worker.usual = lambda seen: replace(answer(seen), hold=release)
+        worker.default_script = lambda seen: replace(answer(seen), hold=release)
         asked = asyncio.ensure_future(self.rig.ask('/pay/1', headers=LONG))
-        await self.rig.until(lambda: worker.seen)
+        await self.rig.until(lambda: worker.requests)
         self.rig.register(0, born=SECOND)
         await self.rig.until(self._is_second)
         release.set()
