--- a/experiments/costs/decision_speed.py
+++ b/experiments/costs/decision_speed.py
@@ -24,11 +24,11 @@
 from experiments.load.arms import Arm, ArmError, choose
 from experiments.load.fixtures import (
     large_document,
-    report_of,
-    request_of,
-    upstream_of,
+    make_engine_report,
+    make_request,
+    make_upstream,
 )
-from experiments.load.reports import Percentiles, percentiles
+from experiments.load.request_stats import Percentiles, percentiles
 from experiments.load.tables import table
 from experiments.processes import LOOPBACK
 from nutmegroad.configuration.in_force import (
@@ -121,10 +121,10 @@
         )
         configuration.confirm(Revision(1), self._kernel.clock.now())
         directory = self._kernel.need(Directory)
-        directory.update(tuple(upstream_of(number) for number in range(size)))
+        directory.update(tuple(make_upstream(number) for number in range(size)))
         for number in range(size):
             directory.reported(
-                UpstreamId(f'engine-{number}'), report_of(number)
+                UpstreamId(f'engine-{number}'), make_engine_report(number)
             )
 
     def time(self, count: int) -> Timing:
@@ -168,7 +168,7 @@
         """Return a random request."""
         task = self._randomness.choice(self._document.tasks)
         workspace = self._randomness.choice(self._document.workspaces)
-        return request_of(number, task, workspace, self._kernel.clock.now())
+        return make_request(number, task, workspace, self._kernel.clock.now())
 
 
 async def measure(arm: Arm, size: int, seed: int) -> Timing:
--- a/experiments/load/capacity.py
+++ b/experiments/load/capacity.py
@@ -16,7 +16,7 @@
 
 from experiments.load.arms import ArmError, choose
 from experiments.load.measure import OUTPUT
-from experiments.load.orders import RunSpec
+from experiments.load.run_specs import RunSpec
 from experiments.load.runs import execute_run
 from experiments.load.scenarios import DEPLOYMENTS, Scenario
 from experiments.load.tables import table
--- a/experiments/load/fixtures.py
+++ b/experiments/load/fixtures.py
@@ -74,7 +74,7 @@
     )
 
 
-def request_of(
+def make_request(
     number: int,
     task: TaskEntry,
     workspace: WorkspaceEntry,
@@ -100,7 +100,7 @@
     )
 
 
-def upstream_of(number: int) -> UpstreamInfo:
+def make_upstream(number: int) -> UpstreamInfo:
     """Return the directory entry of an engine; nothing listens there."""
     domains = DOMAINS['lesen']
     return UpstreamInfo(
@@ -111,7 +111,7 @@
     )
 
 
-def report_of(number: int) -> EngineReport:
+def make_engine_report(number: int) -> EngineReport:
     """Return the report of an engine; versions and load depend on its number.
 
     Args:
--- a/experiments/load/goals.py
+++ b/experiments/load/goals.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-from experiments.load.reports import ratio
-from experiments.load.summaries import RunReport
+from experiments.load.request_stats import ratio
+from experiments.load.run_reports import RunReport
 from experiments.load.tables import spread, table
 
 ROUND_ROBIN_ARM: Final = 'round-robin-dearest'
--- a/experiments/load/promises.py
+++ b/experiments/load/guarantees.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from experiments.load.load import Outcome, RequestResult
+from experiments.load.client import Outcome, RequestResult
 from experiments.load.observations import Observations
 from nutmegroad.contracts.documents import Document
 
--- a/experiments/load/incidents.py
+++ b/experiments/load/incidents.py
@@ -9,7 +9,7 @@
 from aiohttp import ClientSession
 
 from experiments.deployment import DOMAINS, Deployment
-from experiments.load.load import LoadClient
+from experiments.load.client import LoadClient
 from experiments.processes import Running
 
 #: Seconds after which the load balancer notices that a host has stopped or
--- a/experiments/load/measure.py
+++ b/experiments/load/measure.py
@@ -19,11 +19,11 @@
 
 from experiments.load.arms import ArmError, choose, explain_skipped_arms
 from experiments.load.goals import goal_table
-from experiments.load.orders import RunSpec
 from experiments.load.plots import plot
+from experiments.load.run_reports import RunReport
+from experiments.load.run_specs import RunSpec
 from experiments.load.runs import execute_run
 from experiments.load.scenarios import QUICK_SCENARIOS, find_scenarios
-from experiments.load.summaries import RunReport
 from experiments.load.tables import comparison_table, describe, run_warnings
 
 #: Default folder for results and logs.
--- a/experiments/load/observations.py
+++ b/experiments/load/observations.py
@@ -16,7 +16,7 @@
 from aiohttp import ClientError, ClientSession
 
 from experiments.deployment import Deployment
-from experiments.load.load import LoadClient
+from experiments.load.client import LoadClient
 
 #: Lines of the hosts' metrics that count refusals and retries by reason.
 _COUNTER: Final = re.compile(
--- a/experiments/load/plots.py
+++ b/experiments/load/plots.py
@@ -9,7 +9,7 @@
 from matplotlib.backends.backend_agg import FigureCanvasAgg
 from matplotlib.figure import Figure
 
-from experiments.load.summaries import RunReport
+from experiments.load.run_reports import RunReport
 from experiments.load.tables import COLUMNS, arms_of, spread
 
 #: Metrics to plot, by the names of their table columns.
--- a/experiments/load/reports.py
+++ b/experiments/load/request_stats.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from experiments.load.load import Outcome, RequestResult
+from experiments.load.client import Outcome, RequestResult
 
 #: Seconds within which a refusal should be answered.
 REFUSAL_GOAL: Final = 0.05
--- a/experiments/load/summaries.py
+++ b/experiments/load/run_reports.py
@@ -4,11 +4,10 @@
 from dataclasses import dataclass
 from typing import Final
 
-from experiments.load.load import RequestResult
+from experiments.load.client import RequestResult
+from experiments.load.guarantees import check_guarantees
 from experiments.load.observations import Observations
-from experiments.load.orders import RunSpec, peak_rate
-from experiments.load.promises import check_guarantees
-from experiments.load.reports import (
+from experiments.load.request_stats import (
     Exposure,
     Percentiles,
     RequestStats,
@@ -18,6 +17,7 @@
     group_stats,
     percentiles,
 )
+from experiments.load.run_specs import RunSpec, peak_rate
 from nutmegroad.contracts.documents import Document
 
 #: Lag of the load client in seconds (99th percentile) and fraction of a core
--- a/experiments/load/runs.py
+++ b/experiments/load/runs.py
@@ -16,13 +16,13 @@
     operator_token,
     start,
 )
+from experiments.load.client import LoadClient, RequestResult, client_session
 from experiments.load.compression import compressed_configuration
 from experiments.load.incidents import IncidentContext, run_incidents
-from experiments.load.load import LoadClient, RequestResult, client_session
 from experiments.load.observations import Observer
-from experiments.load.orders import RunSpec, plan_requests
+from experiments.load.run_reports import RunData, RunReport, build_report
+from experiments.load.run_specs import RunSpec, plan_requests
 from experiments.load.scenarios import DEPLOYMENTS
-from experiments.load.summaries import RunData, RunReport, build_report
 from experiments.processes import Processes
 from nutmegroad.contracts.documents import Role
 
--- a/experiments/load/tables.py
+++ b/experiments/load/tables.py
@@ -6,8 +6,8 @@
 
 import numpy as np
 
-from experiments.load.reports import Exposure, RequestStats
-from experiments.load.summaries import RunReport
+from experiments.load.request_stats import Exposure, RequestStats
+from experiments.load.run_reports import RunReport
 
 #: Returns a metric of a run; None if the run does not provide it.
 MetricGetter = Callable[[RunReport], float | None]
--- a/experiments/simulate.py
+++ b/experiments/simulate.py
@@ -41,7 +41,11 @@
     Fleet,
     Host,
 )
-from experiments.virtual_time import VirtualClock, VirtualLoop, run_virtually
+from experiments.virtual_time import (
+    VirtualClock,
+    VirtualLoop,
+    run_on_virtual_loop,
+)
 from nutmegroad.escalation.confidence import ESCALATION_THRESHOLD
 from nutmegroad.escalation.decisions import EscalationCase, larger_model
 from nutmegroad.escalation.headroom import AnswerEstimate
@@ -245,7 +249,7 @@
     clock = VirtualClock(loop)
     fleet = Fleet(hosts, engines, 3, clock, seed, gossip_enabled=gossip_enabled)
     simulation = Simulation(fleet, clock, seed)
-    return run_virtually(loop, simulation.run(rate, seconds))
+    return run_on_virtual_loop(loop, simulation.run(rate, seconds))
 
 
 def write_table(result: SimulationResult, out: TextIO) -> None:
--- a/experiments/soak/program.py
+++ b/experiments/soak/program.py
@@ -31,7 +31,7 @@
 from experiments.virtual_time import (
     VirtualClock,
     VirtualLoop,
-    run_virtually,
+    run_on_virtual_loop,
 )
 from nutmegroad.configuration.changes import ConfigurationChanges
 from nutmegroad.contracts.documents import Document, parse_document
@@ -279,7 +279,7 @@
 
     loop = VirtualLoop()
     soak = Soak(seed, seconds, VirtualClock(loop))
-    return run_virtually(loop, soak.run(limit))
+    return run_on_virtual_loop(loop, soak.run(limit))
 
 
 def print_result(result: SoakResult) -> None:
--- a/experiments/trials/selection_runs.py
+++ b/experiments/trials/selection_runs.py
@@ -26,7 +26,7 @@
     Size,
     workspace_names,
 )
-from experiments.virtual_time import VirtualClock, VirtualLoop, run_virtual
+from experiments.virtual_time import VirtualClock, VirtualLoop, run_and_close
 from nutmegroad.contracts.decisions import AttemptEnd, AttemptStart, Choice
 from nutmegroad.contracts.documents import Concern
 from nutmegroad.contracts.requests import ModelRequest
@@ -103,7 +103,7 @@
 
     def run(self) -> Figures:
         """Run the trial on virtual time and return its figures."""
-        run_virtual(self._loop, self._main())
+        run_and_close(self._loop, self._main())
         return self.figures
 
     async def _main(self) -> None:
--- a/experiments/virtual_time.py
+++ b/experiments/virtual_time.py
@@ -70,7 +70,7 @@
         await asyncio.sleep(seconds)
 
 
-def run_virtual(loop: VirtualLoop, main: Coroutine[Any, Any, None]) -> None:
+def run_and_close(loop: VirtualLoop, main: Coroutine[Any, Any, None]) -> None:
     """Run a coroutine to completion on a virtual loop, then close the loop.
 
     Tasks that are still pending are not cancelled.
@@ -81,7 +81,7 @@
         loop.close()
 
 
-def run_virtually(
+def run_on_virtual_loop(
     loop: VirtualLoop,
     work: Coroutine[Any, Any, Result],
 ) -> Result:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -14,7 +14,11 @@
 from types import MappingProxyType
 from typing import Final
 
-from experiments.virtual_time import VirtualClock, VirtualLoop, run_virtually
+from experiments.virtual_time import (
+    VirtualClock,
+    VirtualLoop,
+    run_on_virtual_loop,
+)
 
 from nutmegroad.fleet.content_fingerprints import ContentFingerprint
 from nutmegroad.fleet.crash_tracker import (
@@ -185,7 +189,7 @@
             for member in fleet.members:
                 member.work.cancel()
 
-    return run_virtually(loop, run())
+    return run_on_virtual_loop(loop, run())
 
 
 if __name__ == '__main__':
--- a/tests/test_reports.py
+++ b/tests/test_load_reports.py
@@ -5,17 +5,17 @@
 from typing import cast
 
 from experiments.deployment import read_example
+from experiments.load.client import Outcome, RequestResult
 from experiments.load.goals import evaluate_goals
-from experiments.load.load import Outcome, RequestResult
+from experiments.load.guarantees import check_guarantees
 from experiments.load.observations import EngineRun, Observations, ServiceRun
-from experiments.load.promises import check_guarantees
-from experiments.load.reports import (
+from experiments.load.request_stats import (
     compute_stats,
     exposure,
     fair_shares,
     percentiles,
 )
-from experiments.load.summaries import RunReport
+from experiments.load.run_reports import RunReport
 from experiments.load.traffic import PlannedRequest
 
 from nutmegroad.contracts.documents import parse_document
--- a/tests/test_moved_sessions.py
+++ b/tests/test_moved_sessions.py
@@ -16,7 +16,11 @@
 from dataclasses import dataclass
 from typing import Final, cast
 
-from experiments.virtual_time import VirtualClock, VirtualLoop, run_virtually
+from experiments.virtual_time import (
+    VirtualClock,
+    VirtualLoop,
+    run_on_virtual_loop,
+)
 from fakes.opaque_worker import ReceivedRequest, Script, head, signed
 
 from nutmegroad.canary.gate import RolloutGate
@@ -259,7 +263,7 @@
             member.work.cancel()
         return simulation.moved
 
-    return run_virtually(loop, run())
+    return run_on_virtual_loop(loop, run())
 
 
 if __name__ == '__main__':
--- a/tests/test_silent_reader.py
+++ b/tests/test_silent_reader.py
@@ -17,7 +17,11 @@
 from typing import Final, Self, cast
 from unittest.mock import Mock
 
-from experiments.virtual_time import VirtualClock, VirtualLoop, run_virtually
+from experiments.virtual_time import (
+    VirtualClock,
+    VirtualLoop,
+    run_on_virtual_loop,
+)
 
 from nutmegroad.fleet.feed_timing import bounded_timing, operator_timing
 from nutmegroad.fleet.followers import FeedTiming, TableFollower
@@ -324,7 +328,7 @@
             finally:
                 pair.close()
 
-        return run_virtually(VirtualLoop(), run_scenario())
+        return run_on_virtual_loop(VirtualLoop(), run_scenario())
 
 
 async def change_in_silence(pair: Pair, phase: tuple[float, float]) -> float:
