--- a/experiments/costs/planner_speed.py
+++ b/experiments/costs/planner_speed.py
@@ -18,7 +18,7 @@
 from experiments.trials.planner_worlds import (
     SCENARIOS,
     SteppedClock,
-    accepted,
+    accepted_configuration,
     make_request,
 )
 from nutmegroad.configuration.in_force import (
@@ -101,7 +101,7 @@
 
 def _accepted(count: int) -> AcceptedConfiguration:
     """Return a configuration with a number of versions."""
-    base = accepted(SCENARIOS[0])
+    base = accepted_configuration(SCENARIOS[0])
     versions = tuple(_entry(number) for number in range(count))
     document = structs.replace(base.document, versions=versions)
     return replace(base, document=document)
--- a/experiments/trials/planner_trials.py
+++ b/experiments/trials/planner_trials.py
@@ -25,7 +25,7 @@
     VERSIONS,
     Scenario,
     SteppedClock,
-    accepted,
+    accepted_configuration,
     make_request,
 )
 from nutmegroad.configuration.in_force import Configuration
@@ -168,7 +168,7 @@
     """Simulate one planner in one scenario with one seed."""
     clock = SteppedClock()
     configuration = Configuration(clock, _LEASE)
-    configuration.apply(accepted(scenario))
+    configuration.apply(accepted_configuration(scenario))
     estimates = Estimates(configuration, clock)
     simulation = Simulation(
         scenario,
--- a/experiments/trials/planner_worlds.py
+++ b/experiments/trials/planner_worlds.py
@@ -174,7 +174,7 @@
 )
 
 
-def accepted(scenario: Scenario) -> AcceptedConfiguration:
+def accepted_configuration(scenario: Scenario) -> AcceptedConfiguration:
     """Return the configuration of a scenario's runs."""
     offsets = dict(scenario.declared_offsets)
     versions = tuple(
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -13,7 +13,7 @@
     SUMMARY,
     TAG,
     VERSIONS,
-    accepted,
+    accepted_configuration,
     make_request,
 )
 from msgspec import structs
@@ -54,7 +54,7 @@
     def setUp(self) -> None:
         self.clock = ManualClock()
         self.configuration = Configuration(self.clock, 8)
-        self.configuration.apply(accepted(SCENARIOS[0]))
+        self.configuration.apply(accepted_configuration(SCENARIOS[0]))
         self.estimates = Estimates(self.configuration, self.clock)
         self.randomness = random.Random(3)
         self.planner = AdaptivePlanner(
@@ -95,7 +95,7 @@
 
     def add_rollout(self, entry: VersionEntry, share: float) -> None:
         """Add a version in a rollout to the configuration."""
-        base = accepted(SCENARIOS[0])
+        base = accepted_configuration(SCENARIOS[0])
         preset = structs.replace(
             base.preset_entry,
             rollouts=(RolloutShare(version=entry.id, share=share),),
--- a/tests/test_quality_sharing.py
+++ b/tests/test_quality_sharing.py
@@ -8,7 +8,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from experiments.trials.planner_worlds import SCENARIOS, SMALL, TAG, accepted
+from experiments.trials.planner_worlds import (
+    SCENARIOS,
+    SMALL,
+    TAG,
+    accepted_configuration,
+)
 
 from nutmegroad.configuration.in_force import Configuration
 from nutmegroad.contracts.platform import RatedAnswer, Rating
@@ -88,7 +93,7 @@
 
     def estimates(self) -> Estimates:
         configuration = Configuration(self.clock, 8)
-        configuration.apply(accepted(SCENARIOS[0]))
+        configuration.apply(accepted_configuration(SCENARIOS[0]))
         return Estimates(configuration, self.clock)
 
     def host(self, name: str, domain: str, *, reads: bool = False) -> Host:
--- a/tests/test_rating_samples.py
+++ b/tests/test_rating_samples.py
@@ -6,7 +6,12 @@
 from collections import Counter
 from dataclasses import replace
 
-from experiments.trials.planner_worlds import SCENARIOS, SMALL, TAG, accepted
+from experiments.trials.planner_worlds import (
+    SCENARIOS,
+    SMALL,
+    TAG,
+    accepted_configuration,
+)
 from msgspec import structs
 
 from nutmegroad.configuration.in_force import Configuration
@@ -71,7 +76,7 @@
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
         self.configuration = Configuration(self.clock, 8)
-        self.configuration.apply(accepted(SCENARIOS[0]))
+        self.configuration.apply(accepted_configuration(SCENARIOS[0]))
         self.counts: Counter[str] = Counter()
 
     def sampler(self, ratings: GatedRatings) -> RatingSampler:
@@ -130,7 +135,7 @@
         self.assertEqual(self.counts['above_rate'], 200 - BURST)
 
     async def test_all_answers_of_a_canary_version_are_rated(self) -> None:
-        base = accepted(SCENARIOS[0])
+        base = accepted_configuration(SCENARIOS[0])
         canary = structs.replace(
             base.document.versions[0],
             stage=Stage.ROLLOUT,
