--- a/experiments/configuration/hosts.py
+++ b/experiments/configuration/hosts.py
@@ -128,7 +128,7 @@
     domain: DomainId
 
 
-class TrialHost:
+class ConfigurationHost:
     """One incarnation of a host, reduced to its configuration code.
 
     Args:
@@ -139,13 +139,13 @@
         randomness: Source of jitter and of the head's nonces.
 
     Attributes:
-        names: As above.
+        placement: As above.
         clock: The host's view of the shared clock; can be paused.
         paused: Whether the host is paused.
         mesh: The host's links; they block while the host is paused.
         configuration: The configuration in force on the host.
         store: Reads and writes the head row and the documents.
-        confirmations: Queries peers about their configuration.
+        peer_queries: Queries peers about their configuration.
         poller: Polls the head row.
         announcer: Announces the configuration to peers.
         progress: Reports how far a change has reached.
@@ -160,7 +160,7 @@
         mesh: Mesh,
         randomness: random.Random,
     ) -> None:
-        self.names = placement
+        self.placement = placement
         self.clock = PausableClock(clock)
         self.paused = False
         self._tasks: list[asyncio.Task[Any]] = []
@@ -172,7 +172,7 @@
             services,
             lambda: f'{randomness.getrandbits(96):024x}',
         )
-        self.confirmations = PeerQueries(
+        self.peer_queries = PeerQueries(
             self.mesh,
             self.configuration,
             self.clock,
@@ -183,13 +183,13 @@
         self.poller = ConfigurationPoller(
             self.store,
             self.configuration,
-            self.confirmations,
+            self.peer_queries,
             timing,
         )
         self.announcer = Announcer(
             self.mesh,
             self.configuration,
-            self.confirmations,
+            self.peer_queries,
             self.poller,
             self.clock,
             randomness,
@@ -258,7 +258,7 @@
         self.platform = MemoryPlatform(self.clock, randomness)
         self.network = MemoryMesh(self.clock, randomness)
         self.domains = tuple(DomainId(name) for name in domains)
-        self.hosts: dict[HostId, TrialHost] = {}
+        self.hosts: dict[HostId, ConfigurationHost] = {}
         self._placements = [
             HostPlacement(HostId(f'{domain}-{number}'), domain)
             for domain in self.domains
@@ -279,9 +279,9 @@
         """Stop all hosts."""
         await self._stack.aclose()
 
-    def start_host(self, placement: HostPlacement) -> TrialHost:
+    def start_host(self, placement: HostPlacement) -> ConfigurationHost:
         """Start a host, or a new incarnation of it."""
-        host = TrialHost(
+        host = ConfigurationHost(
             placement,
             self.clock,
             self.platform,
@@ -292,13 +292,13 @@
         host.start()
         return host
 
-    async def restart(self, host: HostId) -> TrialHost:
+    async def restart(self, host: HostId) -> ConfigurationHost:
         """Replace a host by a new incarnation without any state."""
         old = self.hosts.pop(host)
         old.resume()
         self.network.remove(host)
         await old.stop()
-        return self.start_host(old.names)
+        return self.start_host(old.placement)
 
     async def _stop(self) -> None:
         for host in self.hosts.values():
--- a/experiments/configuration/leaving_spread.py
+++ b/experiments/configuration/leaving_spread.py
@@ -64,7 +64,7 @@
 
     async def load_host(self, host: int) -> None:
         """Send requests to one host, one after another, until cancelled."""
-        address = self._deployment.callers[host]
+        address = self._deployment.caller_addresses[host]
         url = f'http://{address}/v1/chat/completions'
         headers = {'Authorization': f'Bearer {workspace_key("head-office")}'}
         body = {
@@ -113,8 +113,10 @@
         deployment = await start(processes, RIG)
         session = await stack.enter_async_context(ClientSession())
         measurement = Measurement(deployment, session)
-        for host in range(len(deployment.callers) * CALLERS_PER_HOST):
-            load = measurement.load_host(host % len(deployment.callers))
+        for host in range(len(deployment.caller_addresses) * CALLERS_PER_HOST):
+            load = measurement.load_host(
+                host % len(deployment.caller_addresses)
+            )
             stack.callback(asyncio.create_task(load).cancel)
         try:
             async with asyncio.timeout_at(ends):
--- a/experiments/configuration/memory_platform.py
+++ b/experiments/configuration/memory_platform.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class WrittenRow:
     """A row and the time of its write.
 
     Attributes:
@@ -79,13 +79,13 @@
     Attributes:
         faults: Faults to inject; may be changed at any time.
         objects: Contents of the stored objects, by name.
-        log: All row writes, in order.
+        write_log: All row writes, in order.
     """
 
     def __init__(self, clock: Clock, randomness: random.Random) -> None:
         self.faults = TableFaults()
         self.objects: dict[str, bytes] = {}
-        self.log: deque[Written] = deque()
+        self.write_log: deque[WrittenRow] = deque()
         self._clock = clock
         self._randomness = randomness
         self._rows: dict[RowKey, Row] = {}
@@ -165,14 +165,14 @@
     def _put(self, write: RowWrite) -> Row:
         row = Row(write.key, write.text, RowVersion(write.expected + 1))
         self._rows[write.key] = row
-        self.log.append(Written(self._clock.now(), row))
+        self.write_log.append(WrittenRow(self._clock.now(), row))
         return row
 
     def _row_at(self, key: RowKey, moment: float) -> Row:
         """Return the state of a row at an earlier moment."""
         past = [
             written.row
-            for written in self.log
+            for written in self.write_log
             if written.row.key == key and written.at <= moment
         ]
         return past[-1] if past else Row(key, '', ABSENT)
--- a/experiments/configuration/random_runs.py
+++ b/experiments/configuration/random_runs.py
@@ -17,8 +17,8 @@
     LEASE,
     PRESETS,
     VERSIONS,
+    ConfigurationHost,
     Fleet,
-    TrialHost,
     make_document,
 )
 from experiments.configuration.memory_platform import TableFaults
@@ -138,7 +138,7 @@
                 'accepted it',
             )
 
-    def _draw_host(self) -> TrialHost:
+    def _draw_host(self) -> ConfigurationHost:
         return self._randomness.choice(list(self._fleet.hosts.values()))
 
 
@@ -334,7 +334,7 @@
             f'the withdrawal of {withdrawal.version} never reached the table',
         )
     for host in fleet.hosts.values():
-        name = host.names.host
+        name = host.placement.host
         configuration = host.configuration
         report.check(
             configuration.revision == head.revision
--- a/experiments/configuration/spread.py
+++ b/experiments/configuration/spread.py
@@ -20,8 +20,8 @@
 
 from experiments.configuration.hosts import (
     PRESETS,
+    ConfigurationHost,
     HostPlacement,
-    TrialHost,
     make_document,
 )
 from experiments.configuration.memory_platform import MemoryPlatform
@@ -79,7 +79,7 @@
         self.clock = SystemClock()
         self.randomness = random.Random(size)
         self.platform = MemoryPlatform(self.clock, self.randomness)
-        self.hosts: list[TrialHost] = []
+        self.hosts: list[ConfigurationHost] = []
         self.ledgers: list[Ledger] = []
         self._size = size
         self._seeds: tuple[Address, ...] = ()
@@ -155,7 +155,7 @@
         await self._stack.enter_async_context(members)
         if len(self._seeds) < DOMAINS:
             self._seeds = (*self._seeds, table.identity.address)
-        host = TrialHost(
+        host = ConfigurationHost(
             placement,
             self.clock,
             self.platform,
--- a/experiments/configuration/watch.py
+++ b/experiments/configuration/watch.py
@@ -8,8 +8,8 @@
 
 from experiments.configuration.hosts import (
     LEASE,
+    ConfigurationHost,
     Fleet,
-    TrialHost,
 )
 from nutmegroad.configuration.heads import HEAD_KEY, Head
 from nutmegroad.configuration.withdrawals import WithdrawalSet
@@ -76,15 +76,19 @@
         # Digest and preset of each revision, as first seen.
         self._first_seen: dict[int, tuple[str, str]] = {}
         # What each host's current incarnation was last seen to have.
-        self._last_revisions: dict[HostId, tuple[TrialHost, Revision]] = {}
-        self._withdrawals: dict[HostId, tuple[TrialHost, WithdrawalSet]] = {}
+        self._last_revisions: dict[
+            HostId, tuple[ConfigurationHost, Revision]
+        ] = {}
+        self._withdrawals: dict[
+            HostId, tuple[ConfigurationHost, WithdrawalSet]
+        ] = {}
 
     @property
     def heads(self) -> list[tuple[float, Head]]:
         """Every head that was written, with the time of its write."""
         return [
             (written.at, msgspec.json.decode(written.row.text, type=Head))
-            for written in self._fleet.platform.log
+            for written in self._fleet.platform.write_log
             if written.row.key == HEAD_KEY
         ]
 
@@ -100,7 +104,7 @@
         for _, head in heads:
             self._check_revision(head.revision, head.digest, head.preset)
 
-    def _check_host(self, host: TrialHost, due: Head) -> None:
+    def _check_host(self, host: ConfigurationHost, due: Head) -> None:
         """Check one host; unless isolated, it must not be behind.
 
         Args:
@@ -108,7 +112,7 @@
             due: The newest head that must be in force everywhere.
         """
         configuration = host.configuration
-        name = host.names.host
+        name = host.placement.host
         self._check_progress(host)
         accepted = configuration.accepted
         if accepted is None:
@@ -132,10 +136,10 @@
                 'in force everywhere',
             )
 
-    def _check_progress(self, host: TrialHost) -> None:
+    def _check_progress(self, host: ConfigurationHost) -> None:
         """Check that an incarnation lost no revision and no withdrawal."""
         configuration = host.configuration
-        name = host.names.host
+        name = host.placement.host
         incarnation, revision = self._last_revisions.get(
             name, (host, Revision(0))
         )
--- a/experiments/demo.py
+++ b/experiments/demo.py
@@ -18,7 +18,7 @@
 from experiments.deployment import (
     Deployment,
     Rig,
-    operate,
+    call_operator_api,
     operator_token,
     start,
     workspace_key,
@@ -163,7 +163,7 @@
                 {'amount': 1},
                 key='demo-receipt',
             )
-            for address in self._deployment.callers[:2]
+            for address in self._deployment.caller_addresses[:2]
         ]
         first, second = replies
         line = f'{path}: {first.status} {first.body}, repeated {second.body}'
@@ -175,8 +175,8 @@
         """Send one model request and check its answer."""
         workspaces = self._deployment.document.workspaces
         workspace = workspaces[number % len(workspaces)]
-        address = self._deployment.callers[
-            number % len(self._deployment.callers)
+        address = self._deployment.caller_addresses[
+            number % len(self._deployment.caller_addresses)
         ]
         prompt = f'{task} number {number} of {workspace.name}'
         body = {
@@ -262,8 +262,8 @@
     )
     await demo.request_all(f'While the preset changes to {PRESET!r}:')
     await switch
-    await operate(
-        deployment.operators[0],
+    await call_operator_api(
+        deployment.operator_addresses[0],
         'withdrawals',
         {'version': WITHDRAWN},
         token,
@@ -279,8 +279,8 @@
     report: Report,
 ) -> None:
     """Switch the preset through the last host; check the reply."""
-    head = await operate(
-        deployment.operators[-1],
+    head = await call_operator_api(
+        deployment.operator_addresses[-1],
         'preset',
         {'preset': preset},
         token,
@@ -295,9 +295,9 @@
 ) -> None:
     """Wait until every host's status lists a version as withdrawn."""
     async with asyncio.timeout(WITHDRAWAL_TIMEOUT):
-        for address in deployment.operators:
+        for address in deployment.operator_addresses:
             while True:
-                status = await operate(address, 'status', token=token)
+                status = await call_operator_api(address, 'status', token=token)
                 if version in status['withdrawals']:
                     break
                 await asyncio.sleep(0.1)
--- a/experiments/deployment.py
+++ b/experiments/deployment.py
@@ -13,7 +13,7 @@
 import msgspec
 from aiohttp import ClientSession
 
-from experiments.processes import LOOPBACK, Processes, Running
+from experiments.processes import LOOPBACK, Processes, RunningProcess
 from nutmegroad.contracts.documents import Document, parse_document
 from nutmegroad.foundations.types import Address
 
@@ -51,7 +51,7 @@
         engine_args: Additional flags for every engine stand-in.
         platform_args: Additional flags for the platform stand-in.
         host_args: Additional flags for every host's daemon.
-        uneven: By domain, replaces ``engines`` in that domain.
+        engine_overrides: By domain, replaces ``engines`` in that domain.
         text: The configuration, as TOML; empty for the example's.
     """
 
@@ -62,12 +62,12 @@
     engine_args: tuple[str, ...] = ()
     platform_args: tuple[str, ...] = ()
     host_args: tuple[str, ...] = ('--lame-duck=0.1',)
-    uneven: dict[str, Engines] = field(default_factory=dict)
+    engine_overrides: dict[str, Engines] = field(default_factory=dict)
     text: str = ''
 
     def engines_of(self, domain: str) -> Engines:
         """Return the versions that each engine of a domain has loaded."""
-        return self.uneven.get(domain, self.engines)
+        return self.engine_overrides.get(domain, self.engines)
 
 
 @dataclass(slots=True)
@@ -86,19 +86,19 @@
 
     document: Document
     text: str
-    platform: Running
-    hosts: list[Running] = field(default_factory=list)
-    engines: dict[str, Running] = field(default_factory=dict)
-    services: dict[str, Running] = field(default_factory=dict)
+    platform: RunningProcess
+    hosts: list[RunningProcess] = field(default_factory=list)
+    engines: dict[str, RunningProcess] = field(default_factory=dict)
+    services: dict[str, RunningProcess] = field(default_factory=dict)
     killed: set[str] = field(default_factory=set)
 
     @property
-    def callers(self) -> tuple[Address, ...]:
+    def caller_addresses(self) -> tuple[Address, ...]:
         """Addresses where the hosts listen to callers."""
         return tuple(host.listening['callers'] for host in self.hosts)
 
     @property
-    def operators(self) -> tuple[Address, ...]:
+    def operator_addresses(self) -> tuple[Address, ...]:
         """Addresses where the hosts listen to operators."""
         return tuple(host.listening['operators'] for host in self.hosts)
 
@@ -134,7 +134,7 @@
     )
     deployment = Deployment(document, text, platform)
     await _start_upstreams(processes, rig, deployment)
-    await publish(deployment, rig)
+    await publish_host_list(deployment, rig)
     await _start_hosts(processes, rig, deployment)
     await apply(deployment)
     return deployment
@@ -189,7 +189,7 @@
     ]
 
 
-async def publish(
+async def publish_host_list(
     deployment: Deployment,
     rig: Rig,
     leaving: frozenset[str] = frozenset(),
@@ -230,7 +230,7 @@
 
 def _upstream_entry(
     name: str,
-    upstream: Running,
+    upstream: RunningProcess,
     kind: str,
     service: str,
     leaving: frozenset[str],
@@ -266,7 +266,7 @@
         start_host(processes, rig, deployment, name) for name in names[1:]
     ]
     deployment.hosts.extend(await asyncio.gather(*others))
-    await publish(deployment, rig)
+    await publish_host_list(deployment, rig)
 
 
 async def start_host(
@@ -274,7 +274,7 @@
     rig: Rig,
     deployment: Deployment,
     name: str,
-) -> Running:
+) -> RunningProcess:
     """Start one host; the caller adds it to the deployment."""
     domain = name.rpartition('-host-')[0]
     any_port = f'{LOOPBACK}:0'
@@ -304,7 +304,7 @@
     )
 
 
-async def operate(
+async def call_operator_api(
     address: Address,
     path: str,
     body: dict[str, Any] | None = None,
@@ -328,8 +328,8 @@
 
 async def apply(deployment: Deployment) -> None:
     """Apply the configuration; wait until all hosts have it and are ready."""
-    await operate(
-        deployment.operators[0],
+    await call_operator_api(
+        deployment.operator_addresses[0],
         'configuration',
         {'text': deployment.text},
     )
@@ -340,7 +340,7 @@
 async def wait_until_ready(deployment: Deployment) -> None:
     """Wait until every host is ready, as the platform's load balancer does."""
     async with ClientSession() as session:
-        for address in deployment.operators:
+        for address in deployment.operator_addresses:
             url = f'http://{address}/readyz'
             while not await _is_ready(session, url):
                 await asyncio.sleep(0.1)
@@ -365,9 +365,9 @@
         token: An operator's token; empty for the first operator's.
     """
     operator = token or operator_token(deployment.document.operators[0].name)
-    for address in deployment.operators:
+    for address in deployment.operator_addresses:
         while True:
-            status = await operate(address, 'status', token=operator)
+            status = await call_operator_api(address, 'status', token=operator)
             if status.get('revision', 0) >= revision:
                 break
             await asyncio.sleep(0.1)
--- a/experiments/load/incidents.py
+++ b/experiments/load/incidents.py
@@ -10,7 +10,7 @@
 
 from experiments.deployment import DOMAINS, Deployment
 from experiments.load.client import LoadClient
-from experiments.processes import Running
+from experiments.processes import RunningProcess
 
 #: Seconds after which the load balancer notices that a host has stopped or
 #: resumed answering.
@@ -38,7 +38,9 @@
         """The failure domain that incidents affect."""
         return DOMAINS[self.name][0]
 
-    async def inject_fault(self, target: Running, **settings: Any) -> None:
+    async def inject_fault(
+        self, target: RunningProcess, **settings: Any
+    ) -> None:
         """Inject a fault into a stand-in.
 
         Args:
--- a/experiments/load/observations.py
+++ b/experiments/load/observations.py
@@ -174,7 +174,7 @@
             if content is not None:
                 calls = msgspec.json.decode(content, type=_ServiceRuns).runs
                 self.observations.service_runs.extend(calls)
-        for address in self._running.operators:
+        for address in self._running.operator_addresses:
             await self._read_metrics(str(address))
 
     def read_logs(self) -> None:
--- a/experiments/load/runs.py
+++ b/experiments/load/runs.py
@@ -12,7 +12,7 @@
 from experiments.deployment import (
     Deployment,
     Rig,
-    operate,
+    call_operator_api,
     operator_token,
     start,
 )
@@ -94,8 +94,8 @@
     name = next(
         operator.name for operator in operators if operator.role is Role.OPERATE
     )
-    await operate(
-        running.operators[0],
+    await call_operator_api(
+        running.operator_addresses[0],
         'preset',
         {'preset': preset},
         operator_token(name),
@@ -110,7 +110,7 @@
 ) -> list[RequestResult]:
     """Send the traffic of a run while its incidents take place."""
     requests = plan_requests(run_spec, running.document)
-    client = LoadClient(running.callers, started_at=time.monotonic())
+    client = LoadClient(running.caller_addresses, started_at=time.monotonic())
     name = run_spec.scenario.deployment
     context = IncidentContext(running, client, session, name)
     observer.begin_load()
--- a/experiments/load/scenarios.py
+++ b/experiments/load/scenarios.py
@@ -50,7 +50,7 @@
             (_GALLEY, _GALLEY_ROLLOUT),
             hosts=3,
             engine_args=_ENGINE_ARGS,
-            uneven={'everett-hall': (_GALLEY,)},
+            engine_overrides={'everett-hall': (_GALLEY,)},
         ),
     }
 )
--- a/experiments/processes.py
+++ b/experiments/processes.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Running:
+class RunningProcess:
     """A process that has printed its addresses.
 
     Attributes:
@@ -83,7 +83,9 @@
         """Exit codes of the processes that were stopped, by name."""
         return dict(self._exit_codes)
 
-    async def start_fake(self, name: str, module: str, *args: str) -> Running:
+    async def start_fake(
+        self, name: str, module: str, *args: str
+    ) -> RunningProcess:
         """Start a stand-in, and wait for its line ``listening IP:PORT``.
 
         Args:
@@ -94,14 +96,14 @@
         process = await self._spawn(name, module, args, {})
         line = await self._read_line(process, name)
         address = parse_address(line.removeprefix('listening'))
-        return self._register(Running(name, process, {'main': address}))
+        return self._register(RunningProcess(name, process, {'main': address}))
 
     async def start_host(
         self,
         name: str,
         args: tuple[str, ...],
         environ: dict[str, str],
-    ) -> Running:
+    ) -> RunningProcess:
         """Start a host's daemon, and wait for its line ``ready``.
 
         Before that, it prints a line ``listening NAME IP:PORT`` for each of
@@ -122,11 +124,11 @@
         while True:
             line = await self._read_line(process, name)
             if line == 'ready':
-                return self._register(Running(name, process, listening))
+                return self._register(RunningProcess(name, process, listening))
             _, listener, address = line.split()
             listening[listener] = parse_address(address)
 
-    async def stop(self, running: Running) -> int:
+    async def stop(self, running: RunningProcess) -> int:
         """Stop a process by SIGTERM, or by SIGKILL after the timeout.
 
         Returns:
@@ -184,7 +186,7 @@
             raise RuntimeError(message)
         return line.decode().strip()
 
-    def _register(self, running: Running) -> Running:
+    def _register(self, running: RunningProcess) -> RunningProcess:
         """Register a process to be stopped on closing; return it."""
         self._stack.push_async_callback(self.stop, running)
         return running
--- a/experiments/serve.py
+++ b/experiments/serve.py
@@ -32,11 +32,13 @@
 )
 
 
-def variables(deployment: Deployment) -> dict[str, str]:
+def shell_environment(deployment: Deployment) -> dict[str, str]:
     """Return the environment that the documentation's examples need."""
-    operators = ','.join(str(address) for address in deployment.operators)
+    operators = ','.join(
+        str(address) for address in deployment.operator_addresses
+    )
     return {
-        'HOST': str(deployment.callers[0]),
+        'HOST': str(deployment.caller_addresses[0]),
         'KEY': workspace_key(deployment.document.workspaces[0].name),
         'NUTMEGROAD_OPERATORS': operators,
         'NUTMEGROAD_TOKEN': operator_token(
@@ -54,7 +56,7 @@
     async with Processes() as processes:
         deployment = await start(processes, RIG)
         sys.stdout.write('Paste this into another shell; Ctrl-C here stops.\n')
-        for name, text in variables(deployment).items():
+        for name, text in shell_environment(deployment).items():
             sys.stdout.write(f"export {name}='{text}'\n")
         sys.stdout.flush()
         await stop_requested.wait()
--- a/experiments/slopes/hosts.py
+++ b/experiments/slopes/hosts.py
@@ -25,11 +25,11 @@
 
 from experiments.deployment import (
     BOOTSTRAP_TOKEN,
-    operate,
+    call_operator_api,
     operator_token,
     read_example,
 )
-from experiments.processes import Processes, Running
+from experiments.processes import Processes, RunningProcess
 from experiments.slopes import fits
 from nutmegroad.contracts.peers import Mesh
 from nutmegroad.daemon.plugins import load_plugins
@@ -155,8 +155,8 @@
 
 
 async def _publish_engines(
-    platform: Running,
-    engines: Running,
+    platform: RunningProcess,
+    engines: RunningProcess,
     size: Size,
 ) -> None:
     """Publish the engines, distributed over the domains, in the host list."""
@@ -184,7 +184,7 @@
 
 async def _start_hosts(
     stack: AsyncExitStack,
-    platform: Running,
+    platform: RunningProcess,
     size: Size,
 ) -> list[Kernel]:
     """Start all hosts and put a configuration into force.
@@ -213,7 +213,7 @@
 def _make_host(
     number: int,
     seeds: tuple[Address, ...],
-    platform: Running,
+    platform: RunningProcess,
     size: Size,
 ) -> Kernel:
     """Return a host that is not started yet.
@@ -241,7 +241,9 @@
     """Put an example's configuration into force through one host."""
     body = {'text': f'{read_example("lesen")}\n# {comment}\n'}
     address = kernel.listening['operators']
-    return await operate(address, 'configuration', body, BOOTSTRAP_TOKEN)
+    return await call_operator_api(
+        address, 'configuration', body, BOOTSTRAP_TOKEN
+    )
 
 
 async def _switch_presets(kernel: Kernel, rate: float) -> None:
@@ -250,7 +252,7 @@
     for number in range(1 << 20):
         body = {'preset': ('ordinary', 'peak')[number % 2]}
         address = kernel.listening['operators']
-        await operate(address, 'preset', body, token)
+        await call_operator_api(address, 'preset', body, token)
         await asyncio.sleep(1 / rate)
 
 
--- a/experiments/soak/platform.py
+++ b/experiments/soak/platform.py
@@ -8,7 +8,7 @@
 from experiments.configuration.memory_platform import (
     HostPlatform,
     MemoryPlatform,
-    Written,
+    WrittenRow,
 )
 from nutmegroad.contracts.platform import (
     ABSENT,
@@ -46,7 +46,7 @@
         self.ratings: deque[Rating] = deque(maxlen=_MAX_RATINGS)
         self.low_rated: set[str] = set()
         self.on_row_written: Callable[[Row], None] = _ignore_row
-        self._row_history: dict[RowKey, deque[Written]] = defaultdict(
+        self._row_history: dict[RowKey, deque[WrittenRow]] = defaultdict(
             lambda: deque(maxlen=_MAX_ROW_VERSIONS),
         )
 
@@ -76,7 +76,7 @@
     def _put(self, write: RowWrite) -> Row:
         row = Row(write.key, write.text, RowVersion(write.expected + 1))
         self._rows[write.key] = row
-        self._row_history[write.key].append(Written(self._clock.now(), row))
+        self._row_history[write.key].append(WrittenRow(self._clock.now(), row))
         self.on_row_written(row)
         return row
 
--- a/tests/host_fixture.py
+++ b/tests/host_fixture.py
@@ -6,7 +6,11 @@
 
 import msgspec
 from aiohttp import ClientSession
-from experiments.deployment import operate, read_example, workspace_key
+from experiments.deployment import (
+    call_operator_api,
+    read_example,
+    workspace_key,
+)
 from fakes.engine import FakeEngine
 from fakes.engine_settings import EngineSettings, VersionSettings
 from fakes.faults import FaultKind, FaultSpec
@@ -71,7 +75,7 @@
         await self.kernel.start()
         operators = self.kernel.listening['operators']
         body = {'text': read_example('lesen')}
-        await operate(operators, 'configuration', body, TOKEN)
+        await call_operator_api(operators, 'configuration', body, TOKEN)
         self.session = await stack.enter_async_context(ClientSession())
 
     def fault(self, kind: FaultKind, **changes: Any) -> None:
--- a/tests/once_processes.py
+++ b/tests/once_processes.py
@@ -13,12 +13,12 @@
 from experiments.deployment import (
     Deployment,
     Rig,
-    publish,
+    publish_host_list,
     start,
     start_host,
     workspace_key,
 )
-from experiments.processes import Processes, Running
+from experiments.processes import Processes, RunningProcess
 
 from nutmegroad.adapters._http_platform import HttpObjects
 from nutmegroad.foundations.types import Address
@@ -96,8 +96,8 @@
 
     async def wait_for_links(self, running: Deployment) -> None:
         """Wait until each host forwards requests to all others."""
-        for issuer in running.callers:
-            for other in running.callers:
+        for issuer in running.caller_addresses:
+            for other in running.caller_addresses:
                 await self.wait_until(self.is_forwarded, issuer, other)
 
     async def is_forwarded(self, issuer: Address, other: Address) -> bool:
@@ -124,7 +124,7 @@
         The ids of successful first replies are added to ``answered``.
         """
         extra = {key.replace('_', '-'): text for key, text in headers.items()}
-        url = f'http://{self.running.callers[host]}{RECEIPTS_PATH}'
+        url = f'http://{self.running.caller_addresses[host]}{RECEIPTS_PATH}'
         try:
             async with self.session.post(
                 url,
@@ -155,7 +155,7 @@
                 return ''
             return str(msgspec.json.decode(await response.read())['ticket'])
 
-    async def set_fault(self, running: Running, **fault: Any) -> None:
+    async def set_fault(self, running: RunningProcess, **fault: Any) -> None:
         """Enable a fault of a stand-in; without arguments, clear all."""
         url = f'http://{running.listening["main"]}/admin/faults'
         method = 'POST' if fault else 'DELETE'
@@ -219,9 +219,9 @@
             self.running,
             name,
         )
-        await publish(self.running, RIG)
+        await publish_host_list(self.running, RIG)
         await self.wait_until(
-            self.issues_tickets, str(self.running.callers[host])
+            self.issues_tickets, str(self.running.caller_addresses[host])
         )
 
     async def has_unknown_outcome(self, host: int, key: str) -> bool:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -224,7 +224,10 @@
         processes = await self.enterAsyncContext(Processes())
         rig = Rig('cascade', engines=(('galley-small@5',),), hosts=1)
         running = await start(processes, rig)
-        first, other = running.operators[0], running.operators[1]
+        first, other = (
+            running.operator_addresses[0],
+            running.operator_addresses[1],
+        )
         token = operator_token(running.document.operators[0].name)
 
         def run_on_first(words: str) -> CommandResult:
@@ -237,7 +240,7 @@
             )
             listed = result.reply
         name = running.hosts[1].name
-        request = await send_request(running.callers[1])
+        request = await send_request(running.caller_addresses[1])
         result = await asyncio.to_thread(run_on_first, f'explain {request}')
         self.assertIn('galley-small@5', result.out, result.err)
         drained = await asyncio.to_thread(run_on_first, f'host drain {name}')
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -11,7 +11,7 @@
 from experiments.deployment import (
     Deployment,
     Rig,
-    operate,
+    call_operator_api,
     operator_token,
     start,
     start_host,
@@ -54,8 +54,8 @@
         path: str,
         body: dict[str, Any] | None = None,
     ) -> Any:
-        address = self.running.operators[host]
-        return await operate(address, path, body, self.token)
+        address = self.running.operator_addresses[host]
+        return await call_operator_api(address, path, body, self.token)
 
     async def fault(self, kind: str, **more: Any) -> None:
         """Inject a fault into the platform."""
--- a/tests/test_confirmations.py
+++ b/tests/test_confirmations.py
@@ -15,8 +15,8 @@
 from experiments.configuration.hosts import (
     LEASE,
     WORKSPACE,
+    ConfigurationHost,
     Fleet,
-    TrialHost,
     make_document,
 )
 
@@ -82,15 +82,15 @@
     async def pass_time(self, seconds: float) -> None:
         await self.fleet.clock.advance(seconds)
 
-    async def switch(self, host: TrialHost, preset: PresetName) -> Any:
+    async def switch(self, host: ConfigurationHost, preset: PresetName) -> Any:
         return await self.wait_for(
             host.changes.switch_preset(preset, ANN, None)
         )
 
-    def isolate(self, host: TrialHost) -> None:
+    def isolate(self, host: ConfigurationHost) -> None:
         """Disconnect a host from the platform and from all other hosts."""
-        self.fleet.network.cut_domain(host.names.domain)
-        self.fleet.platform.faults.cut.add(host.names.domain)
+        self.fleet.network.cut_domain(host.placement.domain)
+        self.fleet.platform.faults.cut.add(host.placement.domain)
 
     def heal(self) -> None:
         self.fleet.network.heal_all()
@@ -112,7 +112,7 @@
     async def test_host_without_platform_is_confirmed_by_peers(
         self,
     ) -> None:
-        self.fleet.platform.faults.cut.add(self.west.names.domain)
+        self.fleet.platform.faults.cut.add(self.west.placement.domain)
         await self.switch(self.east, PEAK)
         await self.pass_time(4 * LEASE)
         self.assertEqual(self.west.configuration.revision, 2)
@@ -165,11 +165,11 @@
         await self.pass_time(LEASE)
         configuration = self.west.configuration
         self.assertTrue(configuration.is_behind and configuration.isolated)
-        reply = await self.west.confirmations._answer_head(EAST, None)  # type: ignore[arg-type]
+        reply = await self.west.peer_queries._answer_head(EAST, None)  # type: ignore[arg-type]
         self.assertIsNone(getattr(reply, 'age', 0))
 
     async def test_replayed_notice_changes_nothing(self) -> None:
-        old = self.east.confirmations.notice
+        old = self.east.peer_queries.notice
         await self.switch(self.east, PEAK)
         for mutated in (False, True):
             patched = mutant('not forward only') if mutated else nullcontext()
@@ -181,8 +181,8 @@
                 self.assertEqual(reverted, mutated)
 
     async def test_progress_lists_hosts_without_the_change(self) -> None:
-        self.fleet.network.cut_domain(self.north.names.domain)
-        self.fleet.platform.faults.cut.add(self.north.names.domain)
+        self.fleet.network.cut_domain(self.north.placement.domain)
+        self.fleet.platform.faults.cut.add(self.north.placement.domain)
         await self.switch(self.east, PEAK)
         hosts = await self.wait_for(
             self.east.progress.collect(Change(Revision(2)))
@@ -255,9 +255,9 @@
     async def test_stale_read_neither_reverts_nor_confirms(self) -> None:
         await self.switch(self.east, PEAK)
         read_row = self.fleet.platform.read_row
-        old = self.fleet.platform.log[0].row
+        old = self.fleet.platform.write_log[0].row
         self.fleet.platform.read_row = lambda key: old  # type: ignore[method-assign]
-        self.fleet.network.cut_domain(self.east.names.domain)
+        self.fleet.network.cut_domain(self.east.placement.domain)
         await self.pass_time(LEASE + CLOCK_MARGIN)
         self.assertEqual(self.east.configuration.revision, 2)
         self.assertTrue(self.east.configuration.isolated)
@@ -307,7 +307,7 @@
         self.assertTrue(configuration.is_withdrawn(SMALL, FIRST_EPOCH))
 
     async def test_old_notice_does_not_revert_withdrawal(self) -> None:
-        old = self.west.confirmations.notice
+        old = self.west.peer_queries.notice
         await self.wait_for(
             self.east.changes.withdraw_version(SMALL, None, ANN)
         )
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -17,7 +17,7 @@
 
 from experiments.deployment import start
 from experiments.processes import Processes
-from experiments.serve import RIG, variables
+from experiments.serve import RIG, shell_environment
 
 import nutmegroad
 from nutmegroad.foundations.metrics import Metrics
@@ -80,7 +80,7 @@
             program.chmod(0o755)
         environ = {
             **os.environ,
-            **variables(deployment),
+            **shell_environment(deployment),
             'PATH': f'{folder}{os.pathsep}{os.environ["PATH"]}',
             'PYTHONPATH': f'{ROOT / "src"}{os.pathsep}{ROOT}',
         }
--- a/tests/test_leaving_upstreams.py
+++ b/tests/test_leaving_upstreams.py
@@ -12,9 +12,9 @@
 from aiohttp import ClientSession
 from experiments.deployment import (
     Rig,
-    operate,
+    call_operator_api,
     operator_token,
-    publish,
+    publish_host_list,
     start,
     workspace_key,
 )
@@ -51,14 +51,16 @@
         return self.running.engines[self.engine].listening['main']
 
     async def presence_at(self, operators: Address) -> str:
-        rows: Any = await operate(operators, 'upstreams', token=self.token)
+        rows: Any = await call_operator_api(
+            operators, 'upstreams', token=self.token
+        )
         found = (row for row in rows if row['upstream'] == self.engine)
         row = next(found, {'presence': '', 'versions': ()})
         return str(row['presence']) if row['versions'] else ''
 
     async def wait_for_presence(self, presence: str) -> None:
         async with asyncio.timeout(20):
-            for operators in self.running.operators:
+            for operators in self.running.operator_addresses:
                 while await self.presence_at(operators) != presence:
                     await asyncio.sleep(0.05)
 
@@ -76,7 +78,7 @@
         return len(msgspec.json.decode(content)['runs'])
 
     async def send(self, number: int) -> None:
-        callers = self.running.callers
+        callers = self.running.caller_addresses
         url = f'http://{callers[number % len(callers)]}/v1/chat/completions'
         body = {
             'model': 'brief-small@2',
@@ -99,14 +101,14 @@
     async def send_to_all(self) -> None:
         # Each host gets one request at a time: how many it admits
         # concurrently depends on the speed of the machine.
-        hosts = len(self.running.callers)
+        hosts = len(self.running.caller_addresses)
         for first in range(0, 45, hosts):
             requests = (self.send(first + host) for host in range(hosts))
             await asyncio.gather(*requests)
 
     async def set_listed_leaving(self, *, leaving: bool) -> None:
         leaving_names = frozenset((self.engine,) if leaving else ())
-        await publish(self.running, RIG, leaving_names)
+        await publish_host_list(self.running, RIG, leaving_names)
 
     async def test_each_word_alone_takes_work_away_and_gives_it_back(
         self,
--- a/tests/test_once_processes.py
+++ b/tests/test_once_processes.py
@@ -168,7 +168,7 @@
         self.assertGreater(refused.error['retry_after_ms'], 0)
         self.assertEqual(0, await self.count_runs('down'))
         # Requests with a ticket still run, whichever host receives them.
-        ticket = await self.issue_ticket(str(self.running.callers[0]))
+        ticket = await self.issue_ticket(str(self.running.caller_addresses[0]))
         spent = [
             await self.post_receipt(host, Nutmegroad_Ticket=ticket)
             for host in (1, 2, 0)
--- a/tests/test_paused_host.py
+++ b/tests/test_paused_host.py
@@ -10,7 +10,7 @@
 from aiohttp import ClientSession
 from experiments.deployment import (
     Rig,
-    operate,
+    call_operator_api,
     operator_token,
     start,
     workspace_key,
@@ -64,8 +64,8 @@
             for entry in self.running.document.operators
             if entry.role is Role.OPERATE
         )
-        done = await operate(
-            self.running.operators[0],
+        done = await call_operator_api(
+            self.running.operator_addresses[0],
             'withdrawals',
             {'version': VERSION},
             operator_token(name),
--- a/tests/test_rolling_replacement.py
+++ b/tests/test_rolling_replacement.py
@@ -13,12 +13,12 @@
 from experiments.deployment import (
     Deployment,
     Rig,
-    publish,
+    publish_host_list,
     start,
     start_host,
     workspace_key,
 )
-from experiments.processes import Processes, Running
+from experiments.processes import Processes, RunningProcess
 
 TOKENS: Final = 40
 CALLERS: Final = 12
@@ -42,7 +42,7 @@
     """
 
     running: Deployment
-    ready: list[Running] = field(default_factory=list)
+    ready: list[RunningProcess] = field(default_factory=list)
 
     async def watch(self, session: ClientSession) -> None:
         """Poll the readiness of all hosts until cancelled."""
@@ -58,7 +58,9 @@
             ]
             await asyncio.sleep(0.1)
 
-    async def _is_ready(self, session: ClientSession, host: Running) -> bool:
+    async def _is_ready(
+        self, session: ClientSession, host: RunningProcess
+    ) -> bool:
         url = f'http://{host.listening["operators"]}/readyz'
         try:
             async with session.get(url) as response:
@@ -98,7 +100,7 @@
     async def _send(
         self,
         session: ClientSession,
-        host: Running,
+        host: RunningProcess,
         number: int,
     ) -> str:
         body: dict[str, Any] = {
@@ -136,7 +138,7 @@
             while len(self.balancer.ready) < len(self.running.hosts):
                 await asyncio.sleep(0.05)
 
-    async def start_successor(self, old: Running) -> Running:
+    async def start_successor(self, old: RunningProcess) -> RunningProcess:
         """Start the successor of a host."""
         name = f'{old.name}x'
         return await start_host(self.processes, RIG, self.running, name)
@@ -148,11 +150,11 @@
             *(self.start_successor(old) for old in hosts)
         )
         hosts.extend(successors)
-        await publish(self.running, RIG)
+        await publish_host_list(self.running, RIG)
         while len(self.balancer.ready) < len(hosts):
             await asyncio.sleep(0.05)
 
-    async def stop(self, old: Running) -> int:
+    async def stop(self, old: RunningProcess) -> int:
         """Stop a host that has a successor; return its exit code."""
         old.signal(signal.SIGTERM)
         # A second signal must not interrupt requests in progress.
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -11,11 +11,11 @@
 from experiments.deployment import (
     Deployment,
     Rig,
-    operate,
+    call_operator_api,
     operator_token,
     start,
 )
-from experiments.processes import Processes, Running
+from experiments.processes import Processes, RunningProcess
 
 from nutmegroad.contracts.documents import Role
 
@@ -68,7 +68,7 @@
         row = await self.read_row(f'leases/{lease}')
         return int(row.get('number', 0))
 
-    async def holder_of(self, lease: str) -> Running:
+    async def holder_of(self, lease: str) -> RunningProcess:
         """Wait until a host holds a lease, and return it."""
 
         async def is_held() -> bool:
@@ -79,16 +79,16 @@
         name = row['holder'].rpartition('.')[0]
         return next(host for host in self.running.hosts if host.name == name)
 
-    async def send_action(self, host: Running, action: str) -> Any:
+    async def send_action(self, host: RunningProcess, action: str) -> Any:
         """Perform an operator's action on the rollout."""
         body = {'version': VERSION, 'action': action}
         address = host.listening['operators']
-        return await operate(address, 'rollouts', body, self.token)
+        return await call_operator_api(address, 'rollouts', body, self.token)
 
-    async def rollout_status(self, host: Running) -> Any:
+    async def rollout_status(self, host: RunningProcess) -> Any:
         """Return the state of rollouts as a host knows it."""
         address = host.listening['operators']
-        return await operate(address, 'rollouts', None, self.token)
+        return await call_operator_api(address, 'rollouts', None, self.token)
 
     async def wait_for(self, condition: Callable[[], Awaitable[bool]]) -> None:
         """Poll a condition until it is true."""
@@ -168,14 +168,14 @@
         await self.wait_for(self.has_new_orders(number))
         await self.check_resumed(paused)
 
-    async def check_resumed(self, paused: Running) -> None:
+    async def check_resumed(self, paused: RunningProcess) -> None:
         """Resume a host; check that its fencing number is not used again."""
         paused.signal(signal.SIGCONT)
         await asyncio.sleep(3)
         numbers = [order['fencing'] for order in await self.orders()]
         self.assertEqual(numbers, sorted(numbers))
 
-    def running_host(self, paused: Running) -> Running:
+    def running_host(self, paused: RunningProcess) -> RunningProcess:
         """Return a host that is not paused."""
         hosts = self.running.hosts
         return next(host for host in hosts if host is not paused)
--- a/tests/test_session_processes.py
+++ b/tests/test_session_processes.py
@@ -14,7 +14,7 @@
 from aiohttp import ClientSession
 from experiments.deployment import (
     Rig,
-    operate,
+    call_operator_api,
     operator_token,
     start,
     workspace_key,
@@ -67,7 +67,7 @@
 
     async def start_session(self, name: str) -> str:
         """Begin a session at two hosts at once, for two versions."""
-        one, two, _ = self.running.callers
+        one, two, _ = self.running.caller_addresses
         requests = (
             self.answering_version(one, name, MODELS[0]),
             self.answering_version(two, name, MODELS[1]),
@@ -80,7 +80,7 @@
         """Check that each host ignores a request for the other version."""
         for name, version in started.items():
             other = next(model for model in MODELS if model != version)
-            for host in self.running.callers:
+            for host in self.running.caller_addresses:
                 self.assertEqual(
                     await self.answering_version(host, name, other), version
                 )
@@ -88,7 +88,9 @@
     async def preset_in_force(self, operators: Address) -> str:
         """Return the name of the preset in force at a host."""
         token = self.token
-        presets: Any = await operate(operators, 'presets', token=token)
+        presets: Any = await call_operator_api(
+            operators, 'presets', token=token
+        )
         return next(str(one['name']) for one in presets if one['in_force'])
 
     async def test_session_keeps_its_version(self) -> None:
@@ -101,9 +103,9 @@
         killed.signal(signal.SIGKILL)
         await killed.process.wait()
         await self.assert_bound(started)
-        operators = self.running.operators
+        operators = self.running.operator_addresses
         body = {'preset': 'maintenance'}
-        await operate(operators[0], 'preset', body, self.token)
+        await call_operator_api(operators[0], 'preset', body, self.token)
         async with asyncio.timeout(30):
             for address in operators:
                 while await self.preset_in_force(address) != 'maintenance':
