--- a/experiments/fleet_soak/faults.py
+++ b/experiments/fleet_soak/faults.py
@@ -119,13 +119,13 @@
 
     async def _store(self, event: Event) -> None:
         """Let all calls to the store fail in one way."""
-        await self._fleet.tell_store(f'fault/{_STORE_FAULTS[event.fault]}')
+        await self._fleet.post_to_store(f'fault/{_STORE_FAULTS[event.fault]}')
         await asyncio.sleep(event.duration)
-        await self._fleet.tell_store('fault/none')
+        await self._fleet.post_to_store('fault/none')
 
     async def _store_forgets(self, event: Event) -> None:
         """Drop the store's change history."""
-        await self._fleet.tell_store('forget')
+        await self._fleet.post_to_store('forget')
 
     async def _store_refuses_host(self, event: Event) -> None:
         """Cut one host off from the store."""
@@ -162,12 +162,12 @@
 
     async def _store_restored(self, event: Event) -> None:
         """Restore the store from a copy, and write a configuration again."""
-        await self._fleet.tell_store('copy')
+        await self._fleet.post_to_store('copy')
         await asyncio.sleep(event.duration)
-        await self._fleet.tell_store('fault/silent')
+        await self._fleet.post_to_store('fault/silent')
         await asyncio.sleep(CHANGE_DELAY)
-        await self._fleet.tell_store('come_back')
-        await self._fleet.tell_store('fault/none')
+        await self._fleet.post_to_store('come_back')
+        await self._fleet.post_to_store('fault/none')
         await asyncio.sleep(event.duration / 4)
         await self._fleet.configure()
 
--- a/experiments/fleet_soak/fleet.py
+++ b/experiments/fleet_soak/fleet.py
@@ -230,9 +230,9 @@
     async def put(self, table: str, key: str, content: bytes) -> bool:
         """Write a row; return whether the store acknowledged it."""
         body = put_transaction(table, key, content)
-        return await self.tell_store('v1/rows-tx', body)
+        return await self.post_to_store('v1/rows-tx', body)
 
-    async def tell_store(self, call: str, body: object = None) -> bool:
+    async def post_to_store(self, call: str, body: object = None) -> bool:
         """Post to a path of the store; return whether it succeeded."""
         url = f'http://{format_address(self._store_address)}/{call}'
         try:
--- a/experiments/return_calls.py
+++ b/experiments/return_calls.py
@@ -41,7 +41,7 @@
         baseline = await _count_calls(fleet)
         after_outage = await _count_calls_after_outage(fleet)
         await asyncio.sleep(SETTLE_TIME)
-        await fleet.tell_store('copy')
+        await fleet.post_to_store('copy')
         await asyncio.sleep(COPY_AGE)
         after_restore = await _count_calls_after_outage(fleet, 'come_back')
     return {
@@ -59,10 +59,10 @@
         calls: Calls to the store's control interface that are made before it
             answers again.
     """
-    await fleet.tell_store('fault/silent')
+    await fleet.post_to_store('fault/silent')
     await asyncio.sleep(OUTAGE)
     for call in (*calls, 'fault/none'):
-        await fleet.tell_store(call)
+        await fleet.post_to_store(call)
     return await _count_calls(fleet)
 
 
