--- a/tests/tables.py
+++ b/tests/memory_table.py
@@ -20,7 +20,7 @@
     Attributes:
         rows: The stored rows.
         down: Whether the table is unavailable.
-        lost_replies: Number of the next commits whose replies are lost.
+        replies_to_lose: Number of the next commits whose replies are lost.
         writes: Number of rows written.
         before_reply: Awaited after a commit has been applied and before its
             reply is sent.
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.rows: dict[RowKey, Row] = {}
         self.down = False
-        self.lost_replies = 0
+        self.replies_to_lose = 0
         self.writes = 0
         self.before_reply: Callable[[], Awaitable[None]] | None = None
 
@@ -63,8 +63,8 @@
             self.writes += 1
         if self.before_reply is not None:
             await self.before_reply()
-        if self.lost_replies:
-            self.lost_replies -= 1
+        if self.replies_to_lose:
+            self.replies_to_lose -= 1
             return _refusal(Ran.UNKNOWN)
         return tuple(self.rows[write.key] for write in writes)
 
--- a/tests/records_rig.py
+++ b/tests/records_rig.py
@@ -39,7 +39,7 @@
 ANSWER: Final = ServiceReply(200, b'{"receipt": 1}', 'application/json')
 UNKNOWN: Final = Refusal(ResultCode.UPSTREAM_TIMEOUT, 'Late.', Ran.UNKNOWN)
 NOT_RUN: Final = Refusal(ResultCode.NO_UPSTREAM, 'None.', Ran.NOT_RUN)
-ORDER: Final = ClaimRequest(
+DEFAULT_CLAIM: Final = ClaimRequest(
     request=RequestId('r1'),
     workspace=WORKSPACE,
     fingerprint='f1',
@@ -57,10 +57,10 @@
 )
 
 
-def order(number: int = 1, **changes: object) -> ClaimRequest:
+def claim_request(number: int = 1, **changes: object) -> ClaimRequest:
     """Return the default claim with another request id and changes."""
     request = RequestId(f'r{number}')
-    return replace(ORDER, request=request, **changes)  # type: ignore[arg-type]
+    return replace(DEFAULT_CLAIM, request=request, **changes)  # type: ignore[arg-type]
 
 
 @dataclass(slots=True)
@@ -70,10 +70,10 @@
     peer: MemoryPeer
     intents: IntentLedger
     issuer: TicketIssuer
-    once: AtMostOnce
+    at_most_once: AtMostOnce
     biller: Biller
     sender: RecordSender
-    keeper: RecordCopyStore
+    record_copies: RecordCopyStore
 
 
 class RecordsRig:
@@ -106,7 +106,7 @@
         """Close everything."""
         await self._stack.aclose()
 
-    def host(self, name: str, domain: DomainId = LOCAL_DOMAIN) -> Host:
+    def start_host(self, name: str, domain: DomainId = LOCAL_DOMAIN) -> Host:
         """Start a host, or a new incarnation of an existing one."""
         peer = self.mesh.join(HostId(name), domain)
         incarnation = peer.incarnation
@@ -129,7 +129,7 @@
         keeper.listen()
         return Host(peer, intents, issuer, once, biller, sender, keeper)
 
-    def fault(self, kind: FaultKind, scope: str, **more: object) -> None:
+    def add_fault(self, kind: FaultKind, scope: str, **more: object) -> None:
         """Enable a fault in a part of the platform."""
         self.platform.faults.add(
             FaultSpec(kind, scope, **more)  # type: ignore[arg-type]
--- a/tests/rigs.py
+++ b/tests/request_path_rig.py
@@ -62,7 +62,7 @@
 #: Pieces of a complete answer.
 WORDS = tuple(f'w{number} ' for number in range(10))
 #: Final event of a complete answer.
-ENDING = AnswerEnd('stop', 5, len(WORDS))
+ANSWER_END = AnswerEnd('stop', 5, len(WORDS))
 
 #: Returns the events of an engine's answer to an attempt. Events that are
 #: callable are awaited instead of being sent.
@@ -79,7 +79,7 @@
     )
 
 
-def report_of(
+def engine_report(
     *versions: VersionId,
     leaving: bool = False,
 ) -> EngineReport:
@@ -87,10 +87,10 @@
     return EngineReport(versions, 0, 0, 4, leaving, True, FencingNumber(0))
 
 
-def whole(attempt: Attempt) -> list[Any]:
+def complete_answer(attempt: Attempt) -> list[Any]:
     """Return a complete answer without the pieces that the attempt skips."""
     pieces = [Piece(index, text) for index, text in enumerate(WORDS)]
-    return [*pieces[attempt.skip :], ENDING]
+    return [*pieces[attempt.skip :], ANSWER_END]
 
 
 class ScriptedEngines:
@@ -122,7 +122,7 @@
 
     async def report(self, upstream: UpstreamInfo) -> EngineReport | Refusal:
         """Report that all versions of the rig are loaded."""
-        return report_of(SMALL, MEDIUM)
+        return engine_report(SMALL, MEDIUM)
 
     async def order(self, upstream: UpstreamInfo, order: Any) -> None:
         """Orders are not supported."""
@@ -134,7 +134,7 @@
             yield refusal
             return
         self.sent.append(attempt)
-        script = self.scripts.pop(0) if self.scripts else whole
+        script = self.scripts.pop(0) if self.scripts else complete_answer
         ended = False
         try:
             for event in script(attempt):
@@ -170,14 +170,14 @@
 
 
 @dataclass
-class HostRig:
+class RequestPathRig:
     """The request path of one host over scripted engines.
 
     Attributes:
         clock: The clock of all components.
         planner: Plans requests; a ``CheapestPlanner`` by default.
         engines: The engines that answer.
-        spent: Resources that the requests have used.
+        usage: Resources that the requests have used.
         caller: Receives the answers.
         observers: Are notified of attempts.
         harmful: Decides which requests are kept from engines.
@@ -186,7 +186,7 @@
     clock: ManualClock
     planner: Planner | None = None
     engines: ScriptedEngines = field(default_factory=ScriptedEngines)
-    spent: RequestUsage = field(default_factory=RequestUsage)
+    usage: RequestUsage = field(default_factory=RequestUsage)
     caller: RecordingSink = field(default_factory=RecordingSink)
     observers: Observers = field(default_factory=Observers)
     harmful: HarmfulRequests | None = None
@@ -211,7 +211,7 @@
         self.directory = Directory(self.clock)
         self.directory.update((engine_info('one'), engine_info('two', 2)))
         for name in ('one', 'two'):
-            report = report_of(SMALL, MEDIUM)
+            report = engine_report(SMALL, MEDIUM)
             self.directory.reported(UpstreamId(name), report)
         self.gatekeeper = Gatekeeper(
             self.configuration,
@@ -243,13 +243,13 @@
         }
         return ModelRequest(**{**defaults, **changes})
 
-    async def ask(self, **changes: Any) -> Answer | Refusal:
+    async def send(self, **changes: Any) -> Answer | Refusal:
         """Dispatch a default request with changes, and return its outcome."""
         return await self.dispatcher.answer(
             self.request(**changes),
             self.caller,
             self.explanation,
-            self.spent,
+            self.usage,
         )
 
     def _make_dispatcher(self) -> Dispatcher:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -32,13 +32,13 @@
 from nutmegroad.records.tickets import Ticket
 from tests.records_rig import (
     ANSWER,
+    DEFAULT_CLAIM,
     NOT_RUN,
-    ORDER,
     UNKNOWN,
     WORKSPACE,
     Host,
     RecordsRig,
-    order,
+    claim_request,
 )
 
 FORWARDED = ForwardedRequest(
@@ -58,20 +58,20 @@
     async def asyncSetUp(self) -> None:
         """Start the hosts."""
         self.rig = await self.enterAsyncContext(RecordsRig())
-        self.one = self.rig.host('one')
-        self.two = self.rig.host('two')
+        self.one = self.rig.start_host('one')
+        self.two = self.rig.start_host('two')
 
     async def run_of(
-        self, host: Host, wanted: ClaimRequest = ORDER
+        self, host: Host, wanted: ClaimRequest = DEFAULT_CLAIM
     ) -> ExecutionGrant:
         """Claim a request that may be executed."""
-        run = await host.once.claim(wanted)
+        run = await host.at_most_once.claim(wanted)
         assert isinstance(run, ExecutionGrant), run
         return run
 
     async def refused(self, host: Host, wanted: ClaimRequest) -> Refusal:
         """Claim a request and expect a refusal."""
-        refusal = await host.once.claim(wanted)
+        refusal = await host.at_most_once.claim(wanted)
         assert isinstance(refusal, Refusal), refusal
         return refusal
 
@@ -81,7 +81,7 @@
 
     async def test_a_host_that_slept_past_its_lease_sends_nothing(self) -> None:
         ticket = str(self.one.issuer.issue(WORKSPACE))
-        for wanted in (ORDER, order(2, ticket=ticket)):
+        for wanted in (DEFAULT_CLAIM, claim_request(2, ticket=ticket)):
             run = await self.run_of(self.one, wanted)
             await self.rig.clock.jump(LEASE)
             refusal = run.fence.new_attempt().admit()
@@ -90,8 +90,10 @@
             self.assertIs(Ran.NOT_RUN, refusal.ran)
 
     async def test_a_lease_counts_from_before_the_write(self) -> None:
-        self.rig.fault(FaultKind.SLOW, 'table', delay=LEASE)
-        claiming = asyncio.ensure_future(self.one.once.claim(ORDER))
+        self.rig.add_fault(FaultKind.SLOW, 'table', delay=LEASE)
+        claiming = asyncio.ensure_future(
+            self.one.at_most_once.claim(DEFAULT_CLAIM)
+        )
         while not self.rig.clock.sleepers:
             await asyncio.sleep(0.001)
         await self.rig.clock.advance(LEASE)
@@ -125,7 +127,7 @@
         self,
     ) -> None:
         counted = CountedInvariants(self.rig.metrics)
-        terms = FenceTerms(ORDER.request, repeatable=False)
+        terms = FenceTerms(DEFAULT_CLAIM.request, repeatable=False)
         fence = Fence(terms, self.rig.clock, counted)
         self.assertIsNone(fence.new_attempt().admit())
         with self.assertLogs('absl', 'ERROR'):
@@ -145,46 +147,50 @@
 
     async def test_the_same_key_at_two_hosts_at_once_runs_once(self) -> None:
         claims = await asyncio.gather(
-            self.one.once.claim(order(1)),
-            self.two.once.claim(order(2)),
-            self.one.once.claim(order(3)),
+            self.one.at_most_once.claim(claim_request(1)),
+            self.two.at_most_once.claim(claim_request(2)),
+            self.one.at_most_once.claim(claim_request(3)),
         )
         runs = [claim for claim in claims if isinstance(claim, ExecutionGrant)]
         self.assertEqual(1, len(runs))
 
     async def test_the_platform_down_refuses_at_once(self) -> None:
-        self.rig.fault(FaultKind.DOWN, 'table')
+        self.rig.add_fault(FaultKind.DOWN, 'table')
         for number in (1, 2):
-            refusal = await self.refused(self.one, order(number, key='k2'))
+            refusal = await self.refused(
+                self.one, claim_request(number, key='k2')
+            )
             self.assertIs(ResultCode.INTENT_UNAVAILABLE, refusal.code)
             self.assertIs(Ran.NOT_RUN, refusal.ran)
             self.assertGreater(refusal.retry_after, 0)
-        repeatable = order(3, key='k3', repeatable=True)
+        repeatable = claim_request(3, key='k3', repeatable=True)
         await self.run_of(self.one, repeatable)
         self.rig.platform.faults.clear()
         await self.rig.clock.jump(TABLE_PAUSE)
-        await self.run_of(self.one, order(4, key='k2'))
+        await self.run_of(self.one, claim_request(4, key='k2'))
 
     async def test_an_answer_survives_an_outage_in_memory(self) -> None:
         run = await self.run_of(self.one)
-        self.rig.fault(FaultKind.DOWN, 'table')
-        await self.one.once.settle(run, ANSWER)
-        first = await self.one.once.claim(order(2))
-        self.assertEqual(FirstAnswer(ORDER.request, ANSWER), first)
+        self.rig.add_fault(FaultKind.DOWN, 'table')
+        await self.one.at_most_once.settle(run, ANSWER)
+        first = await self.one.at_most_once.claim(claim_request(2))
+        self.assertEqual(FirstAnswer(DEFAULT_CLAIM.request, ANSWER), first)
         self.rig.platform.faults.clear()
         # The other host does not know the answer yet and must not claim
         # that the request ended.
-        refusal = await self.refused(self.two, order(3))
+        refusal = await self.refused(self.two, claim_request(3))
         self.assertIs(ResultCode.STILL_RUNNING, refusal.code)
-        await self.one.once.settle_pending()
-        self.assertEqual(0, self.one.once.unsettled)
-        first = await self.two.once.claim(order(4))
-        self.assertEqual(FirstAnswer(ORDER.request, ANSWER), first)
+        await self.one.at_most_once.settle_pending()
+        self.assertEqual(0, self.one.at_most_once.unsettled)
+        first = await self.two.at_most_once.claim(claim_request(4))
+        self.assertEqual(FirstAnswer(DEFAULT_CLAIM.request, ANSWER), first)
 
     async def test_a_run_that_is_given_up_is_never_run_again(self) -> None:
         ticket = str(self.one.issuer.issue(WORKSPACE))
-        for wanted in (order(1), order(2, ticket=ticket)):
-            self.one.once.settle_unknown(await self.run_of(self.one, wanted))
+        for wanted in (claim_request(1), claim_request(2, ticket=ticket)):
+            self.one.at_most_once.settle_unknown(
+                await self.run_of(self.one, wanted)
+            )
             refusal = await self.refused(self.one, replace(wanted))
             self.assertIs(Ran.UNKNOWN, refusal.ran)
 
@@ -195,7 +201,9 @@
     async def asyncSetUp(self) -> None:
         """Create a runner whose work waits for a gate."""
         await super().asyncSetUp()
-        self.runner = Runner(self.one.once, self.one.biller, self.one.sender)
+        self.runner = Runner(
+            self.one.at_most_once, self.one.biller, self.one.sender
+        )
         self.record = BillingRecord('r1', WORKSPACE, 'portal', 1)
         self.gate = asyncio.Event()
 
@@ -210,7 +218,7 @@
         """Start a request, then let its caller disconnect."""
         coming = self.runner.run(wanted, self.work, lambda: self.record)
         task: asyncio.Task[object] = asyncio.ensure_future(coming)
-        while not self.one.once.unsettled and not task.done():
+        while not self.one.at_most_once.unsettled and not task.done():
             await asyncio.sleep(0.001)
             if self.rig.platform.table.row('intent/head-office/k1').version:
                 break
@@ -220,18 +228,18 @@
         return task
 
     async def test_a_run_with_a_key_outlives_its_caller(self) -> None:
-        await self.begin(ORDER)
+        await self.begin(DEFAULT_CLAIM)
         self.gate.set()
         ending = asyncio.ensure_future(self.runner.__aexit__(None, None, None))
         while not ending.done():
             await asyncio.sleep(0.001)
             await self.rig.clock.advance(0.01)
-        first = await self.two.once.claim(order(2))
-        self.assertEqual(FirstAnswer(ORDER.request, ANSWER), first)
+        first = await self.two.at_most_once.claim(claim_request(2))
+        self.assertEqual(FirstAnswer(DEFAULT_CLAIM.request, ANSWER), first)
         self.assertEqual(1, self.one.biller.pending)
 
     async def test_a_caller_that_leaves_is_billed_too(self) -> None:
-        wanted = replace(ORDER, key='', repeatable=True)
+        wanted = replace(DEFAULT_CLAIM, key='', repeatable=True)
         coming = self.runner.run(wanted, self.work, lambda: self.record)
         task = asyncio.ensure_future(coming)
         await self.rig.clock.settle()
@@ -260,7 +268,9 @@
 
     async def elsewhere(self) -> Ticket:
         """Claim the ticket at the second host."""
-        claim = await self.two.once.claim(order(1, ticket=self.text))
+        claim = await self.two.at_most_once.claim(
+            claim_request(1, ticket=self.text)
+        )
         assert isinstance(claim, ForwardRequired)
         return claim.ticket
 
@@ -276,12 +286,12 @@
     async def test_the_issuer_answers_even_while_the_table_is_down(
         self,
     ) -> None:
-        self.rig.fault(FaultKind.DOWN, 'table')
+        self.rig.add_fault(FaultKind.DOWN, 'table')
         self.assertEqual(REPLY, await self.forward())
         self.assertEqual(1, self.answered)
 
     async def test_a_relay_reaches_an_issuer_without_a_link(self) -> None:
-        three = self.rig.host('three')
+        three = self.rig.start_host('three')
         Forwarder(three.peer, HostId('three')).listen(self.answer)
         ticket = await self.elsewhere()
         members = self.two.peer.members()
@@ -302,7 +312,7 @@
         self.assertIs(Ran.UNKNOWN, refusal.ran)
         self.assertGreater(refusal.retry_after, 0)
         self.rig.mesh.heal_all()
-        self.rig.host('one')
+        self.rig.start_host('one')
         refusal = await self.forward()
         assert isinstance(refusal, Refusal)
         self.assertIs(ResultCode.OUTCOME_UNKNOWN, refusal.code)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -10,7 +10,13 @@
 from nutmegroad.routing.directory import DrainingSource
 from nutmegroad.routing.request_progress import Answer
 from nutmegroad.testing.virtual import ManualClock
-from tests.rigs import ENDING, WORDS, HostRig, Script, whole
+from tests.request_path_rig import (
+    ANSWER_END,
+    WORDS,
+    RequestPathRig,
+    Script,
+    complete_answer,
+)
 
 CUT = Refusal(ResultCode.ANSWER_CUT, 'cut', Ran.UNKNOWN)
 CROSSED = Refusal(ResultCode.ANSWER_CROSSED, 'crossed', Ran.UNKNOWN)
@@ -24,7 +30,7 @@
 
     def script(attempt: Attempt) -> list[object]:
         """Send some pieces, then the refusal."""
-        return [*whole(attempt)[:count], refusal]
+        return [*complete_answer(attempt)[:count], refusal]
 
     return script
 
@@ -37,7 +43,7 @@
 def different_answer(attempt: Attempt) -> list[object]:
     """Answer with a different text."""
     pieces = [Piece(index, f'x{index} ') for index in range(len(WORDS))]
-    return [*pieces[attempt.skip :], ENDING]
+    return [*pieces[attempt.skip :], ANSWER_END]
 
 
 def shorter_answer(attempt: Attempt) -> list[object]:
@@ -50,11 +56,11 @@
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
-        self.rig = HostRig(self.clock)
+        self.rig = RequestPathRig(self.clock)
 
     async def ask(self, *scripts: Script, repeatable: bool = True) -> object:
         self.rig.engines.scripts = list(scripts)
-        return await self.rig.ask(repeatable=repeatable)
+        return await self.rig.send(repeatable=repeatable)
 
     def sent(self) -> list[tuple[str, int]]:
         attempts = self.rig.engines.sent
@@ -80,7 +86,7 @@
         assert isinstance(answer, Answer)
         self.assertEqual(sources, [DrainingSource.REPORT])
         for _ in range(5):
-            await self.rig.ask()
+            await self.rig.send()
         upstreams = [upstream for upstream, _ in self.sent()]
         self.assertEqual(len(set(upstreams[1:])), 1)
         self.assertNotIn(upstreams[0], upstreams[1:])
@@ -148,7 +154,7 @@
         outcome = await self.ask(broken(2), *refusals)
         assert isinstance(outcome, Refusal)
         self.assertIs(outcome.ran, Ran.UNKNOWN)
-        self.assertEqual(self.rig.spent.ran, Ran.UNKNOWN)
+        self.assertEqual(self.rig.usage.ran, Ran.UNKNOWN)
 
     async def fail_to_confirm(self) -> None:
         """Fail to confirm, as a host without a connection does regularly."""
@@ -179,7 +185,7 @@
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
-        self.rig = HostRig(self.clock)
+        self.rig = RequestPathRig(self.clock)
 
     def show(self, work: Callable[[], Awaitable[None]]) -> None:
         inner = self.rig.caller.write
@@ -197,7 +203,7 @@
             await self.clock.sleep(3 if len(self.rig.caller.pieces) > 1 else 15)
 
         self.show(read_slowly)
-        task = asyncio.create_task(self.rig.ask())
+        task = asyncio.create_task(self.rig.send())
         await self.clock.advance(50)
         answer = await task
         assert isinstance(answer, Answer)
@@ -213,15 +219,15 @@
                 await never.wait()
 
         self.show(wait)
-        task = asyncio.create_task(self.rig.ask())
+        task = asyncio.create_task(self.rig.send())
         await self.clock.settle()
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await task
         self.assertEqual(len(self.rig.engines.cancelled), 1)
-        entry = self.rig.configuration.version_entry(self.rig.spent.version)
+        entry = self.rig.configuration.version_entry(self.rig.usage.version)
         assert entry is not None
         expected = (5 * entry.price_in + 3 * entry.price_out) / 1000
-        self.assertAlmostEqual(self.rig.spent.cost, expected)
-        self.assertIs(self.rig.spent.ran, Ran.UNKNOWN)
+        self.assertAlmostEqual(self.rig.usage.cost, expected)
+        self.assertIs(self.rig.usage.ran, Ran.UNKNOWN)
         self.assertEqual(self.rig.directory.states()[0].in_flight, 0)
--- a/tests/test_billing.py
+++ b/tests/test_billing.py
@@ -53,9 +53,9 @@
     async def asyncSetUp(self) -> None:
         """Start the hosts."""
         self.rig = await self.enterAsyncContext(RecordsRig())
-        self.remote = self.rig.host('far', REMOTE_DOMAIN)
-        self.one = self.rig.host('one')
-        self.two = self.rig.host('two')
+        self.remote = self.rig.start_host('far', REMOTE_DOMAIN)
+        self.one = self.rig.start_host('one')
+        self.two = self.rig.start_host('two')
 
     async def copy_records(self, host: Host) -> bool:
         """Copy records to a peer while the clock advances."""
@@ -97,7 +97,7 @@
 
     async def test_a_lost_reply_stores_the_same_object(self) -> None:
         # The HTTP library itself retries a lost PUT once.
-        self.rig.fault(FaultKind.LOSE_REPLY, 'objects', count=2)
+        self.rig.add_fault(FaultKind.LOSE_REPLY, 'objects', count=2)
         self.one.biller.record(bill('r1', 1))
         self.assertIsNotNone(await self.one.biller.flush())
         self.one.biller.record(bill('r2', 2))
@@ -114,18 +114,19 @@
         self.one.biller.record(bill('r2', 2))
         self.assertTrue(await self.copy_records(self.one))
         self.assertEqual(
-            (2, 0), (self.two.keeper.held, self.remote.keeper.held)
+            (2, 0),
+            (self.two.record_copies.held, self.remote.record_copies.held),
         )
         # The batch of a briefly unresponsive host is not taken over.
-        self.two.keeper.take_over()
+        self.two.record_copies.take_over()
         await self.two.sender.flush()
         self.assertEqual({}, await self.billed_costs())
         self.rig.mesh.remove(self.one.peer.host)
         await self.rig.clock.jump(TERMINATED_AFTER)
-        self.two.keeper.take_over()
+        self.two.record_copies.take_over()
         await self.two.sender.flush()
         self.assertEqual({'r1': 1, 'r2': 2}, await self.billed_costs())
-        self.assertEqual(0, self.two.keeper.held)
+        self.assertEqual(0, self.two.record_copies.held)
 
     async def test_a_receiver_has_a_receiver_while_nothing_can_be_stored(
         self,
@@ -134,11 +135,11 @@
         await self.copy_records(self.one)
         self.rig.mesh.remove(self.one.peer.host)
         await self.rig.clock.jump(TERMINATED_AFTER)
-        self.two.keeper.take_over()
+        self.two.record_copies.take_over()
         await self.copy_records(self.two)
         self.rig.mesh.remove(self.two.peer.host)
         await self.rig.clock.jump(TERMINATED_AFTER)
-        self.remote.keeper.take_over()
+        self.remote.record_copies.take_over()
         await self.remote.sender.flush()
         self.assertEqual({'r1': 1}, await self.billed_costs())
 
@@ -149,7 +150,7 @@
         for _ in range(3):
             await self.rig.clock.jump(TERMINATED_AFTER)
             for host in (self.two, self.remote):
-                host.keeper.take_over()
+                host.record_copies.take_over()
                 await self.copy_records(host)
         self.assertEqual(1, self.two.biller.pending)
         self.assertEqual(1, self.remote.biller.pending)
@@ -161,7 +162,7 @@
         # batch.
         self.rig.mesh.cut(self.one.peer.host, self.two.peer.host, noticed=True)
         await self.rig.clock.jump(TERMINATED_AFTER)
-        self.two.keeper.take_over()
+        self.two.record_copies.take_over()
         await self.two.sender.flush()
         self.one.biller.record(bill('r2', 2))
         await self.one.sender.flush()
@@ -172,7 +173,7 @@
         await self.copy_records(self.one)
         self.rig.mesh.cut(self.one.peer.host, self.two.peer.host, noticed=True)
         await self.rig.clock.jump(TERMINATED_AFTER)
-        self.two.keeper.take_over()
+        self.two.record_copies.take_over()
         await self.two.sender.flush()
         await self.one.sender.flush()
         self.assertEqual(1, await self.count_objects())
@@ -182,7 +183,7 @@
         await self.copy_records(self.one)
         await self.one.sender.flush()
         await self.rig.clock.advance(HAND_TIMEOUT)
-        self.assertEqual(0, self.two.keeper.held)
+        self.assertEqual(0, self.two.record_copies.held)
 
     async def test_a_new_receiver_gets_everything(self) -> None:
         self.one.biller.record(bill('r1', 1))
@@ -190,7 +191,7 @@
         self.rig.mesh.remove(self.two.peer.host)
         self.one.biller.record(bill('r2', 2))
         self.assertTrue(await self.copy_records(self.one))
-        self.assertEqual(2, self.remote.keeper.held)
+        self.assertEqual(2, self.remote.record_copies.held)
 
     async def test_an_unresponsive_receiver_is_waited_for_once(self) -> None:
         self.rig.mesh.cut(self.one.peer.host, self.two.peer.host)
@@ -201,12 +202,12 @@
         self.rig.mesh.heal_all()
         self.one.biller.record(bill('r2', 2))
         self.assertTrue(await self.copy_records(self.one))
-        self.assertEqual(2, self.remote.keeper.held)
-        self.assertEqual(0, self.two.keeper.held)
+        self.assertEqual(2, self.remote.record_copies.held)
+        self.assertEqual(0, self.two.record_copies.held)
 
     async def test_a_stop_copies_unstored_records_to_two_peers(self) -> None:
         self.one.biller.record(bill('r1', 1))
-        self.rig.fault(FaultKind.DOWN, 'objects', count=2)
+        self.rig.add_fault(FaultKind.DOWN, 'objects', count=2)
         stopping = asyncio.ensure_future(self.one.sender.close())
         while not stopping.done():
             await asyncio.sleep(0)
@@ -214,19 +215,19 @@
         # Right after the stop, the local one of the two peers terminates.
         self.rig.mesh.remove(self.one.peer.host)
         self.rig.mesh.remove(self.two.peer.host)
-        self.remote.keeper.take_over()
+        self.remote.record_copies.take_over()
         await self.remote.sender.flush()
         self.assertEqual({'r1': 1}, await self.billed_costs())
 
     async def test_a_stop_copies_unstored_records_to_a_peer(self) -> None:
         self.one.biller.record(bill('r1', 1))
-        self.rig.fault(FaultKind.DOWN, 'objects', count=2)
+        self.rig.add_fault(FaultKind.DOWN, 'objects', count=2)
         stopping = asyncio.ensure_future(self.one.sender.close())
         while not stopping.done():
             await asyncio.sleep(0)
             await self.rig.clock.advance(HAND_TIMEOUT / 5)
         self.rig.mesh.remove(self.one.peer.host)
-        self.two.keeper.take_over()
+        self.two.record_copies.take_over()
         await self.two.sender.flush()
         self.assertEqual({'r1': 1}, await self.billed_costs())
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -24,7 +24,7 @@
 from nutmegroad.routing.draining_notices import DrainingNotices
 from nutmegroad.routing.watch import UpstreamWatcher
 from nutmegroad.testing.virtual import ManualClock, MemoryMesh
-from tests.rigs import engine_info, report_of
+from tests.request_path_rig import engine_info, engine_report
 
 A1 = VersionId('a@1')
 ONE = UpstreamId('one')
@@ -38,7 +38,7 @@
         self.directory = Directory(self.clock)
         self.directory.update((engine_info('one'), engine_info('two', 2)))
         for name in ('one', 'two'):
-            self.directory.reported(UpstreamId(name), report_of(A1))
+            self.directory.reported(UpstreamId(name), engine_report(A1))
 
     def open_engines(self) -> set[str]:
         return {state.info.upstream for state in self.directory.engines(A1)}
@@ -58,7 +58,7 @@
             'list': listed,
             'report': lambda: self.directory.reported(
                 ONE,
-                report_of(A1, leaving=True),
+                engine_report(A1, leaving=True),
             ),
             'peer': lambda: self.directory.mark_draining(
                 ONE,
@@ -81,7 +81,7 @@
         leaving = replace(engine_info('one'), presence=Presence.LEAVING)
         self.directory.update((leaving, engine_info('two', 2)))
         await self.clock.advance(REPORT_LAG + 1)
-        self.directory.reported(ONE, report_of(A1))
+        self.directory.reported(ONE, engine_report(A1))
         self.assertEqual(self.open_engines(), {'two'})
         state = self.directory.state(ONE)
         assert state is not None
@@ -91,12 +91,12 @@
         self.directory.mark_draining(ONE)
         self.directory.update((engine_info('one'), engine_info('two', 2)))
         self.assertEqual(self.open_engines(), {'two'})
-        self.directory.reported(ONE, report_of(A1))
+        self.directory.reported(ONE, engine_report(A1))
         self.assertEqual(self.open_engines(), {'two'})
         await self.clock.advance(REPORT_LAG)
-        self.directory.reported(ONE, report_of(A1), asked=1)
+        self.directory.reported(ONE, engine_report(A1), asked=1)
         self.assertEqual(self.open_engines(), {'two'})
-        self.directory.reported(ONE, report_of(A1))
+        self.directory.reported(ONE, engine_report(A1))
         self.assertEqual(self.open_engines(), {'one', 'two'})
 
     async def test_another_address_is_another_incarnation(self) -> None:
@@ -104,7 +104,7 @@
         self.directory.mark_draining(ONE)
         moved = engine_info('one', 9)
         self.directory.update((moved, engine_info('two', 2)))
-        self.directory.reported(ONE, report_of(A1))
+        self.directory.reported(ONE, engine_report(A1))
         self.assertEqual(self.open_engines(), {'one', 'two'})
         assert before is not None
         self.assertTrue(before.draining)
@@ -117,7 +117,7 @@
         self.assertTrue(self.directory.mark_draining(UpstreamId('n'), address))
         self.assertFalse(self.directory.mark_draining(UpstreamId('n'), address))
         self.directory.update((engine_info('n', 7),))
-        self.directory.reported(UpstreamId('n'), report_of(A1))
+        self.directory.reported(UpstreamId('n'), engine_report(A1))
         self.assertEqual(self.open_engines(), set())
 
     async def test_a_service_that_refused_gets_requests_again_later(
@@ -162,13 +162,15 @@
         self,
     ) -> None:
         first, *others = self.directories
-        first.reported(ONE, report_of(A1, leaving=True))
+        first.reported(ONE, engine_report(A1, leaving=True))
         await self.clock.advance(REPORT_LAG + 1)
         for directory in others:
-            directory.reported(ONE, report_of(A1))
-        first.reported(ONE, report_of(A1), self.clock.now() - REPORT_LAG - 1)
+            directory.reported(ONE, engine_report(A1))
+        first.reported(
+            ONE, engine_report(A1), self.clock.now() - REPORT_LAG - 1
+        )
         self.assertEqual(self.draining_states(), [True, False, False])
-        first.reported(ONE, report_of(A1, leaving=True))
+        first.reported(ONE, engine_report(A1, leaving=True))
         await self.clock.advance(0.1)
         self.assertEqual(self.draining_states(), [True, True, True])
 
@@ -181,7 +183,7 @@
     ) -> None:
         # Host c, in the other domain, receives it through host b only.
         self.mesh.cut(HostId('a'), HostId('c'))
-        self.directories[0].reported(ONE, report_of(A1, leaving=True))
+        self.directories[0].reported(ONE, engine_report(A1, leaving=True))
         await self.clock.advance(0.1)
         self.assertEqual(self.draining_states(), [True, True, True])
 
@@ -205,7 +207,7 @@
         if upstream.upstream == 'one':
             await self.clock.sleep(2)
             return Refusal(ResultCode.UPSTREAM_TIMEOUT, 'frozen')
-        return report_of(A1, leaving=True)
+        return engine_report(A1, leaving=True)
 
 
 class FixedList:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -12,7 +12,13 @@
 from nutmegroad.foundations.types import Epoch, Ran, UpstreamId, VersionId
 from nutmegroad.routing.request_progress import Answer
 from nutmegroad.testing.virtual import ManualClock
-from tests.rigs import ENDING, MEDIUM, SMALL, HostRig, report_of
+from tests.request_path_rig import (
+    ANSWER_END,
+    MEDIUM,
+    SMALL,
+    RequestPathRig,
+    engine_report,
+)
 
 CUT = Refusal(ResultCode.ANSWER_CUT, 'cut', Ran.UNKNOWN)
 WITHDRAWN = (Withdrawal(version=SMALL, epoch=0),)
@@ -42,11 +48,13 @@
 class CascadeTest(unittest.IsolatedAsyncioTestCase):
     """A cheap first step whose answer is withheld until it is estimated."""
 
-    def make_rig(self, estimate: float) -> HostRig:
-        return HostRig(ManualClock(), CascadePlanner(estimate))
+    def make_rig(self, estimate: float) -> RequestPathRig:
+        return RequestPathRig(ManualClock(), CascadePlanner(estimate))
 
-    async def send(self, rig: HostRig, **changes: Any) -> Answer | Refusal:
-        return await rig.ask(versions=(SMALL, MEDIUM), **changes)
+    async def send(
+        self, rig: RequestPathRig, **changes: Any
+    ) -> Answer | Refusal:
+        return await rig.send(versions=(SMALL, MEDIUM), **changes)
 
     async def test_a_good_first_answer_is_shown_as_its_own_version(
         self,
@@ -62,14 +70,14 @@
         rig = self.make_rig(0.1)
 
         def script(attempt: Attempt) -> list[Any]:
-            return [Piece(0, 'bad'), ENDING]
+            return [Piece(0, 'bad'), ANSWER_END]
 
         rig.engines.scripts = [script]
         answer = await self.send(rig)
         assert isinstance(answer, Answer)
         self.assertEqual(answer.version, MEDIUM)
         self.assertNotIn('bad', rig.caller.text)
-        self.assertEqual(rig.spent.attempts, 2)
+        self.assertEqual(rig.usage.attempts, 2)
 
     async def test_a_withdrawal_applies_to_the_last_step_too(self) -> None:
         rig = self.make_rig(0.1)
@@ -79,7 +87,7 @@
             rig.configuration.add_withdrawals((withdrawal,))
 
         def script(attempt: Attempt) -> list[Any]:
-            return [Piece(0, 'bad'), withdraw, ENDING]
+            return [Piece(0, 'bad'), withdraw, ANSWER_END]
 
         rig.engines.scripts = [script]
         answer = await self.send(rig)
@@ -101,11 +109,11 @@
     """A session that is bound to a version."""
 
     async def asyncSetUp(self) -> None:
-        self.rig = HostRig(ManualClock())
+        self.rig = RequestPathRig(ManualClock())
         self.session = SessionBinding('s', SMALL, Epoch(0))
 
     async def send(self) -> Answer | Refusal:
-        return await self.rig.ask(session=self.session)
+        return await self.rig.send(session=self.session)
 
     async def test_a_withdrawal_of_its_version_ends_a_session_not_run(
         self,
@@ -121,7 +129,7 @@
         self,
     ) -> None:
         for name in ('one', 'two'):
-            self.rig.directory.reported(UpstreamId(name), report_of(MEDIUM))
+            self.rig.directory.reported(UpstreamId(name), engine_report(MEDIUM))
         self.rig.configuration.add_withdrawals(WITHDRAWN)
         outcome = await self.send()
         assert isinstance(outcome, Refusal)
@@ -141,7 +149,7 @@
 
     async def test_a_session_never_changes_its_version(self) -> None:
         for name in ('one', 'two'):
-            self.rig.directory.reported(UpstreamId(name), report_of(MEDIUM))
+            self.rig.directory.reported(UpstreamId(name), engine_report(MEDIUM))
         request = self.rig.request(
             session=self.session,
             versions=(SMALL, MEDIUM),
@@ -177,11 +185,11 @@
     """Attempts that fail before any piece was sent to the caller."""
 
     async def asyncSetUp(self) -> None:
-        self.rig = HostRig(ManualClock())
+        self.rig = RequestPathRig(ManualClock())
 
     async def test_a_non_repeatable_request_is_sent_once(self) -> None:
         self.rig.engines.scripts = [lambda attempt: [CUT]]
-        outcome = await self.rig.ask(repeatable=False)
+        outcome = await self.rig.send(repeatable=False)
         assert isinstance(outcome, Refusal)
         self.assertIs(outcome.ran, Ran.UNKNOWN)
         self.assertEqual(len(self.rig.engines.sent), 1)
@@ -189,7 +197,7 @@
     async def test_a_request_proved_not_run_is_retried_elsewhere(self) -> None:
         busy = Refusal(ResultCode.UPSTREAM_BUSY, 'busy')
         self.rig.engines.scripts = [lambda attempt: [busy]]
-        answer = await self.rig.ask(repeatable=False)
+        answer = await self.rig.send(repeatable=False)
         self.assertIsInstance(answer, Answer)
         upstreams = {sent.upstream for sent in self.rig.engines.sent}
         self.assertEqual(len(upstreams), 2)
@@ -198,8 +206,8 @@
 
     async def test_a_version_without_upstreams_is_replaced(self) -> None:
         for name in ('one', 'two'):
-            self.rig.directory.reported(UpstreamId(name), report_of(MEDIUM))
-        answer = await self.rig.ask(versions=(SMALL, MEDIUM))
+            self.rig.directory.reported(UpstreamId(name), engine_report(MEDIUM))
+        answer = await self.rig.send(versions=(SMALL, MEDIUM))
         assert isinstance(answer, Answer)
         self.assertEqual(answer.version, VersionId(MEDIUM))
 
@@ -208,5 +216,5 @@
     ) -> None:
         for _ in range(2):
             self.rig.engines.scripts = [refuse_all, refuse_all]
-            await self.rig.ask()
+            await self.rig.send()
         self.assertEqual(self.rig.directory.engines(SMALL), ())
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -26,8 +26,8 @@
     Tally,
 )
 from nutmegroad.testing.virtual import ManualClock
-from tests.rigs import SMALL, WORDS, HostRig, Script
-from tests.rigs import TASK as RIG_TASK
+from tests.request_path_rig import SMALL, WORDS, RequestPathRig, Script
+from tests.request_path_rig import TASK as RIG_TASK
 
 VERSION = VersionId('a@1')
 TASK = TaskName('tag')
@@ -123,7 +123,7 @@
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
-        self.rig = HostRig(self.clock)
+        self.rig = RequestPathRig(self.clock)
         self.store = EvidenceStore(NAMES[0])
         self.rig.observers.add(self.store)
 
@@ -143,7 +143,7 @@
         """Return the failures counted for an attempt with a deadline of 3 s."""
         self.rig.engines.scripts = [self.pausing_script(*pauses)]
         deadline = self.clock.now() + 3
-        task = asyncio.create_task(self.rig.ask(deadline=deadline))
+        task = asyncio.create_task(self.rig.send(deadline=deadline))
         await self.clock.advance(4)
         await task
         return self.store.total(SMALL, RIG_TASK).failures
@@ -168,7 +168,7 @@
 
     async def test_attempt_whose_caller_left_does_not_count(self) -> None:
         self.rig.engines.scripts = [self.pausing_script(*repeat(0.5, 8))]
-        task = asyncio.create_task(self.rig.ask())
+        task = asyncio.create_task(self.rig.send())
         await self.clock.advance(2)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -10,7 +10,7 @@
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Presence, Ran, Revision, UpstreamId
 from nutmegroad.testing.virtual import ManualClock
-from tests.rigs import HostRig, engine_info
+from tests.request_path_rig import RequestPathRig, engine_info
 
 CUT = Refusal(ResultCode.ANSWER_CUT, 'cut', Ran.UNKNOWN)
 
@@ -20,10 +20,10 @@
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
-        self.rig = HostRig(self.clock)
+        self.rig = RequestPathRig(self.clock)
 
     async def assert_refused(self, code: ResultCode) -> None:
-        outcome = await self.rig.ask()
+        outcome = await self.rig.send()
         self.assertIsInstance(outcome, Refusal)
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.code, code)
@@ -44,7 +44,7 @@
             self.rig.configuration.add_withdrawals((withdrawal,))
 
         self.rig.engines.scripts = [lambda attempt: [withdraw, CUT]]
-        outcome = await self.rig.ask()
+        outcome = await self.rig.send()
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.code, ResultCode.VERSION_WITHDRAWN)
         self.assertIs(outcome.ran, Ran.UNKNOWN)
@@ -59,12 +59,12 @@
             return [Piece(0, 'w0 '), withdraw, CUT]
 
         self.rig.engines.scripts = [script]
-        outcome = await self.rig.ask()
+        outcome = await self.rig.send()
         assert isinstance(outcome, Refusal)
         self.assertEqual(len(self.rig.engines.sent), 1)
 
     async def test_no_first_byte_after_the_deadline(self) -> None:
-        outcome = await self.rig.ask(deadline=self.clock.now())
+        outcome = await self.rig.send(deadline=self.clock.now())
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.code, ResultCode.DEADLINE_PASSED)
         self.assertEqual(self.rig.engines.sent, [])
@@ -78,7 +78,7 @@
         info = engine_info('one')
         leaving = replace(info, presence=Presence.LEAVING)
         self.rig.directory.update((leaving, engine_info('two', 2)))
-        await self.rig.ask()
+        await self.rig.send()
         sent = [attempt.upstream.upstream for attempt in self.rig.engines.sent]
         self.assertEqual(sent, [UpstreamId('two')])
 
@@ -88,13 +88,13 @@
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
-        self.rig = HostRig(self.clock)
+        self.rig = RequestPathRig(self.clock)
         self.detector = PauseDetector(self.clock, self.rig.configuration, 8)
         self.rig.gatekeeper.add_condition(self.detector.dispatch_refusal)
 
     async def send(self) -> ResultCode:
         """Send a request, and return the code of its outcome."""
-        outcome = await self.rig.ask()
+        outcome = await self.rig.send()
         return outcome.code if isinstance(outcome, Refusal) else ResultCode.OK
 
     async def test_nothing_is_sent_until_a_later_read_confirms(self) -> None:
--- a/tests/test_harmful_requests.py
+++ b/tests/test_harmful_requests.py
@@ -21,7 +21,12 @@
 )
 from nutmegroad.routing.request_progress import Answer, RequestUsage
 from nutmegroad.testing.virtual import ManualClock, MemoryMesh
-from tests.rigs import HostRig, Script, ScriptedEngines, whole
+from tests.request_path_rig import (
+    RequestPathRig,
+    Script,
+    ScriptedEngines,
+    complete_answer,
+)
 from tests.test_attempts import CUT, UNREACHABLE, broken
 
 BODY = {'messages': [{'role': 'user', 'content': 'a question'}]}
@@ -49,7 +54,7 @@
         """Start a host."""
         self.clock = ManualClock(start=100)
         self.engines = CrashingEngines()
-        self.rig = HostRig(self.clock, engines=self.engines)
+        self.rig = RequestPathRig(self.clock, engines=self.engines)
         self.numbers = iter(range(100))
 
     @property
@@ -60,9 +65,9 @@
     async def send(self, *scripts: Script, **changes: object) -> object:
         """Send the request again under another id."""
         self.engines.scripts = list(scripts)
-        self.rig.spent = RequestUsage()
+        self.rig.usage = RequestUsage()
         name = RequestId(f'r{next(self.numbers)}')
-        return await self.rig.ask(request=name, body=BODY, **changes)
+        return await self.rig.send(request=name, body=BODY, **changes)
 
     async def crash_three_engines(self) -> None:
         """Send the request until it has crashed three engines."""
@@ -95,8 +100,8 @@
         """A request that merely ran beside a harmful one is probed."""
         await self.crash_three_engines()
         await self.clock.jump(PROBE_DELAY)
-        self.assertIsInstance(await self.send(whole), Answer)
-        self.assertIsInstance(await self.send(whole), Answer)
+        self.assertIsInstance(await self.send(complete_answer), Answer)
+        self.assertIsInstance(await self.send(complete_answer), Answer)
 
     async def test_a_further_termination_blocks_it_for_long(self) -> None:
         """The probe crashes one more engine; no other is used."""
@@ -113,14 +118,14 @@
         await self.crash_three_engines()
         self.rig.harmful.may_probe = lambda content: False
         await self.clock.jump(PROBE_DELAY)
-        self.assertIsInstance(await self.send(whole), Refusal)
+        self.assertIsInstance(await self.send(complete_answer), Refusal)
 
     async def test_a_failed_attempt_is_no_termination(self) -> None:
         """A running engine that spoils answers does not block requests."""
         self.engines.terminated = False
         for _ in range(4):
             await self.send(*(broken(0) for _ in range(9)))
-        self.assertIsInstance(await self.send(whole), Answer)
+        self.assertIsInstance(await self.send(complete_answer), Answer)
 
 
 class CrashExchangeTest(unittest.IsolatedAsyncioTestCase):
@@ -138,11 +143,11 @@
             exchange = CrashExchange(peer, harmful.crashes, clock)
             task = asyncio.create_task(exchange.run())
             self.addCleanup(task.cancel)
-        rig = HostRig(clock, engines=engines, harmful=hosts[0])
+        rig = RequestPathRig(clock, engines=engines, harmful=hosts[0])
         request = rig.request(body=BODY)
         for _ in range(HARMFUL_CRASHES):
             engines.scripts = [broken(0) for _ in range(9)]
-            await rig.ask(body=BODY)
+            await rig.send(body=BODY)
         self.assertIsNone(hosts[1].refusal_for(request))
         await clock.advance(BROADCAST_INTERVAL * 2)
         refusal = hosts[1].refusal_for(request)
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -28,8 +28,8 @@
     async def asyncSetUp(self) -> None:
         """Start two hosts."""
         self.rig = await self.enterAsyncContext(RecordsRig())
-        self.one = self.rig.host('one')
-        self.two = self.rig.host('two')
+        self.one = self.rig.start_host('one')
+        self.two = self.rig.start_host('two')
 
     async def claim(self) -> Claim:
         """Claim the key on the first host."""
@@ -51,7 +51,7 @@
         self.assertGreater(refusal.retry_after, 0)
 
     async def test_a_lost_reply_is_settled_by_the_nonce(self) -> None:
-        self.rig.fault(FaultKind.LOSE_REPLY, 'table', count=1)
+        self.rig.add_fault(FaultKind.LOSE_REPLY, 'table', count=1)
         await self.claim()
         self.assertIs(
             ResultCode.STILL_RUNNING,
@@ -75,7 +75,7 @@
 
     async def test_a_lost_reply_to_the_answer_is_harmless(self) -> None:
         claim = await self.claim()
-        self.rig.fault(FaultKind.LOSE_REPLY, 'table', count=1)
+        self.rig.add_fault(FaultKind.LOSE_REPLY, 'table', count=1)
         await self.one.intents.settle(claim, ANSWER)
         await self.one.intents.settle(claim, ANSWER)
         first = await self.two.intents.claim(REPEATED_SPEC)
@@ -115,7 +115,7 @@
             ResultCode.STILL_RUNNING,
             (await self.claim_refused()).code,
         )
-        self.rig.host('one')
+        self.rig.start_host('one')
         self.assertIs(
             ResultCode.OUTCOME_UNKNOWN,
             (await self.claim_refused()).code,
@@ -124,14 +124,14 @@
     async def test_a_repeatable_request_is_taken_over(self) -> None:
         spec = replace(INTENT_SPEC, repeatable=True)
         self.assertIsInstance(await self.one.intents.claim(spec), Claim)
-        self.rig.host('one')
+        self.rig.start_host('one')
         again = replace(REPEATED_SPEC, repeatable=True)
         self.assertIsInstance(await self.two.intents.claim(again), Claim)
 
     async def test_a_write_with_unknown_outcome_is_released(self) -> None:
         # The reply is lost, and the read that would find the row is stale.
-        self.rig.fault(FaultKind.LOSE_REPLY, 'table', count=1)
-        self.rig.fault(FaultKind.STALE, 'table', count=1)
+        self.rig.add_fault(FaultKind.LOSE_REPLY, 'table', count=1)
+        self.rig.add_fault(FaultKind.STALE, 'table', count=1)
         refusal = await self.one.intents.claim(INTENT_SPEC)
         assert isinstance(refusal, Refusal)
         self.assertIs(ResultCode.INTENT_UNAVAILABLE, refusal.code)
@@ -149,8 +149,8 @@
     async def test_a_release_leaves_the_claim_of_another_alone(self) -> None:
         # The write never arrives, so the later row with the same version
         # belongs to another host.
-        self.rig.fault(FaultKind.LOSE_REPLY, 'table', count=1)
-        self.rig.fault(FaultKind.STALE, 'table', count=1)
+        self.rig.add_fault(FaultKind.LOSE_REPLY, 'table', count=1)
+        self.rig.add_fault(FaultKind.STALE, 'table', count=1)
         await self.one.intents.claim(INTENT_SPEC)
         (claim,) = self.one.intents.take_abandoned()
         other = replace(INTENT_SPEC, key='k2')
@@ -164,8 +164,8 @@
 
     async def test_a_write_after_the_release_conflicts(self) -> None:
         spec = replace(INTENT_SPEC, key='k3')
-        self.rig.fault(FaultKind.LOSE_REPLY, 'table', count=1)
-        self.rig.fault(FaultKind.STALE, 'table', count=1)
+        self.rig.add_fault(FaultKind.LOSE_REPLY, 'table', count=1)
+        self.rig.add_fault(FaultKind.STALE, 'table', count=1)
         await self.one.intents.claim(INTENT_SPEC)
         (claim,) = self.one.intents.take_abandoned()
         late = replace(claim, row=spec.row)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -12,7 +12,7 @@
 from nutmegroad.foundations.results import Refusal, ResultCode
 from nutmegroad.foundations.types import Incarnation
 from nutmegroad.testing.virtual import ManualClock, PausableClock
-from tests.tables import MemoryTable
+from tests.memory_table import MemoryTable
 
 TERM = 8.0
 NAME = 'orders/d'
@@ -79,7 +79,7 @@
         used: list[int] = []
 
         async def delay_reply() -> None:
-            table.lost_replies = int(randomness.randrange(5) == 0)
+            table.replies_to_lose = int(randomness.randrange(5) == 0)
             await clock.sleep(randomness.choice((0, 0.1, 1, TERM)))
 
         table.before_reply = delay_reply
@@ -165,10 +165,10 @@
         self.assertIsNotNone(self.first.check(lease, self.first.margin))
 
     async def test_lost_reply_is_resolved_by_nonce(self) -> None:
-        self.table.lost_replies = 1
+        self.table.replies_to_lose = 1
         lease = await self.acquire(self.first)
         self.assertIsNone(self.first.check(lease))
-        self.table.lost_replies = 1
+        self.table.replies_to_lose = 1
         renewed = await self.acquire(self.first)
         self.assertEqual(renewed.number, lease.number)
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -50,7 +50,7 @@
     document_of,
     version_of,
 )
-from tests.tables import MemoryTable
+from tests.memory_table import MemoryTable
 
 DOMAIN = DomainId('d')
 LEASE_TERM = 8
--- a/tests/test_records_random.py
+++ b/tests/test_records_random.py
@@ -27,7 +27,7 @@
     WORKSPACE,
     Host,
     RecordsRig,
-    order,
+    claim_request,
 )
 
 SEEDS = int(os.environ.get('SEEDS', '6'))
@@ -49,7 +49,7 @@
     def __init__(self, rig: RecordsRig, randomness: random.Random) -> None:
         self._rig = rig
         self.randomness = randomness
-        self.hosts = {name: rig.host(name) for name in NAMES}
+        self.hosts = {name: rig.start_host(name) for name in NAMES}
         self.runs: Counter[str] = Counter()
         self.must_be_billed: set[str] = set()
         self.tickets: list[tuple[str, str]] = []
@@ -72,7 +72,7 @@
     async def inject_fault(self) -> None:
         """Enable a random platform fault for one to three calls."""
         kind, scope = self.randomness.choice(FAULTS)
-        self._rig.fault(kind, scope, count=self.randomness.randint(1, 3))
+        self._rig.add_fault(kind, scope, count=self.randomness.randint(1, 3))
 
     async def terminate(self) -> None:
         """Terminate a host, which loses its memory, and restart it.
@@ -84,7 +84,7 @@
         await self.run_periodic_duties()
         name = self.randomness.choice(NAMES)
         self._rig.mesh.remove(self.hosts[name].peer.host)
-        self.hosts[name] = self._rig.host(name)
+        self.hosts[name] = self._rig.start_host(name)
 
     async def advance_clock(self) -> None:
         """Advance the clock and perform the periodic duties of all hosts."""
@@ -94,8 +94,8 @@
     async def run_periodic_duties(self) -> None:
         """Let each host store or copy its records and outcomes."""
         for host in self.hosts.values():
-            await timed(self._rig, host.once.settle_pending())
-            host.keeper.take_over()
+            await timed(self._rig, host.at_most_once.settle_pending())
+            host.record_copies.take_over()
             await timed(self._rig, host.sender.flush())
 
     async def send(self) -> None:
@@ -107,7 +107,9 @@
         """Send the same request to two hosts concurrently."""
         claim, work = self.random_claim()
         self.request_count += 1
-        again = order(self.request_count, key=claim.key, ticket=claim.ticket)
+        again = claim_request(
+            self.request_count, key=claim.key, ticket=claim.ticket
+        )
         await asyncio.gather(
             self.send_to(self.random_host(), claim, work),
             self.send_to(self.random_host(), again, work),
@@ -131,19 +133,21 @@
         deadline = self._rig.clock.now() + 20
         if self.one_in(2):
             key = self.randomness.choice(KEYS)
-            return order(self.request_count, key=key, deadline=deadline), key
+            return claim_request(
+                self.request_count, key=key, deadline=deadline
+            ), key
         if not self.tickets or self.one_in(3):
             ticket = str(self.random_host().issuer.issue(WORKSPACE))
             self.tickets.append((ticket, f't{self.request_count}'))
         ticket, work = self.randomness.choice(self.tickets)
-        claim = order(
+        claim = claim_request(
             self.request_count, key='', ticket=ticket, deadline=deadline
         )
         return claim, work
 
     async def send_to(self, host: Host, claim: ClaimRequest, work: str) -> None:
         """Send a request to a host; record whether it must be billed."""
-        runner = Runner(host.once, host.biller, host.sender)
+        runner = Runner(host.at_most_once, host.biller, host.sender)
 
         async def attempt(fence: Fence) -> RequestResult:
             """Send one attempt and return its result."""
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -48,7 +48,7 @@
     document_of,
     version_of,
 )
-from tests.tables import MemoryTable
+from tests.memory_table import MemoryTable
 from tests.test_exposure import QuietFeed
 
 OPERATOR = OperatorId('op')
@@ -254,7 +254,7 @@
         self.assertIs(self.state(self.one).phase, Phase.RUNNING)
 
     async def test_a_lost_reply_is_read_back(self) -> None:
-        self.table.lost_replies = 1
+        self.table.replies_to_lose = 1
         self.assertIsNone(await self.send_action(self.one, Action.START))
         self.assertEqual(self.one.shares.share(NEW), FIRST_SHARE)
 
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -23,7 +23,7 @@
     async def asyncSetUp(self) -> None:
         """Issue a ticket."""
         self.rig = await self.enterAsyncContext(RecordsRig())
-        self.issuer = self.rig.host('one').issuer
+        self.issuer = self.rig.start_host('one').issuer
         self.text = self.issuer.issue(WORKSPACE)
         self.ticket = self.read(self.issuer)
 
@@ -59,7 +59,7 @@
         self.assertEqual(UNKNOWN, self.refused())
 
     def test_any_host_reads_a_ticket_and_no_other_workspace(self) -> None:
-        other = self.rig.host('two').issuer
+        other = self.rig.start_host('two').issuer
         self.assertEqual(self.ticket, self.read(other))
         for text, workspace in (
             (f'{self.text}x', WORKSPACE),
