--- a/src/nutmegroad/callers/intake.py
+++ b/src/nutmegroad/callers/intake.py
@@ -33,8 +33,7 @@
 #: Longest deadline that a caller may set, in milliseconds.
 MAX_DEADLINE_MS: Final = 3_600_000
 
-#: Maximum characters of an idempotency key, a session's name and other short
-#: texts.
+#: Maximum characters of idempotency keys, session names and other short texts.
 MAX_NAME_LENGTH: Final = 200
 
 #: Maximum tokens that a caller may request for an answer.
@@ -43,7 +42,6 @@
 _BEARER: Final = 'Bearer '
 _MS_PER_SECOND: Final = 1000
 
-
 ShortText = Annotated[str, Meta(max_length=MAX_NAME_LENGTH)]
 TokenCount = Annotated[int, Meta(ge=1, le=MAX_TOKENS)]
 
@@ -68,10 +66,7 @@
         messages: The conversation.
         stream: Whether to stream the answer.
         max_tokens: Maximum tokens of the answer; None for the task's limit.
-        temperature: Passed to the engine unchanged.
-        top_p: Passed to the engine unchanged.
-        stop: Passed to the engine unchanged.
-        user: Passed to the engine unchanged.
+        temperature, top_p, stop, user: Passed to the engine unchanged.
         nutmegroad_task: The task class if ``model`` names a model.
         nutmegroad_tokens: Passed to the engine unchanged; sets the length of
             a stand-in engine's answer.
@@ -357,8 +352,7 @@
 ) -> float:
     """Return the quality target of a request.
 
-    The workspace's target takes precedence over the preset's, and that over
-    the task class's.
+    Order of precedence: the workspace's, the preset's, the task class's.
     """
     if task.name in workspace.targets:
         return workspace.targets[task.name]
--- a/src/nutmegroad/routing/selection.py
+++ b/src/nutmegroad/routing/selection.py
@@ -54,65 +54,40 @@
 
 @dataclass(slots=True)
 class _Pending:
-    """What was expected of an attempt when its engine was selected.
-
-    Attributes:
-        load: Estimated number of requests at the engine.
-        slots: Number of slots of the engine.
-        cached: Whether the engine was expected to have the prefix cached.
-        prefix: The prefix of the prompt.
-        uncached: Estimated prompt tokens that are not cached.
-    """
+    """What was expected of an attempt when its engine was selected."""
 
-    load: float
-    slots: int
-    cached: bool
-    prefix: int
-    uncached: int
+    load: float  # Estimated number of requests at the engine.
+    slots: int  # Number of slots of the engine.
+    cached: bool  # Whether the engine was expected to have the prefix cached.
+    prefix: int  # The prefix of the prompt.
+    uncached: int  # Estimated prompt tokens that are not cached.
 
 
 @dataclass(slots=True)
 class _Candidate:
-    """An engine that was evaluated.
-
-    Attributes:
-        state: The engine.
-        load: Estimated number of requests there.
-        seconds: Expected seconds to the first token.
-        cached: Whether it probably has the prefix cached.
-    """
+    """An engine that was evaluated."""
 
-    state: UpstreamState
-    load: float
-    seconds: float
-    cached: bool
+    state: UpstreamState  # The engine.
+    load: float  # Estimated number of requests there.
+    seconds: float  # Expected seconds to the first token.
+    cached: bool  # Whether it probably has the prefix cached.
 
 
 @dataclass(slots=True)
 class _Search:
-    """State of one selection in progress.
-
-    Attributes:
-        request: The request.
-        version: The version that is to answer.
-        excluded: Engines that must not be selected.
-        now: Clock seconds of the selection.
-        speed: Speed estimates of the version.
-        candidates: Engines evaluated so far.
-        exclusions: Engines and domains that were ruled out, with the reason.
-        cached: Engines that probably have the prefix cached.
-        best: The best candidate so far.
-    """
+    """State of one selection in progress."""
 
     request: ModelRequest
-    version: VersionId
-    excluded: frozenset[UpstreamId]
-    now: float
-    speed: VersionSpeed
+    version: VersionId  # The version that is to answer.
+    excluded: frozenset[UpstreamId]  # Engines that must not be selected.
+    now: float  # Clock seconds of the selection.
+    speed: VersionSpeed  # Speed estimates of the version.
+    # Engines evaluated so far.
     candidates: list[_Candidate] = field(default_factory=list)
+    # Engines and domains that were ruled out, with the reason.
     exclusions: list[str] = field(default_factory=list)
-    cached: tuple[UpstreamId, ...] = ()
-    best: _Candidate | None = None
+    cached: tuple[UpstreamId, ...] = ()  # Engines likely to hold the prefix.
+    best: _Candidate | None = None  # The best candidate so far.
 
 
 class ExpectedSelector:
@@ -165,8 +140,7 @@
         local = domains.get(self._domain, [])
         self._evaluate(search, self._holders(search, pool))
         self._evaluate(search, sample(local, SAMPLE_SIZE, self._randomness))
-        if search.best is None:
-            # Rare: all sampled engines are unusable.
+        if search.best is None:  # Rare: all sampled engines are unusable.
             self._evaluate(search, local)
         if _is_full(search):
             self._spill(search, domains)
@@ -325,8 +299,8 @@
     ) -> None:
         """Use an ejected engine rather than none.
 
-        When all engines have failed, all are ejected. None is then more suspect
-        than another, and the first to recover must not get all work.
+        When all engines have failed, all are ejected. None is then more
+        suspect than another, and the first to recover must not get all work.
         """
         for state in sample(local, SAMPLE_SIZE, self._randomness):
             if state.info.upstream in search.excluded:
@@ -340,7 +314,7 @@
         upstream = best.state.info.upstream
         saved = search.speed.saved_tokens if best.cached else 0
         if len(self._expected) >= _MAX_EXPECTED:
-            # Only choices that were never followed by an attempt are left here.
+            # Only choices that no attempt has ever followed are left here.
             self._expected.clear()
         self._expected[request.request, upstream] = _Pending(
             best.load,
--- a/tests/test_shared_store.py
+++ b/tests/test_shared_store.py
@@ -31,8 +31,7 @@
 )
 
 TABLE = 'op'
-#: Updates from another host never expire.
-FOREVER = float('inf')
+FOREVER = float('inf')  # Updates from another host never expire.
 
 
 class CountingStore(UnavailableStore):
@@ -41,7 +40,6 @@
     Attributes:
         version: Its version; a row has the version that it was written at.
         unavailable: Whether it refuses all calls.
-        calls: Number of calls.
         waits: Seconds that it was asked to wait, by call for changes.
     """
 
@@ -83,8 +81,7 @@
     def test_time_is_the_stores_own(self) -> None:
         """Pattern: a host is paused, and then sends what it read before.
 
-        The answer carries the time of the store's clock, so the delay does not
-        make it look newer than it is.
+        The answer has the store's time, so no delay makes it look newer.
         """
         clock = ManualClock(start=50)
         store_clock = StoreClock(clock)
@@ -102,7 +99,6 @@
     """The parts of a host that read the store and serve its followers.
 
     Args:
-        name: Its name.
         store: The platform's store.
         hosts: All hosts of the failure domain.
     """
@@ -231,10 +227,7 @@
         self.assertFalse(found.relayed)
 
     async def test_reader_that_dies_is_replaced(self) -> None:
-        """Pattern: the host that reads for others is killed.
-
-        Its follower, which waits for an update, asks the store.
-        """
+        """Pattern: the reader is killed; a waiting follower asks the store."""
         follower = await self.served_follower()
         asked = asyncio.create_task(
             follower.store.changes(TABLE, 1, 60, FOREVER)
@@ -292,7 +285,7 @@
         self.assertEqual(self.platform.calls, before)
 
     async def test_host_that_starts_alone_asks_the_store_in_time(self) -> None:
-        """Pattern: there is no other host, or the fleet table can't be read."""
+        """Pattern: no other host exists, or the fleet table can't be read."""
         alone = Host('z', self.platform, {})
         alone.row = HostRow('127.0.0.1', alone.row.port, 'south')
         found = await alone.store.snapshot(TABLE)
@@ -362,9 +355,8 @@
     ) -> None:
         """Pattern: without changes, each answer is held back for seconds.
 
-        A host whose clock calibration was a minute old asked the store to wait.
-        It could not calibrate the clock by such an answer, and therefore used
-        no updates of other hosts any more.
+        A host whose calibration was a minute old asked the store to wait. The
+        answer could not renew it, so the host used no more relayed updates.
         """
         follower = await self.served_follower()
         follower.store_clock._calibrated_at -= 100
@@ -374,9 +366,8 @@
     async def test_clock_is_calibrated_from_the_start_of_the_call(self) -> None:
         """Pattern: a host was busy when the store first answered it.
 
-        The delay made all updates look older than they were. A later call did
-        not correct this if the host had waited for updates before it: the call
-        was dated from before that wait.
+        The delay made all updates look older. A later call did not correct it
+        after a wait for updates, as the call was dated from before the wait.
         """
         follower = await self.served_follower()
         follower.store_clock._lead -= 10
