--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -59,7 +59,7 @@
         self.assertIn('dispatch: outside', text)
 
     def test_only_the_logging_module_imports_absl(self) -> None:
-        for path in sorted(SOURCES.glob('*.py')):
+        for path in sorted(SOURCES.rglob('*.py')):
             with self.subTest(module=path.name):
                 uses = 'from absl' in path.read_text()
                 self.assertEqual(uses, path.name == 'logs.py')
--- a/tests/test_mesh_part.py
+++ b/tests/test_mesh_part.py
@@ -110,6 +110,6 @@
 
     def test_page_explains_every_event(self) -> None:
         page = PAGE.read_text()
-        for module in SOURCES.glob('*.py'):
+        for module in SOURCES.rglob('*.py'):
             for event in EVENT.findall(module.read_text()):
                 self.assertIn(f'`{event}`', page)
