--- a/experiments/deployment.py
+++ b/experiments/deployment.py
@@ -5,7 +5,6 @@
 """
 
 import asyncio
-import hashlib
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any, Final
@@ -32,8 +31,6 @@
 CLUSTER_KEY: Final = 'a-cluster-key-for-demos-only'
 BOOTSTRAP_TOKEN: Final = 'a-bootstrap-token-for-demos-only'
 
-_NO_CONTENT: Final = 204
-
 
 #: The versions that each engine of a failure domain has loaded.
 Engines = tuple[tuple[str, ...], ...]
@@ -118,11 +115,6 @@
     return f'token-{name}'
 
 
-def hash_secret(secret: str) -> str:
-    """Return the hash that a document contains instead of a secret."""
-    return hashlib.sha256(secret.encode()).hexdigest()
-
-
 async def start(processes: Processes, rig: Rig) -> Deployment:
     """Start a deployment and put its configuration into force."""
     text = rig.text or read_example(rig.name)
--- a/experiments/load/request_stats.py
+++ b/experiments/load/request_stats.py
@@ -3,15 +3,11 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from typing import Final
 
 import numpy as np
 
 from experiments.load.client import Outcome, RequestResult
 
-#: Seconds within which a refusal should be answered.
-REFUSAL_GOAL: Final = 0.05
-
 
 @dataclass(frozen=True, slots=True)
 class Percentiles:
--- a/experiments/slopes/fits.py
+++ b/experiments/slopes/fits.py
@@ -8,8 +8,6 @@
 
 import numpy as np
 
-#: Bytes of Ethernet, IP and TCP headers of a segment with timestamps.
-HEADERS: Final = 66
 #: Size of the fleet to extrapolate to. A host there opens 2 links to each of
 #: the 8 other failure domains and accepts as many, hence 32 remote links.
 TARGET: Final = {
@@ -19,11 +17,6 @@
     'near': 43.4,
     'far': 32.0,
 }
-#: Parts whose messages go over HTTP; each message takes a segment and an
-#: acknowledgement each way.
-HTTP: Final = frozenset(
-    ('reports', 'table', 'objects', 'host list', 'ratings'),
-)
 _COST_KINDS: Final = ('sent_bytes', 'sent_messages', 'processor_seconds')
 
 
--- a/experiments/trials/engine_model.py
+++ b/experiments/trials/engine_model.py
@@ -71,7 +71,6 @@
         self.versions = versions
         self.slowness = 1.0
         self.is_down = False
-        self.busy_seconds: float = 0
         self._clock = clock
         self._running: list[Job] = []
         self._queue: list[tuple[int, int, Job]] = []
@@ -148,7 +147,6 @@
         now = self._clock.now()
         elapsed = now - self._updated_at
         self._updated_at = now
-        self.busy_seconds += elapsed * len(self._running)
         step = self._step()
         for job in self._running:
             prefill = min(job.prefill_left, elapsed / self.slowness)
--- a/experiments/trials/selection_fleet.py
+++ b/experiments/trials/selection_fleet.py
@@ -177,14 +177,6 @@
         """Cancel all tasks and close the mesh."""
         await self._stack.aclose()
 
-    def in_domain(self, domain: str) -> list[EngineModel]:
-        """Return the engines of a failure domain."""
-        return [
-            self.engines[info.upstream]
-            for info in self._infos
-            if info.domain == domain
-        ]
-
     def fail_domain(self, domain: str) -> None:
         """Fail a domain's engines; the list drops them after ``LIST_LAG``."""
         for info in self._infos:
--- a/src/nutmegroad/configuration/poller.py
+++ b/src/nutmegroad/configuration/poller.py
@@ -115,11 +115,6 @@
             self._configuration.record_failure(started)
         return refusal
 
-    async def confirm_if_expired(self) -> None:
-        """Poll if the confirmation expired unnoticed, as during a pause."""
-        if self._configuration.needs_confirmation:
-            await self.poll()
-
     async def apply_notice(
         self,
         notice: HeadNotice,
--- a/src/nutmegroad/quality/quality_sharing.py
+++ b/src/nutmegroad/quality/quality_sharing.py
@@ -11,12 +11,12 @@
 import asyncio
 import random
 from collections.abc import Callable
-from typing import ClassVar, Final, Protocol
+from typing import ClassVar, Final
 
 import msgspec
 
 from nutmegroad.contracts.peers import Mesh, Message
-from nutmegroad.contracts.platform import Objects, Rating, Ratings
+from nutmegroad.contracts.platform import Objects, Ratings
 from nutmegroad.foundations.clocks import Clock
 from nutmegroad.foundations.logs import part_logger
 from nutmegroad.foundations.results import Refusal
@@ -87,13 +87,6 @@
     state: QualityState
 
 
-class RatingListener(Protocol):
-    """Receives ratings; implementations must be fast and must not raise."""
-
-    def add_ratings(self, ratings: tuple[Rating, ...]) -> bool:
-        """Add a page of ratings, in the feed's order."""
-
-
 class FeedReader:
     """Reads the feed while this host holds the duty to do so.
 
